--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -15,12 +15,12 @@
 )
 
 // records is what an earlier leader left.
-type records struct {
+type storedRecords struct {
 	open, claims     wire.Items
 	catalog, cluster wire.Item
 }
 
-func (c *Controller) readRecords(ctx context.Context) (r records, err error) {
+func (c *Controller) readRecords(ctx context.Context) (r storedRecords, err error) {
 	if r.open, err = c.Store.ListAll(ctx, ledger.PrefixOpen); err != nil {
 		return r, err
 	}
@@ -54,7 +54,7 @@
 	return 0, false
 }
 
-func (c *Controller) restore(r *records, now time.Time) {
+func (c *Controller) restore(r *storedRecords, now time.Time) {
 	if r.cluster.Version > 0 {
 		// Whatever it says, it was written when all controllers read pieces.
 		c.useFormat(ledger.FormatPieces)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -65,11 +65,11 @@
 	UserCall(ctx context.Context, c *UserCall) *UserAnswer
 }
 
-type codec struct{}
+type messageCodec struct{}
 
-func (codec) Marshal(v any) ([]byte, error)      { return wire.Marshal(v) }
-func (codec) Unmarshal(data []byte, v any) error { return wire.Unmarshal(data, v) }
-func (codec) Name() string                       { return "msgpack" }
+func (messageCodec) Marshal(v any) ([]byte, error)      { return wire.Marshal(v) }
+func (messageCodec) Unmarshal(data []byte, v any) error { return wire.Unmarshal(data, v) }
+func (messageCodec) Name() string                       { return "msgpack" }
 
 const service = "marblehaven.Peer"
 
@@ -99,7 +99,7 @@
 
 // Serve answers peers on the listener until ctx ends.
 func Serve(ctx context.Context, ln net.Listener, local Local) error {
-	s := grpc.NewServer(grpc.ForceServerCodec(codec{}), grpc.MaxRecvMsgSize(2*tuning.MaxBody))
+	s := grpc.NewServer(grpc.ForceServerCodec(messageCodec{}), grpc.MaxRecvMsgSize(2*tuning.MaxBody))
 	s.RegisterService(&Service, local)
 	go func() {
 		<-ctx.Done()
@@ -136,7 +136,7 @@
 	bo := backoff.Config{BaseDelay: tuning.PeerRedial, Multiplier: 1.5, MaxDelay: tuning.PeerEvery}
 	return grpc.NewClient("passthrough:///"+p.Address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.ForceCodec(codec{})),
+		grpc.WithDefaultCallOptions(grpc.ForceCodec(messageCodec{})),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: bo, MinConnectTimeout: tuning.PeerTimeout}),
 		grpc.WithNoProxy(), grpc.WithDisableServiceConfig())
 }
--- a/internal/standin/records.go
+++ b/internal/standin/records.go
@@ -8,7 +8,7 @@
 )
 
 // records reads run records in the state service, decoding each version once.
-type records struct {
+type recordChecker struct {
 	state  *State
 	pieces map[string]decodedPiece // by key
 }
@@ -20,13 +20,13 @@
 	readable bool
 }
 
-func newRecords(state *State) *records {
-	return &records{state: state, pieces: map[string]decodedPiece{}}
+func newRecordChecker(state *State) *recordChecker {
+	return &recordChecker{state: state, pieces: map[string]decodedPiece{}}
 }
 
 // piece returns the piece that counts for a task: its own if that was written,
 // otherwise the first of its job.
-func (r *records) piece(ref string, task int) decodedPiece {
+func (r *recordChecker) piece(ref string, task int) decodedPiece {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
 	key := ledger.PieceKey(ref, ledger.Piece(task))
@@ -48,7 +48,7 @@
 
 // mayName tells whether the records name an attempt of a task on a machine, or
 // cannot be read.
-func (r *records) mayName(t *task, machine string) bool {
+func (r *recordChecker) mayName(t *task, machine string) bool {
 	piece := r.piece(t.ref, t.num)
 	if !piece.readable {
 		return true
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -46,7 +46,7 @@
 	LateStart time.Duration          // the longest time from a confirmed cancellation to a start
 	calm      bool                   // all troubles are over
 	addrNode  map[string]string      // node name -> address
-	records   *records
+	records   *recordChecker
 }
 
 // userJob is a job as its user knows it.
@@ -75,7 +75,7 @@
 	for _, t := range types {
 		w.types[t.Name] = t
 	}
-	w.records = newRecords(w.State)
+	w.records = newRecordChecker(w.State)
 	w.State.MaxOps, w.State.MaxValue = cfg.State.TxnOps, int(cfg.State.ValueKB*1024)
 	net.Listen("state", "state:1", w.State)
 	net.Listen("cloud", "cloud:1", http.HandlerFunc(w.cloud))
