--- a/chaos_test.go
+++ b/chaos_test.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"marblehaven/internal/standin"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/fake"
+	"marblehaven/internal/protocol"
 )
 
 // chaos submits and cancels jobs of all shapes while nodes die, links are cut,
@@ -43,7 +43,7 @@
 	for step := range 70 {
 		chains := before(step)
 		next++
-		var j wire.Job
+		var j protocol.Job
 		runS := float64(5 + rng.IntN(40))
 		switch rng.IntN(4) {
 		case 0:
@@ -53,13 +53,13 @@
 		default:
 			j = sweep(next, "check", 1+rng.IntN(20))
 		}
-		if rng.IntN(2) == 0 && j.Shape != wire.Gang {
+		if rng.IntN(2) == 0 && j.Shape != protocol.Gang {
 			j.Team = "blue"
 		}
-		cancel := j.Shape == wire.Service || rng.IntN(4) == 0
+		cancel := j.Shape == protocol.Service || rng.IntN(4) == 0
 		mu.Lock()
 		for range rng.IntN(3) {
-			if chains && len(accepted) > 0 && j.Shape != wire.Service {
+			if chains && len(accepted) > 0 && j.Shape != protocol.Service {
 				j.Awaits = append(j.Awaits, accepted[rng.IntN(len(accepted))])
 			}
 		}
@@ -72,7 +72,7 @@
 				if !cancel {
 					keep = append(keep, j.ID)
 				}
-				if j.Shape != wire.Service {
+				if j.Shape != protocol.Service {
 					accepted = append(accepted, j.ID)
 				}
 				mu.Unlock()
@@ -85,7 +85,7 @@
 			}
 		}()
 		name := c.names[rng.IntN(len(c.names))]
-		mode := standin.Cut(1 + rng.IntN(2))
+		mode := fake.Cut(1 + rng.IntN(2))
 		machines := c.w.Machines()
 		machine := ""
 		if len(machines) > 0 {
--- a/cluster_test.go
+++ b/cluster_test.go
@@ -19,18 +19,18 @@
 	"google.golang.org/grpc/status"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/ledger"
+	"marblehaven/internal/fake"
 	"marblehaven/internal/peer"
-	"marblehaven/internal/standin"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 )
 
 // cluster is three real nodes in a stand-in world, in synthetic time.
 type cluster struct {
 	t     *testing.T
 	ctx   context.Context
-	net   *standin.Network
-	w     *standin.World
+	net   *fake.Network
+	w     *fake.World
 	log   *slog.Logger
 	mu    sync.Mutex
 	nodes map[string]*node
@@ -45,7 +45,7 @@
 
 var nodeNames = []string{"marble-0", "marble-1", "marble-2"}
 
-var testTypes = []wire.MachineType{
+var testTypes = []protocol.MachineType{
 	{Name: "small", Cores: 4, MemGB: 16, CacheGB: 40, FetchGBps: 1, Price: 0.2, SpotPrice: 0.06, BootS: 20, Zones: []string{"a", "b"}},
 	{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}},
 	{Name: "card", Cores: 16, GPUs: 4, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 9, SpotPrice: 3, BootS: 25, Zones: []string{"a", "b"}},
@@ -77,13 +77,13 @@
 func runIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c := &cluster{t: t, ctx: ctx, net: standin.NewNetwork(seed), nodes: map[string]*node{}, stops: map[string]func(){}, names: names, dep: dep, previous: map[string]bool{}}
+		c := &cluster{t: t, ctx: ctx, net: fake.NewNetwork(seed), nodes: map[string]*node{}, stops: map[string]func(){}, names: names, dep: dep, previous: map[string]bool{}}
 		out := io.Discard
 		if os.Getenv("SCENARIO_LOG") != "" {
 			out = os.Stderr
 		}
 		c.log = slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
-		c.w = standin.NewWorld(ctx, c.net, dep, testTypes)
+		c.w = fake.NewWorld(ctx, c.net, dep, testTypes)
 		c.w.State.OnCommit = c.checkGuards
 		for i, name := range names {
 			c.w.AddNode(name, fmt.Sprintf("10.0.0.%d:80", i+1))
@@ -106,7 +106,7 @@
 // checkGuards judges applied commits: a leader's writes are guarded by its term
 // and by the records they change, an open job's by its own version; otherwise a
 // late copy could undo what came after it.
-func (c *cluster) checkGuards(txn *wire.Commit) {
+func (c *cluster) checkGuards(txn *protocol.Commit) {
 	guarded := map[string]bool{}
 	for _, g := range txn.Guards {
 		guarded[g.Key] = true
@@ -122,14 +122,14 @@
 
 // isRun tells whether a key is of a piece of a run record.
 func isRun(key string) bool {
-	_, piece := ledger.SplitOpen(key)
-	return strings.HasPrefix(key, ledger.PrefixOpen) && piece != ledger.NoPiece
+	_, piece := records.SplitOpen(key)
+	return strings.HasPrefix(key, records.PrefixOpen) && piece != records.NoPiece
 }
 
 // isFurtherPiece tells whether a key is of a piece beyond the first, which the previous
 // version of the formats does not know.
 func isFurtherPiece(key string) bool {
-	_, piece := ledger.SplitOpen(key)
+	_, piece := records.SplitOpen(key)
 	return isRun(key) && piece > 0
 }
 
@@ -151,7 +151,7 @@
 		c.t.Fatal(err)
 	}
 	if c.previous[name] {
-		n.format = ledger.FormatWhole
+		n.format = records.FormatWhole
 	}
 	n.start(ctx)
 	c.mu.Lock()
@@ -191,14 +191,14 @@
 	return ""
 }
 
-func (c *cluster) cut(a, b string, mode standin.Cut) func() {
+func (c *cluster) cut(a, b string, mode fake.Cut) func() {
 	mend := sync.OnceFunc(c.net.Cut(a, b, mode))
 	c.mends = append(c.mends, mend)
 	return mend
 }
 
 // isolate cuts a host off from all the others given.
-func (c *cluster) isolate(a string, mode standin.Cut, others ...string) func() {
+func (c *cluster) isolate(a string, mode fake.Cut, others ...string) func() {
 	var mends []func()
 	for _, b := range others {
 		mends = append(mends, c.cut(a, b, mode))
@@ -212,7 +212,7 @@
 
 // leaveWorkers cuts a node off from the state service and all other nodes.
 func (c *cluster) leaveWorkers(name string) func() {
-	return c.isolate(name, standin.Hold, append(c.others(name), "state")...)
+	return c.isolate(name, fake.Hold, append(c.others(name), "state")...)
 }
 
 // peerConn carries gRPC calls between the nodes through the stand-in network.
@@ -222,7 +222,7 @@
 }
 
 func (p *peerConn) Invoke(ctx context.Context, method string, args, reply any, _ ...grpc.CallOption) error {
-	raw, err := wire.Marshal(args)
+	raw, err := protocol.Marshal(args)
 	if err != nil {
 		return err
 	}
@@ -233,8 +233,8 @@
 		p.c.mu.Unlock()
 		for _, m := range peer.Service.Methods {
 			if n != nil && strings.HasSuffix(method, "/"+m.MethodName) {
-				if v, err := m.Handler(n, context.Background(), func(in any) error { return wire.Unmarshal(raw, in) }, nil); err == nil {
-					out, _ = wire.Marshal(v)
+				if v, err := m.Handler(n, context.Background(), func(in any) error { return protocol.Unmarshal(raw, in) }, nil); err == nil {
+					out, _ = protocol.Marshal(v)
 				}
 			}
 		}
@@ -242,7 +242,7 @@
 	if err != nil || out == nil {
 		return status.Error(codes.Unavailable, "no answer")
 	}
-	return wire.Unmarshal(out, reply)
+	return protocol.Unmarshal(out, reply)
 }
 
 func (p *peerConn) NewStream(context.Context, *grpc.StreamDesc, string, ...grpc.CallOption) (grpc.ClientStream, error) {
@@ -251,24 +251,24 @@
 
 func jobID(n int) string { return fmt.Sprintf("req-%06d", n) }
 
-func sweep(n int, ref string, tasks int) wire.Job {
-	return wire.Job{ID: jobID(n), Class: ref, Team: "red", Shape: wire.Array, Rank: wire.Standard, Tasks: tasks,
+func sweep(n int, ref string, tasks int) protocol.Job {
+	return protocol.Job{ID: jobID(n), Class: ref, Team: "red", Shape: protocol.Array, Rank: protocol.Standard, Tasks: tasks,
 		Cores: 2, MemGB: 4, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 20}
 }
 
-func standing(n, tasks int) wire.Job {
+func standing(n, tasks int) protocol.Job {
 	j := sweep(n, "front", tasks)
-	j.Shape, j.Rank, j.Spread, j.Spot, j.EstimateS, j.Cores = wire.Service, wire.Production, true, false, 0, 1
+	j.Shape, j.Rank, j.Spread, j.Spot, j.EstimateS, j.Cores = protocol.Service, protocol.Production, true, false, 0, 1
 	return j
 }
 
-func gang(n, tasks int) wire.Job {
+func gang(n, tasks int) protocol.Job {
 	j := sweep(n, "train", tasks)
-	j.Shape, j.Rank, j.OneZone, j.GPUs, j.Cores, j.CheckpointS, j.SaveS = wire.Gang, wire.High, true, 2, 4, 10, 2
+	j.Shape, j.Rank, j.OneZone, j.GPUs, j.Cores, j.CheckpointS, j.SaveS = protocol.Gang, protocol.High, true, 2, 4, 10, 2
 	return j
 }
 
-func (c *cluster) submit(j wire.Job, runS float64) {
+func (c *cluster) submit(j protocol.Job, runS float64) {
 	c.t.Helper()
 	if st := c.w.Submit(j, runS); st != 200 && st != 201 {
 		c.t.Fatalf("%s: submission got %d", j.ID, st)
@@ -324,7 +324,7 @@
 func (c *cluster) untilDone(limit time.Duration, refs ...string) {
 	c.t.Helper()
 	for _, ref := range refs {
-		c.until(ref+" is done", limit, func() bool { time.Sleep(time.Second); return c.phase(ref) == wire.PhaseDone })
+		c.until(ref+" is done", limit, func() bool { time.Sleep(time.Second); return c.phase(ref) == protocol.PhaseDone })
 	}
 }
 
--- a/cluster_troubles_test.go
+++ b/cluster_troubles_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
 // at is the users' address of a node.
@@ -19,7 +19,7 @@
 func (c *cluster) withdrawAt(name, ref string) {
 	c.t.Helper()
 	c.w.Asked = []string{c.at(name)}
-	if st, s := c.w.Withdraw(ref); st != 200 || s.Phase != wire.PhaseCancelled {
+	if st, s := c.w.Withdraw(ref); st != 200 || s.Phase != protocol.PhaseCancelled {
 		c.t.Errorf("withdrawing %s: %d %q", ref, st, s.Phase)
 	}
 	c.w.Asked = nil
@@ -66,9 +66,9 @@
 		case c.w.Cancelled(ref):
 			c.until(ref+" is over", time.Minute, func() bool {
 				p := c.phase(ref)
-				return (p == wire.PhaseCancelled || p == wire.PhaseDone) && len(c.w.On(ref)) == 0
+				return (p == protocol.PhaseCancelled || p == protocol.PhaseDone) && len(c.w.On(ref)) == 0
 			})
-		case j.Shape == wire.Service:
+		case j.Shape == protocol.Service:
 			c.until(ref+" runs", 3*time.Minute, func() bool { return len(c.w.On(ref)) == j.Tasks })
 		default:
 			c.untilDone(6*time.Minute, ref)
--- a/commit_outcome_test.go
+++ b/commit_outcome_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/standin"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/fake"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 )
 
 // changesAll tells whether a transaction changes all the keys.
-func changesAll(txn *wire.Commit, keys ...string) bool {
+func changesAll(txn *protocol.Commit, keys ...string) bool {
 	for _, key := range keys {
-		if !slices.ContainsFunc(txn.Changes, func(ch wire.Change) bool { return ch.Set == key || ch.Delete == key }) {
+		if !slices.ContainsFunc(txn.Changes, func(ch protocol.Change) bool { return ch.Set == key || ch.Delete == key }) {
 			return false
 		}
 	}
@@ -34,46 +34,46 @@
 	)
 	at := nothing
 	ch := make(chan struct{})
-	c.w.State.Fault = func(txn *wire.Commit) standin.Fault {
+	c.w.State.Fault = func(txn *protocol.Commit) fake.Fault {
 		switch {
 		case at == nothing && changesAll(txn, first):
 			at = carriedOut
-			return standin.AnswerLost
+			return fake.AnswerLost
 		case at == carriedOut && changesAll(txn, first):
 			at = refusedOnce
 			close(ch)
-			return standin.OverLimit
+			return fake.OverLimit
 		case at == refusedOnce && changesAll(txn, first, second):
 			at = lostOnce
-			return standin.NotExecuted
+			return fake.NotExecuted
 		}
-		return standin.None
+		return fake.None
 	}
 	return ch
 }
 
 // withdrawUnheard cancels a job without the leader's hearing of it by an event.
-func (c *cluster) withdrawUnheard(ref string) wire.JobStatus {
-	c.w.State.LoseEvent = func(key string) bool { return key == ledger.OpenKey(ref) }
+func (c *cluster) withdrawUnheard(ref string) protocol.JobStatus {
+	c.w.State.LoseEvent = func(key string) bool { return key == records.OpenKey(ref) }
 	_, status := c.w.Withdraw(ref)
 	return status
 }
 
 // faultyCommits makes transactions fail in every way that leaves their outcome unknown,
 // or says nothing of an earlier try.
-func (c *cluster) faultyCommits() func(*wire.Commit) standin.Fault {
-	return func(*wire.Commit) standin.Fault {
+func (c *cluster) faultyCommits() func(*protocol.Commit) fake.Fault {
+	return func(*protocol.Commit) fake.Fault {
 		switch p := c.w.Random(); {
 		case p < 0.25:
-			return standin.AnswerLost
+			return fake.AnswerLost
 		case p < 0.3:
-			return standin.NotExecuted
+			return fake.NotExecuted
 		case p < 0.4:
-			return standin.Throttled
+			return fake.Throttled
 		case p < 0.43:
-			return standin.OverLimit
+			return fake.OverLimit
 		}
-		return standin.None
+		return fake.None
 	}
 }
 
@@ -86,7 +86,7 @@
 		c.untilUpgraded(20 * time.Second)
 		c.submit(sweep(1, "warm", 2), 300) // so that there is a machine
 		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.w.On(jobID(1))) == 2 })
-		refused := c.inDoubt(ledger.PieceKey(jobID(2), 0), ledger.PieceKey(jobID(3), 0))
+		refused := c.inDoubt(records.PieceKey(jobID(2), 0), records.PieceKey(jobID(3), 0))
 		c.submit(array(2, 1), 30)
 		<-refused
 		c.submit(array(3, 1), 30)
@@ -103,12 +103,12 @@
 		c.untilUpgraded(20 * time.Second)
 		c.submit(sweep(1, "warm", 2), 300)
 		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.w.On(jobID(1))) == 2 })
-		refused := c.inDoubt(ledger.PieceKey(jobID(2), 0), ledger.PieceKey(jobID(3), 0))
+		refused := c.inDoubt(records.PieceKey(jobID(2), 0), records.PieceKey(jobID(3), 0))
 		c.submit(array(2, 1), 30)
 		<-refused
 		c.submit(array(3, 1), 300)
 		time.Sleep(100 * time.Millisecond) // its start is about to be recorded
-		if st := c.withdrawUnheard(jobID(3)); st.Phase != wire.PhaseCancelled {
+		if st := c.withdrawUnheard(jobID(3)); st.Phase != protocol.PhaseCancelled {
 			t.Fatalf("a job withdrawn at its start is %s", st.Phase)
 		}
 		for range 200 {
@@ -128,12 +128,12 @@
 func TestClosedWithoutRecord(t *testing.T) {
 	runIn(t, 903, nodeNames, wide(), func(c *cluster) {
 		c.untilUpgraded(20 * time.Second)
-		refused := c.inDoubt(ledger.FinalKey(jobID(1)), ledger.FinalKey(jobID(2)))
+		refused := c.inDoubt(records.FinalKey(jobID(1)), records.FinalKey(jobID(2)))
 		c.submit(array(1, 1), 10)
 		c.submit(array(2, 1), 10.5)
 		c.submit(after(sweep(3, "stage", 2), jobID(2)), 60)
 		<-refused // and the second job ends in a moment
-		if st := c.withdrawUnheard(jobID(2)); st.Phase != wire.PhaseCancelled {
+		if st := c.withdrawUnheard(jobID(2)); st.Phase != protocol.PhaseCancelled {
 			t.Fatalf("a job withdrawn at its end is %s", st.Phase)
 		}
 		time.Sleep(time.Minute)
--- a/compound_test.go
+++ b/compound_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/standin"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/fake"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 )
 
 // startsUntil is how long after a confirmed cancellation a start that was on its way
@@ -51,7 +51,7 @@
 		{"all controllers are away for longer than a lease", func(c *cluster, seed uint64) {
 			c.begin()
 			machines := c.w.Machines()
-			c.isolate(machines[0], standin.Hold, c.names...)
+			c.isolate(machines[0], fake.Hold, c.names...)
 			for _, n := range c.names {
 				c.kill(n)
 			}
@@ -84,7 +84,7 @@
 			c.w.CloudDown = true
 			switch seed {
 			case 0:
-				c.isolate(on[0], standin.Hold, c.names...)
+				c.isolate(on[0], fake.Hold, c.names...)
 			case 1:
 				c.deafen(on[:2]...)
 			case 2:
@@ -118,7 +118,7 @@
 				c.w.Limit("small", zone, true, 2)
 			}
 			c.net.Delay = func(from, to string) time.Duration { return time.Duration(c.w.Random()*300) * time.Millisecond }
-			for i, rank := range []string{wire.Idle, wire.Standard, wire.High, wire.Idle, wire.Standard, wire.High} {
+			for i, rank := range []string{protocol.Idle, protocol.Standard, protocol.High, protocol.Idle, protocol.Standard, protocol.High} {
 				j := sweep(1+i, "check", 10)
 				j.Rank = rank
 				c.submit(j, 15)
@@ -132,7 +132,7 @@
 		{"the leader ends while machines with long tasks can't be reached or hear nothing", func(c *cluster, seed uint64) {
 			c.begin()
 			on := c.w.On("req-000003")
-			c.isolate(on[0], standin.Hold, c.names...)
+			c.isolate(on[0], fake.Hold, c.names...)
 			c.deafen(c.w.On("req-000002")[0])
 			c.mute(c.w.On("req-000004")[0])
 			time.Sleep(time.Duration(seed) * 2 * time.Second)
@@ -293,8 +293,8 @@
 		c.w.CloudDown = true // no return, no rental
 		c.w.Kill(c.w.On("req-000001")[0])
 		time.Sleep(20 * time.Second) // its lease is over
-		var r ledger.Run
-		if err := wire.Unmarshal(c.w.State.Value("o/req-000001/t"), &r); err != nil || len(r.Live) != 2 || len(c.w.On("req-000001")) != 2 {
+		var r records.Run
+		if err := protocol.Unmarshal(c.w.State.Value("o/req-000001/t"), &r); err != nil || len(r.Live) != 2 || len(c.w.On("req-000001")) != 2 {
 			t.Errorf("%d run, recorded as running: %v (%v)", len(c.w.On("req-000001")), r.Live, err)
 		}
 		c.settle()
--- a/confirmed_test.go
+++ b/confirmed_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"marblehaven/internal/standin"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/fake"
+	"marblehaven/internal/protocol"
 )
 
 // A cancellation is confirmed to its user around the time at which the state
@@ -57,7 +57,7 @@
 			c.w.State.LoseReply = nil
 			c.kill(other)
 			c.w.Asked = []string{c.at(leader)}
-			c.until("it is called cancelled", time.Second, func() bool { return c.phase("req-000001") == wire.PhaseCancelled })
+			c.until("it is called cancelled", time.Second, func() bool { return c.phase("req-000001") == protocol.PhaseCancelled })
 			c.w.Asked = nil
 			c.boot(other)
 		}, nil, false},
@@ -98,7 +98,7 @@
 			slowFollow(c)
 			other := c.others(leader)[0]
 			c.withdrawAt(other, "req-000001")
-			c.isolate(other, standin.Hold, c.others(other)...)
+			c.isolate(other, fake.Hold, c.others(other)...)
 		}, nil, false},
 		{"carried out late and read elsewhere", func(c *cluster, leader string) {
 			other := c.others(leader)[0]
@@ -118,7 +118,7 @@
 		}, nil, true},
 		{"while the leader alone is refused and hears no peer", func(c *cluster, leader string) {
 			c.w.State.Refuse(leader, true)
-			c.isolate(leader, standin.Hold, c.others(leader)...)
+			c.isolate(leader, fake.Hold, c.others(leader)...)
 			c.withdrawAt(c.others(leader)[0], "req-000001")
 		}, nil, false},
 		{"by the next leader before the outage", func(c *cluster, leader string) {
--- a/dependencies_test.go
+++ b/dependencies_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 )
 
 // after makes a job wait for others.
-func after(j wire.Job, refs ...string) wire.Job {
+func after(j protocol.Job, refs ...string) protocol.Job {
 	j.Awaits = refs
 	return j
 }
@@ -21,19 +21,19 @@
 // after another, and returns their ids. Numbers count from first.
 func (c *cluster) pipeline(first int) []string {
 	c.t.Helper()
-	small := func(i, tasks int, rank string) wire.Job {
+	small := func(i, tasks int, rank string) protocol.Job {
 		j := sweep(first+i, "stage", tasks)
 		j.Rank, j.Cores, j.EstimateS = rank, 1, 8
 		return j
 	}
 	join := gang(first+3, 2)
-	join.GPUs, join.Cores, join.Rank = 0, 2, wire.Standard
-	last := small(4, 2, wire.High)
+	join.GPUs, join.Cores, join.Rank = 0, 2, protocol.Standard
+	last := small(4, 2, protocol.High)
 	last.DeadlineS = 200
-	jobs := []wire.Job{
-		small(0, 4, wire.Idle),
-		after(small(1, 6, wire.Idle), jobID(first)),
-		after(small(2, 3, wire.Idle), jobID(first)),
+	jobs := []protocol.Job{
+		small(0, 4, protocol.Idle),
+		after(small(1, 6, protocol.Idle), jobID(first)),
+		after(small(2, 3, protocol.Idle), jobID(first)),
 		after(join, jobID(first), jobID(first+1)),
 		after(last, jobID(first+2), jobID(first+3)),
 	}
@@ -49,7 +49,7 @@
 func (c *cluster) untilCancelled(limit time.Duration, refs ...string) {
 	c.t.Helper()
 	for _, ref := range refs {
-		c.until(ref+" is cancelled", limit, func() bool { return c.phase(ref) == wire.PhaseCancelled })
+		c.until(ref+" is cancelled", limit, func() bool { return c.phase(ref) == protocol.PhaseCancelled })
 	}
 }
 
@@ -70,7 +70,7 @@
 		c.submit(late, 5)
 		c.untilCancelled(time.Second, late.ID)
 		// A cancellation that is answered with done stops nothing.
-		if _, st := c.w.Withdraw(whole[1]); st.Phase != wire.PhaseDone {
+		if _, st := c.w.Withdraw(whole[1]); st.Phase != protocol.PhaseDone {
 			t.Errorf("a finished job withdrawn is %s", st.Phase)
 		}
 		// That one of the jobs named is cancelled doesn't make up for one that nobody
@@ -137,7 +137,7 @@
 		for _, addr := range slices.Clone(c.w.Nodes) {
 			c.w.Asked = []string{addr}
 			for _, ref := range refs {
-				if got := c.phase(ref); got != wire.PhaseCancelled {
+				if got := c.phase(ref); got != protocol.PhaseCancelled {
 					t.Errorf("%s is %s at %s", ref, got, addr)
 				}
 			}
@@ -151,8 +151,8 @@
 // leaderless makes all controllers take a node for the leader that is none.
 func (c *cluster) leaderless() {
 	c.t.Helper()
-	c.w.State.Put(ledger.KeyTerm, ledger.Term{N: 99, Node: "gone"})
-	c.w.State.Put(ledger.KeyLeader, ledger.Term{N: 99, Node: "gone"})
+	c.w.State.Put(records.KeyTerm, records.Term{N: 99, Node: "gone"})
+	c.w.State.Put(records.KeyLeader, records.Term{N: 99, Node: "gone"})
 	c.until("nobody leads", time.Minute, func() bool { return c.leader() == "" })
 }
 
@@ -186,7 +186,7 @@
 		for _, addr := range slices.Clone(c.w.Nodes) {
 			c.w.Asked = []string{addr}
 			for _, ref := range []string{jobID(deep), last.ID, jobID(deep / 2), before[5]} {
-				if got := c.phase(ref); got != wire.PhaseCancelled {
+				if got := c.phase(ref); got != protocol.PhaseCancelled {
 					t.Errorf("%s is %s at %s", ref, got, addr)
 				}
 			}
@@ -252,7 +252,7 @@
 		c.submit(sweep(1, "stage", 1), 5)
 		c.submit(sweep(2, "stage", 1), 5)
 		c.untilDone(2*time.Minute, jobID(1), jobID(2))
-		c.w.State.Spoil(ledger.FinalKey(jobID(1)))
+		c.w.State.Spoil(records.FinalKey(jobID(1)))
 		c.restartAll() // nobody remembers it
 		c.until("a node leads", time.Minute, func() bool { return c.leader() != "" })
 		c.submit(after(sweep(3, "stage", 1), jobID(1)), 5)
@@ -260,7 +260,7 @@
 		c.untilDone(2*time.Minute, jobID(4))
 		for range 20 {
 			time.Sleep(5 * time.Second)
-			if status, st := c.w.Poll(jobID(3)); status != 200 || st.Phase != wire.PhaseQueued {
+			if status, st := c.w.Poll(jobID(3)); status != 200 || st.Phase != protocol.PhaseQueued {
 				t.Fatalf("%d %s", status, st.Phase)
 			}
 		}
@@ -272,7 +272,7 @@
 // that the leader does not know the first says nothing of its being done.
 func TestDependencyMissed(t *testing.T) {
 	run(t, 64, func(c *cluster) {
-		c.w.State.LoseEvent = func(key string) bool { return key == ledger.OpenKey(jobID(1)) }
+		c.w.State.LoseEvent = func(key string) bool { return key == records.OpenKey(jobID(1)) }
 		c.submit(sweep(1, "stage", 2), 40)
 		c.submit(after(sweep(2, "stage", 1), jobID(1)), 5)
 		c.untilDone(4*time.Minute, jobID(1), jobID(2))
@@ -309,7 +309,7 @@
 			c.until("nothing is open", 5*time.Minute, func() bool {
 				return !slices.ContainsFunc(c.jobs, func(ref string) bool {
 					p := c.phase(ref)
-					return p == wire.PhaseQueued || p == wire.PhaseRunning
+					return p == protocol.PhaseQueued || p == protocol.PhaseRunning
 				})
 			})
 		})
--- a/hundreds_test.go
+++ b/hundreds_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/standin"
+	"marblehaven/internal/fake"
 )
 
 // The same troubles at the size of the grown deployments: hundreds of machines,
@@ -55,7 +55,7 @@
 		}
 		var mends []func()
 		for _, h := range in {
-			mends = append(mends, c.isolate(h, standin.Hold, out...))
+			mends = append(mends, c.isolate(h, fake.Hold, out...))
 		}
 		time.Sleep(5 * time.Second)
 		for i, m := range c.w.Machines() {
--- a/internal/worker/worker.go
+++ b/internal/agent/client.go
@@ -1,32 +1,32 @@
-// Package worker sends direct commands to workers.
-package worker
+// Package agent sends direct commands to workers.
+package agent
 
 import (
 	"context"
 	"fmt"
 	"net/http"
 
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // Client sends commands; it is safe for concurrent use.
 type Client struct {
-	caller wire.Caller
+	caller protocol.Caller
 	slots  chan struct{}
 }
 
 // New makes a client over the given transport that has at most so many commands
 // under way at once: a hundred machines that hang take a socket each until the
 // commands to them are given up.
-func New(rt http.RoundTripper, cs *wire.Complaints, atOnce int) *Client {
-	return &Client{wire.Caller{HC: &http.Client{Transport: rt}, Complaints: cs}, make(chan struct{}, max(1, atOnce))}
+func New(rt http.RoundTripper, cs *protocol.Complaints, atOnce int) *Client {
+	return &Client{protocol.Caller{HC: &http.Client{Transport: rt}, Complaints: cs}, make(chan struct{}, max(1, atOnce))}
 }
 
 // Do sends commands to the worker at addr and returns its report after them,
 // executed or refused whole: the report tells. An error means that they may
 // still be executed, even much later.
-func (c *Client) Do(ctx context.Context, addr string, req wire.DoRequest) (*wire.Report, error) {
+func (c *Client) Do(ctx context.Context, addr string, req protocol.DoRequest) (*protocol.Report, error) {
 	select {
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
@@ -35,7 +35,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.DoTimeout)
 	defer cancel()
-	rep := new(wire.Report)
+	rep := new(protocol.Report)
 	status, err := c.caller.Call(ctx, http.MethodPost, "http://"+addr+"/do", req, map[int]any{200: rep, 409: rep})
 	if err == nil && status != 200 && status != 409 {
 		err = fmt.Errorf("worker answered %d", status)
--- a/internal/worker/worker_test.go
+++ b/internal/agent/client_test.go
@@ -1,4 +1,4 @@
-package worker
+package agent
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 type silent struct{ now, most atomic.Int32 }
@@ -29,12 +29,12 @@
 func TestCommandsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &silent{}
-		c := New(s, wire.NewComplaints(slog.New(slog.DiscardHandler)), 20)
+		c := New(s, protocol.NewComplaints(slog.New(slog.DiscardHandler)), 20)
 		start := time.Now()
 		done := make(chan error)
 		for range 100 {
 			go func() {
-				_, err := c.Do(t.Context(), "m:1", wire.DoRequest{})
+				_, err := c.Do(t.Context(), "m:1", protocol.DoRequest{})
 				done <- err
 			}()
 		}
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/ledger"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // dependencyState is what the jobs that a job waits for mean for it.
@@ -140,7 +140,7 @@
 		return false, f.err
 	case f.job == nil:
 		w.Log.Error("dependency of a dependency without record", "job", f.ref) // the job waits
-	case f.job.status.Phase == wire.PhaseCancelled:
+	case f.job.status.Phase == protocol.PhaseCancelled:
 		return true, nil
 	case f.isOpen():
 		w.open = append(w.open, f.ref)
@@ -152,10 +152,10 @@
 const openVersion = 1
 
 // openStatus is the phase of an open job, as far as its own record says.
-func openStatus(ref string, open *ledger.OpenJob) wire.JobStatus {
-	status := wire.JobStatus{ID: ref, Phase: wire.PhaseQueued}
+func openStatus(ref string, open *records.OpenJob) protocol.JobStatus {
+	status := protocol.JobStatus{ID: ref, Phase: protocol.PhaseQueued}
 	if open.Cancelled {
-		status.Phase = wire.PhaseCancelled
+		status.Phase = protocol.PhaseCancelled
 	}
 	return status
 }
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -5,10 +5,10 @@
 	"errors"
 	"fmt"
 
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // errUnreadable: a record is there but cannot be read.
@@ -16,8 +16,8 @@
 
 // known is a job as found in the state service.
 type known struct {
-	status  wire.JobStatus
-	open    ledger.OpenJob
+	status  protocol.JobStatus
+	open    records.OpenJob
 	version uint64 // of the open record; 0: the job is over
 	broken  bool   // its open record cannot be read, so it cannot be rewritten
 }
@@ -40,26 +40,26 @@
 }
 
 // openRecords reads the records of an open job; none if it is not open.
-func (u *Users) openRecords(ctx context.Context, ref string) ([]wire.Item, error) {
+func (u *Users) openRecords(ctx context.Context, ref string) ([]protocol.Item, error) {
 	if u.sharedReads.wanted() {
 		return u.sharedReads.records(ctx, ref)
 	}
 	// All in one read: o/<ref>, o/<ref>/t and its further pieces sort next to each other.
-	page, err := u.Store.List(ctx, ledger.OpenKey(ref), "", 1+tuning.PiecesRead)
-	if errors.Is(err, statestore.ErrThrottled) {
+	page, err := u.Store.List(ctx, records.OpenKey(ref), "", 1+tuning.PiecesRead)
+	if errors.Is(err, kvstore.ErrThrottled) {
 		u.sharedReads.noteThrottled()
 	}
 	if err != nil {
 		return nil, err
 	}
-	if len(page.Items) == 0 || page.Items[0].Key != ledger.OpenKey(ref) {
+	if len(page.Items) == 0 || page.Items[0].Key != records.OpenKey(ref) {
 		return nil, nil
 	}
 	return page.Items, nil
 }
 
 // finalStatus returns the remembered status of a job that is over.
-func (u *Users) finalStatus(ref string) (wire.JobStatus, bool) {
+func (u *Users) finalStatus(ref string) (protocol.JobStatus, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	status, ok := u.finals[ref]
@@ -67,30 +67,30 @@
 }
 
 // openJob makes of an open job's records what its user may be told.
-func (u *Users) openJob(ref string, items []wire.Item) *known {
-	k := &known{version: items[0].Version, status: wire.JobStatus{ID: ref, Phase: wire.PhaseQueued}}
-	if err := wire.Unmarshal(items[0].Value, &k.open); err != nil {
+func (u *Users) openJob(ref string, items []protocol.Item) *known {
+	k := &known{version: items[0].Version, status: protocol.JobStatus{ID: ref, Phase: protocol.PhaseQueued}}
+	if err := protocol.Unmarshal(items[0].Value, &k.open); err != nil {
 		// That the record is there says that the job was accepted. Refusing
 		// to answer would make it forgotten.
 		u.Log.Error("unreadable job record", "job", ref, "err", err)
-		k.open = ledger.OpenJob{Cancelled: ledger.SaysCancelled(items[0].Value)}
+		k.open = records.OpenJob{Cancelled: records.SaysCancelled(items[0].Value)}
 		k.broken = true
 	}
-	pieces := map[int]ledger.Run{}
+	pieces := map[int]records.Run{}
 	for _, it := range items[1:] {
-		of, number := ledger.SplitOpen(it.Key)
-		var r ledger.Run
-		if of == ref && number != ledger.NoPiece && wire.Unmarshal(it.Value, &r) == nil {
+		of, number := records.SplitOpen(it.Key)
+		var r records.Run
+		if of == ref && number != records.NoPiece && protocol.Unmarshal(it.Value, &r) == nil {
 			pieces[number] = r
 		}
 	}
-	run := ledger.Assemble(pieces)
+	run := records.Assemble(pieces)
 	k.status.Done, k.status.Running = run.Done.Count(), len(run.Live)
 	if k.status.Running > 0 {
-		k.status.Phase = wire.PhaseRunning
+		k.status.Phase = protocol.PhaseRunning
 	}
 	if k.open.Cancelled {
-		k.status.Phase = wire.PhaseCancelled
+		k.status.Phase = protocol.PhaseCancelled
 		u.acknowledged.add(ref)
 	}
 	return k
@@ -98,20 +98,20 @@
 
 // finalJob reads the final record of a job; nil means that there is none.
 func (u *Users) finalJob(ctx context.Context, ref string) (*known, error) {
-	it, err := u.Store.Get(ctx, ledger.FinalKey(ref))
-	if errors.Is(err, statestore.ErrNotFound) {
+	it, err := u.Store.Get(ctx, records.FinalKey(ref))
+	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	var f ledger.Final
-	if err := wire.Unmarshal(it.Value, &f); err != nil {
+	var f records.Final
+	if err := protocol.Unmarshal(it.Value, &f); err != nil {
 		return nil, fmt.Errorf("%w of %s: %w", errUnreadable, ref, err)
 	}
 	// Nothing of a job with a final record can run, so to say that it is cancelled
 	// is no acknowledgment that a leader would have to know of.
-	st := wire.JobStatus{ID: ref, Phase: f.Phase, Done: f.Tasks}
+	st := protocol.JobStatus{ID: ref, Phase: f.Phase, Done: f.Tasks}
 	u.mu.Lock()
 	if len(u.finals) >= tuning.FinalCache {
 		clear(u.finals)
--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -5,17 +5,17 @@
 	"sync"
 	"time"
 
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // openJobs reads all open jobs at once and keeps them as long as may be relied on.
 // Where many jobs wait for others, reading what they need job by job would take more
 // requests than the state service answers. It is safe for concurrent use.
 type openJobs struct {
-	store *statestore.Client
+	store *kvstore.Client
 	lasts time.Duration // how long a reading may be relied on
 	// reading is held by whoever reads; the others wait for the same reading.
 	reading chan struct{}
@@ -30,10 +30,10 @@
 // jobListing is all open jobs at some time.
 type jobListing struct {
 	asOf time.Time
-	jobs map[string]ledger.OpenJob
+	jobs map[string]records.OpenJob
 }
 
-func newOpenJobs(store *statestore.Client, lasts time.Duration) *openJobs {
+func newOpenJobs(store *kvstore.Client, lasts time.Duration) *openJobs {
 	return &openJobs{store: store, lasts: lasts, reading: make(chan struct{}, 1)}
 }
 
@@ -70,19 +70,19 @@
 	if listing, ok := o.known(); ok {
 		return listing, nil
 	}
-	listing := jobListing{asOf: time.Now(), jobs: map[string]ledger.OpenJob{}}
-	items, err := o.store.ListAll(ctx, ledger.PrefixOpen)
+	listing := jobListing{asOf: time.Now(), jobs: map[string]records.OpenJob{}}
+	items, err := o.store.ListAll(ctx, records.PrefixOpen)
 	if err != nil {
 		return jobListing{}, err
 	}
 	for _, item := range items.Items {
-		ref, piece := ledger.SplitOpen(item.Key)
-		if piece != ledger.NoPiece {
+		ref, piece := records.SplitOpen(item.Key)
+		if piece != records.NoPiece {
 			continue
 		}
-		var open ledger.OpenJob
-		if err := wire.Unmarshal(item.Value, &open); err != nil {
-			open = ledger.OpenJob{Cancelled: ledger.SaysCancelled(item.Value)}
+		var open records.OpenJob
+		if err := protocol.Unmarshal(item.Value, &open); err != nil {
+			open = records.OpenJob{Cancelled: records.SaysCancelled(item.Value)}
 		}
 		listing.jobs[ref] = open
 	}
--- a/internal/api/page.go
+++ b/internal/api/page.go
@@ -6,7 +6,7 @@
 	"html/template"
 	"net/http"
 
-	"marblehaven/internal/controller"
+	"marblehaven/internal/leader"
 	"marblehaven/internal/tuning"
 )
 
@@ -47,7 +47,7 @@
 	data := struct {
 		Name, Leader  string
 		StateOK, Have bool
-		S             controller.Status
+		S             leader.Status
 	}{Name: s.name, StateOK: s.node.StateOK()}
 	if t, ok := s.node.Leader(); ok {
 		data.Leader = t.Node
--- a/internal/api/page_test.go
+++ b/internal/api/page_test.go
@@ -5,32 +5,32 @@
 	"strings"
 	"testing"
 
-	"marblehaven/internal/controller"
+	"marblehaven/internal/leader"
 )
 
 // The status page counts and names the tasks that no record names, and says nothing of
 // them where there are none.
 func TestPageNamesUnknownTasks(t *testing.T) {
-	show := func(s controller.Status) string {
+	show := func(s leader.Status) string {
 		var out bytes.Buffer
 		if err := pageTemplate.Execute(&out, struct {
 			Name, Leader  string
 			StateOK, Have bool
-			S             controller.Status
+			S             leader.Status
 		}{Name: "marble-0", Have: true, S: s}); err != nil {
 			t.Fatal(err)
 		}
 		return out.String()
 	}
 	const heading = "tasks on machines that no record names"
-	page := show(controller.Status{UnknownTasks: 30, Unknown: []controller.UnknownTask{
+	page := show(leader.Status{UnknownTasks: 30, Unknown: []leader.UnknownTask{
 		{Task: "req-000001/7", Attempt: 3, State: "running", Machine: "m-000042", Job: "not open"}}})
 	for _, text := range []string{"30 " + heading, "req-000001/7", "m-000042", "not open"} {
 		if !strings.Contains(page, text) {
 			t.Errorf("the page does not show %q", text)
 		}
 	}
-	if strings.Contains(show(controller.Status{}), heading) {
+	if strings.Contains(show(leader.Status{}), heading) {
 		t.Error("the page shows unknown tasks where there are none")
 	}
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -13,23 +13,23 @@
 	"time"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/controller"
-	"marblehaven/internal/ledger"
+	"marblehaven/internal/leader"
 	"marblehaven/internal/peer"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // Node is what the server asks about its node.
 type Node interface {
 	// Leading is the leader of this node's term, nil if it has none.
-	Leading() *controller.Controller
+	Leading() *leader.Controller
 	// Leader is who leads, as far as known.
-	Leader() (ledger.Term, bool)
+	Leader() (records.Term, bool)
 	// Up tells whether the node can take requests.
 	Up() bool
 	// Summary is the leader's status, from whichever node.
-	Summary(ctx context.Context) (controller.Status, bool)
+	Summary(ctx context.Context) (leader.Status, bool)
 	// Refused tells whether it serves others but not this node.
 	Refused() bool
 	// StateOK tells whether the state service serves this node.
@@ -47,11 +47,11 @@
 	conns      *conns
 	idle       time.Duration // how long a connection is kept idle
 	redirected atomic.Uint64 // reports that were sent on to another node
-	complaints *wire.Complaints
+	complaints *protocol.Complaints
 }
 
 // NewServer makes the server of a node.
-func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, cs *wire.Complaints) *Server {
+func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, cs *protocol.Complaints) *Server {
 	sockets := cfg.Deployment.Sockets(len(cfg.Peers))
 	reports := time.Duration(cfg.Deployment.Workers.ReportS * float64(time.Second))
 	return &Server{name: cfg.Node, users: users, node: node, peers: peers, log: log, complaints: cs,
@@ -147,7 +147,7 @@
 		if b, ok := body.([]byte); ok {
 			raw = b
 		} else {
-			raw, _ = wire.Marshal(body)
+			raw, _ = protocol.Marshal(body)
 		}
 	}
 	h := w.Header()
@@ -197,8 +197,8 @@
 	if !ok {
 		return
 	}
-	var rep wire.Report
-	err := wire.Unmarshal(body, &rep)
+	var rep protocol.Report
+	err := protocol.Unmarshal(body, &rep)
 	if err == nil {
 		err = rep.Check()
 	}
@@ -217,7 +217,7 @@
 		reply(w, http.StatusServiceUnavailable, nil)
 		return
 	}
-	var to wire.Redirect
+	var to protocol.Redirect
 	if t, ok := s.node.Leader(); ok && t.Node != s.name {
 		to.Leader = t.Node
 	}
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // sharedReads reads the records of all open jobs for everybody who asks about one of them.
@@ -20,7 +20,7 @@
 // leaves some jobs without an answer for minutes. What is returned was read after the
 // question came, as with a read of its own. It is safe for concurrent use.
 type sharedReads struct {
-	store *statestore.Client
+	store *kvstore.Client
 	// rate is how many pages a second this node may read in this way.
 	rate float64
 	// turn is held by the reading under way, so that there is one at a time.
@@ -35,11 +35,11 @@
 // sharedRead is one reading, for all who asked before it began.
 type sharedRead struct {
 	done  chan struct{} // closed when the rest is set
-	items []wire.Item
+	items []protocol.Item
 	err   error
 }
 
-func newSharedReads(store *statestore.Client, cfg *config.Config) *sharedReads {
+func newSharedReads(store *kvstore.Client, cfg *config.Config) *sharedReads {
 	nodes := float64(len(cfg.Peers) + 1)
 	return &sharedReads{store: store, turn: make(chan struct{}, 1),
 		rate: cfg.Deployment.State.Smaller().RPS * tuning.SharedReadsShare / nodes}
@@ -61,7 +61,7 @@
 
 // records returns the records of an open job, as a reading that begins after the call
 // finds them; none if it is not open.
-func (s *sharedReads) records(ctx context.Context, ref string) ([]wire.Item, error) {
+func (s *sharedReads) records(ctx context.Context, ref string) ([]protocol.Item, error) {
 	r := s.join()
 	select {
 	case <-r.done:
@@ -99,10 +99,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.UserDeadline)
 	defer cancel()
 	began := time.Now()
-	all, err := s.store.ListAll(ctx, ledger.PrefixOpen)
+	all, err := s.store.ListAll(ctx, records.PrefixOpen)
 	r.items, r.err = all.Items, err
 	close(r.done)
-	if errors.Is(err, statestore.ErrThrottled) {
+	if errors.Is(err, kvstore.ErrThrottled) {
 		s.noteThrottled()
 	}
 	s.mu.Lock()
@@ -112,7 +112,7 @@
 
 // pause is how long after the beginning of a reading that found some records the next
 // may begin.
-func (s *sharedReads) pause(items []wire.Item) time.Duration {
+func (s *sharedReads) pause(items []protocol.Item) time.Duration {
 	bytes := 0
 	for _, it := range items {
 		bytes += len(it.Value)
@@ -123,9 +123,9 @@
 
 // recordsOf picks the records of a job among those of all open jobs, in the order of
 // their keys.
-func recordsOf(items []wire.Item, ref string) []wire.Item {
-	key := ledger.OpenKey(ref)
-	first, found := slices.BinarySearchFunc(items, key, func(it wire.Item, key string) int { return strings.Compare(it.Key, key) })
+func recordsOf(items []protocol.Item, ref string) []protocol.Item {
+	key := records.OpenKey(ref)
+	first, found := slices.BinarySearchFunc(items, key, func(it protocol.Item, key string) int { return strings.Compare(it.Key, key) })
 	if !found {
 		return nil
 	}
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -10,14 +10,14 @@
 	"sync/atomic"
 	"time"
 
+	"marblehaven/internal/clock"
 	"marblehaven/internal/config"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/pause"
+	"marblehaven/internal/kvstore"
 	"marblehaven/internal/peer"
-	"marblehaven/internal/sched"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+	"marblehaven/internal/scheduler"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // Operations of users.
@@ -31,31 +31,31 @@
 // it says is durable first, and read anew each time.
 type Users struct {
 	Config *config.Config
-	Store  *statestore.Client
+	Store  *kvstore.Client
 	Log    *slog.Logger
 
-	types        atomic.Pointer[[]sched.Type]
+	types        atomic.Pointer[[]scheduler.Type]
 	acknowledged acknowledgedJobs
 	openJobs     *openJobs
 	sharedReads  *sharedReads
 	retries      *retryBudget
 	mu           sync.Mutex // guards finals and open
-	finals       map[string]wire.JobStatus
+	finals       map[string]protocol.JobStatus
 	open         map[string]time.Time // see confirmOpen
 }
 
 // NewUsers makes the users' side of a node.
-func NewUsers(c *config.Config, store *statestore.Client, log *slog.Logger) *Users {
+func NewUsers(c *config.Config, store *kvstore.Client, log *slog.Logger) *Users {
 	return &Users{Config: c, Store: store, Log: log, acknowledged: newAcknowledgedJobs(time.Now()),
 		openJobs: newOpenJobs(store, dependencyCheck(c)), sharedReads: newSharedReads(store, c), retries: newRetryBudget(),
-		finals: map[string]wire.JobStatus{}, open: map[string]time.Time{}}
+		finals: map[string]protocol.JobStatus{}, open: map[string]time.Time{}}
 }
 
 // SetTypes tells which machine types there are; before, nothing is accepted.
-func (u *Users) SetTypes(types []wire.MachineType) {
-	out := make([]sched.Type, len(types))
+func (u *Users) SetTypes(types []protocol.MachineType) {
+	out := make([]scheduler.Type, len(types))
 	for i, t := range types {
-		out[i] = sched.Type{Name: t.Name, Total: sched.Res{Cores: t.Cores, GPUs: t.GPUs, Mem: t.MemGB}, Zones: t.Zones}
+		out[i] = scheduler.Type{Name: t.Name, Total: scheduler.Res{Cores: t.Cores, GPUs: t.GPUs, Mem: t.MemGB}, Zones: t.Zones}
 	}
 	u.types.Store(&out)
 }
@@ -81,7 +81,7 @@
 )
 
 func fault(status int, err error) answer {
-	return answer{status: status, body: wire.ErrorReply{Error: err.Error()}}
+	return answer{status: status, body: protocol.ErrorReply{Error: err.Error()}}
 }
 
 // Do answers one call.
@@ -108,7 +108,7 @@
 	a := u.Do(ctx, c.Op, c.Ref, c.Body)
 	out := &peer.UserAnswer{Status: a.status}
 	if a.body != nil {
-		out.Body, _ = wire.Marshal(a.body)
+		out.Body, _ = protocol.Marshal(a.body)
 	}
 	return out
 }
@@ -123,26 +123,26 @@
 		case err == nil:
 			u.retries.succeeded()
 			return a
-		case errors.Is(err, statestore.ErrThrottled):
+		case errors.Is(err, kvstore.ErrThrottled):
 			if throttled++; throttled > tries || !u.retries.take() {
 				return busy
 			}
-		case errors.Is(err, statestore.ErrRefused):
+		case errors.Is(err, kvstore.ErrRefused):
 			return refused
-		case errors.Is(err, statestore.ErrMalformed), errors.Is(err, statestore.ErrTooLarge):
+		case errors.Is(err, kvstore.ErrMalformed), errors.Is(err, kvstore.ErrTooLarge):
 			u.Log.Error("record refused", "err", err)
 			return busy
 		}
 		// Otherwise the outcome is unknown: the next try reads before it
 		// writes, or its write's guards find out.
-		if !pause.For(ctx, tuning.UserRetryPause) {
+		if !clock.For(ctx, tuning.UserRetryPause) {
 			return refused
 		}
 	}
 }
 
 func (u *Users) poll(ctx context.Context, ref string) answer {
-	if !wire.ValidID(ref) {
+	if !protocol.ValidID(ref) {
 		return fault(404, errors.New("no such job"))
 	}
 	return u.settle(ctx, tuning.PollThrottleTries, func() (answer, error) {
@@ -158,7 +158,7 @@
 }
 
 func (u *Users) submit(ctx context.Context, body []byte) answer {
-	job, err := wire.DecodeJob(body)
+	job, err := protocol.DecodeJob(body)
 	if err != nil {
 		return fault(400, err)
 	}
@@ -172,11 +172,11 @@
 	// Only types that exist are kept: a long list of others must not make the
 	// record too large for the state service.
 	job.Types = slices.DeleteFunc(job.Types, func(name string) bool {
-		return !slices.ContainsFunc(*types, func(t sched.Type) bool { return t.Name == name })
+		return !slices.ContainsFunc(*types, func(t scheduler.Type) bool { return t.Name == name })
 	})
 	slices.Sort(job.Types)
 	job.Types = slices.Compact(job.Types)
-	open := ledger.OpenJob{Job: *job, AtMS: time.Now().UnixMilli()}
+	open := records.OpenJob{Job: *job, AtMS: time.Now().UnixMilli()}
 	if err := u.fits(open); err != nil {
 		return u.refuse(ctx, job.ID, 400, err)
 	}
@@ -200,9 +200,9 @@
 
 // fits tells whether a job's record is within the limits that the state service
 // will have, so that it can be rewritten at any time.
-func (u *Users) fits(open ledger.OpenJob) error {
+func (u *Users) fits(open records.OpenJob) error {
 	open.Cancelled = true // it may become so
-	_, size, err := wire.Encode(open)
+	_, size, err := protocol.Encode(open)
 	if err == nil && size > u.Config.Deployment.State.Smaller().ValueBytes() {
 		err = errors.New("the description is too long to be kept")
 	}
@@ -210,7 +210,7 @@
 }
 
 // accept writes the record of a job, unless the job is known already.
-func (u *Users) accept(ctx context.Context, open ledger.OpenJob) (answer, error) {
+func (u *Users) accept(ctx context.Context, open records.OpenJob) (answer, error) {
 	ref := open.Job.ID
 	state, asOf, err := u.dependencies(ctx, open.Job.Awaits)
 	switch {
@@ -220,20 +220,20 @@
 		return u.refuse(ctx, ref, 422, errors.New("field awaits names a job that was never accepted")), nil
 	}
 	open.Cancelled = state == dependencyCancelled
-	_, err = u.Store.Commit(ctx, wire.Commit{
-		Guards:  []wire.Guard{{Key: ledger.OpenKey(ref)}, {Key: ledger.FinalKey(ref)}},
-		Changes: []wire.Change{{Set: ledger.OpenKey(ref), Value: open}},
+	_, err = u.Store.Commit(ctx, protocol.Commit{
+		Guards:  []protocol.Guard{{Key: records.OpenKey(ref)}, {Key: records.FinalKey(ref)}},
+		Changes: []protocol.Change{{Set: records.OpenKey(ref), Value: open}},
 	})
 	if err == nil {
-		phase := wire.PhaseQueued
+		phase := protocol.PhaseQueued
 		if open.Cancelled {
-			phase = wire.PhaseCancelled
+			phase = protocol.PhaseCancelled
 		} else {
 			u.confirmOpen(ref, asOf)
 		}
-		return answer{status: 201, body: wire.JobStatus{ID: ref, Phase: phase}}, nil
+		return answer{status: 201, body: protocol.JobStatus{ID: ref, Phase: phase}}, nil
 	}
-	if !errors.Is(err, statestore.ErrConflict) {
+	if !errors.Is(err, kvstore.ErrConflict) {
 		return answer{}, err
 	}
 	k, err := u.current(ctx, ref)
@@ -241,26 +241,26 @@
 		return answer{}, err
 	}
 	if k == nil {
-		return answer{}, statestore.ErrUnknown // guards failed, yet nothing is there: look again
+		return answer{}, kvstore.ErrUnknown // guards failed, yet nothing is there: look again
 	}
 	return answer{status: 200, body: k.status}, nil
 }
 
 // runnable tells why a job can never run.
-func (u *Users) runnable(j *wire.Job, types []sched.Type) error {
+func (u *Users) runnable(j *protocol.Job, types []scheduler.Type) error {
 	team := u.Config.Team(j.Team)
 	if team == nil {
 		return errors.New("unknown team")
 	}
 	fits := false
 	for i := range types {
-		fits = fits || sched.TypeFits(&types[i], j)
+		fits = fits || scheduler.TypeFits(&types[i], j)
 	}
 	if !fits {
 		return errors.New("a task fits no allowed machine type")
 	}
 	n := float64(j.Tasks)
-	if j.Shape == wire.Array {
+	if j.Shape == protocol.Array {
 		n = 1
 	}
 	if over(n*j.Cores, team.CoresMax) || over(n*j.GPUs, team.GPUsMax) {
@@ -273,7 +273,7 @@
 func over(need, limit float64) bool { return limit > 0 && need > limit*(1+1e-9) }
 
 func (u *Users) withdraw(ctx context.Context, ref string) answer {
-	if !wire.ValidID(ref) {
+	if !protocol.ValidID(ref) {
 		return fault(404, errors.New("no such job"))
 	}
 	return u.settle(ctx, tuning.UserThrottleTries, func() (answer, error) {
@@ -304,18 +304,18 @@
 		// only says where and when it may start is not needed.
 		k.open.Job.Types, k.open.Job.Awaits = nil, nil
 	}
-	_, err := u.Store.Commit(ctx, wire.Commit{
-		Guards:  []wire.Guard{{Key: ledger.OpenKey(ref), Version: k.version}},
-		Changes: []wire.Change{{Set: ledger.OpenKey(ref), Value: k.open}},
+	_, err := u.Store.Commit(ctx, protocol.Commit{
+		Guards:  []protocol.Guard{{Key: records.OpenKey(ref), Version: k.version}},
+		Changes: []protocol.Change{{Set: records.OpenKey(ref), Value: k.open}},
 	})
-	if errors.Is(err, statestore.ErrConflict) {
-		return statestore.ErrUnknown // it changed meanwhile: look again
+	if errors.Is(err, kvstore.ErrConflict) {
+		return kvstore.ErrUnknown // it changed meanwhile: look again
 	}
 	if err != nil {
 		return err
 	}
 	u.acknowledged.add(ref)
 	u.forgetOpen(ref)
-	k.status.Phase = wire.PhaseCancelled
+	k.status.Phase = protocol.PhaseCancelled
 	return nil
 }
--- a/internal/pause/pause.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package pause waits.
-package pause
+// Package clock waits.
+package clock
 
 import (
 	"context"
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -11,8 +11,8 @@
 
 	"golang.org/x/time/rate"
 
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 var (
@@ -27,13 +27,13 @@
 // Client is a client of the cloud. It is safe for concurrent use.
 type Client struct {
 	base   string
-	caller wire.Caller
+	caller protocol.Caller
 	lim    *rate.Limiter
 }
 
 // New makes a client that makes at most rps calls a second.
-func New(addr string, rt http.RoundTripper, cs *wire.Complaints, rps float64) *Client {
-	return &Client{base: "http://" + addr, caller: wire.Caller{HC: &http.Client{Transport: rt}, Complaints: cs}, lim: rate.NewLimiter(rate.Limit(rps), int(math.Max(1, rps*tuning.CloudBurst)))}
+func New(addr string, rt http.RoundTripper, cs *protocol.Complaints, rps float64) *Client {
+	return &Client{base: "http://" + addr, caller: protocol.Caller{HC: &http.Client{Transport: rt}, Complaints: cs}, lim: rate.NewLimiter(rate.Limit(rps), int(math.Max(1, rps*tuning.CloudBurst)))}
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in any, out map[int]any) error {
@@ -56,12 +56,12 @@
 
 // Catalog reads machine types and current prices. Types that make no sense are
 // left out.
-func (c *Client) Catalog(ctx context.Context) ([]wire.MachineType, error) {
-	var cat wire.Catalog
+func (c *Client) Catalog(ctx context.Context) ([]protocol.MachineType, error) {
+	var cat protocol.Catalog
 	if err := c.call(ctx, http.MethodGet, "/catalog", nil, map[int]any{200: &cat}); err != nil {
 		return nil, err
 	}
-	var ok []wire.MachineType
+	var ok []protocol.MachineType
 	for _, t := range cat.Types {
 		if t.Name != "" && t.Cores >= 0 && t.MemGB >= 0 && t.Price > 0 && t.BootS >= 0 && len(t.Zones) > 0 {
 			ok = append(ok, t)
@@ -74,9 +74,9 @@
 }
 
 // Rent asks for machines under a claim. Repeating it is safe.
-func (c *Client) Rent(ctx context.Context, r wire.RentRequest) ([]string, error) {
-	var hosts wire.Hosts
-	var refusal wire.ErrorReply
+func (c *Client) Rent(ctx context.Context, r protocol.RentRequest) ([]string, error) {
+	var hosts protocol.Hosts
+	var refusal protocol.ErrorReply
 	err := c.call(ctx, http.MethodPost, "/rentals", r, map[int]any{200: &hosts, 503: &refusal})
 	if err != nil && refusal.Error == "no capacity" {
 		return nil, ErrNoCapacity
@@ -86,19 +86,19 @@
 
 // Return gives machines back; on success they and all on them are gone.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
-	return c.call(ctx, http.MethodPost, "/rentals/return", wire.Hosts{Hosts: hosts}, nil)
+	return c.call(ctx, http.MethodPost, "/rentals/return", protocol.Hosts{Hosts: hosts}, nil)
 }
 
 // List reads all machines. A page that leads no further although there is more is an
 // error, so that no part of the list is taken for the whole.
-func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
-	var all []wire.ListedMachine
+func (c *Client) List(ctx context.Context) ([]protocol.ListedMachine, error) {
+	var all []protocol.ListedMachine
 	for last := ""; ; {
 		q := url.Values{"most": {fmt.Sprint(tuning.ListMax)}}
 		if last != "" {
 			q.Set("after", last)
 		}
-		var page wire.MachineList
+		var page protocol.MachineList
 		if err := c.call(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, map[int]any{200: &page}); err != nil {
 			return nil, err
 		}
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -9,48 +9,48 @@
 	"net/http"
 	"testing"
 
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
-type pages func(after string) (int, wire.MachineList)
+type pages func(after string) (int, protocol.MachineList)
 
 func (p pages) RoundTrip(r *http.Request) (*http.Response, error) {
 	status, page := p(r.URL.Query().Get("after"))
-	b, _ := wire.Marshal(page)
+	b, _ := protocol.Marshal(page)
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(b))}, nil
 }
 
 // At a fleet's size the list has several pages. Where one of them fails there is
 // no list: a part of one would look like machines that are gone.
 func TestListPages(t *testing.T) {
-	page := func(from int) wire.MachineList {
-		var l wire.MachineList
+	page := func(from int) protocol.MachineList {
+		var l protocol.MachineList
 		for i := from; i < from+500; i++ {
-			l.Machines = append(l.Machines, wire.ListedMachine{ID: fmt.Sprintf("m-%06d", i)})
+			l.Machines = append(l.Machines, protocol.ListedMachine{ID: fmt.Sprintf("m-%06d", i)})
 		}
 		l.More = from < 2000
 		return l
 	}
 	fails := -1
-	c := New("cloud:1", pages(func(after string) (int, wire.MachineList) {
+	c := New("cloud:1", pages(func(after string) (int, protocol.MachineList) {
 		from := 0
 		if n, _ := fmt.Sscanf(after, "m-%d", &from); n == 1 {
 			from++
 		}
 		if from == fails {
-			return 503, wire.MachineList{}
+			return 503, protocol.MachineList{}
 		}
 		return 200, page(from)
-	}), wire.NewComplaints(slog.New(slog.DiscardHandler)), 1000)
+	}), protocol.NewComplaints(slog.New(slog.DiscardHandler)), 1000)
 	if all, err := c.List(t.Context()); err != nil || len(all) != 2500 || all[2499].ID != "m-002499" {
 		t.Errorf("listed %d machines: %v", len(all), err)
 	}
-	for name, page := range map[string]wire.MachineList{
+	for name, page := range map[string]protocol.MachineList{
 		"empty":    {More: true},
-		"repeated": {More: true, Machines: []wire.ListedMachine{{ID: "m-000001"}}},
+		"repeated": {More: true, Machines: []protocol.ListedMachine{{ID: "m-000001"}}},
 	} {
-		broken := pages(func(string) (int, wire.MachineList) { return 200, page })
-		all, err := New("cloud:1", broken, wire.NewComplaints(slog.New(slog.DiscardHandler)), 1000).List(t.Context())
+		broken := pages(func(string) (int, protocol.MachineList) { return 200, page })
+		all, err := New("cloud:1", broken, protocol.NewComplaints(slog.New(slog.DiscardHandler)), 1000).List(t.Context())
 		if !errors.Is(err, ErrUnavailable) || all != nil {
 			t.Errorf("a list with a page that is %s: %d machines, %v", name, len(all), err)
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/cluster/machine.go
@@ -1,13 +1,13 @@
-// Package fleet keeps what is known of machines and what may be on them. Its
+// Package cluster keeps what is known of machines and what may be on them. Its
 // one duty for the rules: a placement is released on proof only.
-package fleet
+package cluster
 
 import (
 	"slices"
 	"time"
 
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // Key names a task of a job.
@@ -89,7 +89,7 @@
 
 // Reported is a task in a worker's newest report.
 type Reported struct {
-	wire.TaskReport
+	protocol.TaskReport
 	Of Key
 	OK bool // its name could be read
 }
@@ -115,7 +115,7 @@
 // One that is not is a late copy, which proves nothing, or comes from a worker
 // that began anew, counting from the start. A worker has one report under way at
 // a time, so between reports that came by themselves there is no other reason.
-func (m *Machine) Heard(r *wire.Report) bool {
+func (m *Machine) Heard(r *protocol.Report) bool {
 	at := stamp{r.Session, r.Seq}
 	if !m.heard.before(at) {
 		return false
@@ -145,7 +145,7 @@
 // only a worker that is there and counts from the start can show it in a report
 // that looks old. It returns true if that is proved: then all that its former
 // life ran is gone, and its counters count from here.
-func (m *Machine) Again(r *wire.Report) bool {
+func (m *Machine) Again(r *protocol.Report) bool {
 	switch {
 	case m.probe == 0:
 		m.Token++
@@ -201,7 +201,7 @@
 // A placement ends on one of these proofs only: the worker lists its attempt as exited;
 // a later session, or a new life; or its absence, once no start of it can arrive any
 // more.
-func (m *Machine) Observe(r *wire.Report, parse func(string) (Key, bool), now, leaseEnd time.Time) (ended []Ended, fresh bool) {
+func (m *Machine) Observe(r *protocol.Report, parse func(string) (Key, bool), now, leaseEnd time.Time) (ended []Ended, fresh bool) {
 	if r.Session < m.Session || (r.Session == m.Session && r.Seq <= m.Seq) || r.Session <= m.Lapsed {
 		return nil, false
 	}
@@ -225,7 +225,7 @@
 }
 
 // takeHeader takes in what a report says of the machine itself.
-func (m *Machine) takeHeader(r *wire.Report, now time.Time) {
+func (m *Machine) takeHeader(r *protocol.Report, now time.Time) {
 	m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.Type, r.Zone, r.Spot
 	m.Session, m.Seq, m.Up, m.LastReport, m.Unanswered = r.Session, r.Seq, true, now, 0
 	m.Shown = max(m.Shown, r.Token)
@@ -267,16 +267,16 @@
 }
 
 // takeTasks takes in the tasks that a report lists and returns those that are known.
-func (m *Machine) takeTasks(r *wire.Report, parse func(string) (Key, bool)) map[Key]*wire.TaskReport {
+func (m *Machine) takeTasks(r *protocol.Report, parse func(string) (Key, bool)) map[Key]*protocol.TaskReport {
 	m.Reported = make([]Reported, len(r.Tasks))
 	m.UnknownTasks = 0
-	shown := make(map[Key]*wire.TaskReport, len(r.Tasks))
+	shown := make(map[Key]*protocol.TaskReport, len(r.Tasks))
 	for i := range r.Tasks {
 		key, ok := parse(r.Tasks[i].Task)
 		m.Reported[i] = Reported{r.Tasks[i], key, ok}
 		if m.known(&m.Reported[i]) {
 			shown[key] = &r.Tasks[i]
-		} else if r.Tasks[i].State != wire.TaskExited {
+		} else if r.Tasks[i].State != protocol.TaskExited {
 			m.UnknownTasks++
 		}
 	}
@@ -285,7 +285,7 @@
 
 // endedBy draws the conclusions from the known tasks of the newest report for the
 // placements of its session.
-func (m *Machine) endedBy(shown map[Key]*wire.TaskReport, now time.Time) (ended []Ended) {
+func (m *Machine) endedBy(shown map[Key]*protocol.TaskReport, now time.Time) (ended []Ended) {
 	m.matched = true
 	for key, p := range m.Live {
 		if p.Session != m.Session {
@@ -293,7 +293,7 @@
 		}
 		t := shown[key]
 		switch {
-		case t != nil && t.State == wire.TaskExited:
+		case t != nil && t.State == protocol.TaskExited:
 			// The worker ignores a repeated start as long as it lists the
 			// attempt, so the placement is over although a start may be late.
 			ended = append(ended, Ended{Placement: p, Cause: t.Cause, Saved: t.Saved})
@@ -332,15 +332,15 @@
 // places here.
 func (m *Machine) Unknown() (out []Reported) {
 	for i := range m.Reported {
-		if t := &m.Reported[i]; t.State != wire.TaskExited && !m.known(t) {
+		if t := &m.Reported[i]; t.State != protocol.TaskExited && !m.known(t) {
 			out = append(out, *t)
 		}
 	}
 	return out
 }
 
-func (m *Machine) sameTasks(ts []wire.TaskReport) bool {
-	return slices.EqualFunc(m.Reported, ts, func(a Reported, b wire.TaskReport) bool { return a.TaskReport == b })
+func (m *Machine) sameTasks(ts []protocol.TaskReport) bool {
+	return slices.EqualFunc(m.Reported, ts, func(a Reported, b protocol.TaskReport) bool { return a.TaskReport == b })
 }
 
 // Lapse ends everything of a session whose lease is surely over.
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/pause"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/clock"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // Held is a term that this node holds.
@@ -25,31 +25,31 @@
 
 // Keeper runs elections for one node.
 type Keeper struct {
-	store *statestore.Client
+	store *kvstore.Client
 	node  string
 	log   *slog.Logger
 
-	leader atomic.Pointer[ledger.Term]        // as last seen; nil: none known
+	leader atomic.Pointer[records.Term]       // as last seen; nil: none known
 	depose atomic.Pointer[func(newer uint64)] // while leading
 	resign atomic.Bool
 }
 
 // New makes a keeper.
-func New(store *statestore.Client, node string, log *slog.Logger) *Keeper {
+func New(store *kvstore.Client, node string, log *slog.Logger) *Keeper {
 	return &Keeper{store: store, node: node, log: log}
 }
 
 // Leader is who led last, as far as this node knows.
-func (k *Keeper) Leader() (ledger.Term, bool) {
+func (k *Keeper) Leader() (records.Term, bool) {
 	if t := k.leader.Load(); t != nil {
 		return *t, true
 	}
-	return ledger.Term{}, false
+	return records.Term{}, false
 }
 
 // Observe takes in a term heard of from a peer or a worker. A newer one than
 // our own ends our leadership at once.
-func (k *Keeper) Observe(t ledger.Term) {
+func (k *Keeper) Observe(t records.Term) {
 	for {
 		cur := k.leader.Load()
 		if cur != nil && cur.N >= t.N {
@@ -74,10 +74,10 @@
 }
 
 // term reads the term under a key, and the key's version: 0 if it does not exist.
-func (k *Keeper) term(ctx context.Context, key string) (t ledger.Term, version uint64, err error) {
+func (k *Keeper) term(ctx context.Context, key string) (t records.Term, version uint64, err error) {
 	it, err := k.store.Get(ctx, key)
 	if err == nil {
-		err = wire.Unmarshal(it.Value, &t)
+		err = protocol.Unmarshal(it.Value, &t)
 	}
 	return t, it.Version, err
 }
@@ -88,8 +88,8 @@
 	if err := k.store.EndGrant(ctx, grant); err != nil {
 		k.log.Debug("ending the grant", "err", err) // it runs out by itself
 	}
-	for start := time.Now(); time.Since(start) < tuning.StepDown && pause.For(ctx, tuning.ElectionRetry); {
-		if t, _, err := k.term(ctx, ledger.KeyLeader); err == nil && t.Node != k.node {
+	for start := time.Now(); time.Since(start) < tuning.StepDown && clock.For(ctx, tuning.ElectionRetry); {
+		if t, _, err := k.term(ctx, records.KeyLeader); err == nil && t.Node != k.node {
 			return
 		}
 	}
@@ -103,7 +103,7 @@
 		switch {
 		case held != nil:
 			k.log.Info("leading", "term", held.N)
-			k.leader.Store(&ledger.Term{N: held.N, Node: k.node})
+			k.leader.Store(&records.Term{N: held.N, Node: k.node})
 			grant = k.hold(ctx, *held, grant, lead)
 			k.log.Info("no longer leading", "term", held.N)
 			if k.resign.Swap(false) {
@@ -111,7 +111,7 @@
 			}
 		case err != nil:
 			k.log.Debug("election", "err", err)
-			pause.For(ctx, tuning.ElectionRetry)
+			clock.For(ctx, tuning.ElectionRetry)
 		default:
 			k.watch(ctx, rev)
 		}
@@ -121,8 +121,8 @@
 // attempt takes the term if nobody holds it. It returns the revision to watch
 // from when somebody does.
 func (k *Keeper) attempt(ctx context.Context) (*Held, uint64, uint64, error) {
-	leader, guard, err := k.term(ctx, ledger.KeyLeader)
-	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
+	leader, guard, err := k.term(ctx, records.KeyLeader)
+	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, 0, 0, err
 	}
 	if err == nil && leader.Node != k.node {
@@ -131,20 +131,20 @@
 	}
 	// If we are named but do not lead, this is an earlier process of ours, which is
 	// gone, or a lost term. It need not be waited out.
-	term, termGuard, err := k.term(ctx, ledger.KeyTerm)
-	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
+	term, termGuard, err := k.term(ctx, records.KeyTerm)
+	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, 0, 0, err
 	}
 	grant, err := k.store.NewGrant(ctx, tuning.GrantLife)
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	mine := ledger.Term{N: term.N + 1, Node: k.node}
-	r, err := k.store.Commit(ctx, wire.Commit{
-		Guards: []wire.Guard{{Key: ledger.KeyLeader, Version: guard}, {Key: ledger.KeyTerm, Version: termGuard}},
-		Changes: []wire.Change{
-			{Set: ledger.KeyTerm, Value: mine},
-			{Set: ledger.KeyLeader, Value: mine, Lease: grant},
+	mine := records.Term{N: term.N + 1, Node: k.node}
+	r, err := k.store.Commit(ctx, protocol.Commit{
+		Guards: []protocol.Guard{{Key: records.KeyLeader, Version: guard}, {Key: records.KeyTerm, Version: termGuard}},
+		Changes: []protocol.Change{
+			{Set: records.KeyTerm, Value: mine},
+			{Set: records.KeyLeader, Value: mine, Lease: grant},
 		},
 	})
 	if err != nil {
@@ -194,7 +194,7 @@
 		case t = <-touches:
 			under--
 		}
-		if t.grant != grant || !errors.Is(t.err, statestore.ErrNoLease) {
+		if t.grant != grant || !errors.Is(t.err, kvstore.ErrNoLease) {
 			continue
 		}
 		// The grant ran out, for instance while this process was held up. If
@@ -204,11 +204,11 @@
 			continue
 		}
 		grant = g
-		_, err = k.store.Commit(ctx, wire.Commit{
-			Guards:  []wire.Guard{{Key: ledger.KeyTerm, Version: held.Stamp}},
-			Changes: []wire.Change{{Set: ledger.KeyLeader, Value: ledger.Term{N: held.N, Node: k.node}, Lease: grant}},
+		_, err = k.store.Commit(ctx, protocol.Commit{
+			Guards:  []protocol.Guard{{Key: records.KeyTerm, Version: held.Stamp}},
+			Changes: []protocol.Change{{Set: records.KeyLeader, Value: records.Term{N: held.N, Node: k.node}, Lease: grant}},
 		})
-		if errors.Is(err, statestore.ErrConflict) {
+		if errors.Is(err, kvstore.ErrConflict) {
 			cancel()
 		}
 	}
@@ -220,18 +220,18 @@
 // followed.
 func (k *Keeper) watch(ctx context.Context, rev uint64) {
 	for ctx.Err() == nil {
-		ev, err := k.store.Follow(ctx, ledger.KeyLeader, rev, tuning.LeaderFollowHold)
+		ev, err := k.store.Follow(ctx, records.KeyLeader, rev, tuning.LeaderFollowHold)
 		if err != nil {
-			pause.For(ctx, tuning.ElectionRetry)
+			clock.For(ctx, tuning.ElectionRetry)
 			return
 		}
 		rev = ev.Revision
 		for _, e := range ev.Events {
-			if e.Delete == ledger.KeyLeader {
+			if e.Delete == records.KeyLeader {
 				return
 			}
-			var t ledger.Term
-			if e.Set == ledger.KeyLeader && wire.Unmarshal(e.Value, &t) == nil {
+			var t records.Term
+			if e.Set == records.KeyLeader && protocol.Unmarshal(e.Value, &t) == nil {
 				k.Observe(t)
 				if t.Node == k.node {
 					return
--- a/internal/standin/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"time"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 )
 
 const (
@@ -27,9 +27,9 @@
 // that places the first job's task there.
 func newHistory(ctx context.Context) *history {
 	cfg := config.Deployment{Workers: config.Workers{ReportS: 2.5, LeaseS: 1000, CancelS: 37}}
-	w := NewWorld(ctx, NewNetwork(1), cfg, []wire.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
-	w.Register(wire.Job{ID: first, Shape: wire.Array, Tasks: 1, Cores: 1})
-	w.Register(wire.Job{ID: second, Shape: wire.Array, Tasks: 1, Cores: 1, Awaits: []string{first}})
+	w := NewWorld(ctx, NewNetwork(1), cfg, []protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
+	w.Register(protocol.Job{ID: first, Shape: protocol.Array, Tasks: 1, Cores: 1})
+	w.Register(protocol.Job{ID: second, Shape: protocol.Array, Tasks: 1, Cores: 1, Awaits: []string{first}})
 	h := &history{World: w}
 	w.mu.Lock()
 	id := w.newMachine("big", "a", false)
@@ -41,14 +41,14 @@
 }
 
 func (h *history) record(ref, machine string) {
-	h.State.Put(ledger.PieceKey(ref, 0), ledger.Run{Next: 2, Live: []ledger.Placement{{Attempt: 1, Machine: machine}}})
+	h.State.Put(records.PieceKey(ref, 0), records.Run{Next: 2, Live: []records.Placement{{Attempt: 1, Machine: machine}}})
 }
 
 // run makes a job's task run on the machine, as if a controller had started it.
 func (h *history) run(ref string) *task {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	running := &task{ref: ref, attempt: 1, state: wire.TaskRunning, since: time.Now(), left: 1e6}
+	running := &task{ref: ref, attempt: 1, state: protocol.TaskRunning, since: time.Now(), left: 1e6}
 	h.machine.tasks = append(h.machine.tasks, running)
 	h.started(h.machine, running)
 	return running
@@ -59,7 +59,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	u := h.jobs[ref]
-	h.judge(u, *u, wire.JobStatus{ID: ref, Phase: phase})
+	h.judge(u, *u, protocol.JobStatus{ID: ref, Phase: phase})
 }
 
 // cancel makes a job's user cancel it and be told so.
@@ -67,7 +67,7 @@
 	h.mu.Lock()
 	h.jobs[ref].cancelAsked = true
 	h.mu.Unlock()
-	h.tell(ref, wire.PhaseCancelled)
+	h.tell(ref, protocol.PhaseCancelled)
 }
 
 // The checker finds each broken rule in a history that breaks it, and none in the one
@@ -83,9 +83,9 @@
 		{"a task runs that no record names", func(h *history) { h.record(first, "m-000009"); h.run(first) }, "orphaned: no record names"},
 		{"the record goes before the task", func(h *history) {
 			h.run(first)
-			h.State.Remove(ledger.PieceKey(first, 0))
+			h.State.Remove(records.PieceKey(first, 0))
 		}, "orphaned: no record names"},
-		{"a record that can't be read", func(h *history) { h.run(first); h.State.Spoil(ledger.PieceKey(first, 0)) }, ""},
+		{"a record that can't be read", func(h *history) { h.run(first); h.State.Spoil(records.PieceKey(first, 0)) }, ""},
 		{"a job starts before the one that it waits for is done", func(h *history) {
 			h.record(second, h.machine.id)
 			h.run(second)
@@ -105,7 +105,7 @@
 			running := h.run(first)
 			h.cancel(first)
 			h.mu.Lock()
-			h.machine.exit(running, wire.CauseStopped)
+			h.machine.exit(running, protocol.CauseStopped)
 			h.mu.Unlock()
 			time.Sleep(pastCancel)
 		}, ""},
@@ -119,17 +119,17 @@
 		{"a job is called queued long after one that it needs was cancelled", func(h *history) {
 			h.cancel(first)
 			time.Sleep(pastCancel)
-			h.tell(second, wire.PhaseQueued)
+			h.tell(second, protocol.PhaseQueued)
 		}, "orphaned: " + second},
 		{"it is called cancelled", func(h *history) {
 			h.cancel(first)
 			time.Sleep(pastCancel)
-			h.tell(second, wire.PhaseCancelled)
+			h.tell(second, protocol.PhaseCancelled)
 		}, ""},
-		{"a job is called done before it is", func(h *history) { h.run(first); h.tell(first, wire.PhaseDone) }, "not_done"},
+		{"a job is called done before it is", func(h *history) { h.run(first); h.tell(first, protocol.PhaseDone) }, "not_done"},
 		{"a cancelled job is called queued", func(h *history) {
 			h.cancel(first)
-			h.tell(first, wire.PhaseQueued)
+			h.tell(first, protocol.PhaseQueued)
 		}, "went_back"},
 		{"a task starts while it runs", func(h *history) { h.run(first); h.run(first) }, "ran_twice"},
 	} {
--- a/internal/standin/dependencies.go
+++ b/internal/fake/dependencies.go
@@ -1,9 +1,9 @@
-package standin
+package fake
 
 import (
 	"time"
 
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
 // needed lists the jobs that a job needs, directly or through others.
@@ -70,7 +70,7 @@
 
 // judgeDependent judges what the user of a job that needs others is told.
 func (w *World) judgeDependent(u *userJob, phase string) {
-	if phase != wire.PhaseQueued && phase != wire.PhaseRunning {
+	if phase != protocol.PhaseQueued && phase != protocol.PhaseRunning {
 		return
 	}
 	_, told := w.cancelledBefore(u)
--- a/internal/standin/records.go
+++ b/internal/fake/records.go
@@ -1,10 +1,10 @@
-package standin
+package fake
 
 import (
 	"time"
 
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 )
 
 // records reads run records in the state service, decoding each version once.
@@ -16,7 +16,7 @@
 // decodedPiece is a version of a piece of a run record.
 type decodedPiece struct {
 	version  uint64
-	run      ledger.Run
+	run      records.Run
 	readable bool
 }
 
@@ -29,10 +29,10 @@
 func (r *recordChecker) piece(ref string, task int) decodedPiece {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
-	key := ledger.PieceKey(ref, ledger.Piece(task))
+	key := records.PieceKey(ref, records.Piece(task))
 	stored, written := r.state.keys[key]
 	if !written {
-		key = ledger.PieceKey(ref, 0)
+		key = records.PieceKey(ref, 0)
 		if stored, written = r.state.keys[key]; !written {
 			return decodedPiece{readable: true} // it names nothing
 		}
@@ -41,7 +41,7 @@
 		return known
 	}
 	piece := decodedPiece{version: stored.version}
-	piece.readable = wire.Unmarshal(stored.value, &piece.run) == nil
+	piece.readable = protocol.Unmarshal(stored.value, &piece.run) == nil
 	r.pieces[key] = piece
 	return piece
 }
@@ -69,7 +69,7 @@
 	defer w.mu.Unlock()
 	for _, m := range w.machines {
 		for _, t := range m.tasks {
-			if t.state == wire.TaskExited || t.unrecorded || w.records.mayName(t, m.id) {
+			if t.state == protocol.TaskExited || t.unrecorded || w.records.mayName(t, m.id) {
 				continue
 			}
 			t.unrecorded = true // told once
--- a/internal/standin/state.go
+++ b/internal/fake/state.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
@@ -16,7 +16,7 @@
 	"golang.org/x/time/rate"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
 type entry struct {
@@ -41,7 +41,7 @@
 	changed chan struct{}
 	refuse  map[string]bool // hosts that get 503; "" for all
 	// OnCommit is told of every applied commit.
-	OnCommit func(c *wire.Commit)
+	OnCommit func(c *protocol.Commit)
 	// Limits of a commit; 0 is none. Breaking one is the caller's mistake.
 	MaxOps, MaxValue int
 	// limited: the limits have become smaller without notice. Breaking one gets 400,
@@ -57,7 +57,7 @@
 	// LoseReply picks applied commits that are not answered.
 	LoseReply func() bool
 	// Fault picks what goes wrong with a commit, before its conditions are looked at.
-	Fault func(c *wire.Commit) Fault
+	Fault func(c *protocol.Commit) Fault
 	// Late picks commits that get no answer and are carried out so much later,
 	// after newer ones; 0: not this one.
 	Late func() time.Duration
@@ -83,7 +83,7 @@
 
 type change struct {
 	key string
-	ev  wire.Event
+	ev  protocol.Event
 }
 
 // NewState makes an empty state service.
@@ -133,7 +133,7 @@
 
 // Put stores a record, as an earlier process would have.
 func (s *State) Put(key string, value any) {
-	raw, err := wire.Marshal(value)
+	raw, err := protocol.Marshal(value)
 	if err != nil {
 		panic(err)
 	}
@@ -185,13 +185,13 @@
 
 func (s *State) put(key string, e entry) {
 	s.keys[key] = e
-	s.log = append(s.log, change{key, wire.Event{Set: key, Value: e.value, Version: e.version}})
+	s.log = append(s.log, change{key, protocol.Event{Set: key, Value: e.value, Version: e.version}})
 }
 
 func (s *State) del(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
-		s.log = append(s.log, change{key, wire.Event{Delete: key, Version: s.rev}})
+		s.log = append(s.log, change{key, protocol.Event{Delete: key, Version: s.rev}})
 	}
 }
 
@@ -226,7 +226,7 @@
 func answer(w http.ResponseWriter, status int, v any) {
 	w.WriteHeader(status)
 	if v != nil {
-		b, err := wire.Marshal(v)
+		b, err := protocol.Marshal(v)
 		if err != nil {
 			panic(err)
 		}
@@ -268,19 +268,19 @@
 			}
 		}
 		slices.Sort(keys)
-		page := wire.Items{Revision: s.rev, Items: []wire.Item{}}
+		page := protocol.Items{Revision: s.rev, Items: []protocol.Item{}}
 		for _, k := range keys {
 			if len(page.Items) == s.pageSize(most) {
 				page.More = true
 				break
 			}
-			page.Items = append(page.Items, wire.Item{Key: k, Value: s.keys[k].value, Version: s.keys[k].version})
+			page.Items = append(page.Items, protocol.Item{Key: k, Value: s.keys[k].value, Version: s.keys[k].version})
 		}
 		answer(w, 200, page)
 	case strings.HasPrefix(path, "/keys/"):
 		k := strings.TrimPrefix(path, "/keys/")
 		if e, ok := s.keys[k]; ok {
-			answer(w, 200, wire.Item{Key: k, Value: e.value, Version: e.version})
+			answer(w, 200, protocol.Item{Key: k, Value: e.value, Version: e.version})
 		} else {
 			answer(w, 404, epoch{s.rev})
 		}
@@ -299,8 +299,8 @@
 		}
 		s.commit(w, body)
 	case path == "/grants":
-		var g wire.GrantRequest
-		if err := wire.Unmarshal(body, &g); err != nil {
+		var g protocol.GrantRequest
+		if err := protocol.Unmarshal(body, &g); err != nil {
 			panic(err)
 		}
 		s.nextID++
@@ -308,12 +308,12 @@
 		s.leases[s.nextID] = &lease{life, time.Now().Add(life)}
 		id := s.nextID
 		go s.watchLease(id, life)
-		answer(w, 200, wire.Grant{Lease: id})
+		answer(w, 200, protocol.Grant{Lease: id})
 	case strings.HasSuffix(path, "/touch"):
 		id, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 		if l := s.leases[id]; l != nil {
 			l.expires = time.Now().Add(l.life)
-			answer(w, 200, wire.Grant{Lease: id})
+			answer(w, 200, protocol.Grant{Lease: id})
 		} else {
 			answer(w, 404, nil)
 		}
@@ -329,7 +329,7 @@
 		until := time.NewTimer(time.Duration(hold) * time.Millisecond)
 		defer until.Stop()
 		for over := false; ; {
-			out := wire.Events{Revision: s.rev, Events: []wire.Event{}}
+			out := protocol.Events{Revision: s.rev, Events: []protocol.Event{}}
 			for _, c := range s.log {
 				if c.ev.Version > after && strings.HasPrefix(c.key, q.Get("prefix")) && (s.LoseEvent == nil || !s.LoseEvent(c.key)) {
 					out.Events = append(out.Events, c.ev)
@@ -399,7 +399,7 @@
 
 // transaction is a commit as it arrives.
 type transaction struct {
-	Guards  []wire.Guard `msgpack:"guards"`
+	Guards  []protocol.Guard `msgpack:"guards"`
 	Changes []struct {
 		Set    string             `msgpack:"set"`
 		Value  msgpack.RawMessage `msgpack:"data"`
@@ -409,18 +409,18 @@
 }
 
 // keys is the transaction without its values.
-func (t *transaction) keys() *wire.Commit {
-	out := &wire.Commit{Guards: t.Guards}
+func (t *transaction) keys() *protocol.Commit {
+	out := &protocol.Commit{Guards: t.Guards}
 	for _, ch := range t.Changes {
-		out.Changes = append(out.Changes, wire.Change{Set: ch.Set, Delete: ch.Delete})
+		out.Changes = append(out.Changes, protocol.Change{Set: ch.Set, Delete: ch.Delete})
 	}
 	return out
 }
 
 func (s *State) commit(w http.ResponseWriter, body []byte) {
 	var c transaction
-	if err := wire.Unmarshal(body, &c); err != nil {
-		answer(w, 400, wire.ErrorReply{Error: err.Error()})
+	if err := protocol.Unmarshal(body, &c); err != nil {
+		answer(w, 400, protocol.ErrorReply{Error: err.Error()})
 		return
 	}
 	fault := None
@@ -432,7 +432,7 @@
 		answer(w, 502, nil)
 		return
 	case OverLimit:
-		answer(w, 400, wire.ErrorReply{Error: "beyond the limits"})
+		answer(w, 400, protocol.ErrorReply{Error: "beyond the limits"})
 		return
 	case Throttled:
 		answer(w, 429, nil)
@@ -453,7 +453,7 @@
 			broken = fmt.Sprintf("value of %d bytes at %s", n, ch.Set)
 		}
 		if ch.Lease != 0 && s.leases[ch.Lease] == nil {
-			answer(w, 400, wire.ErrorReply{Error: wire.ErrNoLease})
+			answer(w, 400, protocol.ErrorReply{Error: protocol.ErrNoLease})
 			return
 		}
 	}
@@ -465,7 +465,7 @@
 		panic(broken)
 	case broken != "":
 		s.Refusals[400]++
-		answer(w, 400, wire.ErrorReply{Error: broken})
+		answer(w, 400, protocol.ErrorReply{Error: broken})
 		return
 	case s.rate != nil && !s.rate.AllowN(time.Now(), len(c.Changes)):
 		s.Refusals[429]++
@@ -479,7 +479,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		answer(w, 409, wire.CommitReply{Failed: failed, Revision: s.rev})
+		answer(w, 409, protocol.CommitReply{Failed: failed, Revision: s.rev})
 		return
 	}
 	if len(c.Changes) > 0 {
@@ -500,5 +500,5 @@
 		answer(w, 502, nil)
 		return
 	}
-	answer(w, 200, wire.CommitReply{Revision: s.rev})
+	answer(w, 200, protocol.CommitReply{Revision: s.rev})
 }
--- a/internal/standin/worker.go
+++ b/internal/fake/worker.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
 type task struct {
@@ -23,13 +23,15 @@
 	unrecorded bool
 }
 
-func (t *task) onMachine() bool { return t.state != wire.TaskExited && t.state != wire.TaskFetching }
+func (t *task) onMachine() bool {
+	return t.state != protocol.TaskExited && t.state != protocol.TaskFetching
+}
 
 type machine struct {
 	w       *World
 	id      string
 	addr    string
-	typ     wire.MachineType
+	typ     protocol.MachineType
 	zone    string
 	spot    bool
 	rented  time.Time
@@ -150,41 +152,41 @@
 		u := m.w.jobs[t.ref]
 		age := time.Since(t.since).Seconds()
 		switch t.state {
-		case wire.TaskFetching:
+		case protocol.TaskFetching:
 			if m.images[u.job.Image] || age >= u.job.ImageGB/m.typ.FetchGBps {
 				m.images[u.job.Image] = true
 				switch {
 				case u.finished[t.num]:
-					m.exit(t, wire.CauseDone)
-				case u.job.Shape == wire.Gang:
-					m.enter(t, wire.TaskWaiting)
+					m.exit(t, protocol.CauseDone)
+				case u.job.Shape == protocol.Gang:
+					m.enter(t, protocol.TaskWaiting)
 				default:
 					t.left = u.runS * (1 + m.w.Uneven*float64(t.num))
-					m.enter(t, wire.TaskRunning)
+					m.enter(t, protocol.TaskRunning)
 				}
 				m.w.started(m, t)
 				m.w.gangsChanged()
 			}
-		case wire.TaskWaiting:
+		case protocol.TaskWaiting:
 			if age > m.w.Cfg.Workers.GangWaitS {
 				m.exit(t, "incomplete")
 			}
-		case wire.TaskRunning:
-			if u.job.Shape == wire.Service {
+		case protocol.TaskRunning:
+			if u.job.Shape == protocol.Service {
 				continue
 			}
 			if t.left -= dt; t.left <= 0 {
 				u.finished[t.num] = true
-				m.exit(t, wire.CauseDone)
+				m.exit(t, protocol.CauseDone)
 				if m.w.OnDone != nil && len(u.finished) == u.job.Tasks {
 					go m.w.OnDone(t.ref)
 				}
 			}
-		case wire.TaskSaving:
+		case protocol.TaskSaving:
 			if age >= u.job.SaveS {
 				t.saved = true
 				m.w.Saved++
-				m.exit(t, wire.CauseStopped)
+				m.exit(t, protocol.CauseStopped)
 			}
 		}
 	}
@@ -194,8 +196,8 @@
 
 func (m *machine) exit(t *task, cause string) {
 	t.cause = cause
-	m.enter(t, wire.TaskExited)
-	if m.w.jobs[t.ref].job.Shape == wire.Gang {
+	m.enter(t, protocol.TaskExited)
+	if m.w.jobs[t.ref].job.Shape == protocol.Gang {
 		m.w.gangsChanged()
 	}
 }
@@ -212,10 +214,10 @@
 		for _, t := range m.tasks {
 			g := gang{t.ref, t.attempt}
 			switch {
-			case w.jobs[t.ref].job.Shape != wire.Gang:
-			case t.state == wire.TaskWaiting:
+			case w.jobs[t.ref].job.Shape != protocol.Gang:
+			case t.state == protocol.TaskWaiting:
 				waiting[g] = append(waiting[g], t)
-			case t.state == wire.TaskRunning, t.state == wire.TaskSaving, t.saved:
+			case t.state == protocol.TaskRunning, t.state == protocol.TaskSaving, t.saved:
 				running[g] = append(running[g], t)
 			}
 		}
@@ -223,7 +225,7 @@
 	for g, ts := range waiting {
 		if u := w.jobs[g.ref]; len(ts) == u.job.Tasks {
 			for _, t := range ts {
-				t.state, t.since, t.left = wire.TaskRunning, time.Now(), u.runS
+				t.state, t.since, t.left = protocol.TaskRunning, time.Now(), u.runS
 			}
 		}
 	}
@@ -233,27 +235,27 @@
 			continue
 		}
 		for _, t := range ts {
-			if t.state != wire.TaskRunning {
+			if t.state != protocol.TaskRunning {
 				continue
 			}
-			t.state, t.since, t.cause = wire.TaskExited, time.Now(), "peers"
+			t.state, t.since, t.cause = protocol.TaskExited, time.Now(), "peers"
 			if len(u.finished) > 0 { // they complete together
-				u.finished[t.num], t.cause = true, wire.CauseDone
+				u.finished[t.num], t.cause = true, protocol.CauseDone
 			}
 		}
 	}
 }
 
-func (m *machine) message() wire.Report {
+func (m *machine) message() protocol.Report {
 	m.seq++
-	r := wire.Report{Machine: m.id, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot, Session: m.session,
-		Seq: m.seq, Token: m.token, Tasks: []wire.TaskReport{}}
+	r := protocol.Report{Machine: m.id, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot, Session: m.session,
+		Seq: m.seq, Token: m.token, Tasks: []protocol.TaskReport{}}
 	if !m.notice.IsZero() {
 		left := time.Until(m.notice).Seconds()
 		r.Notice = &left
 	}
 	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: fmt.Sprintf("%s/%d", t.ref, t.num), Attempt: t.attempt,
+		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: fmt.Sprintf("%s/%d", t.ref, t.num), Attempt: t.attempt,
 			State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	return r
@@ -281,9 +283,9 @@
 		m.w.mu.Unlock()
 		last = time.Now()
 		ctx, cancel := context.WithTimeout(m.w.life, 4*time.Second)
-		var ans wire.ReportReply
-		var redirect wire.Redirect
-		status, err := wire.Call(ctx, hc, http.MethodPost, "http://"+addr+"/hello", msg, map[int]any{200: &ans, 421: &redirect})
+		var ans protocol.ReportReply
+		var redirect protocol.Redirect
+		status, err := protocol.Call(ctx, hc, http.MethodPost, "http://"+addr+"/hello", msg, map[int]any{200: &ans, 421: &redirect})
 		cancel()
 		m.w.mu.Lock()
 		for m.hung && !m.gone { // it takes the answer when it goes on
@@ -335,7 +337,7 @@
 	return nil
 }
 
-func (m *machine) execute(orders []wire.Order) {
+func (m *machine) execute(orders []protocol.Order) {
 	for _, o := range orders {
 		ref, num := parseTask(o.Task)
 		var same *task
@@ -345,25 +347,25 @@
 			}
 		}
 		switch o.Verb {
-		case wire.VerbStart:
+		case protocol.VerbStart:
 			if same == nil {
 				m.start(ref, num, o.Attempt)
 			}
-		case wire.VerbStop:
-			if same == nil || same.state == wire.TaskExited {
+		case protocol.VerbStop:
+			if same == nil || same.state == protocol.TaskExited {
 				continue
 			}
 			u := m.w.jobs[ref]
-			saves := same.state == wire.TaskRunning && u.job.CheckpointS > 0 && o.Grace >= u.job.SaveS
+			saves := same.state == protocol.TaskRunning && u.job.CheckpointS > 0 && o.Grace >= u.job.SaveS
 			switch {
 			case saves:
-				m.enter(same, wire.TaskSaving)
-			case same.state != wire.TaskSaving || o.Grace == 0:
-				m.exit(same, wire.CauseStopped)
+				m.enter(same, protocol.TaskSaving)
+			case same.state != protocol.TaskSaving || o.Grace == 0:
+				m.exit(same, protocol.CauseStopped)
 			}
-		case wire.VerbForget:
+		case protocol.VerbForget:
 			for i, t := range m.tasks {
-				if t == same && t.state == wire.TaskExited {
+				if t == same && t.state == protocol.TaskExited {
 					m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
 					m.changed = true
 					break
@@ -374,29 +376,29 @@
 }
 
 func (m *machine) start(ref string, num int, attempt uint64) {
-	t := &task{ref: ref, num: num, attempt: attempt, state: wire.TaskExited, since: time.Now()}
+	t := &task{ref: ref, num: num, attempt: attempt, state: protocol.TaskExited, since: time.Now()}
 	m.changed = true
 	u := m.w.jobs[ref]
 	if u == nil {
-		t.cause = wire.CauseUnknown
+		t.cause = protocol.CauseUnknown
 		m.tasks = append(m.tasks, t)
 		return
 	}
 	cores, gpus, mem := m.typ.Cores, m.typ.GPUs, m.typ.MemGB
 	for _, o := range m.tasks {
-		if o.state != wire.TaskExited {
+		if o.state != protocol.TaskExited {
 			d := &m.w.jobs[o.ref].job
 			cores, gpus, mem = cores-d.Cores, gpus-d.GPUs, mem-d.MemGB
 		}
 	}
 	other := m.find(ref, num)
 	switch {
-	case other != nil && other.state != wire.TaskExited:
-		t.cause = wire.CauseBusy
+	case other != nil && other.state != protocol.TaskExited:
+		t.cause = protocol.CauseBusy
 	case u.job.Cores > cores+1e-6 || u.job.GPUs > gpus+1e-6 || u.job.MemGB > mem+1e-6:
-		t.cause = wire.CauseNoRoom
+		t.cause = protocol.CauseNoRoom
 	default:
-		t.state = wire.TaskFetching
+		t.state = protocol.TaskFetching
 	}
 	m.tasks = append(m.tasks, t)
 }
@@ -419,8 +421,8 @@
 		answer(rw, 200, m.message())
 		return
 	}
-	var req wire.DoRequest
-	if wire.Unmarshal(body, &req) != nil {
+	var req protocol.DoRequest
+	if protocol.Unmarshal(body, &req) != nil {
 		answer(rw, 400, nil)
 		return
 	}
--- a/internal/standin/world.go
+++ b/internal/fake/world.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"time"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
 // World is the cloud, its workers and the users, with the checker that judges
@@ -27,7 +27,7 @@
 
 	life      context.Context
 	mu        sync.Mutex
-	types     map[string]wire.MachineType
+	types     map[string]protocol.MachineType
 	capacity  map[string]int // per type, zone and kind; absent: plenty
 	machines  map[string]*machine
 	claims    map[string][]string
@@ -51,7 +51,7 @@
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	job         wire.Job
+	job         protocol.Job
 	runS        float64
 	submitted   bool
 	accepted    bool
@@ -68,8 +68,8 @@
 const usualStep = 50 * time.Millisecond
 
 // NewWorld makes a world on a network. Its life ends with ctx.
-func NewWorld(ctx context.Context, net *Network, cfg config.Deployment, types []wire.MachineType) *World {
-	w := &World{Net: net, State: NewState(), Cfg: cfg, life: ctx, types: map[string]wire.MachineType{},
+func NewWorld(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *World {
+	w := &World{Net: net, State: NewState(), Cfg: cfg, life: ctx, types: map[string]protocol.MachineType{},
 		capacity: map[string]int{}, machines: map[string]*machine{}, claims: map[string][]string{},
 		jobs: map[string]*userJob{}, Step: usualStep, Calls: map[string]int{}, addrNode: map[string]string{}}
 	for _, t := range types {
@@ -142,7 +142,7 @@
 	var out []string
 	for id, m := range w.machines {
 		for _, t := range m.tasks {
-			if t.ref == ref && t.state != wire.TaskExited {
+			if t.ref == ref && t.state != protocol.TaskExited {
 				out = append(out, id)
 			}
 		}
@@ -159,7 +159,7 @@
 }
 
 // Job is a job as its user submitted it.
-func (w *World) Job(ref string) wire.Job {
+func (w *World) Job(ref string) protocol.Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.jobs[ref].job
@@ -213,7 +213,7 @@
 	defer w.mu.Unlock()
 	w.Calls[r.URL.Path]++
 	if w.CloudDown {
-		answer(rw, 503, wire.ErrorReply{Error: "trouble"})
+		answer(rw, 503, protocol.ErrorReply{Error: "trouble"})
 		return
 	}
 	status, v := w.cloudCall(r, body)
@@ -226,19 +226,19 @@
 func (w *World) cloudCall(r *http.Request, body []byte) (int, any) {
 	switch {
 	case r.URL.Path == "/catalog":
-		var c wire.Catalog
+		var c protocol.Catalog
 		for _, t := range w.types {
 			c.Types = append(c.Types, t)
 		}
-		slices.SortFunc(c.Types, func(a, b wire.MachineType) int { return strings.Compare(a.Name, b.Name) })
+		slices.SortFunc(c.Types, func(a, b protocol.MachineType) int { return strings.Compare(a.Name, b.Name) })
 		return 200, c
 	case r.URL.Path == "/rentals" && r.Method == http.MethodPost:
-		var req wire.RentRequest
-		if wire.Unmarshal(body, &req) != nil || req.Count < 1 || req.Count > 50 {
+		var req protocol.RentRequest
+		if protocol.Unmarshal(body, &req) != nil || req.Count < 1 || req.Count > 50 {
 			return 400, nil
 		}
 		if hosts, ok := w.claims[req.Claim]; ok {
-			return 200, wire.Hosts{Hosts: hosts}
+			return 200, protocol.Hosts{Hosts: hosts}
 		}
 		n := req.Count
 		if limit, ok := w.capacity[fmt.Sprint(req.Type, req.Zone, req.Spot)]; ok {
@@ -250,17 +250,17 @@
 			n = min(n, limit)
 		}
 		if n <= 0 {
-			return 503, wire.ErrorReply{Error: "no capacity"}
+			return 503, protocol.ErrorReply{Error: "no capacity"}
 		}
 		var hosts []string
 		for range n {
 			hosts = append(hosts, w.newMachine(req.Type, req.Zone, req.Spot))
 		}
 		w.claims[req.Claim] = hosts
-		return 200, wire.Hosts{Hosts: hosts}
+		return 200, protocol.Hosts{Hosts: hosts}
 	case r.URL.Path == "/rentals/return":
-		var h wire.Hosts
-		if wire.Unmarshal(body, &h) != nil || len(h.Hosts) > 100 {
+		var h protocol.Hosts
+		if protocol.Unmarshal(body, &h) != nil || len(h.Hosts) > 100 {
 			return 400, nil
 		}
 		for _, id := range h.Hosts {
@@ -268,18 +268,18 @@
 		}
 		return 200, nil
 	case r.URL.Path == "/rentals":
-		list := wire.MachineList{Machines: []wire.ListedMachine{}}
+		list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
 		for id, m := range w.machines {
 			if age := time.Since(m.rented).Seconds(); age > w.Cfg.Cloud.ListLagS {
-				phase := wire.MachineStarting
+				phase := protocol.MachineStarting
 				if m.up {
 					phase = "running"
 				}
-				list.Machines = append(list.Machines, wire.ListedMachine{ID: id, Addr: m.addr, Type: m.typ.Name,
+				list.Machines = append(list.Machines, protocol.ListedMachine{ID: id, Addr: m.addr, Type: m.typ.Name,
 					Zone: m.zone, Spot: m.spot, State: phase, AgeS: age})
 			}
 		}
-		slices.SortFunc(list.Machines, func(a, b wire.ListedMachine) int { return strings.Compare(a.ID, b.ID) })
+		slices.SortFunc(list.Machines, func(a, b protocol.ListedMachine) int { return strings.Compare(a.ID, b.ID) })
 		w.cutPage(&list, r.URL.Query())
 		return 200, list
 	}
@@ -287,9 +287,9 @@
 }
 
 // cutPage leaves the page of a list that was asked for.
-func (w *World) cutPage(list *wire.MachineList, query url.Values) {
+func (w *World) cutPage(list *protocol.MachineList, query url.Values) {
 	after := query.Get("after")
-	list.Machines = slices.DeleteFunc(list.Machines, func(m wire.ListedMachine) bool { return m.ID <= after })
+	list.Machines = slices.DeleteFunc(list.Machines, func(m protocol.ListedMachine) bool { return m.ID <= after })
 	most, err := strconv.Atoi(query.Get("most"))
 	if err != nil {
 		most = len(list.Machines)
@@ -304,7 +304,7 @@
 
 // Register makes a job one whose user has submitted it, and was told that it is
 // accepted.
-func (w *World) Register(job wire.Job) {
+func (w *World) Register(job protocol.Job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.jobs[job.ID] = &userJob{job: job, submitted: true, accepted: true, finished: map[int]bool{}}
@@ -312,7 +312,7 @@
 
 // Submit registers a job (users upload its description) and submits it until
 // it gets an answer that is not retried. It returns the status.
-func (w *World) Submit(job wire.Job, runS float64) int {
+func (w *World) Submit(job protocol.Job, runS float64) int {
 	w.mu.Lock()
 	if w.jobs[job.ID] == nil {
 		w.jobs[job.ID] = &userJob{job: job, runS: runS, finished: map[int]bool{}}
@@ -334,7 +334,7 @@
 }
 
 // JobMap spells a job as users do; only what has a value where null is allowed.
-func JobMap(j *wire.Job) map[string]any {
+func JobMap(j *protocol.Job) map[string]any {
 	m := map[string]any{"ref": j.ID, "workload": j.Class, "owner": j.Team, "shape": j.Shape, "rank": j.Rank,
 		"pieces": j.Tasks, "cores": j.Cores, "cards": j.GPUs, "memGb": j.MemGB, "bundle": j.Image,
 		"imageGb": j.ImageGB, "samePlace": j.OneZone, "spread": j.Spread, "loaners": j.Spot,
@@ -355,7 +355,7 @@
 }
 
 // Poll asks once for a job's state.
-func (w *World) Poll(ref string) (int, wire.JobStatus) {
+func (w *World) Poll(ref string) (int, protocol.JobStatus) {
 	w.mu.Lock()
 	u := w.jobs[ref]
 	var before userJob // what the user had been told when it asked
@@ -379,31 +379,31 @@
 }
 
 // judge takes in what a user is told, who knew before what it asked with.
-func (w *World) judge(u *userJob, before userJob, st wire.JobStatus) {
+func (w *World) judge(u *userJob, before userJob, st protocol.JobStatus) {
 	switch {
-	case before.done && st.Phase != wire.PhaseDone, !before.cancelled.IsZero() && st.Phase != wire.PhaseCancelled:
+	case before.done && st.Phase != protocol.PhaseDone, !before.cancelled.IsZero() && st.Phase != protocol.PhaseCancelled:
 		w.breakRule("went_back: %s is called %s", u.job.ID, st.Phase)
-	case st.Phase == wire.PhaseCancelled && !u.cancelAsked:
+	case st.Phase == protocol.PhaseCancelled && !u.cancelAsked:
 		if asked, _ := w.cancelledBefore(u); !asked {
 			w.breakRule("went_back: %s is called cancelled, its user did not ask", u.job.ID)
 		}
-	case st.Phase == wire.PhaseDone && len(u.finished) < u.job.Tasks:
+	case st.Phase == protocol.PhaseDone && len(u.finished) < u.job.Tasks:
 		w.breakRule("not_done: %s is called done", u.job.ID)
 	}
 	w.judgeDependent(u, st.Phase)
-	if st.Phase == wire.PhaseDone {
+	if st.Phase == protocol.PhaseDone {
 		u.done = true
 	}
-	if st.Phase == wire.PhaseCancelled && u.cancelled.IsZero() {
+	if st.Phase == protocol.PhaseCancelled && u.cancelled.IsZero() {
 		u.cancelled = time.Now()
 	}
-	if st.Phase == wire.PhaseCancelled && u.cancelAsked && u.cancelTold.IsZero() {
+	if st.Phase == protocol.PhaseCancelled && u.cancelAsked && u.cancelTold.IsZero() {
 		u.cancelTold = time.Now()
 	}
 }
 
 // Withdraw cancels a job, repeating the request until it is answered.
-func (w *World) Withdraw(ref string) (int, wire.JobStatus) {
+func (w *World) Withdraw(ref string) (int, protocol.JobStatus) {
 	w.mu.Lock()
 	u := w.jobs[ref]
 	u.cancelAsked = true
@@ -420,7 +420,7 @@
 
 // ask makes a call to some node, again and again until it is answered or the
 // time is over.
-func (w *World) ask(method, path string, in any, each, total time.Duration) (int, wire.JobStatus) {
+func (w *World) ask(method, path string, in any, each, total time.Duration) (int, protocol.JobStatus) {
 	start := time.Now()
 	for {
 		nodes := w.Nodes
@@ -429,8 +429,8 @@
 		}
 		addr := nodes[int(w.Net.float()*float64(len(nodes)))]
 		ctx, cancel := context.WithTimeout(w.life, each)
-		var st wire.JobStatus
-		status, err := wire.Call(ctx, &http.Client{Transport: w.Net.From(w.life, "users")}, method, "http://"+addr+path, in,
+		var st protocol.JobStatus
+		status, err := protocol.Call(ctx, &http.Client{Transport: w.Net.From(w.life, "users")}, method, "http://"+addr+path, in,
 			map[int]any{200: &st, 201: &st})
 		cancel()
 		if err == nil && status != 429 && status < 500 {
@@ -532,7 +532,7 @@
 		return
 	}
 	for _, u := range w.jobs {
-		if !u.accepted || u.job.Shape == wire.Gang || !w.mustStart(u) || !w.roomFor(u) {
+		if !u.accepted || u.job.Shape == protocol.Gang || !w.mustStart(u) || !w.roomFor(u) {
 			u.besideRoom = time.Time{}
 			continue
 		}
@@ -553,7 +553,7 @@
 	var cores, gpus float64
 	for _, m := range w.machines {
 		for _, t := range m.tasks {
-			if t.state == wire.TaskExited {
+			if t.state == protocol.TaskExited {
 				continue
 			}
 			y := &w.jobs[t.ref].job
@@ -582,7 +582,7 @@
 		}
 		free := m.typ
 		for _, t := range m.tasks {
-			if t.state != wire.TaskExited {
+			if t.state != protocol.TaskExited {
 				y := &w.jobs[t.ref].job
 				free.Cores, free.GPUs, free.MemGB = free.Cores-y.Cores, free.GPUs-y.GPUs, free.MemGB-y.MemGB
 			}
@@ -596,7 +596,7 @@
 
 // Refused submits a job that must not be accepted, and judges the answer: change
 // makes it so, and want is the status that PROTOCOL names.
-func (w *World) Refused(job wire.Job, change func(m map[string]any), want int) {
+func (w *World) Refused(job protocol.Job, change func(m map[string]any), want int) {
 	m := JobMap(&job)
 	change(m)
 	status, _ := w.ask(http.MethodPost, "/v1/jobs", m, 5*time.Second, 60*time.Second)
--- a/internal/statestore/apply.go
+++ b/internal/kvstore/apply.go
@@ -1,4 +1,4 @@
-package statestore
+package kvstore
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"fmt"
 	"slices"
 
-	"marblehaven/internal/pause"
+	"marblehaven/internal/clock"
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // ErrInDoubt: a try of the transaction was not answered, and it cannot be sent again.
@@ -29,7 +29,7 @@
 // As long as the condition on the fence holds, the caller must be the only one to create
 // or delete any of the keys that the transaction changes under a condition, or to set
 // any that it sets, and must have one transaction under way at a time.
-func (c *Client) Apply(ctx context.Context, txn wire.Commit, fence string) (wire.CommitReply, error) {
+func (c *Client) Apply(ctx context.Context, txn protocol.Commit, fence string) (protocol.CommitReply, error) {
 	unanswered := false
 	for ctx.Err() == nil {
 		reply, err := c.Commit(ctx, txn)
@@ -49,39 +49,39 @@
 			// become smaller. That says nothing of the first try.
 			return reply, fmt.Errorf("%w: %w", ErrInDoubt, err)
 		}
-		pause.For(ctx, tuning.ElectionRetry)
+		clock.For(ctx, tuning.ElectionRetry)
 	}
-	return wire.CommitReply{}, ctx.Err()
+	return protocol.CommitReply{}, ctx.Err()
 }
 
 // resolveConflict tells whether a conflict shows that an earlier, unanswered try was
 // executed: that would have changed every key that the transaction changes, so the
 // conditions on all of these fail. One that holds proves that it was not executed; and
 // since versions never come back it never will be.
-func (c *Client) resolveConflict(ctx context.Context, txn *wire.Commit, reply wire.CommitReply) (wire.CommitReply, error) {
+func (c *Client) resolveConflict(ctx context.Context, txn *protocol.Commit, reply protocol.CommitReply) (protocol.CommitReply, error) {
 	set, executed := changedKeys(txn, reply.Failed)
 	if !executed {
 		return reply, ErrConflict
 	}
 	if set == "" {
-		return wire.CommitReply{}, nil // it deleted records only, which leaves no version
+		return protocol.CommitReply{}, nil // it deleted records only, which leaves no version
 	}
 	for ctx.Err() == nil {
 		item, err := c.Get(ctx, set)
 		switch {
 		case err == nil:
-			return wire.CommitReply{Revision: item.Version}, nil
+			return protocol.CommitReply{Revision: item.Version}, nil
 		case errors.Is(err, ErrNotFound):
 			return reply, fmt.Errorf("%w: %s is gone", ErrInDoubt, set)
 		}
-		pause.For(ctx, tuning.ElectionRetry)
+		clock.For(ctx, tuning.ElectionRetry)
 	}
-	return wire.CommitReply{}, ctx.Err()
+	return protocol.CommitReply{}, ctx.Err()
 }
 
 // changedKeys tells whether all conditions on keys that a transaction changes have
 // failed, of which there must be one, and names a key that it sets under a condition.
-func changedKeys(txn *wire.Commit, failed []string) (set string, allFailed bool) {
+func changedKeys(txn *protocol.Commit, failed []string) (set string, allFailed bool) {
 	conditions := map[string]bool{}
 	for _, guard := range txn.Guards {
 		conditions[guard.Key] = true
--- a/internal/statestore/apply_test.go
+++ b/internal/kvstore/apply_test.go
@@ -1,4 +1,4 @@
-package statestore_test
+package kvstore_test
 
 import (
 	"bytes"
@@ -15,9 +15,9 @@
 	"time"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/standin"
-	"marblehaven/internal/statestore"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/fake"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
 )
 
 const fence = "term"
@@ -27,8 +27,8 @@
 type writer struct {
 	t        *testing.T
 	rng      *rand.Rand
-	state    *standin.State
-	client   *statestore.Client
+	state    *fake.State
+	client   *kvstore.Client
 	versions map[string]uint64 // as the writer believes
 	outcome  map[int]error     // what the writer was told of each transaction
 	mu       sync.Mutex
@@ -37,13 +37,13 @@
 }
 
 func newWriter(t *testing.T, seed uint64) *writer {
-	w := &writer{t: t, rng: rand.New(rand.NewPCG(seed, 3)), state: standin.NewState(),
+	w := &writer{t: t, rng: rand.New(rand.NewPCG(seed, 3)), state: fake.NewState(),
 		versions: map[string]uint64{}, executed: map[int]int{}, outcome: map[int]error{}}
-	network := standin.NewNetwork(seed)
+	network := fake.NewNetwork(seed)
 	network.Listen("state", "state:1", w.state)
 	limits := config.State{StateLimits: config.StateLimits{ValueKB: 32, TxnOps: 20}}
-	w.client = statestore.New("state:1", network.From(t.Context(), "leader"), wire.NewComplaints(slog.New(slog.DiscardHandler)), limits)
-	w.state.OnCommit = func(txn *wire.Commit) {
+	w.client = kvstore.New("state:1", network.From(t.Context(), "leader"), protocol.NewComplaints(slog.New(slog.DiscardHandler)), limits)
+	w.state.OnCommit = func(txn *protocol.Commit) {
 		for _, guard := range txn.Guards {
 			var number int
 			if _, err := fmt.Sscanf(guard.Key, "number/%d", &number); err == nil {
@@ -80,7 +80,7 @@
 // readOpen reads the version of the record that the user changes too.
 func (w *writer) readOpen() {
 	item, err := w.client.Get(w.t.Context(), "open")
-	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
+	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		w.t.Fatal(err)
 	}
 	w.versions["open"] = item.Version
@@ -88,29 +88,29 @@
 
 // transaction rewrites some records, closes a job whose open record the user changes as
 // well, or does both.
-func (w *writer) transaction() wire.Commit {
+func (w *writer) transaction() protocol.Commit {
 	w.number++
-	txn := wire.Commit{Guards: []wire.Guard{{Key: fence, Version: w.versions[fence]}, {Key: fmt.Sprint("number/", w.number)}}}
+	txn := protocol.Commit{Guards: []protocol.Guard{{Key: fence, Version: w.versions[fence]}, {Key: fmt.Sprint("number/", w.number)}}}
 	guard := func(key string) {
-		txn.Guards = append(txn.Guards, wire.Guard{Key: key, Version: w.versions[key]})
+		txn.Guards = append(txn.Guards, protocol.Guard{Key: key, Version: w.versions[key]})
 	}
 	for i := range 3 {
 		if key := fmt.Sprint("run/", i); w.rng.IntN(2) == 0 {
 			guard(key)
-			txn.Changes = append(txn.Changes, wire.Change{Set: key, Value: w.number})
+			txn.Changes = append(txn.Changes, protocol.Change{Set: key, Value: w.number})
 		}
 	}
 	if w.versions["open"] > 0 && w.rng.IntN(2) == 0 {
 		final := fmt.Sprint("final/", w.versions["open"])
 		guard("open")
 		guard(final)
-		txn.Changes = append(txn.Changes, wire.Change{Delete: "open"}, wire.Change{Set: final, Value: w.number})
+		txn.Changes = append(txn.Changes, protocol.Change{Delete: "open"}, protocol.Change{Set: final, Value: w.number})
 	}
 	return txn
 }
 
 // learn takes in that a transaction was carried out.
-func (w *writer) learn(txn *wire.Commit, revision uint64) {
+func (w *writer) learn(txn *protocol.Commit, revision uint64) {
 	for _, change := range txn.Changes {
 		if change.Delete != "" {
 			delete(w.versions, change.Delete)
@@ -150,9 +150,9 @@
 			w.t.Errorf("transaction %d is said to be carried out, and was %d times", w.number, n)
 		}
 		w.learn(&txn, reply.Revision)
-	case errors.Is(err, statestore.ErrConflict):
+	case errors.Is(err, kvstore.ErrConflict):
 		w.readOpen() // as an event tells; all else is as it was believed to be
-	case errors.Is(err, statestore.ErrInDoubt):
+	case errors.Is(err, kvstore.ErrInDoubt):
 		w.newTerm()
 	}
 	for key, version := range w.versions {
@@ -172,9 +172,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newWriter(t, seed)
 			faults := rand.New(rand.NewPCG(seed, 4)) // the service asks for one fault at a time
-			w.state.Fault = func(*wire.Commit) standin.Fault {
-				return []standin.Fault{standin.None, standin.None, standin.None, standin.AnswerLost,
-					standin.NotExecuted, standin.OverLimit, standin.Throttled}[faults.IntN(7)]
+			w.state.Fault = func(*protocol.Commit) fake.Fault {
+				return []fake.Fault{fake.None, fake.None, fake.None, fake.AnswerLost,
+					fake.NotExecuted, fake.OverLimit, fake.Throttled}[faults.IntN(7)]
 			}
 			w.state.Late = func() time.Duration {
 				if faults.IntN(6) > 0 {
@@ -188,10 +188,10 @@
 			time.Sleep(time.Minute) // what is late has come
 			for number, err := range w.outcome {
 				switch {
-				case errors.Is(err, statestore.ErrInDoubt):
+				case errors.Is(err, kvstore.ErrInDoubt):
 					inDoubt++
 				case err == nil:
-				case errors.Is(err, statestore.ErrConflict):
+				case errors.Is(err, kvstore.ErrConflict):
 					conflicts++
 					fallthrough
 				default:
@@ -208,14 +208,14 @@
 }
 
 // pages answers lists with pages made up by a function of the last key before.
-type pages func(after string) wire.Items
+type pages func(after string) protocol.Items
 
 // A list of several pages that breaks off, comes again or goes back is no list: records
 // that are missing in it would be taken for closed jobs, and their pieces deleted.
 func TestListAll(t *testing.T) {
-	row := func(keys ...string) (out []wire.Item) {
+	row := func(keys ...string) (out []protocol.Item) {
 		for _, key := range keys {
-			out = append(out, wire.Item{Key: key, Version: 1})
+			out = append(out, protocol.Item{Key: key, Version: 1})
 		}
 		return out
 	}
@@ -224,24 +224,24 @@
 		pages pages
 		want  int // -1: an error
 	}{
-		{"one page", func(string) wire.Items { return wire.Items{Items: row("a", "b"), Revision: 5} }, 2},
-		{"none", func(string) wire.Items { return wire.Items{Revision: 5} }, 0},
-		{"two pages", func(after string) wire.Items {
+		{"one page", func(string) protocol.Items { return protocol.Items{Items: row("a", "b"), Revision: 5} }, 2},
+		{"none", func(string) protocol.Items { return protocol.Items{Revision: 5} }, 0},
+		{"two pages", func(after string) protocol.Items {
 			if after == "b" {
-				return wire.Items{Items: row("c"), Revision: 6}
+				return protocol.Items{Items: row("c"), Revision: 6}
 			}
-			return wire.Items{Items: row("a", "b"), More: true, Revision: 5}
+			return protocol.Items{Items: row("a", "b"), More: true, Revision: 5}
 		}, 3},
-		{"an empty page before the end", func(after string) wire.Items {
+		{"an empty page before the end", func(after string) protocol.Items {
 			if after == "b" {
-				return wire.Items{More: true, Revision: 6}
+				return protocol.Items{More: true, Revision: 6}
 			}
-			return wire.Items{Items: row("a", "b"), More: true, Revision: 5}
+			return protocol.Items{Items: row("a", "b"), More: true, Revision: 5}
 		}, -1},
-		{"the same page again", func(string) wire.Items { return wire.Items{Items: row("a", "b"), More: true, Revision: 5} }, -1},
-		{"out of order", func(string) wire.Items { return wire.Items{Items: row("b", "a"), Revision: 5} }, -1},
+		{"the same page again", func(string) protocol.Items { return protocol.Items{Items: row("a", "b"), More: true, Revision: 5} }, -1},
+		{"out of order", func(string) protocol.Items { return protocol.Items{Items: row("b", "a"), Revision: 5} }, -1},
 	} {
-		all, err := statestore.New("state:1", b.pages, wire.NewComplaints(slog.New(slog.DiscardHandler)), config.State{}).ListAll(t.Context(), "")
+		all, err := kvstore.New("state:1", b.pages, protocol.NewComplaints(slog.New(slog.DiscardHandler)), config.State{}).ListAll(t.Context(), "")
 		if (err != nil) != (b.want < 0) || (err == nil && (len(all.Items) != b.want || all.Revision != 5)) {
 			t.Errorf("%s: %d records at %d, %v", b.name, len(all.Items), all.Revision, err)
 		}
@@ -249,7 +249,7 @@
 }
 
 func (p pages) RoundTrip(r *http.Request) (*http.Response, error) {
-	body, err := wire.Marshal(p(r.URL.Query().Get("after")))
+	body, err := protocol.Marshal(p(r.URL.Query().Get("after")))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/statestore/statestore.go
+++ b/internal/kvstore/client.go
@@ -1,6 +1,6 @@
-// Package statestore speaks to the state service. It holds no policy: callers
+// Package kvstore speaks to the state service. It holds no policy: callers
 // decide what an unknown outcome means.
-package statestore
+package kvstore
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"time"
 
 	"marblehaven/internal/config"
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 var (
@@ -40,7 +40,7 @@
 // Client is a client of the state service. It is safe for concurrent use.
 type Client struct {
 	base   string
-	caller wire.Caller
+	caller protocol.Caller
 	limits *limits
 	lastOK atomic.Int64 // steady time of the last answer that shows service, ns since start
 	start  time.Time
@@ -48,8 +48,8 @@
 
 // New makes a client for the address host:port over the given transport, within
 // the limits that the settings give.
-func New(addr string, rt http.RoundTripper, cs *wire.Complaints, state config.State) *Client {
-	return &Client{base: "http://" + addr, caller: wire.Caller{HC: &http.Client{Transport: rt}, Complaints: cs},
+func New(addr string, rt http.RoundTripper, cs *protocol.Complaints, state config.State) *Client {
+	return &Client{base: "http://" + addr, caller: protocol.Caller{HC: &http.Client{Transport: rt}, Complaints: cs},
 		limits: newLimits(state), start: time.Now()}
 }
 
@@ -90,8 +90,8 @@
 func unexpected(status int) error { return fmt.Errorf("%w: status %d", ErrUnknown, status) }
 
 // Get reads a key.
-func (c *Client) Get(ctx context.Context, key string) (wire.Item, error) {
-	var it wire.Item
+func (c *Client) Get(ctx context.Context, key string) (protocol.Item, error) {
+	var it protocol.Item
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodGet, "/keys/"+key, nil, map[int]any{200: &it})
 	switch {
 	case err != nil:
@@ -105,8 +105,8 @@
 }
 
 // List reads one page of the keys with a prefix.
-func (c *Client) List(ctx context.Context, prefix, after string, limit int) (wire.Items, error) {
-	var page wire.Items
+func (c *Client) List(ctx context.Context, prefix, after string, limit int) (protocol.Items, error) {
+	var page protocol.Items
 	q := url.Values{"prefix": {prefix}, "most": {fmt.Sprint(limit)}}
 	if after != "" {
 		q.Set("after", after)
@@ -122,19 +122,19 @@
 // follow from it sees whatever changed between the pages. A page that does not go on
 // where the last one ended is an error: what is missing would look like records that
 // do not exist.
-func (c *Client) ListAll(ctx context.Context, prefix string) (wire.Items, error) {
-	var all wire.Items
+func (c *Client) ListAll(ctx context.Context, prefix string) (protocol.Items, error) {
+	var all protocol.Items
 	for last := ""; ; {
 		page, err := c.List(ctx, prefix, last, tuning.StatePage)
 		if err != nil {
-			return wire.Items{}, err
+			return protocol.Items{}, err
 		}
 		if last == "" {
 			all.Revision = page.Revision
 		}
 		for _, item := range page.Items {
 			if item.Key <= last {
-				return wire.Items{}, fmt.Errorf("%w: key %q listed after %q", ErrUnknown, item.Key, last)
+				return protocol.Items{}, fmt.Errorf("%w: key %q listed after %q", ErrUnknown, item.Key, last)
 			}
 			last = item.Key
 		}
@@ -143,15 +143,15 @@
 			return all, nil
 		}
 		if len(page.Items) == 0 {
-			return wire.Items{}, fmt.Errorf("%w: empty page with more to come", ErrUnknown)
+			return protocol.Items{}, fmt.Errorf("%w: empty page with more to come", ErrUnknown)
 		}
 	}
 }
 
 // Commit applies a transaction. On ErrConflict the reply names the guards. All
 // writes of the service come through here, so here they are held to the limits.
-func (c *Client) Commit(ctx context.Context, txn wire.Commit) (wire.CommitReply, error) {
-	var r wire.CommitReply
+func (c *Client) Commit(ctx context.Context, txn protocol.Commit) (protocol.CommitReply, error) {
+	var r protocol.CommitReply
 	if err := c.limits.check(&txn); err != nil {
 		return r, err
 	}
@@ -162,7 +162,7 @@
 		return r, err
 	case status == 409:
 		return r, ErrConflict
-	case status == 400 && r.Error == wire.ErrNoLease:
+	case status == 400 && r.Error == protocol.ErrNoLease:
 		return r, ErrNoLease
 	case status == 400:
 		// The limits may have become smaller, which no message announces.
@@ -176,9 +176,9 @@
 
 // NewGrant opens a lease.
 func (c *Client) NewGrant(ctx context.Context, life time.Duration) (uint64, error) {
-	var g wire.Grant
+	var g protocol.Grant
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodPost, "/grants",
-		wire.GrantRequest{LifeMS: life.Milliseconds()}, map[int]any{200: &g})
+		protocol.GrantRequest{LifeMS: life.Milliseconds()}, map[int]any{200: &g})
 	if err == nil && (status != 200 || g.Lease == 0) {
 		err = unexpected(status)
 	}
@@ -209,8 +209,8 @@
 }
 
 // Follow waits up to hold for changes under a prefix after a revision.
-func (c *Client) Follow(ctx context.Context, prefix string, after uint64, hold time.Duration) (wire.Events, error) {
-	var ev wire.Events
+func (c *Client) Follow(ctx context.Context, prefix string, after uint64, hold time.Duration) (protocol.Events, error) {
+	var ev protocol.Events
 	q := url.Values{"prefix": {prefix}, "after": {fmt.Sprint(after)}, "holdMs": {fmt.Sprint(hold.Milliseconds())}}
 	status, err := c.call(ctx, hold+tuning.FollowGrace, http.MethodGet, "/follow?"+q.Encode(), nil, map[int]any{200: &ev})
 	switch {
--- a/internal/statestore/limits.go
+++ b/internal/kvstore/limits.go
@@ -1,12 +1,12 @@
-package statestore
+package kvstore
 
 import (
 	"fmt"
 	"sync/atomic"
 
 	"marblehaven/internal/config"
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // limits is what a transaction is held to. Its number of changes always respects
@@ -32,7 +32,7 @@
 
 // check encodes the values of a transaction and fails with ErrTooLarge if the
 // state service would refuse it.
-func (l *limits) check(txn *wire.Commit) error {
+func (l *limits) check(txn *protocol.Commit) error {
 	if n := len(txn.Changes); n > l.smaller.TxnOps {
 		return fmt.Errorf("%w: %d changes", ErrTooLarge, n)
 	}
@@ -46,7 +46,7 @@
 		if change.Value == nil {
 			continue
 		}
-		raw, size, err := wire.Encode(change.Value)
+		raw, size, err := protocol.Encode(change.Value)
 		if err != nil {
 			return err
 		}
--- a/internal/controller/authority.go
+++ b/internal/leader/authority.go
@@ -1,15 +1,15 @@
-package controller
+package leader
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/pause"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/clock"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // follow learns of new jobs and cancellations. Each return also proves that all
@@ -18,29 +18,29 @@
 	read := time.Now()
 	for ctx.Err() == nil {
 		start := time.Now()
-		ev, err := c.Store.Follow(ctx, ledger.PrefixOpen, rev, tuning.FollowHold)
+		ev, err := c.Store.Follow(ctx, records.PrefixOpen, rev, tuning.FollowHold)
 		switch {
 		case err == nil:
 			rev = ev.Revision
 			c.send(eventsMsg{ev.Events, start})
-		case errors.Is(err, statestore.ErrCompacted):
+		case errors.Is(err, kvstore.ErrCompacted):
 		default:
-			pause.For(ctx, tuning.ElectionRetry)
+			clock.For(ctx, tuning.ElectionRetry)
 			continue
 		}
 		// All is read again now and then: an event that was lost would leave an
 		// accepted job waiting for ever, or a cancelled one running.
 		if err != nil || time.Since(read) > tuning.RereadEvery {
 			start := time.Now()
-			items, lerr := c.Store.ListAll(ctx, ledger.PrefixOpen)
+			items, lerr := c.Store.ListAll(ctx, records.PrefixOpen)
 			if lerr != nil {
-				pause.For(ctx, tuning.ElectionRetry)
+				clock.For(ctx, tuning.ElectionRetry)
 				continue
 			}
 			read = time.Now()
 			m := eventsMsg{asOf: start}
 			for _, it := range items.Items {
-				m.events = append(m.events, wire.Event{Set: it.Key, Value: it.Value, Version: it.Version})
+				m.events = append(m.events, protocol.Event{Set: it.Key, Value: it.Value, Version: it.Version})
 			}
 			if err != nil {
 				rev = items.Revision
@@ -52,15 +52,15 @@
 
 // confirmTerm proves once a second that the term is still ours.
 func (c *Controller) confirmTerm(ctx context.Context) {
-	for pause.For(ctx, tuning.FollowHold) {
+	for clock.For(ctx, tuning.FollowHold) {
 		start := time.Now()
-		it, err := c.Store.Get(ctx, ledger.KeyTerm)
+		it, err := c.Store.Get(ctx, records.KeyTerm)
 		if err != nil {
 			continue
 		}
 		if it.Version != c.term.Stamp {
-			var t ledger.Term
-			if wire.Unmarshal(it.Value, &t) == nil {
+			var t records.Term
+			if protocol.Unmarshal(it.Value, &t) == nil {
 				c.OnTerm(t.N)
 			}
 			return
@@ -125,7 +125,7 @@
 func (c *Controller) onEvents(m eventsMsg, now time.Time) {
 	for _, e := range m.events {
 		if e.Set != "" {
-			if _, piece := ledger.SplitOpen(e.Set); piece == ledger.NoPiece {
+			if _, piece := records.SplitOpen(e.Set); piece == records.NoPiece {
 				c.setOpen(e.Set, e.Value, e.Version, now)
 			}
 		}
--- a/internal/controller/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
+	"marblehaven/internal/cluster"
 	"marblehaven/internal/config"
 	"marblehaven/internal/election"
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // large is a leader with many machines, all full, and many jobs that wait.
@@ -29,25 +29,25 @@
 		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprint("t", i), Cores: 900, CoresMax: 10000})
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	store := statestore.New("state:1", &calls{}, wire.NewComplaints(log), d.State)
+	store := kvstore.New("state:1", &calls{}, protocol.NewComplaints(log), d.State)
 	c := New(Deps{Config: cfg, Store: store, Log: log, OnTerm: func(uint64) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Held{N: 1, Stamp: 1})
 	c.Bind(context.Background())
 	now := time.Now()
 	c.takeover, c.asOfFollow, c.asOfTerm = now, now, now
-	c.setTypes([]wire.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
+	c.setTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
 	c.loadedTypes = true
 	for i := range jobs {
-		o := ledger.OpenJob{AtMS: now.UnixMilli(), Job: wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: fmt.Sprint("t", i%10),
-			Shape: wire.Array, Rank: wire.Standard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
-		b, _ := wire.Marshal(o)
-		c.setOpen(ledger.OpenKey(o.Job.ID), b, 1, now)
+		o := records.OpenJob{AtMS: now.UnixMilli(), Job: protocol.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: fmt.Sprint("t", i%10),
+			Shape: protocol.Array, Rank: protocol.Standard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
+		b, _ := protocol.Marshal(o)
+		c.setOpen(records.OpenKey(o.Job.ID), b, 1, now)
 	}
 	for i := range machines {
 		m := c.machine(fmt.Sprintf("m-%06d", i), now)
 		rep := fullReport(c, i, 1)
 		for _, t := range rep.Tasks {
 			k, _ := parseTask(t.Task)
-			p := &fleet.Placement{Key: k, Attempt: 1, Session: 1, Machine: m, Recorded: true, Sent: true, Since: now}
+			p := &cluster.Placement{Key: k, Attempt: 1, Session: 1, Machine: m, Recorded: true, Sent: true, Since: now}
 			m.Live[k] = p
 			c.jobs[k.Job].live[k.Task] = p
 		}
@@ -56,11 +56,11 @@
 	return c, now
 }
 
-func fullReport(c *Controller, i int, seq uint64) *wire.Report {
-	r := &wire.Report{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", Type: "big", Zone: "a", Session: 1, Seq: seq, Token: c.term.N << tuning.TermShift}
+func fullReport(c *Controller, i int, seq uint64) *protocol.Report {
+	r := &protocol.Report{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", Type: "big", Zone: "a", Session: 1, Seq: seq, Token: c.term.N << tuning.TermShift}
 	for t := range 4 {
 		n := i*4 + t
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: fmt.Sprintf("req-%06d/%d", n/60, n%60), Attempt: 1, State: wire.TaskRunning})
+		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: fmt.Sprintf("req-%06d/%d", n/60, n%60), Attempt: 1, State: protocol.TaskRunning})
 	}
 	return r
 }
@@ -68,15 +68,15 @@
 // A report that says nothing new, at the size of the grown deployments.
 func BenchmarkReport(b *testing.B) {
 	c, now := large(1000, 300)
-	raw, _ := wire.Marshal(fullReport(c, 0, 2))
+	raw, _ := protocol.Marshal(fullReport(c, 0, 2))
 	b.ReportAllocs()
 	for i := range b.N {
-		var r wire.Report
-		if err := wire.Unmarshal(raw, &r); err != nil {
+		var r protocol.Report
+		if err := protocol.Unmarshal(raw, &r); err != nil {
 			b.Fatal(err)
 		}
 		r.Seq = uint64(2 + i)
-		wire.Marshal(c.onReport(&r, now))
+		protocol.Marshal(c.onReport(&r, now))
 	}
 }
 
--- a/internal/controller/commands.go
+++ b/internal/leader/commands.go
@@ -1,25 +1,25 @@
-package controller
+package leader
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"marblehaven/internal/fleet"
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // dispatch sends what is due to a machine directly.
-func (c *Controller) dispatch(m *fleet.Machine, now time.Time) {
+func (c *Controller) dispatch(m *cluster.Machine, now time.Time) {
 	if m.InFlight || !m.Up || m.Addr == "" || m.Session <= m.Lapsed {
 		return
 	}
-	var orders []wire.Order
+	var orders []protocol.Order
 	starts := false
 	for _, p := range m.Live {
 		if p.Stopping && p.Sent && now.Sub(p.StopAt) < tuning.TickEvery {
-			orders = append(orders, wire.Order{Verb: wire.VerbStop, Task: taskName(p.Key), Attempt: p.Attempt, Grace: p.Grace})
+			orders = append(orders, protocol.Order{Verb: protocol.VerbStop, Task: taskName(p.Key), Attempt: p.Attempt, Grace: p.Grace})
 			p.StopAt = now.Add(-tuning.TickEvery) // the reports carry repeats
 		}
 	}
@@ -36,7 +36,7 @@
 		default:
 			m.Start(p)
 			starts = true
-			orders = append(orders, wire.Order{Verb: wire.VerbStart, Task: taskName(p.Key), Attempt: p.Attempt})
+			orders = append(orders, protocol.Order{Verb: protocol.VerbStart, Task: taskName(p.Key), Attempt: p.Attempt})
 		}
 	}
 	m.Outbox = waiting
@@ -51,7 +51,7 @@
 // time from what holds the leases.
 func (c *Controller) planHandshakes(now time.Time) {
 	type due struct {
-		m     *fleet.Machine
+		m     *cluster.Machine
 		order int
 	}
 	var dues []due
@@ -90,7 +90,7 @@
 
 // needsHandshake tells whether a machine runs and has not seen the term's token, or has said
 // nothing for a lease, after which what ran on it is gone if it is there at all.
-func (c *Controller) needsHandshake(m *fleet.Machine, now time.Time) bool {
+func (c *Controller) needsHandshake(m *cluster.Machine, now time.Time) bool {
 	return !m.InFlight && !m.Leaving && m.Addr != "" && !now.Before(m.HandshakeAt) &&
 		(m.Shown < c.token() || m.Up && now.Sub(m.LastReport) > seconds(c.Config.Deployment.Workers.LeaseS))
 }
@@ -99,7 +99,7 @@
 // so that a new leader need not wait for its next report. A first call with the
 // wrong tenure is refused, and the refusal names the right one. A silent machine that
 // answers after a lease has begun a new session: it cannot report, but it is there.
-func (c *Controller) handshake(m *fleet.Machine, now time.Time) {
+func (c *Controller) handshake(m *cluster.Machine, now time.Time) {
 	if !c.needsHandshake(m, now) {
 		return
 	}
@@ -110,7 +110,7 @@
 
 // lastSession is the latest session of a machine that is known, from its reports or
 // from the records.
-func lastSession(m *fleet.Machine) uint64 {
+func lastSession(m *cluster.Machine) uint64 {
 	session := max(m.Session, 1)
 	for _, p := range m.Live {
 		session = max(session, p.Session)
@@ -118,12 +118,12 @@
 	return session
 }
 
-func (c *Controller) do(m *fleet.Machine, orders []wire.Order, session uint64, starts, handshake bool) {
+func (c *Controller) do(m *cluster.Machine, orders []protocol.Order, session uint64, starts, handshake bool) {
 	m.InFlight = true
 	if orders == nil {
-		orders = []wire.Order{}
+		orders = []protocol.Order{}
 	}
-	req, addr := wire.DoRequest{Token: m.Token, Session: session, Orders: orders}, m.Addr
+	req, addr := protocol.DoRequest{Token: m.Token, Session: session, Orders: orders}, m.Addr
 	go func() {
 		rep, err := c.Worker.Do(c.ctx, addr, req)
 		c.send(doMsg{m, rep, starts, handshake, err})
--- a/internal/controller/commit.go
+++ b/internal/leader/commit.go
@@ -1,20 +1,20 @@
-package controller
+package leader
 
 import (
 	"errors"
 	"slices"
 	"time"
 
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // batch is one commit under way and what it means once applied.
 type batch struct {
-	txn       wire.Commit
+	txn       protocol.Commit
 	runs      []runWrite
 	closed    []closing
 	claims    []*claim   // written
@@ -28,14 +28,14 @@
 type runWrite struct {
 	job    *job
 	number int
-	placed []*fleet.Placement
+	placed []*cluster.Placement
 	done   []int
 }
 
 // closing is a job that a batch moves to its final record, and what that says.
 type closing struct {
 	job   *job
-	final ledger.Final
+	final records.Final
 }
 
 // leftover is a piece of a finished job's run record.
@@ -50,16 +50,16 @@
 }
 
 func (b *batch) guard(key string, version uint64) {
-	b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: key, Version: version})
+	b.txn.Guards = append(b.txn.Guards, protocol.Guard{Key: key, Version: version})
 }
 
 func (b *batch) put(key string, value any, bytes int) {
-	b.txn.Changes = append(b.txn.Changes, wire.Change{Set: key, Value: value})
+	b.txn.Changes = append(b.txn.Changes, protocol.Change{Set: key, Value: value})
 	b.bytes += bytes
 }
 
 func (b *batch) remove(key string) {
-	b.txn.Changes = append(b.txn.Changes, wire.Change{Delete: key})
+	b.txn.Changes = append(b.txn.Changes, protocol.Change{Delete: key})
 	b.bytes += smallRecordBytes
 }
 
@@ -81,7 +81,7 @@
 		return
 	}
 	b := &batch{opsMost: min(c.Store.TxnOps(), budget)}
-	b.guard(ledger.KeyTerm, c.term.Stamp)
+	b.guard(records.KeyTerm, c.term.Stamp)
 	c.addClaims(b)
 	c.addJobs(b, due, budget, now)
 	c.addDrops(b)
@@ -98,7 +98,7 @@
 func (c *Controller) addClaims(b *batch) {
 	for _, cl := range c.claims {
 		if !cl.recorded && b.room(1, smallRecordBytes) {
-			b.put(ledger.ClaimKey(cl.Claim.Claim), cl.Claim, smallRecordBytes)
+			b.put(records.ClaimKey(cl.Claim.Claim), cl.Claim, smallRecordBytes)
 			b.claims = append(b.claims, cl)
 		}
 	}
@@ -107,7 +107,7 @@
 func (c *Controller) addDrops(b *batch) {
 	for _, cl := range c.claims {
 		if cl.recorded && cl.drop && b.room(1, smallRecordBytes) {
-			b.remove(ledger.ClaimKey(cl.Claim.Claim))
+			b.remove(records.ClaimKey(cl.Claim.Claim))
 			b.drops = append(b.drops, cl)
 		}
 	}
@@ -133,20 +133,20 @@
 	if !b.room(openAndFinal+1, openAndFinal*smallRecordBytes) {
 		return
 	}
-	final := ledger.Final{Phase: wire.PhaseDone, Tasks: j.nDone, AtMS: now.UnixMilli()}
+	final := records.Final{Phase: protocol.PhaseDone, Tasks: j.nDone, AtMS: now.UnixMilli()}
 	if j.cancelled {
-		final.Phase = wire.PhaseCancelled
+		final.Phase = protocol.PhaseCancelled
 	}
-	b.guard(ledger.OpenKey(j.ref), j.openVersion)
-	b.remove(ledger.OpenKey(j.ref))
-	b.guard(ledger.FinalKey(j.ref), 0)
-	b.put(ledger.FinalKey(j.ref), final, smallRecordBytes)
+	b.guard(records.OpenKey(j.ref), j.openVersion)
+	b.remove(records.OpenKey(j.ref))
+	b.guard(records.FinalKey(j.ref), 0)
+	b.put(records.FinalKey(j.ref), final, smallRecordBytes)
 	for number := range j.pieces {
 		p := &j.pieces[number]
 		if p.version == 0 || !b.room(1, smallRecordBytes) {
 			continue
 		}
-		key := ledger.PieceKey(j.ref, number)
+		key := records.PieceKey(j.ref, number)
 		b.guard(key, p.version)
 		b.remove(key)
 		p.removed = true
@@ -156,7 +156,7 @@
 
 // addPiece writes a piece of a job's run record.
 func (c *Controller) addPiece(b *batch, j *job, number int, now time.Time) {
-	record, size, err := wire.Encode(j.record(number))
+	record, size, err := protocol.Encode(j.record(number))
 	if err != nil {
 		c.Log.Error("encoding a run record", "job", j.ref, "err", err)
 		return
@@ -180,8 +180,8 @@
 		}
 	}
 	p := j.piece(number)
-	key := ledger.PieceKey(j.ref, number)
-	b.guard(ledger.OpenKey(j.ref), j.openVersion)
+	key := records.PieceKey(j.ref, number)
+	b.guard(records.OpenKey(j.ref), j.openVersion)
 	b.guard(key, p.version)
 	b.put(key, record, size)
 	b.runs = append(b.runs, w)
@@ -195,11 +195,11 @@
 func (c *Controller) onRecordTooLarge(j *job, number int, now time.Time) {
 	c.changed = true
 	head := j.piece(number)
-	if c.format >= ledger.FormatPieces && number == 0 && j.divide(head.urgent, now) {
+	if c.format >= records.FormatPieces && number == 0 && j.divide(head.urgent, now) {
 		return
 	}
 	c.Log.Error("run record beyond the limits", "job", j.ref, "piece", number, "running", len(j.live))
-	var unsent []*fleet.Placement
+	var unsent []*cluster.Placement
 	for _, p := range j.live {
 		if !p.Recorded && j.owns(number, p.Task) {
 			unsent = append(unsent, p)
@@ -214,7 +214,7 @@
 
 // runCommit carries a commit through to a certain outcome.
 func (c *Controller) runCommit(b *batch) {
-	reply, err := c.Store.Apply(c.ctx, b.txn, ledger.KeyTerm)
+	reply, err := c.Store.Apply(c.ctx, b.txn, records.KeyTerm)
 	c.send(commitMsg{b, reply.Revision, reply.Failed, err})
 }
 
@@ -264,7 +264,7 @@
 	c.Log.Debug("job over", "job", j.ref, "phase", cl.final.Phase)
 	for number, p := range j.pieces {
 		if p.version > 0 && !p.removed {
-			c.leftovers = append(c.leftovers, leftover{ledger.PieceKey(j.ref, number), p.version})
+			c.leftovers = append(c.leftovers, leftover{records.PieceKey(j.ref, number), p.version})
 		}
 	}
 	delete(c.jobs, j.ref)
@@ -283,21 +283,21 @@
 			cl.job.pieces[number].removed = false
 		}
 	}
-	conflict := errors.Is(m.err, statestore.ErrConflict)
+	conflict := errors.Is(m.err, kvstore.ErrConflict)
 	switch {
-	case errors.Is(m.err, statestore.ErrInDoubt):
+	case errors.Is(m.err, kvstore.ErrInDoubt):
 		// What was written is not known, and may still be written. The next
 		// term's key makes that impossible, and its leader reads what there is.
 		c.Log.Error("leaving the term to know the outcome of a transaction", "err", m.err)
 		c.OnTerm(c.term.N + 1)
 		return
-	case conflict && slices.Contains(m.failed, ledger.KeyTerm):
+	case conflict && slices.Contains(m.failed, records.KeyTerm):
 		c.Log.Info("the term was taken by another node")
 		c.OnTerm(c.term.N + 1)
 		return
 	case conflict:
 		c.Log.Debug("commit refused", "failed", m.failed)
-	case errors.Is(m.err, statestore.ErrRefused):
+	case errors.Is(m.err, kvstore.ErrRefused):
 		c.commitAfter = now.Add(tuning.ElectionRetry)
 		return
 	default:
@@ -323,7 +323,7 @@
 // next time.
 func (c *Controller) takeBackStarts(m commitMsg, now time.Time) {
 	for _, w := range m.b.runs {
-		if !slices.Contains(m.failed, ledger.OpenKey(w.job.ref)) {
+		if !slices.Contains(m.failed, records.OpenKey(w.job.ref)) {
 			continue
 		}
 		for _, p := range w.placed {
--- a/internal/controller/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // outcome is the final phase of a job that others depend on, from its record.
@@ -43,7 +43,7 @@
 		clear(c.outcomes) // they are read again where they are needed
 	}
 	c.outcomes[ref] = out
-	if out.phase == wire.PhaseCancelled {
+	if out.phase == protocol.PhaseCancelled {
 		c.cancelDependents(ref, now)
 		return
 	}
@@ -116,9 +116,9 @@
 func (c *Controller) readOutcomes(ctx context.Context, refs []string) lookupMsg {
 	m := lookupMsg{outcomes: map[string]outcome{}}
 	for _, ref := range refs {
-		it, err := c.Store.Get(ctx, ledger.FinalKey(ref))
-		if errors.Is(err, statestore.ErrNotFound) {
-			if it, err = c.Store.Get(ctx, ledger.OpenKey(ref)); err == nil {
+		it, err := c.Store.Get(ctx, records.FinalKey(ref))
+		if errors.Is(err, kvstore.ErrNotFound) {
+			if it, err = c.Store.Get(ctx, records.OpenKey(ref)); err == nil {
 				m.open = append(m.open, it)
 			}
 			continue
@@ -126,8 +126,8 @@
 		if err != nil {
 			continue
 		}
-		var f ledger.Final
-		if err := wire.Unmarshal(it.Value, &f); err != nil {
+		var f records.Final
+		if err := protocol.Unmarshal(it.Value, &f); err != nil {
 			c.Log.Error("unreadable record of a dependency", "job", ref, "err", err)
 			continue
 		}
--- a/internal/controller/duewrites.go
+++ b/internal/leader/duewrites.go
@@ -1,11 +1,11 @@
-package controller
+package leader
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"marblehaven/internal/ledger"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
 )
 
@@ -27,7 +27,7 @@
 			continue
 		}
 		if j.over() {
-			due = append(due, dueWrite{j, ledger.NoPiece, writeClose, j.seenAt})
+			due = append(due, dueWrite{j, records.NoPiece, writeClose, j.seenAt})
 			continue
 		}
 		for number := range j.pieces {
@@ -72,7 +72,7 @@
 
 // changes is how many changes of a transaction the write takes.
 func (d dueWrite) changes() int {
-	if d.number != ledger.NoPiece {
+	if d.number != records.NoPiece {
 		return 1
 	}
 	changes := openAndFinal
@@ -94,7 +94,7 @@
 		if !b.room(1, 0) {
 			return
 		}
-		if d.number == ledger.NoPiece {
+		if d.number == records.NoPiece {
 			b.close(d.job, now)
 		} else {
 			c.addPiece(b, d.job, d.number, now)
--- a/internal/controller/duewrites_test.go
+++ b/internal/leader/duewrites_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
 // Where starts take all of the write budget, a job whose tasks are done is closed all the
@@ -37,7 +37,7 @@
 		}
 		c.inCommit = nil
 		c.writes.AllowN(now, int(c.writes.TokensAt(now)))
-		busy.desc.Rank = wire.Production
+		busy.desc.Rank = protocol.Production
 		now = now.Add(refill)
 		c.markDirty(busy, 0, true, now)
 		if c.commit(now); c.inCommit == nil || len(c.inCommit.runs) != 1 {
--- a/internal/controller/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"net/http"
@@ -8,12 +8,12 @@
 	"testing/synctest"
 	"time"
 
+	"marblehaven/internal/agent"
 	"marblehaven/internal/cloud"
+	"marblehaven/internal/cluster"
 	"marblehaven/internal/config"
-	"marblehaven/internal/fleet"
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
-	"marblehaven/internal/worker"
 )
 
 // calls notes the calls that come and answers when told to.
@@ -49,7 +49,7 @@
 		c, now := large(2100, 1000)
 		w := &calls{answer: make(chan struct{})}
 		defer close(w.answer)
-		c.Worker = worker.New(w, wire.NewComplaints(c.Log), 5000)
+		c.Worker = agent.New(w, protocol.NewComplaints(c.Log), 5000)
 		c.term.N++ // a leader that has seen none of them yet
 		production := map[string]bool{}
 		for i, m := range c.sorted {
@@ -57,7 +57,7 @@
 			if i%50 == 49 {
 				production[m.ID] = true
 				for k := range m.Live {
-					c.jobs[k.Job].desc.Rank = wire.Production
+					c.jobs[k.Job].desc.Rank = protocol.Production
 				}
 			}
 		}
@@ -99,7 +99,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, now := large(350, 30)
 		w := &calls{answer: make(chan struct{})}
-		c.Cloud = cloud.New("cloud:1", w, wire.NewComplaints(c.Log), 1000)
+		c.Cloud = cloud.New("cloud:1", w, protocol.NewComplaints(c.Log), 1000)
 		for i := 0; i < 350; i += 10 {
 			c.giveBack(c.sorted[i:i+10], "test", now)
 		}
@@ -107,7 +107,7 @@
 		if n := len(w.seen()); n != 1 {
 			t.Fatalf("%d calls at once", n)
 		}
-		var idle []*fleet.Machine
+		var idle []*cluster.Machine
 		for i, m := range c.sorted[200:] {
 			if i%2 == 0 {
 				clear(m.Live)
@@ -121,7 +121,7 @@
 		}
 		time.Sleep(tuning.MachineBackoff)
 		c.returnNext(time.Now())
-		var order []*fleet.Machine
+		var order []*cluster.Machine
 		for len(c.machines) > 0 {
 			synctest.Wait()
 			order = append(order, c.returning...)
@@ -130,7 +130,7 @@
 			}
 			c.onReturn(returnMsg{}, time.Now())
 		}
-		if slices.ContainsFunc(order[:350-len(idle)], func(m *fleet.Machine) bool { return slices.Contains(idle, m) }) {
+		if slices.ContainsFunc(order[:350-len(idle)], func(m *cluster.Machine) bool { return slices.Contains(idle, m) }) {
 			t.Error("idle machines went before those with tasks")
 		}
 		if len(order) != 350 {
@@ -148,7 +148,7 @@
 	for _, m := range c.machines {
 		live += len(m.Live)
 	}
-	c.onList(listMsg{machines: []wire.ListedMachine{{ID: "m-000007", State: wire.MachineStarting}}}, now)
+	c.onList(listMsg{machines: []protocol.ListedMachine{{ID: "m-000007", State: protocol.MachineStarting}}}, now)
 	for _, m := range c.machines {
 		live -= len(m.Live)
 	}
@@ -189,12 +189,12 @@
 	c.Resign = func() { resigned = true }
 	// One start was recorded and not yet sent: its job may be cancelled by now.
 	m := c.sorted[100]
-	var start *fleet.Placement
+	var start *cluster.Placement
 	for _, start = range m.Live {
 		break
 	}
 	start.Recorded, start.Sent, start.Session = true, false, m.Session
-	m.Addr, m.Outbox = m.ID+":1", []*fleet.Placement{start}
+	m.Addr, m.Outbox = m.ID+":1", []*cluster.Placement{start}
 	for _, still := range []time.Duration{4, 8, 12} {
 		later := now.Add(still * time.Second)
 		c.onTick(later)
@@ -212,7 +212,7 @@
 	// Once the state service has spoken the start goes out.
 	w := &calls{answer: make(chan struct{})}
 	defer close(w.answer)
-	c.Worker = worker.New(w, wire.NewComplaints(c.Log), 5000)
+	c.Worker = agent.New(w, protocol.NewComplaints(c.Log), 5000)
 	later := now.Add(12 * time.Second)
 	c.asOfFollow, c.asOfTerm = later, later
 	if c.dispatch(m, later); !start.Sent || len(m.Outbox) > 0 {
@@ -228,7 +228,7 @@
 	c.Config.Deployment.Cloud.ListLagS = 6
 	c.listing, c.catalogAt = true, now.Add(2*time.Hour)
 	c.gone["m-000007"] = now
-	listed := []wire.ListedMachine{{ID: "m-000007", Type: "big", State: wire.MachineStarting}}
+	listed := []protocol.ListedMachine{{ID: "m-000007", Type: "big", State: protocol.MachineStarting}}
 	c.onTick(now.Add(time.Hour))
 	c.onList(listMsg{began: now.Add(time.Second), machines: listed}, now.Add(time.Hour))
 	if c.machines["m-000007"] != nil {
--- a/internal/controller/hints.go
+++ b/internal/leader/hints.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/ledger"
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // saveHint writes what is known of the images on the next part of the machines.
@@ -24,13 +24,13 @@
 		c.hintFrom, c.hintPart = 0, 0
 	}
 	h, n := makeHint(c.sorted[c.hintFrom:], c.Config.Deployment.State.Smaller().ValueBytes())
-	key := fmt.Sprint(ledger.PrefixHint, c.hintPart)
+	key := fmt.Sprint(records.PrefixHint, c.hintPart)
 	c.hintFrom += n
 	c.hintPart++
 	go func() {
-		_, err := c.Store.Commit(c.ctx, wire.Commit{
-			Guards:  []wire.Guard{{Key: ledger.KeyTerm, Version: c.term.Stamp}},
-			Changes: []wire.Change{{Set: key, Value: h}},
+		_, err := c.Store.Commit(c.ctx, protocol.Commit{
+			Guards:  []protocol.Guard{{Key: records.KeyTerm, Version: c.term.Stamp}},
+			Changes: []protocol.Change{{Set: key, Value: h}},
 		})
 		if err != nil {
 			c.Log.Debug("saving hints", "err", err)
@@ -40,7 +40,7 @@
 
 // makeHint describes the images on the first of the machines, as many as surely fit
 // in a value of so many bytes as JSON, and returns how many these are.
-func makeHint(ms []*fleet.Machine, bytes int) (h ledger.Hint, n int) {
+func makeHint(ms []*cluster.Machine, bytes int) (h records.Hint, n int) {
 	h.Machines = map[string][]int{}
 	size := tuning.HintBytes
 	for n = 0; n < min(len(ms), tuning.HintMachines); n++ {
@@ -59,7 +59,7 @@
 	return h, n
 }
 
-func addImages(h *ledger.Hint, m *fleet.Machine) {
+func addImages(h *records.Hint, m *cluster.Machine) {
 	m.EachImage(func(name string, gb float64) {
 		i := slices.Index(h.Images, name)
 		if i < 0 {
@@ -74,14 +74,14 @@
 
 // loadHints reads what an earlier leader knew; without it all goes on.
 func (c *Controller) loadHints(ctx context.Context) {
-	items, err := c.Store.ListAll(ctx, ledger.PrefixHint)
+	items, err := c.Store.ListAll(ctx, records.PrefixHint)
 	if err != nil {
 		c.Log.Debug("reading hints", "err", err)
 		return
 	}
 	for _, it := range items.Items {
-		var h ledger.Hint
-		if wire.Unmarshal(it.Value, &h) == nil && len(h.Images) == len(h.GB) {
+		var h records.Hint
+		if protocol.Unmarshal(it.Value, &h) == nil && len(h.Images) == len(h.GB) {
 			for id := range h.Machines {
 				c.hints[id] = &h
 			}
@@ -90,7 +90,7 @@
 }
 
 // takeHint notes what an inherited machine has when it is first heard from.
-func (c *Controller) takeHint(m *fleet.Machine) {
+func (c *Controller) takeHint(m *cluster.Machine) {
 	i, known := c.typeIdx[m.Type]
 	h := c.hints[m.ID]
 	if !known {
@@ -106,7 +106,7 @@
 		delete(c.hints, m.ID)
 	}
 	for k, p := range m.Live {
-		if j := c.jobs[k.Job]; j != nil && p.State != "" && p.State != wire.TaskFetching {
+		if j := c.jobs[k.Job]; j != nil && p.State != "" && p.State != protocol.TaskFetching {
 			touch(j.desc.Image, j.desc.ImageGB)
 		}
 	}
--- a/internal/controller/job.go
+++ b/internal/leader/job.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"slices"
@@ -6,16 +6,16 @@
 	"strings"
 	"time"
 
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/sched"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+	"marblehaven/internal/scheduler"
 )
 
 // job is an open job as the leader knows it.
 type job struct {
 	ref         string
-	desc        wire.Job
+	desc        protocol.Job
 	at          time.Time // time of day of acceptance
 	cancelled   bool
 	openVersion uint64
@@ -25,9 +25,9 @@
 	readyAt  time.Time       // when the last dependency was done; without any, at
 
 	next    uint64 // the next unused attempt
-	done    ledger.Ranges
+	done    records.Ranges
 	nDone   int
-	live    map[int]*fleet.Placement
+	live    map[int]*cluster.Placement
 	cursor  int   // tasks from here on were never started
 	requeue []int // tasks before the cursor that wait, sorted
 
@@ -41,14 +41,14 @@
 	seenAt       time.Time // when the leader learnt of it
 }
 
-func newJob(ref string, o *ledger.OpenJob, version uint64, now time.Time) *job {
+func newJob(ref string, o *records.OpenJob, version uint64, now time.Time) *job {
 	at := time.UnixMilli(o.AtMS)
 	return &job{ref: ref, desc: o.Job, at: at, readyAt: at, cancelled: o.Cancelled, openVersion: version,
-		next: 1, live: map[int]*fleet.Placement{}, pendingDone: map[int]bool{}, seenAt: now}
+		next: 1, live: map[int]*cluster.Placement{}, pendingDone: map[int]bool{}, seenAt: now}
 }
 
 // restore takes in the run record of an earlier leader.
-func (j *job) restore(r *ledger.Run) {
+func (j *job) restore(r *records.Run) {
 	j.next, j.done = max(1, r.Next), r.Done
 	j.nDone = j.done.Count()
 	for _, e := range j.done {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (j *job) gang() bool { return j.desc.Shape == wire.Gang }
+func (j *job) gang() bool { return j.desc.Shape == protocol.Gang }
 
 // waiting is how many tasks may be started now. A gang starts whole: none while
 // anything of an earlier attempt may still be on a machine.
@@ -80,7 +80,7 @@
 // begun tells whether all tasks have been started once, a gang's or service's
 // if they are on machines.
 func (j *job) begun() bool {
-	if j.desc.Shape == wire.Array {
+	if j.desc.Shape == protocol.Array {
 		return j.cursor >= j.desc.Tasks
 	}
 	return len(j.live) >= j.desc.Tasks
@@ -131,16 +131,16 @@
 	}
 }
 
-func (j *job) need() sched.Res { return sched.Need(&j.desc) }
+func (j *job) need() scheduler.Res { return scheduler.Need(&j.desc) }
 
 func (j *job) rank() int {
-	return slices.Index([]string{wire.Production, wire.High, wire.Standard, wire.Idle}, j.desc.Rank)
+	return slices.Index([]string{protocol.Production, protocol.High, protocol.Standard, protocol.Idle}, j.desc.Rank)
 }
 
-func taskName(k fleet.Key) string { return k.Job + "/" + strconv.Itoa(k.Task) }
+func taskName(k cluster.Key) string { return k.Job + "/" + strconv.Itoa(k.Task) }
 
-func parseTask(s string) (fleet.Key, bool) {
+func parseTask(s string) (cluster.Key, bool) {
 	ref, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
-	return fleet.Key{Job: ref, Task: n}, ok && err == nil && n >= 0
+	return cluster.Key{Job: ref, Task: n}, ok && err == nil && n >= 0
 }
--- a/internal/controller/job_test.go
+++ b/internal/leader/job_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"math"
@@ -9,26 +9,26 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"marblehaven/internal/cluster"
 	"marblehaven/internal/config"
 	"marblehaven/internal/election"
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/ledger"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // A job restored from its records waits for exactly what is neither done nor
 // possibly on a machine, the lowest numbers first.
 func TestRestore(t *testing.T) {
 	now := time.Now()
-	o := &ledger.OpenJob{Job: wire.Job{ID: "req-1", Shape: wire.Array, Tasks: 10}}
+	o := &records.OpenJob{Job: protocol.Job{ID: "req-1", Shape: protocol.Array, Tasks: 10}}
 	j := newJob("req-1", o, 1, now)
-	j.restore(&ledger.Run{Next: 9, Done: ledger.Ranges{{0, 1}, {4, 4}}, Live: []ledger.Placement{{Task: 6, Attempt: 8}}})
-	j.live[6] = &fleet.Placement{Key: fleet.Key{Job: "req-1", Task: 6}, Machine: &fleet.Machine{ID: "m"}}
+	j.restore(&records.Run{Next: 9, Done: records.Ranges{{0, 1}, {4, 4}}, Live: []records.Placement{{Task: 6, Attempt: 8}}})
+	j.live[6] = &cluster.Placement{Key: cluster.Key{Job: "req-1", Task: 6}, Machine: &cluster.Machine{ID: "m"}}
 	var got []int
 	for j.waiting() > 0 {
 		n := j.take()
-		j.live[n] = &fleet.Placement{Key: fleet.Key{Job: "req-1", Task: n}, Machine: &fleet.Machine{ID: "m"}}
+		j.live[n] = &cluster.Placement{Key: cluster.Key{Job: "req-1", Task: n}, Machine: &cluster.Machine{ID: "m"}}
 		got = append(got, n)
 	}
 	if d := cmp.Diff([]int{2, 3, 5, 7, 8, 9}, got); d != "" {
@@ -69,11 +69,11 @@
 
 // A gang starts whole: nothing waits while a member may be on a machine.
 func TestGangWaitsWhole(t *testing.T) {
-	j := newJob("req-1", &ledger.OpenJob{Job: wire.Job{ID: "req-1", Shape: wire.Gang, Tasks: 3}}, 1, time.Now())
+	j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Shape: protocol.Gang, Tasks: 3}}, 1, time.Now())
 	if j.waiting() != 3 {
 		t.Errorf("%d wait", j.waiting())
 	}
-	j.live[j.take()] = &fleet.Placement{}
+	j.live[j.take()] = &cluster.Placement{}
 	if j.waiting() != 0 {
 		t.Errorf("%d wait while one may run", j.waiting())
 	}
@@ -84,17 +84,17 @@
 func TestDoneIsRecordedBeforeReap(t *testing.T) {
 	now := time.Now()
 	c := &Controller{jobs: map[string]*job{}, term: election.Held{N: 1}}
-	j := newJob("req-1", &ledger.OpenJob{Job: wire.Job{ID: "req-1", Shape: wire.Array, Tasks: 2}}, 1, now)
+	j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Shape: protocol.Array, Tasks: 2}}, 1, now)
 	c.jobs["req-1"] = j
-	m := fleet.New("m-1", c.token(), now, now.Add(time.Hour))
-	m.Observe(&wire.Report{Machine: "m-1", Session: 1, Seq: 1, Token: c.token(), Tasks: []wire.TaskReport{
-		{Task: "req-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}}}, parseTask, now, now)
+	m := cluster.New("m-1", c.token(), now, now.Add(time.Hour))
+	m.Observe(&protocol.Report{Machine: "m-1", Session: 1, Seq: 1, Token: c.token(), Tasks: []protocol.TaskReport{
+		{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone}}}, parseTask, now, now)
 	j.pendingDone[0] = true
 	if o := c.orders(m); len(o) > 0 {
 		t.Errorf("ordered %v before the completion was recorded", o)
 	}
 	delete(j.pendingDone, 0)
-	if o := c.orders(m); len(o) != 1 || o[0].Verb != wire.VerbForget {
+	if o := c.orders(m); len(o) != 1 || o[0].Verb != protocol.VerbForget {
 		t.Errorf("ordered %v after it", o)
 	}
 }
@@ -107,7 +107,7 @@
 	r := fullReport(c, 0, 7)
 	r.Token, r.Tasks = m.Token, nil
 	c.onReport(r, now)
-	c.returning = []*fleet.Machine{m}
+	c.returning = []*cluster.Machine{m}
 	c.onReturn(returnMsg{}, now)
 	if c.onReport(r, now); c.machines["m-000000"] != nil {
 		t.Error("a copy revived a machine just given back")
@@ -133,14 +133,14 @@
 		m.TouchImage(name, 10, 40)
 	}
 	hint, _ := makeHint(c.sorted, 32<<10)
-	raw, _ := wire.Marshal(hint)
+	raw, _ := protocol.Marshal(hint)
 	next, _ := large(0, 1)
-	var h ledger.Hint
-	if err := wire.Unmarshal(raw, &h); err != nil {
+	var h records.Hint
+	if err := protocol.Unmarshal(raw, &h); err != nil {
 		t.Fatal(err)
 	}
 	next.hints["m-000001"] = &h
-	next.onReport(&wire.Report{Machine: "m-000001", Addr: "x:1", Type: "big", Zone: "a", Session: 1, Seq: 9}, now)
+	next.onReport(&protocol.Report{Machine: "m-000001", Addr: "x:1", Type: "big", Zone: "a", Session: 1, Seq: 9}, now)
 	if d := cmp.Diff(m.Images(), next.machines["m-000001"].Images()); d != "" {
 		t.Error(d)
 	}
@@ -165,9 +165,9 @@
 		if c.inCommit != nil {
 			t.Error("a job was closed on a version that is behind")
 		}
-		o := ledger.OpenJob{AtMS: now.UnixMilli(), Job: named.desc, Cancelled: true}
-		b, _ := wire.Marshal(o)
-		c.setOpen(ledger.OpenKey(named.ref), b, named.openVersion+1, late)
+		o := records.OpenJob{AtMS: now.UnixMilli(), Job: named.desc, Cancelled: true}
+		b, _ := protocol.Marshal(o)
+		c.setOpen(records.OpenKey(named.ref), b, named.openVersion+1, late)
 		c.commit(late)
 		isNamed := func(cl closing) bool { return cl.job == named }
 		if c.inCommit == nil || !slices.ContainsFunc(c.inCommit.closed, isNamed) {
@@ -182,18 +182,18 @@
 func TestReadingFromBeforeClosing(t *testing.T) {
 	c, now := large(0, 1)
 	j := c.jobs["req-000000"]
-	raw, _ := wire.Marshal(ledger.OpenJob{AtMS: now.UnixMilli(), Job: j.desc})
-	record := wire.Item{Key: ledger.OpenKey(j.ref), Value: raw, Version: j.openVersion}
-	reading := eventsMsg{events: []wire.Event{{Set: record.Key, Value: raw, Version: record.Version}}, asOf: now.Add(time.Second)}
+	raw, _ := protocol.Marshal(records.OpenJob{AtMS: now.UnixMilli(), Job: j.desc})
+	record := protocol.Item{Key: records.OpenKey(j.ref), Value: raw, Version: j.openVersion}
+	reading := eventsMsg{events: []protocol.Event{{Set: record.Key, Value: raw, Version: record.Version}}, asOf: now.Add(time.Second)}
 	c.lookingUp, c.lookupBegan = true, now.Add(time.Second)
-	c.onClosed(closing{j, ledger.Final{Phase: wire.PhaseDone, AtMS: now.UnixMilli()}}, now.Add(2*time.Second))
+	c.onClosed(closing{j, records.Final{Phase: protocol.PhaseDone, AtMS: now.UnixMilli()}}, now.Add(2*time.Second))
 	long := now.Add(2 * tuning.RereadEvery)
 	c.forgetClosed()
 	c.onEvents(reading, long)
 	c.forgetClosed()
 	c.onEvents(eventsMsg{asOf: now.Add(3 * time.Second)}, long)
 	c.forgetClosed()
-	c.onLookup(lookupMsg{open: []wire.Item{record}}, long)
+	c.onLookup(lookupMsg{open: []protocol.Item{record}}, long)
 	if len(c.jobs) > 0 {
 		t.Error("a closed job was opened again")
 	}
@@ -210,9 +210,9 @@
 	until := now.Add(time.Hour)
 	j.unread = true
 	j.rest(until)
-	for _, cause := range []string{wire.CauseError, wire.CauseUnknown} {
+	for _, cause := range []string{protocol.CauseError, protocol.CauseUnknown} {
 		for _, p := range m.Live {
-			c.end([]fleet.Ended{{Placement: p, Cause: cause}}, now)
+			c.end([]cluster.Ended{{Placement: p, Cause: cause}}, now)
 			break
 		}
 	}
@@ -225,12 +225,12 @@
 func TestUnknownTask(t *testing.T) {
 	c, now := large(2, 1)
 	r := fullReport(c, 0, 2)
-	stray := wire.TaskReport{Task: "req-000000/59", Attempt: 9, State: wire.TaskRunning}
-	r.Tasks = append(r.Tasks, stray, wire.TaskReport{Task: "req-999999/0", Attempt: 1, State: wire.TaskExited},
-		wire.TaskReport{Task: "nonsense", Attempt: 1, State: wire.TaskFetching})
+	stray := protocol.TaskReport{Task: "req-000000/59", Attempt: 9, State: protocol.TaskRunning}
+	r.Tasks = append(r.Tasks, stray, protocol.TaskReport{Task: "req-999999/0", Attempt: 1, State: protocol.TaskExited},
+		protocol.TaskReport{Task: "nonsense", Attempt: 1, State: protocol.TaskFetching})
 	var stopped []string
 	for _, order := range c.onReport(r, now).Orders {
-		if order.Verb == wire.VerbStop {
+		if order.Verb == protocol.VerbStop {
 			stopped = append(stopped, order.Task)
 		}
 	}
@@ -239,8 +239,8 @@
 	}
 	c.decide(now)
 	want := []UnknownTask{
-		{Task: stray.Task, Attempt: 9, State: wire.TaskRunning, Machine: "m-000000", Job: "the task waits"},
-		{Task: "nonsense", Attempt: 1, State: wire.TaskFetching, Machine: "m-000000", Job: "not open"},
+		{Task: stray.Task, Attempt: 9, State: protocol.TaskRunning, Machine: "m-000000", Job: "the task waits"},
+		{Task: "nonsense", Attempt: 1, State: protocol.TaskFetching, Machine: "m-000000", Job: "not open"},
 	}
 	if d := cmp.Diff(want, c.status.Unknown); d != "" || c.status.UnknownTasks != 2 {
 		t.Errorf("%d unknown tasks, %s", c.status.UnknownTasks, d)
--- a/internal/controller/controller.go
+++ b/internal/leader/leader.go
@@ -1,6 +1,6 @@
-// Package controller is the leader: one actor that owns jobs, machines and
+// Package leader is the leader: one actor that owns jobs, machines and
 // rentals for a term, and is spoken to by messages only.
-package controller
+package leader
 
 import (
 	"context"
@@ -11,24 +11,24 @@
 
 	"golang.org/x/time/rate"
 
+	"marblehaven/internal/agent"
 	"marblehaven/internal/cloud"
+	"marblehaven/internal/cluster"
 	"marblehaven/internal/config"
 	"marblehaven/internal/election"
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/sched"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+	"marblehaven/internal/scheduler"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
-	"marblehaven/internal/worker"
 )
 
 // Deps is what a leader works with.
 type Deps struct {
 	Config *config.Config
-	Store  *statestore.Client
+	Store  *kvstore.Client
 	Cloud  *cloud.Client
-	Worker *worker.Client
+	Worker *agent.Client
 	Log    *slog.Logger
 	// OnTerm tells of a newer term seen at a worker.
 	OnTerm func(n uint64)
@@ -47,12 +47,12 @@
 
 type (
 	reportMsg struct {
-		rep   *wire.Report
-		reply chan *wire.ReportReply // nil answer: not entitled
+		rep   *protocol.Report
+		reply chan *protocol.ReportReply // nil answer: not entitled
 	}
 	doMsg struct {
-		m         *fleet.Machine
-		rep       *wire.Report
+		m         *cluster.Machine
+		rep       *protocol.Report
 		starts    bool
 		handshake bool
 		err       error
@@ -64,13 +64,13 @@
 		err      error
 	}
 	eventsMsg struct {
-		events []wire.Event
+		events []protocol.Event
 		asOf   time.Time // every cancellation told before it is in here
 	}
 	termMsg   struct{ asOf time.Time }
 	lookupMsg struct {
 		outcomes map[string]outcome
-		open     []wire.Item
+		open     []protocol.Item
 	}
 	versionsMsg struct {
 		formats   map[string]int // by controller
@@ -78,11 +78,11 @@
 	}
 	listMsg struct {
 		began    time.Time
-		machines []wire.ListedMachine
+		machines []protocol.ListedMachine
 		err      error
 	}
 	catalogMsg struct {
-		types []wire.MachineType
+		types []protocol.MachineType
 	}
 	rentMsg struct {
 		c     *claim
@@ -94,7 +94,7 @@
 )
 
 type claim struct {
-	ledger.Claim
+	records.Claim
 	recorded, calling, settled bool
 	hosts                      []string
 	callAt                     time.Time
@@ -109,14 +109,14 @@
 	ctx   context.Context
 
 	jobs     map[string]*job
-	machines map[string]*fleet.Machine
-	sorted   []*fleet.Machine // the same, by name
-	floor    uint64           // the first token of a machine that becomes known
+	machines map[string]*cluster.Machine
+	sorted   []*cluster.Machine // the same, by name
+	floor    uint64             // the first token of a machine that becomes known
 	gone     map[string]time.Time
 	closed   map[string]time.Time // jobs closed lately, see forgetClosed
 	claims   map[string]*claim
 	claimSeq int
-	types    []wire.MachineType
+	types    []protocol.MachineType
 	typeIdx  map[string]int
 	refused  map[offer]*refusal
 	est      estimator
@@ -129,7 +129,7 @@
 	asOfPeers   time.Time // see extendAuthority
 	inCommit    *batch
 	commitAfter time.Time
-	hints       map[string]*ledger.Hint // of an earlier leader, by machine
+	hints       map[string]*records.Hint // of an earlier leader, by machine
 	hintAt      time.Time
 	hintPart    int // the next hint's number
 	hintFrom    int // the first machine, of the sorted ones, that it describes
@@ -151,21 +151,21 @@
 	nextList    time.Time
 	catalogAt   time.Time
 	loadedTypes bool
-	lastPass    time.Time               // when the last pass ended
-	lastRunning int                     // entries of the last snapshot's machines, for the next one's size
-	passTook    time.Duration           // how long it took
-	changed     bool                    // something that decisions depend on has changed
-	touched     map[*fleet.Machine]bool // have something to be sent
-	toHandshake []*fleet.Machine        // see planHandshakes
-	handshaking int                     // handshakes under way
-	toReturn    []*fleet.Machine        // to be given back
-	returning   []*fleet.Machine        // in the call that is under way
+	lastPass    time.Time                 // when the last pass ended
+	lastRunning int                       // entries of the last snapshot's machines, for the next one's size
+	passTook    time.Duration             // how long it took
+	changed     bool                      // something that decisions depend on has changed
+	touched     map[*cluster.Machine]bool // have something to be sent
+	toHandshake []*cluster.Machine        // see planHandshakes
+	handshaking int                       // handshakes under way
+	toReturn    []*cluster.Machine        // to be given back
+	returning   []*cluster.Machine        // in the call that is under way
 	returnAfter time.Time
 	summarized  time.Time
 	lateLogged  time.Time
 	status      Status
 	gpuRank     int // see sched.Snapshot
-	gpuNeed     sched.Res
+	gpuNeed     scheduler.Res
 }
 
 type offer struct {
@@ -188,18 +188,18 @@
 		// A report that waits holds a connection, so that none is refused here:
 		// after a takeover all workers report at once.
 		inbox: make(chan any, d.Config.Deployment.Sockets(len(d.Config.Peers)).Incoming),
-		jobs:  map[string]*job{}, machines: map[string]*fleet.Machine{}, gone: map[string]time.Time{}, closed: map[string]time.Time{}, hints: map[string]*ledger.Hint{}, touched: map[*fleet.Machine]bool{},
+		jobs:  map[string]*job{}, machines: map[string]*cluster.Machine{}, gone: map[string]time.Time{}, closed: map[string]time.Time{}, hints: map[string]*records.Hint{}, touched: map[*cluster.Machine]bool{},
 		floor: floor, gpuRank: -1, claims: map[string]*claim{}, refused: map[offer]*refusal{}, typeIdx: map[string]int{},
 		est:     estimator{off: d.Config.Operator.Estimator == "user", classes: map[string]*classRuns{}},
 		writes:  rate.NewLimiter(rate.Limit(wr), max(int(wr), limits.TxnOps)),
-		format:  ledger.FormatWhole,
+		format:  records.FormatWhole,
 		formats: map[string]int{}, dependents: map[string][]string{}, outcomes: map[string]outcome{},
 	}
 }
 
 // Report answers a worker's report, or fails with ErrNotEntitled.
-func (c *Controller) Report(ctx context.Context, rep *wire.Report) (*wire.ReportReply, error) {
-	reply := make(chan *wire.ReportReply, 1)
+func (c *Controller) Report(ctx context.Context, rep *protocol.Report) (*protocol.ReportReply, error) {
+	reply := make(chan *protocol.ReportReply, 1)
 	select {
 	case c.inbox <- reportMsg{rep, reply}:
 	default:
@@ -338,7 +338,7 @@
 
 func (c *Controller) token() uint64 { return c.term.N << tuning.TermShift }
 
-func (c *Controller) bootS(m *fleet.Machine) float64 {
+func (c *Controller) bootS(m *cluster.Machine) float64 {
 	if i, ok := c.typeIdx[m.Type]; ok {
 		return c.types[i].BootS
 	}
--- a/internal/controller/load.go
+++ b/internal/leader/load.go
@@ -1,36 +1,36 @@
-package controller
+package leader
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/pause"
-	"marblehaven/internal/sched"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/clock"
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+	"marblehaven/internal/scheduler"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // records is what an earlier leader left.
 type storedRecords struct {
-	open, claims     wire.Items
-	catalog, cluster wire.Item
+	open, claims     protocol.Items
+	catalog, cluster protocol.Item
 }
 
 func (c *Controller) readRecords(ctx context.Context) (r storedRecords, err error) {
-	if r.open, err = c.Store.ListAll(ctx, ledger.PrefixOpen); err != nil {
+	if r.open, err = c.Store.ListAll(ctx, records.PrefixOpen); err != nil {
 		return r, err
 	}
-	if r.claims, err = c.Store.ListAll(ctx, ledger.PrefixRent); err != nil {
+	if r.claims, err = c.Store.ListAll(ctx, records.PrefixRent); err != nil {
 		return r, err
 	}
-	if r.catalog, err = c.Store.Get(ctx, ledger.KeyCatalog); err != nil && !errors.Is(err, statestore.ErrNotFound) {
+	if r.catalog, err = c.Store.Get(ctx, records.KeyCatalog); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return r, err
 	}
-	if r.cluster, err = c.Store.Get(ctx, ledger.KeyCluster); err != nil && !errors.Is(err, statestore.ErrNotFound) {
+	if r.cluster, err = c.Store.Get(ctx, records.KeyCluster); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return r, err
 	}
 	return r, nil
@@ -43,7 +43,7 @@
 		r, err := c.readRecords(ctx)
 		if err != nil {
 			c.Log.Debug("reading records", "err", err)
-			pause.For(ctx, tuning.ElectionRetry)
+			clock.For(ctx, tuning.ElectionRetry)
 			continue
 		}
 		c.restore(&r, time.Now())
@@ -57,32 +57,32 @@
 func (c *Controller) restore(r *storedRecords, now time.Time) {
 	if r.cluster.Version > 0 {
 		// Whatever it says, it was written when all controllers read pieces.
-		c.useFormat(ledger.FormatPieces)
+		c.useFormat(records.FormatPieces)
 	}
 	c.restoreJobs(r.open.Items, now)
 	for _, it := range r.claims.Items {
-		var cl ledger.Claim
-		if err := wire.Unmarshal(it.Value, &cl); err == nil {
+		var cl records.Claim
+		if err := protocol.Unmarshal(it.Value, &cl); err == nil {
 			c.claims[cl.Claim] = &claim{Claim: cl, recorded: true}
 		}
 	}
 	if r.catalog.Value == nil {
 		return
 	}
-	var types []wire.MachineType
-	if wire.Unmarshal(r.catalog.Value, &types) == nil {
+	var types []protocol.MachineType
+	if protocol.Unmarshal(r.catalog.Value, &types) == nil {
 		c.setTypes(types)
 		c.loadedTypes = true
 	}
 }
 
 // restoreJobs takes in the open jobs with the pieces of their run records.
-func (c *Controller) restoreJobs(items []wire.Item, now time.Time) {
+func (c *Controller) restoreJobs(items []protocol.Item, now time.Time) {
 	open := map[string]bool{}
-	pieces := map[string][]wire.Item{}
+	pieces := map[string][]protocol.Item{}
 	for _, it := range items {
-		ref, number := ledger.SplitOpen(it.Key)
-		if number == ledger.NoPiece {
+		ref, number := records.SplitOpen(it.Key)
+		if number == records.NoPiece {
 			open[ref] = true
 			c.setOpen(it.Key, it.Value, it.Version, now)
 			continue
@@ -110,25 +110,25 @@
 }
 
 // restoreRun takes in the pieces of a job's run record.
-func (c *Controller) restoreRun(j *job, items []wire.Item, now time.Time) {
-	runs := map[int]ledger.Run{}
+func (c *Controller) restoreRun(j *job, items []protocol.Item, now time.Time) {
+	runs := map[int]records.Run{}
 	for _, it := range items {
-		_, number := ledger.SplitOpen(it.Key)
-		if number < 0 || number >= max(1, ledger.Pieces(j.desc.Tasks)) {
+		_, number := records.SplitOpen(it.Key)
+		if number < 0 || number >= max(1, records.Pieces(j.desc.Tasks)) {
 			c.Log.Error("run record of no task", "key", it.Key)
 			c.leftovers = append(c.leftovers, leftover{it.Key, it.Version})
 			continue
 		}
 		j.piece(number).version = it.Version
-		var r ledger.Run
-		if err := wire.Unmarshal(it.Value, &r); err != nil {
+		var r records.Run
+		if err := protocol.Unmarshal(it.Value, &r); err != nil {
 			c.Log.Error("unreadable run record", "job", j.ref, "piece", number, "err", err)
 			j.unread = true
 			continue
 		}
 		runs[number] = r
 	}
-	whole := ledger.Assemble(runs)
+	whole := records.Assemble(runs)
 	j.restore(&whole)
 	if j.unread {
 		// Anything of it may run anywhere. It rests until that is surely
@@ -142,22 +142,22 @@
 	}
 }
 
-func (c *Controller) restorePlacement(j *job, lp ledger.Placement, now time.Time) {
+func (c *Controller) restorePlacement(j *job, lp records.Placement, now time.Time) {
 	m := c.machine(lp.Machine, now)
 	if m.Zone == "" {
 		m.Zone = lp.Zone
 	}
-	p := &fleet.Placement{Key: fleet.Key{Job: j.ref, Task: lp.Task}, Attempt: lp.Attempt, Session: lp.Session,
+	p := &cluster.Placement{Key: cluster.Key{Job: j.ref, Task: lp.Task}, Attempt: lp.Attempt, Session: lp.Session,
 		Machine: m, Recorded: true, Sent: true, StartToken: c.token() - 1, Since: now}
 	j.live[lp.Task], m.Live[p.Key] = p, p
 }
 
 // setOpen takes in an open job's record.
 func (c *Controller) setOpen(key string, value []byte, version uint64, now time.Time) {
-	ref, _ := ledger.SplitOpen(key)
+	ref, _ := records.SplitOpen(key)
 	j := c.jobs[ref]
-	var o ledger.OpenJob
-	if err := wire.Unmarshal(value, &o); err != nil {
+	var o records.OpenJob
+	if err := protocol.Unmarshal(value, &o); err != nil {
 		c.Log.Error("unreadable job record", "job", ref, "err", err)
 		c.onUnreadable(ref, value, now)
 		return
@@ -186,7 +186,7 @@
 
 // onUnreadable draws from an open record that cannot be read what can be told.
 func (c *Controller) onUnreadable(ref string, value []byte, now time.Time) {
-	if !ledger.SaysCancelled(value) {
+	if !records.SaysCancelled(value) {
 		return
 	}
 	if j := c.jobs[ref]; j != nil && !j.cancelled {
@@ -195,7 +195,7 @@
 	c.cancelDependents(ref, now)
 }
 
-func (c *Controller) onRewritten(j *job, o *ledger.OpenJob, version uint64, now time.Time) {
+func (c *Controller) onRewritten(j *job, o *records.OpenJob, version uint64, now time.Time) {
 	if version <= j.openVersion {
 		return
 	}
@@ -205,7 +205,7 @@
 	}
 }
 
-func (c *Controller) addJob(ref string, o *ledger.OpenJob, version uint64, now time.Time) {
+func (c *Controller) addJob(ref string, o *records.OpenJob, version uint64, now time.Time) {
 	j := newJob(ref, o, version, now)
 	c.jobs[ref] = j
 	c.changed = true
@@ -213,6 +213,6 @@
 	c.addDependencies(j, now)
 	if n := j.need(); n.GPUs > 0 {
 		c.gpuRank = max(c.gpuRank, j.rank())
-		c.gpuNeed = sched.Res{Cores: max(c.gpuNeed.Cores, n.Cores), GPUs: max(c.gpuNeed.GPUs, n.GPUs), Mem: max(c.gpuNeed.Mem, n.Mem)}
+		c.gpuNeed = scheduler.Res{Cores: max(c.gpuNeed.Cores, n.Cores), GPUs: max(c.gpuNeed.GPUs, n.GPUs), Mem: max(c.gpuNeed.Mem, n.Mem)}
 	}
 }
--- a/internal/controller/pass.go
+++ b/internal/leader/pass.go
@@ -1,15 +1,15 @@
-package controller
+package leader
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/pause"
-	"marblehaven/internal/sched"
+	"marblehaven/internal/clock"
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/scheduler"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // onTick does what depends on time alone.
@@ -38,7 +38,7 @@
 
 // reviewMachines ends what leases that are over held, and picks the machines that are
 // lost, and those that never came up.
-func (c *Controller) reviewMachines(now time.Time) (lost, stuck []*fleet.Machine) {
+func (c *Controller) reviewMachines(now time.Time) (lost, stuck []*cluster.Machine) {
 	presumed := c.presumedLost(now)
 	for _, m := range c.machines {
 		if m.Session > m.Lapsed || len(m.Live) > 0 {
@@ -89,7 +89,7 @@
 	save := !c.loadedTypes
 	go func() {
 		types, err := c.Cloud.Catalog(c.ctx)
-		for err != nil && pause.For(c.ctx, tuning.MachineBackoff) {
+		for err != nil && clock.For(c.ctx, tuning.MachineBackoff) {
 			types, err = c.Cloud.Catalog(c.ctx)
 		}
 		if err != nil {
@@ -103,14 +103,14 @@
 }
 
 // drain saves in time what can be saved on a machine that the cloud takes away.
-func (c *Controller) drain(m *fleet.Machine, now time.Time) {
+func (c *Controller) drain(m *cluster.Machine, now time.Time) {
 	if m.NoticeEnd.IsZero() || m.Shown < c.token() {
 		return // a copy of a report from before this term proves no notice
 	}
 	left := m.NoticeEnd.Sub(now).Seconds()
 	for _, p := range m.Live {
 		j := c.jobs[p.Job]
-		if j == nil || p.Stopping || p.State != wire.TaskRunning || j.desc.CheckpointS <= 0 ||
+		if j == nil || p.Stopping || p.State != protocol.TaskRunning || j.desc.CheckpointS <= 0 ||
 			left > j.desc.SaveS+tuning.NoticeMargin {
 			continue
 		}
@@ -148,7 +148,7 @@
 // decide makes a plan from all that is known and carries it out.
 func (c *Controller) decide(now time.Time) {
 	snap, jobs, machines := c.snapshot(now)
-	plan := sched.Decide(snap)
+	plan := scheduler.Decide(snap)
 	for _, start := range plan.Starts {
 		c.placeTasks(jobs[start.Job], machines[start.Machine], start.Count, now)
 	}
@@ -162,7 +162,7 @@
 		c.stopTasks(jobs[stop.Job], machines[stop.Machine], stop.Count, now)
 	}
 	c.rentPlanned(snap, plan.Rents, now)
-	var back []*fleet.Machine
+	var back []*cluster.Machine
 	for _, i := range plan.Returns {
 		back = append(back, machines[i])
 	}
@@ -174,10 +174,10 @@
 }
 
 // placeTasks places tasks of a job on a machine; they are started once that is recorded.
-func (c *Controller) placeTasks(j *job, m *fleet.Machine, count int, now time.Time) {
+func (c *Controller) placeTasks(j *job, m *cluster.Machine, count int, now time.Time) {
 	for range count {
 		task := j.take()
-		p := &fleet.Placement{Key: fleet.Key{Job: j.ref, Task: task}, Attempt: j.next, Session: m.Session, Machine: m, Since: now}
+		p := &cluster.Placement{Key: cluster.Key{Job: j.ref, Task: task}, Attempt: j.next, Session: m.Session, Machine: m, Since: now}
 		if !j.gang() {
 			j.next++
 		}
@@ -192,15 +192,17 @@
 
 // stopTasks stops tasks of a job on a machine to make room, the last started first: the
 // least is lost.
-func (c *Controller) stopTasks(j *job, m *fleet.Machine, count int, now time.Time) {
+func (c *Controller) stopTasks(j *job, m *cluster.Machine, count int, now time.Time) {
 	c.Log.Info("making room", "machine", m.ID, "job", j.ref, "count", count)
-	var placed []*fleet.Placement
+	var placed []*cluster.Placement
 	for _, p := range m.Live {
 		if p.Job == j.ref && !p.Stopping {
 			placed = append(placed, p)
 		}
 	}
-	slices.SortFunc(placed, func(a, b *fleet.Placement) int { return cmp.Or(b.Since.Compare(a.Since), cmp.Compare(a.Task, b.Task)) })
+	slices.SortFunc(placed, func(a, b *cluster.Placement) int {
+		return cmp.Or(b.Since.Compare(a.Since), cmp.Compare(a.Task, b.Task))
+	})
 	for _, p := range placed[:min(count, len(placed))] {
 		// What goes before does not wait for a save: no more is lost
 		// than the time since the last checkpoint.
@@ -211,7 +213,7 @@
 // rentPlanned asks for the machines of a plan, with one call at a time for an offer:
 // what is asked for meanwhile goes into the next together. A claim for each small need
 // would queue at the cloud for half a minute and take the writes from the starts.
-func (c *Controller) rentPlanned(snap *sched.Snapshot, rents []sched.Rent, now time.Time) {
+func (c *Controller) rentPlanned(snap *scheduler.Snapshot, rents []scheduler.Rent, now time.Time) {
 	asked := map[offer]bool{}
 	for _, cl := range c.claims {
 		if !cl.settled {
--- a/internal/controller/rentals.go
+++ b/internal/leader/rentals.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"cmp"
@@ -9,10 +9,10 @@
 	"time"
 
 	"marblehaven/internal/cloud"
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/ledger"
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // rent makes a claim for machines, as many as a call may ask for; it is called
@@ -24,7 +24,7 @@
 	c.claimSeq++
 	// The term makes the name unique over all leaders, for ever.
 	name := fmt.Sprintf("r-%d-%d", c.term.N, c.claimSeq)
-	c.claims[name] = &claim{Claim: ledger.Claim{Claim: name, Type: typ, Zone: zone, Spot: spot, Count: count, AtMS: now.UnixMilli()}}
+	c.claims[name] = &claim{Claim: records.Claim{Claim: name, Type: typ, Zone: zone, Spot: spot, Count: count, AtMS: now.UnixMilli()}}
 	c.Log.Info("renting", "claim", name, "type", typ, "zone", zone, "spot", spot, "count", count)
 }
 
@@ -35,7 +35,7 @@
 			continue
 		}
 		cl.calling = true
-		req := wire.RentRequest{Claim: cl.Claim.Claim, Type: cl.Type, Zone: cl.Zone, Spot: cl.Spot, Count: cl.Count}
+		req := protocol.RentRequest{Claim: cl.Claim.Claim, Type: cl.Type, Zone: cl.Zone, Spot: cl.Spot, Count: cl.Count}
 		go func() {
 			hosts, err := c.Cloud.Rent(c.ctx, req)
 			c.send(rentMsg{cl, hosts, err})
@@ -98,7 +98,7 @@
 
 // giveBack returns machines on which nothing can be, or which are lost: the
 // cloud's answer proves that all on them is gone.
-func (c *Controller) giveBack(ms []*fleet.Machine, why string, now time.Time) {
+func (c *Controller) giveBack(ms []*cluster.Machine, why string, now time.Time) {
 	if len(ms) == 0 {
 		return
 	}
@@ -110,7 +110,7 @@
 	c.returnNext(now)
 }
 
-func names(ms []*fleet.Machine) []string {
+func names(ms []*cluster.Machine) []string {
 	ids := make([]string, len(ms))
 	for i, m := range ms {
 		ids[i] = m.ID
@@ -126,7 +126,7 @@
 	if len(c.returning) > 0 || len(c.toReturn) == 0 || now.Before(c.returnAfter) {
 		return
 	}
-	slices.SortStableFunc(c.toReturn, func(a, b *fleet.Machine) int {
+	slices.SortStableFunc(c.toReturn, func(a, b *cluster.Machine) int {
 		return cmp.Compare(min(1, len(b.Live)), min(1, len(a.Live)))
 	})
 	n := min(len(c.toReturn), tuning.ReturnMax)
@@ -147,9 +147,9 @@
 		return
 	}
 	for _, m := range ms {
-		var ended []fleet.Ended
+		var ended []cluster.Ended
 		for _, p := range m.Live {
-			ended = append(ended, fleet.Ended{Placement: p})
+			ended = append(ended, cluster.Ended{Placement: p})
 		}
 		c.end(ended, now)
 		c.forget(m)
@@ -166,7 +166,7 @@
 	}
 	c.changed = c.changed || !c.listed
 	c.listed = true
-	var failed []*fleet.Machine
+	var failed []*cluster.Machine
 	seen := map[string]bool{}
 	for _, lm := range l.machines {
 		seen[lm.ID] = true
@@ -182,10 +182,10 @@
 		if m.Type == "" {
 			m.Type, m.Zone, m.Spot, m.Rented = lm.Type, lm.Zone, lm.Spot, now.Add(-seconds(lm.AgeS))
 		}
-		if !m.Up && m.Addr == "" && lm.Addr != "" && lm.State != wire.MachineStarting {
+		if !m.Up && m.Addr == "" && lm.Addr != "" && lm.State != protocol.MachineStarting {
 			m.Addr = lm.Addr
 		}
-		if lm.State == wire.MachineFailed && !m.Leaving {
+		if lm.State == protocol.MachineFailed && !m.Leaving {
 			failed = append(failed, m)
 		}
 	}
@@ -235,7 +235,7 @@
 	}
 }
 
-func (c *Controller) setTypes(types []wire.MachineType) {
+func (c *Controller) setTypes(types []protocol.MachineType) {
 	c.types, c.changed = types, true
 	c.typeIdx = make(map[string]int, len(types))
 	for i, t := range types {
@@ -245,10 +245,10 @@
 
 // saveCatalog keeps the catalog for nodes that cannot reach the cloud. Losing
 // this write does no harm, so it is not part of the batches.
-func (c *Controller) saveCatalog(ctx context.Context, types []wire.MachineType) {
-	_, err := c.Store.Commit(ctx, wire.Commit{
-		Guards:  []wire.Guard{{Key: ledger.KeyTerm, Version: c.term.Stamp}},
-		Changes: []wire.Change{{Set: ledger.KeyCatalog, Value: types}},
+func (c *Controller) saveCatalog(ctx context.Context, types []protocol.MachineType) {
+	_, err := c.Store.Commit(ctx, protocol.Commit{
+		Guards:  []protocol.Guard{{Key: records.KeyTerm, Version: c.term.Stamp}},
+		Changes: []protocol.Change{{Set: records.KeyCatalog, Value: types}},
 	})
 	if err != nil {
 		c.Log.Debug("saving the catalog", "err", err)
--- a/internal/controller/reports.go
+++ b/internal/leader/reports.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"log/slog"
@@ -6,20 +6,20 @@
 	"strings"
 	"time"
 
-	"marblehaven/internal/fleet"
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // machine finds a machine or makes one that is known by name only.
-func (c *Controller) machine(id string, now time.Time) *fleet.Machine {
+func (c *Controller) machine(id string, now time.Time) *cluster.Machine {
 	m := c.machines[id]
 	if m == nil {
 		// An earlier leader may go on answering it for X, and then its lease
 		// runs: only after that its recorded tasks count as gone.
-		m = fleet.New(id, c.floor, now, c.leaseFrom(c.takeover.Add(c.leaderLease())))
+		m = cluster.New(id, c.floor, now, c.leaseFrom(c.takeover.Add(c.leaderLease())))
 		c.machines[id] = m
-		i, _ := slices.BinarySearchFunc(c.sorted, id, func(m *fleet.Machine, id string) int { return strings.Compare(m.ID, id) })
+		i, _ := slices.BinarySearchFunc(c.sorted, id, func(m *cluster.Machine, id string) int { return strings.Compare(m.ID, id) })
 		c.sorted = slices.Insert(c.sorted, i, m)
 		c.changed = true
 	}
@@ -27,17 +27,17 @@
 }
 
 // forget drops a machine that was given back.
-func (c *Controller) forget(m *fleet.Machine) {
+func (c *Controller) forget(m *cluster.Machine) {
 	delete(c.machines, m.ID)
 	delete(c.touched, m)
 	// Should a late report of it come when it is long forgotten, it must show a
 	// token that it cannot have seen, so that nothing is placed on it.
 	c.floor = max(c.floor, m.Token+1)
-	c.sorted = slices.DeleteFunc(c.sorted, func(o *fleet.Machine) bool { return o == m })
+	c.sorted = slices.DeleteFunc(c.sorted, func(o *cluster.Machine) bool { return o == m })
 	c.changed = true
 }
 
-func (c *Controller) onReport(r *wire.Report, now time.Time) *wire.ReportReply {
+func (c *Controller) onReport(r *protocol.Report, now time.Time) *protocol.ReportReply {
 	if r.Token>>tuning.TermShift > c.term.N {
 		c.Log.Info("a worker has seen a newer term", "machine", r.Machine)
 		c.OnTerm(r.Token >> tuning.TermShift)
@@ -47,14 +47,14 @@
 		return nil
 	}
 	if _, ok := c.gone[r.Machine]; ok {
-		return &wire.ReportReply{Token: c.token(), Orders: []wire.Order{}}
+		return &protocol.ReportReply{Token: c.token(), Orders: []protocol.Order{}}
 	}
 	m := c.machine(r.Machine, now)
 	if !m.Heard(r) && !m.Again(r) {
 		// A late copy: nobody takes its answer, so it renews no lease, and what
 		// it says is as old as it is. Or a worker that began anew, which shows
 		// by the token in this answer that it is there.
-		return &wire.ReportReply{Token: m.Token, Orders: []wire.Order{}}
+		return &protocol.ReportReply{Token: m.Token, Orders: []protocol.Order{}}
 	}
 	m.LastOwnReport = now
 	c.observe(m, r, now)
@@ -62,11 +62,11 @@
 		m.LeaseEnd = until
 	}
 	m.Answer()
-	return &wire.ReportReply{Token: m.Token, Orders: c.orders(m)}
+	return &protocol.ReportReply{Token: m.Token, Orders: c.orders(m)}
 }
 
 // observe takes in a report from /hello or from a direct command's answer.
-func (c *Controller) observe(m *fleet.Machine, r *wire.Report, now time.Time) {
+func (c *Controller) observe(m *cluster.Machine, r *protocol.Report, now time.Time) {
 	wasUp, unknown := m.Up, m.UnknownTasks
 	ended, fresh := m.Observe(r, parseTask, now, c.leaseFrom(now))
 	if !fresh {
@@ -86,7 +86,7 @@
 	}
 	if c.Log.Enabled(c.ctx, slog.LevelDebug) {
 		for k, p := range m.Live {
-			if j := c.jobs[k.Job]; j != nil && p.State == wire.TaskRunning && p.Since.Equal(now) {
+			if j := c.jobs[k.Job]; j != nil && p.State == protocol.TaskRunning && p.Since.Equal(now) {
 				c.Log.Debug("task running", "task", taskName(k), "class", j.desc.Class, "machine", m.ID, "age", now.Sub(j.at))
 			}
 		}
@@ -94,33 +94,33 @@
 }
 
 // orders are what a machine is to stop and to forget. Both may be repeated.
-func (c *Controller) orders(m *fleet.Machine) []wire.Order {
-	out := []wire.Order{}
+func (c *Controller) orders(m *cluster.Machine) []protocol.Order {
+	out := []protocol.Order{}
 	for i := range m.Reported {
 		t := &m.Reported[i]
 		k, ok := t.Of, t.OK
 		p := m.Live[k]
 		j := c.jobs[k.Job]
 		switch {
-		case t.State == wire.TaskExited:
+		case t.State == protocol.TaskExited:
 			// To forget it earlier could make the worker run it again: a start
 			// still under way, or a completion that is not recorded yet.
 			if m.MayForget(k, t.Attempt) && !(j != nil && j.pendingDone[k.Task]) && (p == nil || p.Attempt != t.Attempt) {
-				out = append(out, wire.Order{Verb: wire.VerbForget, Task: t.Task, Attempt: t.Attempt})
+				out = append(out, protocol.Order{Verb: protocol.VerbForget, Task: t.Task, Attempt: t.Attempt})
 			}
 		case !ok || p == nil || p.Attempt != t.Attempt:
 			if m.Shown >= c.token() {
-				out = append(out, wire.Order{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt})
+				out = append(out, protocol.Order{Verb: protocol.VerbStop, Task: t.Task, Attempt: t.Attempt})
 			}
-		case p.Stopping && (t.State != wire.TaskSaving || p.Grace == 0):
-			out = append(out, wire.Order{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, Grace: p.Grace})
+		case p.Stopping && (t.State != protocol.TaskSaving || p.Grace == 0):
+			out = append(out, protocol.Order{Verb: protocol.VerbStop, Task: t.Task, Attempt: t.Attempt, Grace: p.Grace})
 		}
 	}
 	return out
 }
 
 // end draws the conclusions from placements that are over.
-func (c *Controller) end(ended []fleet.Ended, now time.Time) {
+func (c *Controller) end(ended []cluster.Ended, now time.Time) {
 	for _, e := range ended {
 		c.changed = true
 		p := e.Placement
@@ -133,7 +133,7 @@
 			continue
 		}
 		delete(j.live, p.Task)
-		if e.Cause == wire.CauseDone {
+		if e.Cause == protocol.CauseDone {
 			c.completeTask(j, p, now)
 		} else {
 			c.retryTask(j, &e, now)
@@ -142,8 +142,8 @@
 }
 
 // completeTask notes that a task is done. The worker may forget it once that is recorded.
-func (c *Controller) completeTask(j *job, p *fleet.Placement, now time.Time) {
-	if p.State == wire.TaskRunning {
+func (c *Controller) completeTask(j *job, p *cluster.Placement, now time.Time) {
+	if p.State == protocol.TaskRunning {
 		c.est.done(&j.desc, now.Sub(p.Since).Seconds())
 	}
 	j.done.Add(p.Task)
@@ -154,25 +154,25 @@
 }
 
 // retryTask lets a task that has ended without being done start again.
-func (c *Controller) retryTask(j *job, e *fleet.Ended, now time.Time) {
+func (c *Controller) retryTask(j *job, e *cluster.Ended, now time.Time) {
 	p := e.Placement
 	j.giveBack(p.Task)
 	if p.Recorded {
 		// The next leader would leave it its time to end all over again.
 		c.markDirty(j, p.Task, false, now)
 	}
-	if e.Cause != wire.CauseStopped && !j.cancelled {
+	if e.Cause != protocol.CauseStopped && !j.cancelled {
 		c.Log.Info("task ended", "task", taskName(p.Key), "try", p.Attempt, "machine", p.Machine.ID, "cause", e.Cause)
 	}
 	switch e.Cause {
-	case wire.CauseError:
+	case protocol.CauseError:
 		j.errors++
 		pause := tuning.ErrorBackoff << min(j.errors-1, 10)
 		j.rest(now.Add(min(pause, tuning.ErrorBackoffMax)))
 		p.Machine.Failed(j.ref)
-	case wire.CauseNoRoom, wire.CauseBusy:
+	case protocol.CauseNoRoom, protocol.CauseBusy:
 		p.Machine.RestUntil = now.Add(tuning.MachineBackoff)
-	case wire.CauseUnknown:
+	case protocol.CauseUnknown:
 		j.rest(now.Add(tuning.MachineBackoff))
 	}
 	if !j.gang() {
--- a/internal/controller/runrecord_test.go
+++ b/internal/leader/runrecord_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"math/rand/v2"
@@ -8,12 +8,12 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/vmihailenco/msgpack/v5"
 
+	"marblehaven/internal/cluster"
 	"marblehaven/internal/config"
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // taskState is what a plain model keeps of a task: 0 if nothing was recorded, the
@@ -23,7 +23,7 @@
 const completed taskState = -1
 
 // stateOf lists the states of all tasks as a record says.
-func stateOf(r *ledger.Run, tasks int) []taskState {
+func stateOf(r *records.Run, tasks int) []taskState {
 	out := make([]taskState, tasks)
 	for _, p := range r.Live {
 		out[p.Task] = taskState(p.Attempt)
@@ -43,11 +43,11 @@
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range 200 {
 		tasks := 1 + rng.IntN(200)
-		j := newJob("req-1", &ledger.OpenJob{Job: wire.Job{ID: "req-1", Shape: wire.Array, Tasks: tasks}}, 1, time.Now())
-		c := &Controller{format: ledger.FormatWhole}
-		c.Store = statestore.New("state:1", &calls{}, nil, config.State{StateLimits: config.StateLimits{ValueKB: float64(1 + rng.IntN(8))}})
-		machine := &fleet.Machine{ID: "m-000001"}
-		stored := map[int]ledger.Run{}
+		j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Shape: protocol.Array, Tasks: tasks}}, 1, time.Now())
+		c := &Controller{format: records.FormatWhole}
+		c.Store = kvstore.New("state:1", &calls{}, nil, config.State{StateLimits: config.StateLimits{ValueKB: float64(1 + rng.IntN(8))}})
+		machine := &cluster.Machine{ID: "m-000001"}
+		stored := map[int]records.Run{}
 		model := make([]taskState, tasks)
 		for step := range 100 {
 			switch rng.IntN(4) {
@@ -59,13 +59,13 @@
 				writePiece(j, rng, stored, model, uint64(step+2))
 			case 3:
 				if rng.IntN(5) == 0 {
-					c.format = ledger.FormatPieces
+					c.format = records.FormatPieces
 				}
-				if c.format >= ledger.FormatPieces && rng.IntN(4) == 0 {
+				if c.format >= records.FormatPieces && rng.IntN(4) == 0 {
 					j.divide(false, time.Now())
 				}
 			}
-			whole := ledger.Assemble(stored)
+			whole := records.Assemble(stored)
 			if d := cmp.Diff(model, stateOf(&whole, tasks)); d != "" {
 				t.Fatalf("%d tasks, step %d: %s", tasks, step, d)
 			}
@@ -74,11 +74,11 @@
 }
 
 // changeTask starts a task, completes it, or takes its placement back.
-func changeTask(j *job, task int, machine *fleet.Machine, rng *rand.Rand) {
+func changeTask(j *job, task int, machine *cluster.Machine, rng *rand.Rand) {
 	switch {
 	case j.done.Has(task):
 	case j.live[task] == nil:
-		j.live[task] = &fleet.Placement{Key: fleet.Key{Job: j.ref, Task: task}, Attempt: j.next, Machine: machine}
+		j.live[task] = &cluster.Placement{Key: cluster.Key{Job: j.ref, Task: task}, Attempt: j.next, Machine: machine}
 		j.next++
 	case rng.IntN(2) == 0:
 		delete(j.live, task)
@@ -89,7 +89,7 @@
 }
 
 // writePiece writes one of the pieces that lag behind.
-func writePiece(j *job, rng *rand.Rand, stored map[int]ledger.Run, model []taskState, version uint64) {
+func writePiece(j *job, rng *rand.Rand, stored map[int]records.Run, model []taskState, version uint64) {
 	var dirty []int
 	for number := range j.pieces {
 		if j.pieces[number].dirty {
@@ -124,19 +124,19 @@
 	limits := c.Config.Deployment.State
 	value := tuning.ValueLeastKB
 	limits.Next.ValueKB = &value
-	c.Store = statestore.New("state:1", &calls{}, wire.NewComplaints(c.Log), limits)
-	c.useFormat(ledger.FormatPieces)
+	c.Store = kvstore.New("state:1", &calls{}, protocol.NewComplaints(c.Log), limits)
+	c.useFormat(records.FormatPieces)
 	j := c.jobs["req-000000"]
 	j.desc.Tasks = 300
-	machine := &fleet.Machine{ID: "m-000001", Live: map[fleet.Key]*fleet.Placement{}}
+	machine := &cluster.Machine{ID: "m-000001", Live: map[cluster.Key]*cluster.Placement{}}
 	for task := range 300 {
-		p := &fleet.Placement{Key: fleet.Key{Job: j.ref, Task: task}, Attempt: j.next, Machine: machine, Recorded: true, Sent: true}
+		p := &cluster.Placement{Key: cluster.Key{Job: j.ref, Task: task}, Attempt: j.next, Machine: machine, Recorded: true, Sent: true}
 		j.live[task], machine.Live[p.Key] = p, p
 		j.next++
 	}
 	j.piece(0).version = 1
-	c.end([]fleet.Ended{{Placement: j.live[3], Cause: wire.CauseDone}}, now)
-	stored := map[int]ledger.Run{0: {Next: j.next}}
+	c.end([]cluster.Ended{{Placement: j.live[3], Cause: protocol.CauseDone}}, now)
+	stored := map[int]records.Run{0: {Next: j.next}}
 	for commits := 0; j.piece(0).dirty; commits++ {
 		if commits > 20 {
 			t.Fatal("the record is not written")
@@ -147,18 +147,18 @@
 		c.addJobs(b, c.dueWrites(later), 1000, later)
 		for i, w := range b.runs {
 			raw := b.txn.Changes[i].Value.(msgpack.RawMessage)
-			if size, err := wire.JSONSize(raw); err != nil || size > c.Store.ValueBytes() {
+			if size, err := protocol.JSONSize(raw); err != nil || size > c.Store.ValueBytes() {
 				t.Errorf("piece %d of %d bytes, %v", w.number, size, err)
 			}
-			var r ledger.Run
-			if err := wire.Unmarshal(raw, &r); err != nil {
+			var r records.Run
+			if err := protocol.Unmarshal(raw, &r); err != nil {
 				t.Fatal(err)
 			}
 			stored[w.number] = r
 			c.onRunWritten(w, uint64(commits+2))
 		}
 	}
-	whole := ledger.Assemble(stored)
+	whole := records.Assemble(stored)
 	if len(j.live) != 299 || len(whole.Live) != 299 || whole.Done.Count() != 1 {
 		t.Errorf("%d run; recorded are %d and %v done", len(j.live), len(whole.Live), whole.Done)
 	}
@@ -167,22 +167,22 @@
 // A piece fits in the smallest value that is served with, whatever its tasks are at.
 func TestPieceFits(t *testing.T) {
 	for _, share := range []int{0, 2, 3, 1000} {
-		j := newJob("req-1", &ledger.OpenJob{Job: wire.Job{ID: "req-1", Tasks: tuning.MaxTasks, Spread: true}}, 1, time.Now())
+		j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Tasks: tuning.MaxTasks, Spread: true}}, 1, time.Now())
 		j.next = 900 << tuning.TermShift
-		number := ledger.Pieces(tuning.MaxTasks) - 1
+		number := records.Pieces(tuning.MaxTasks) - 1
 		for task := number * tuning.PieceTasks; task < tuning.MaxTasks; task++ {
 			if share > 0 && task%share == 0 {
 				j.done.Add(task)
 				continue
 			}
-			j.live[task] = &fleet.Placement{Key: fleet.Key{Task: task}, Attempt: j.next, Session: 99,
-				Machine: &fleet.Machine{ID: "m-123456", Zone: "north-west-10"}}
+			j.live[task] = &cluster.Placement{Key: cluster.Key{Task: task}, Attempt: j.next, Session: 99,
+				Machine: &cluster.Machine{ID: "m-123456", Zone: "north-west-10"}}
 		}
-		raw, err := wire.Marshal(j.record(number))
+		raw, err := protocol.Marshal(j.record(number))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if size, err := wire.JSONSize(raw); err != nil || size > tuning.ValueLeastKB*1024 {
+		if size, err := protocol.JSONSize(raw); err != nil || size > tuning.ValueLeastKB*1024 {
 			t.Errorf("%d bytes, %v", size, err)
 		}
 	}
--- a/internal/controller/silence.go
+++ b/internal/leader/silence.go
@@ -1,9 +1,9 @@
-package controller
+package leader
 
 import (
 	"time"
 
-	"marblehaven/internal/fleet"
+	"marblehaven/internal/cluster"
 	"marblehaven/internal/tuning"
 )
 
@@ -20,17 +20,17 @@
 
 // counts tells whether a machine is one that should be heard: it has been, or there
 // are tasks on it.
-func counts(m *fleet.Machine) bool { return !m.Leaving && (m.Up || len(m.Live) > 0) }
+func counts(m *cluster.Machine) bool { return !m.Leaving && (m.Up || len(m.Live) > 0) }
 
 // presumedLost picks silent machines whose tasks need not wait for the lease:
 // giving a machine back proves that they are gone. A machine whose notice is
 // over is one; so is one that answers no direct call either, sooner if production
 // or a gang waits for it, unless much of its zone is silent: then it is the link
 // that failed, and the work goes on there.
-func (c *Controller) presumedLost(now time.Time) map[*fleet.Machine]bool {
-	out := map[*fleet.Machine]bool{}
+func (c *Controller) presumedLost(now time.Time) map[*cluster.Machine]bool {
+	out := map[*cluster.Machine]bool{}
 	interval, unheard := seconds(c.Config.Deployment.Workers.ReportS), c.unheard()
-	var deaf, mute []*fleet.Machine
+	var deaf, mute []*cluster.Machine
 	up := 0
 	inZone, silentIn := map[string]int{}, map[string]int{}
 	for _, m := range c.machines {
@@ -87,7 +87,7 @@
 // urgent tells whether the machine has what should not wait for its lease: a
 // player-facing service, or a task of a gang, whose others can do nothing
 // meanwhile and whose machines stand idle.
-func (c *Controller) urgent(m *fleet.Machine) bool {
+func (c *Controller) urgent(m *cluster.Machine) bool {
 	for k := range m.Live {
 		if j := c.jobs[k.Job]; j != nil && j.gang() && j.desc.Tasks > 1 {
 			return true
@@ -97,7 +97,7 @@
 }
 
 // production tells whether the machine has player-facing services.
-func (c *Controller) production(m *fleet.Machine) bool {
+func (c *Controller) production(m *cluster.Machine) bool {
 	for k := range m.Live {
 		if j := c.jobs[k.Job]; j != nil && j.rank() == 0 {
 			return true
