--- a/internal/controller/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"cmp"
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/sched"
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/scheduler"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // deadline is a time by which a job should be complete, counted from when it could
@@ -87,12 +87,12 @@
 type snapshotter struct {
 	*Controller
 	now      time.Time
-	snap     *sched.Snapshot
-	jobs     []*job           // in the order of snap.Jobs
-	jobIndex map[string]int   // of snap.Jobs
-	teams    map[string]int   // index of snap.Teams
-	machines []*fleet.Machine // in the order of snap.Machines; nil: asked for
-	running  []sched.Running  // backs the machines' tasks
+	snap     *scheduler.Snapshot
+	jobs     []*job              // in the order of snap.Jobs
+	jobIndex map[string]int      // of snap.Jobs
+	teams    map[string]int      // index of snap.Teams
+	machines []*cluster.Machine  // in the order of snap.Machines; nil: asked for
+	running  []scheduler.Running // backs the machines' tasks
 	// slots are the machines that gangs gather on, with GPUs and without, and
 	// zones in how many zones they are.
 	slots map[bool]float64
@@ -101,11 +101,11 @@
 	unsettled int
 }
 
-func (c *Controller) snapshot(now time.Time) (*sched.Snapshot, []*job, []*fleet.Machine) {
+func (c *Controller) snapshot(now time.Time) (*scheduler.Snapshot, []*job, []*cluster.Machine) {
 	b := &snapshotter{Controller: c, now: now, teams: map[string]int{}, jobIndex: map[string]int{}, slots: map[bool]float64{}, zones: 1}
 	op := c.Config.Operator
-	b.snap = &sched.Snapshot{Rho: op.Rho, GPURank: c.gpuRank, GPUNeed: c.gpuNeed, GiveBack: op.GiveBackFactor,
-		OverdueShare: tuning.OverdueShare, OverdueShareIdle: tuning.OverdueShareIdle, Refused: map[sched.Offer]bool{}}
+	b.snap = &scheduler.Snapshot{Rho: op.Rho, GPURank: c.gpuRank, GPUNeed: c.gpuNeed, GiveBack: op.GiveBackFactor,
+		OverdueShare: tuning.OverdueShare, OverdueShareIdle: tuning.OverdueShareIdle, Refused: map[scheduler.Offer]bool{}}
 	b.addTypes()
 	b.addTeams()
 	b.addJobs()
@@ -123,7 +123,7 @@
 
 func (b *snapshotter) addTypes() {
 	for _, t := range b.types {
-		b.snap.Types = append(b.snap.Types, sched.Type{Name: t.Name, Total: sched.Res{Cores: t.Cores, GPUs: t.GPUs, Mem: t.MemGB},
+		b.snap.Types = append(b.snap.Types, scheduler.Type{Name: t.Name, Total: scheduler.Res{Cores: t.Cores, GPUs: t.GPUs, Mem: t.MemGB},
 			Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, FetchGBps: t.FetchGBps, Zones: t.Zones})
 	}
 }
@@ -131,7 +131,7 @@
 func (b *snapshotter) addTeams() {
 	for i, t := range b.Config.Deployment.Teams {
 		b.teams[t.Name] = i
-		b.snap.Teams = append(b.snap.Teams, sched.Team{Max: sched.Res{Cores: t.CoresMax, GPUs: t.GPUsMax}})
+		b.snap.Teams = append(b.snap.Teams, scheduler.Team{Max: scheduler.Res{Cores: t.CoresMax, GPUs: t.GPUsMax}})
 	}
 }
 
@@ -149,8 +149,8 @@
 		b.jobIndex[j.ref] = i
 	}
 	chained := b.chained()
-	demand := make([]sched.Res, len(b.snap.Teams))
-	b.snap.Jobs = make([]sched.Job, 0, len(b.jobs))
+	demand := make([]scheduler.Res, len(b.snap.Teams))
+	b.snap.Jobs = make([]scheduler.Job, 0, len(b.jobs))
 	for i, j := range b.jobs {
 		b.addJob(j, &chained[i], demand)
 	}
@@ -158,11 +158,11 @@
 
 // chained describes the jobs with those that they wait for, after priorities and
 // deadlines have been passed on along the chains.
-func (b *snapshotter) chained() []sched.Chained {
-	out := make([]sched.Chained, len(b.jobs))
+func (b *snapshotter) chained() []scheduler.Chained {
+	out := make([]scheduler.Chained, len(b.jobs))
 	any := false
 	for i, j := range b.jobs {
-		out[i] = sched.Chained{Rank: j.rank(), DueS: math.Inf(1), EstimateS: b.est.of(&j.desc)}
+		out[i] = scheduler.Chained{Rank: j.rank(), DueS: math.Inf(1), EstimateS: b.est.of(&j.desc)}
 		if j.desc.DeadlineS > 0 {
 			out[i].DueS = j.desc.DeadlineS - b.now.Sub(j.at).Seconds()
 		}
@@ -177,13 +177,13 @@
 		}
 	}
 	if any {
-		sched.Inherit(out)
+		scheduler.Inherit(out)
 	}
 	return out
 }
 
 // addJob adds a job; demand is what the jobs before it take of each team.
-func (b *snapshotter) addJob(j *job, chained *sched.Chained, demand []sched.Res) {
+func (b *snapshotter) addJob(j *job, chained *scheduler.Chained, demand []scheduler.Res) {
 	team := b.teams[j.desc.Team]
 	need := j.need()
 	left := j.desc.Tasks - j.nDone
@@ -193,7 +193,7 @@
 		demand[team] = demand[team].Sub(need, -left)
 		guaranteed = withinGuarantee(need, demand[team], b.guarantee(team))
 	}
-	sj := sched.Job{Ref: j.ref, Desc: &j.desc, Need: need, Rank: chained.Rank, Guaranteed: guaranteed, EstimateS: chained.EstimateS,
+	sj := scheduler.Job{Ref: j.ref, Desc: &j.desc, Need: need, Rank: chained.Rank, Guaranteed: guaranteed, EstimateS: chained.EstimateS,
 		Waiting: j.waiting(), Live: len(j.live), Team: team, Resting: b.now.Before(j.restUntil), Counts: 1}
 	var onStart bool
 	if sj.DueS, onStart = b.dueIn(j, sj.EstimateS, chained.DueS, guaranteed, b.now); onStart {
@@ -221,22 +221,22 @@
 }
 
 // guarantee is what a team is guaranteed.
-func (b *snapshotter) guarantee(team int) sched.Res {
+func (b *snapshotter) guarantee(team int) scheduler.Res {
 	t := b.Config.Deployment.Teams[team]
-	return sched.Res{Cores: t.Cores, GPUs: t.GPUs}
+	return scheduler.Res{Cores: t.Cores, GPUs: t.GPUs}
 }
 
 // withinGuarantee tells whether a demand is within a guarantee in what a task needs.
-func withinGuarantee(need, demand, guarantee sched.Res) bool {
+func withinGuarantee(need, demand, guarantee scheduler.Res) bool {
 	const tolerance = 1e-9
 	return (need.Cores <= 0 || demand.Cores <= guarantee.Cores+tolerance) &&
 		(need.GPUs <= 0 || demand.GPUs <= guarantee.GPUs+tolerance)
 }
 
 func (b *snapshotter) addMachines() {
-	b.machines = make([]*fleet.Machine, 0, len(b.sorted))
-	b.snap.Machines = make([]sched.Machine, 0, len(b.sorted))
-	b.running = make([]sched.Running, 0, b.lastRunning+len(b.sorted))
+	b.machines = make([]*cluster.Machine, 0, len(b.sorted))
+	b.snap.Machines = make([]scheduler.Machine, 0, len(b.sorted))
+	b.running = make([]scheduler.Running, 0, b.lastRunning+len(b.sorted))
 	for _, m := range b.sorted {
 		if typ, ok := b.typeIdx[m.Type]; ok {
 			b.addMachine(m, typ)
@@ -245,9 +245,9 @@
 	b.lastRunning = len(b.running)
 }
 
-func (b *snapshotter) addMachine(m *fleet.Machine, typ int) {
+func (b *snapshotter) addMachine(m *cluster.Machine, typ int) {
 	t := &b.snap.Types[typ]
-	sm := sched.Machine{ID: m.ID, Type: typ, Zone: m.Zone, Spot: m.Spot, Free: t.Total,
+	sm := scheduler.Machine{ID: m.ID, Type: typ, Zone: m.Zone, Spot: m.Spot, Free: t.Total,
 		Ready: m.Usable(b.now, b.silence()), Empty: len(m.Live) == 0 && len(m.Outbox) == 0, IdleS: b.now.Sub(m.IdleSince).Seconds(),
 		GPUIdleS: b.now.Sub(m.GPUsIdle).Seconds()}
 	sm.Coming = !m.Up && !m.Leaving && b.now.Sub(m.Rented) < seconds(tuning.BootSlow*t.BootS)
@@ -265,7 +265,7 @@
 }
 
 // addRunning takes what is on a machine off its room, and sums it up by jobs.
-func (b *snapshotter) addRunning(sm *sched.Machine, m *fleet.Machine, t *sched.Type) {
+func (b *snapshotter) addRunning(sm *scheduler.Machine, m *cluster.Machine, t *scheduler.Type) {
 	first := len(b.running)
 	var fetching []string
 	for k, p := range m.Live {
@@ -276,13 +276,13 @@
 		}
 		j := &b.snap.Jobs[ji]
 		sm.Free = sm.Free.Sub(j.Need, 1)
-		i := slices.IndexFunc(b.running[first:], func(r sched.Running) bool { return r.Job == ji })
+		i := slices.IndexFunc(b.running[first:], func(r scheduler.Running) bool { return r.Job == ji })
 		if i < 0 {
 			i = len(b.running) - first
-			b.running = append(b.running, sched.Running{Job: ji})
+			b.running = append(b.running, scheduler.Running{Job: ji})
 		}
 		b.addPlacement(&b.running[first+i], p, j)
-		if (p.State == "" || p.State == wire.TaskFetching) && !slices.Contains(fetching, j.Desc.Image) {
+		if (p.State == "" || p.State == protocol.TaskFetching) && !slices.Contains(fetching, j.Desc.Image) {
 			fetching = append(fetching, j.Desc.Image)
 			sm.FetchGB += max(0, j.Desc.ImageGB-t.FetchGBps*b.now.Sub(p.Since).Seconds())
 		}
@@ -290,13 +290,13 @@
 	sm.Tasks = b.running[first:len(b.running):len(b.running)]
 }
 
-func (b *snapshotter) addPlacement(r *sched.Running, p *fleet.Placement, j *sched.Job) {
+func (b *snapshotter) addPlacement(r *scheduler.Running, p *cluster.Placement, j *scheduler.Job) {
 	r.Count++
 	if p.Stopping {
 		r.Ending++
 	}
 	r.LeftS = max(r.LeftS, j.EstimateS)
-	if p.State != wire.TaskRunning {
+	if p.State != protocol.TaskRunning {
 		return
 	}
 	ran := b.now.Sub(p.Since).Seconds()
@@ -330,7 +330,7 @@
 			continue
 		}
 		for range cl.Count {
-			b.snap.Machines = append(b.snap.Machines, sched.Machine{Type: typ, Zone: cl.Zone, Spot: cl.Spot, Free: b.snap.Types[typ].Total, Coming: true})
+			b.snap.Machines = append(b.snap.Machines, scheduler.Machine{Type: typ, Zone: cl.Zone, Spot: cl.Spot, Free: b.snap.Types[typ].Total, Coming: true})
 			b.machines = append(b.machines, nil)
 		}
 	}
@@ -339,7 +339,7 @@
 func (b *snapshotter) addRefused() {
 	for o, r := range b.refused {
 		if typ, ok := b.typeIdx[o.typ]; ok && b.now.Before(r.until) {
-			b.snap.Refused[sched.Offer{Type: typ, Zone: o.zone, Spot: o.spot}] = true
+			b.snap.Refused[scheduler.Offer{Type: typ, Zone: o.zone, Spot: o.spot}] = true
 		}
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/leader/status.go
@@ -1,13 +1,13 @@
-package controller
+package leader
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"marblehaven/internal/fleet"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/sched"
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/records"
+	"marblehaven/internal/scheduler"
 	"marblehaven/internal/tuning"
 )
 
@@ -69,7 +69,7 @@
 	SinceS  float64 `msgpack:"s"`
 }
 
-func (c *Controller) summarize(s *sched.Snapshot, jobs []*job, plan sched.Plan, now time.Time) {
+func (c *Controller) summarize(s *scheduler.Snapshot, jobs []*job, plan scheduler.Plan, now time.Time) {
 	st := Status{Term: c.term.N, CloudOK: c.cloudOK, Format: c.format, Versions: c.nodeVersions()}
 	late := map[int]bool{}
 	for _, i := range plan.Late {
@@ -147,14 +147,14 @@
 }
 
 // logUnknown logs the tasks of a machine that no record names.
-func (c *Controller) logUnknown(m *fleet.Machine) {
+func (c *Controller) logUnknown(m *cluster.Machine) {
 	for _, t := range m.Unknown() {
 		u := c.describeUnknown(m, &t)
 		c.Log.Error("unknown task", "task", u.Task, "try", u.Attempt, "state", u.State, "machine", u.Machine, "session", m.Session, "job", u.Job)
 	}
 }
 
-func (c *Controller) describeUnknown(m *fleet.Machine, t *fleet.Reported) UnknownTask {
+func (c *Controller) describeUnknown(m *cluster.Machine, t *cluster.Reported) UnknownTask {
 	u := UnknownTask{Task: t.Task, Attempt: t.Attempt, State: t.State, Machine: m.ID, Job: "not open"}
 	j := c.jobs[t.Of.Job]
 	switch {
@@ -180,11 +180,11 @@
 	slices.Sort(names)
 	out := make([]NodeVersion, len(names))
 	for i, name := range names {
-		out[i] = NodeVersion{name, max(ledger.FormatWhole, c.formats[name])}
+		out[i] = NodeVersion{name, max(records.FormatWhole, c.formats[name])}
 	}
 	return out
 }
 
-func (c *Controller) up(m *fleet.Machine, now time.Time) bool {
+func (c *Controller) up(m *cluster.Machine, now time.Time) bool {
 	return m.Up && now.Sub(m.LastReport) <= c.silence()
 }
--- a/internal/controller/stop.go
+++ b/internal/leader/stop.go
@@ -1,13 +1,13 @@
-package controller
+package leader
 
 import (
 	"time"
 
-	"marblehaven/internal/fleet"
+	"marblehaven/internal/cluster"
 )
 
 // stop orders a placement to end.
-func (c *Controller) stop(p *fleet.Placement, graceS float64, now time.Time) {
+func (c *Controller) stop(p *cluster.Placement, graceS float64, now time.Time) {
 	if p.Stopping && p.Grace <= graceS {
 		return
 	}
@@ -21,7 +21,7 @@
 }
 
 // unplace takes back a placement whose start was never sent.
-func (c *Controller) unplace(p *fleet.Placement, now time.Time) {
+func (c *Controller) unplace(p *cluster.Placement, now time.Time) {
 	c.changed = true
 	p.Machine.Drop(p, now)
 	if j := c.jobs[p.Job]; j != nil && j.live[p.Task] == p {
--- a/internal/controller/versions.go
+++ b/internal/leader/versions.go
@@ -1,14 +1,14 @@
-package controller
+package leader
 
 import (
 	"context"
 	"errors"
 
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/pause"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/clock"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // watchVersions reads which version each controller has recorded. Once all that
@@ -26,7 +26,7 @@
 		} else {
 			c.send(m)
 		}
-		if m.committed || !pause.For(ctx, tuning.VersionEvery) {
+		if m.committed || !clock.For(ctx, tuning.VersionEvery) {
 			return
 		}
 	}
@@ -34,21 +34,21 @@
 
 func (c *Controller) readVersions(ctx context.Context) (m versionsMsg, err error) {
 	m.formats = map[string]int{}
-	page, err := c.Store.ListAll(ctx, ledger.PrefixNode)
+	page, err := c.Store.ListAll(ctx, records.PrefixNode)
 	if err != nil {
 		return m, err
 	}
 	for _, it := range page.Items {
-		var v ledger.Version
-		if err := wire.Unmarshal(it.Value, &v); err != nil {
+		var v records.Version
+		if err := protocol.Unmarshal(it.Value, &v); err != nil {
 			c.Log.Error("unreadable version record", "key", it.Key, "err", err)
 			continue // it counts as an earlier version
 		}
-		m.formats[it.Key[len(ledger.PrefixNode):]] = v.Format
+		m.formats[it.Key[len(records.PrefixNode):]] = v.Format
 	}
-	_, err = c.Store.Get(ctx, ledger.KeyCluster)
+	_, err = c.Store.Get(ctx, records.KeyCluster)
 	m.committed = err == nil
-	if errors.Is(err, statestore.ErrNotFound) {
+	if errors.Is(err, kvstore.ErrNotFound) {
 		err = nil
 	}
 	return m, err
@@ -57,11 +57,11 @@
 // allRead tells whether every controller of the settings reads what this program
 // writes.
 func (c *Controller) allRead(formats map[string]int) bool {
-	if formats[c.Config.Node] < ledger.FormatOwn {
+	if formats[c.Config.Node] < records.FormatOwn {
 		return false
 	}
 	for _, p := range c.Config.Peers {
-		if formats[p.Node] < ledger.FormatOwn {
+		if formats[p.Node] < records.FormatOwn {
 			return false
 		}
 	}
@@ -69,9 +69,9 @@
 }
 
 func (c *Controller) commitFormat(ctx context.Context) bool {
-	_, err := c.Store.Commit(ctx, wire.Commit{
-		Guards:  []wire.Guard{{Key: ledger.KeyTerm, Version: c.term.Stamp}},
-		Changes: []wire.Change{{Set: ledger.KeyCluster, Value: ledger.Version{Format: ledger.FormatOwn}}},
+	_, err := c.Store.Commit(ctx, protocol.Commit{
+		Guards:  []protocol.Guard{{Key: records.KeyTerm, Version: c.term.Stamp}},
+		Changes: []protocol.Change{{Set: records.KeyCluster, Value: records.Version{Format: records.FormatOwn}}},
 	})
 	if err != nil {
 		c.Log.Info("recording the cluster's version", "err", err) // read again before the next try
@@ -82,7 +82,7 @@
 func (c *Controller) onVersions(m versionsMsg) {
 	c.formats = m.formats
 	if m.committed {
-		c.useFormat(ledger.FormatPieces)
+		c.useFormat(records.FormatPieces)
 	}
 }
 
@@ -100,7 +100,7 @@
 // liveMost is how many tasks of a job may be in flight: any number once its run
 // record is kept in pieces, otherwise what one record surely holds.
 func (c *Controller) liveMost() int {
-	if c.format >= ledger.FormatPieces {
+	if c.format >= records.FormatPieces {
 		return tuning.MaxTasks
 	}
 	return max(1, c.Store.ValueBytes()/2/tuning.RecordEntryBytes)
--- a/internal/peer/compatible_test.go
+++ b/internal/peer/compatible_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 )
 
 // testdata/production.json holds records and peers' messages as the version in
@@ -27,20 +27,20 @@
 	if err := json.Unmarshal(raw, &kept); err != nil {
 		t.Fatal(err)
 	}
-	job := wire.Job{ID: "req-000412", Class: "train", Team: "vision", Shape: wire.Gang, Rank: wire.High, Tasks: 16, Cores: 8, GPUs: 1,
+	job := protocol.Job{ID: "req-000412", Class: "train", Team: "vision", Shape: protocol.Gang, Rank: protocol.High, Tasks: 16, Cores: 8, GPUs: 1,
 		MemGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
 	const atMS = 1790000000123
-	term := ledger.Term{N: 41, Node: "marble-2"}
+	term := records.Term{N: 41, Node: "marble-2"}
 	for name, want := range map[string]any{
-		"open":      &ledger.OpenJob{Job: job, AtMS: atMS},
-		"cancelled": &ledger.OpenJob{Job: job, AtMS: atMS, Cancelled: true},
-		"run": &ledger.Run{Next: 900, Done: ledger.Ranges{{0, 3}, {7, 7}, {40, 99}}, Live: []ledger.Placement{
+		"open":      &records.OpenJob{Job: job, AtMS: atMS},
+		"cancelled": &records.OpenJob{Job: job, AtMS: atMS, Cancelled: true},
+		"run": &records.Run{Next: 900, Done: records.Ranges{{0, 3}, {7, 7}, {40, 99}}, Live: []records.Placement{
 			{Task: 5, Attempt: 12, Machine: "m-000231", Session: 2, Zone: "a"}, {Task: 101, Attempt: 899, Machine: "m-000007", Session: 1}}},
-		"final": &ledger.Final{Phase: wire.PhaseDone, Tasks: 16},
+		"final": &records.Final{Phase: protocol.PhaseDone, Tasks: 16},
 		"term":  &term,
-		"claim": &ledger.Claim{Claim: "r-41-7", Type: "g8", Zone: "a", Spot: true, Count: 12, AtMS: atMS},
-		"hint":  &ledger.Hint{Images: []string{"img-07", "img-09"}, GB: []float64{6.2, 1}, Machines: map[string][]int{"m-000231": {1, 0}}},
-		"catalog": &[]wire.MachineType{{Name: "g8", Cores: 96, GPUs: 8, MemGB: 768, CacheGB: 200, FetchGBps: 1, Price: 12, SpotPrice: 4.5,
+		"claim": &records.Claim{Claim: "r-41-7", Type: "g8", Zone: "a", Spot: true, Count: 12, AtMS: atMS},
+		"hint":  &records.Hint{Images: []string{"img-07", "img-09"}, GB: []float64{6.2, 1}, Machines: map[string][]int{"m-000231": {1, 0}}},
+		"catalog": &[]protocol.MachineType{{Name: "g8", Cores: 96, GPUs: 8, MemGB: 768, CacheGB: 200, FetchGBps: 1, Price: 12, SpotPrice: 4.5,
 			BootS: 45, Zones: []string{"a", "b"}}},
 		"statusRequest": &StatusRequest{Leader: term, Acknowledged: true},
 		"status": &Status{Leader: term, StateMS: 120, Acknowledged: []string{"req-000412"}, CompleteMS: 9000, Redirected: 3,
@@ -53,13 +53,13 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
-		if err := wire.Unmarshal(old, got); err != nil {
+		if err := protocol.Unmarshal(old, got); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if d := cmp.Diff(want, got); d != "" {
 			t.Errorf("%s is read differently: %s", name, d)
 		}
-		if now, err := wire.Marshal(want); err != nil || !bytes.Equal(now, old) {
+		if now, err := protocol.Marshal(want); err != nil || !bytes.Equal(now, old) {
 			t.Errorf("%s is written as\n%x, in production as\n%x", name, now, old)
 		}
 		delete(kept, name)
@@ -72,7 +72,7 @@
 // What this version writes beyond that is passed over by the one in production, whose
 // structures are these: the names of a job's dependencies, and when a job was closed.
 func TestReadByProduction(t *testing.T) {
-	open, _ := wire.Marshal(ledger.OpenJob{Job: wire.Job{ID: "req-000001", Tasks: 3, Awaits: []string{"req-000002"}}, AtMS: 7})
+	open, _ := protocol.Marshal(records.OpenJob{Job: protocol.Job{ID: "req-000001", Tasks: 3, Awaits: []string{"req-000002"}}, AtMS: 7})
 	var job struct {
 		Job struct {
 			ID    string `msgpack:"ref"`
@@ -81,15 +81,15 @@
 		AtMS      int64 `msgpack:"a"`
 		Cancelled bool  `msgpack:"c,omitempty"`
 	}
-	if err := wire.Unmarshal(open, &job); err != nil || job.Job.ID != "req-000001" || job.Job.Tasks != 3 || job.AtMS != 7 {
+	if err := protocol.Unmarshal(open, &job); err != nil || job.Job.ID != "req-000001" || job.Job.Tasks != 3 || job.AtMS != 7 {
 		t.Errorf("open record read as %+v, %v", job, err)
 	}
-	closed, _ := wire.Marshal(ledger.Final{Phase: wire.PhaseDone, Tasks: 3, AtMS: 9})
+	closed, _ := protocol.Marshal(records.Final{Phase: protocol.PhaseDone, Tasks: 3, AtMS: 9})
 	var final struct {
 		Phase string `msgpack:"p"`
 		Tasks int    `msgpack:"n"`
 	}
-	if err := wire.Unmarshal(closed, &final); err != nil || final.Phase != wire.PhaseDone || final.Tasks != 3 {
+	if err := protocol.Unmarshal(closed, &final); err != nil || final.Phase != protocol.PhaseDone || final.Tasks != 3 {
 		t.Errorf("final record read as %+v, %v", final, err)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -16,14 +16,14 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/ledger"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
 )
 
 // Status is what a node says of itself.
 type Status struct {
-	Leader ledger.Term `msgpack:"l"`
+	Leader records.Term `msgpack:"l"`
 	// StateMS is the time since the state service last served the node.
 	StateMS int64 `msgpack:"s"`
 	// Acknowledged names the jobs that the node has told users are cancelled, if
@@ -38,9 +38,9 @@
 
 // StatusRequest asks for a node's status.
 type StatusRequest struct {
-	Leader       ledger.Term `msgpack:"l"`
-	Summary      bool        `msgpack:"y,omitempty"`
-	Acknowledged bool        `msgpack:"k,omitempty"`
+	Leader       records.Term `msgpack:"l"`
+	Summary      bool         `msgpack:"y,omitempty"`
+	Acknowledged bool         `msgpack:"k,omitempty"`
 }
 
 // UserCall is a user's call passed on.
@@ -61,14 +61,14 @@
 	Status(r *StatusRequest) Status
 	// Leads tells whether the node leads, and so must know what others acknowledge.
 	Leads() bool
-	ObserveTerm(t ledger.Term)
+	ObserveTerm(t records.Term)
 	UserCall(ctx context.Context, c *UserCall) *UserAnswer
 }
 
 type messageCodec struct{}
 
-func (messageCodec) Marshal(v any) ([]byte, error)      { return wire.Marshal(v) }
-func (messageCodec) Unmarshal(data []byte, v any) error { return wire.Unmarshal(data, v) }
+func (messageCodec) Marshal(v any) ([]byte, error)      { return protocol.Marshal(v) }
+func (messageCodec) Unmarshal(data []byte, v any) error { return protocol.Unmarshal(data, v) }
 func (messageCodec) Name() string                       { return "msgpack" }
 
 const service = "marblehaven.Peer"
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/ledger"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
 )
 
@@ -55,7 +55,7 @@
 type leader struct{}
 
 func (leader) Status(*StatusRequest) Status                    { return Status{} }
-func (leader) ObserveTerm(ledger.Term)                         {}
+func (leader) ObserveTerm(records.Term)                        {}
 func (leader) UserCall(context.Context, *UserCall) *UserAnswer { return nil }
 func (leader) Leads() bool                                     { return true }
 
--- a/internal/wire/jsonsize_test.go
+++ b/internal/protocol/jsonsize_test.go
@@ -1,4 +1,4 @@
-package wire
+package protocol
 
 import (
 	"encoding/json"
--- a/internal/wire/wire.go
+++ b/internal/protocol/messages.go
@@ -1,6 +1,6 @@
-// Package wire holds the messages of PROTOCOL and their codec. The protocol's
+// Package protocol holds the messages of PROTOCOL and their codec. The protocol's
 // own field names occur only here.
-package wire
+package protocol
 
 import (
 	"bytes"
--- a/internal/ledger/placement.go
+++ b/internal/records/placement.go
@@ -1,4 +1,4 @@
-package ledger
+package records
 
 import "github.com/vmihailenco/msgpack/v5"
 
--- a/internal/ledger/ledger.go
+++ b/internal/records/records.go
@@ -1,4 +1,4 @@
-// Package ledger defines the durable records and their keys.
+// Package records defines the durable records and their keys.
 //
 // An open job is o/<ref> and, once it was worked on, o/<ref>/t with the run record,
 // whose further pieces are o/<ref>/t/<number> (see Piece). A finished job is
@@ -6,7 +6,7 @@
 // moment an accepted job is at exactly one of them: whoever finds neither may say
 // that the job is not known. Pieces that are left without an open record belong to
 // a finished job and may be removed.
-package ledger
+package records
 
 import (
 	"slices"
@@ -15,7 +15,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
 // Keys of single records and prefixes of the others.
@@ -89,9 +89,9 @@
 
 // OpenJob is an accepted job that is not over.
 type OpenJob struct {
-	Job       wire.Job `msgpack:"j"`
-	AtMS      int64    `msgpack:"a"` // time of day of acceptance
-	Cancelled bool     `msgpack:"c,omitempty"`
+	Job       protocol.Job `msgpack:"j"`
+	AtMS      int64        `msgpack:"a"` // time of day of acceptance
+	Cancelled bool         `msgpack:"c,omitempty"`
 }
 
 // SaysCancelled looks for the mark of a cancellation in an open record that
@@ -99,7 +99,7 @@
 func SaysCancelled(value []byte) bool {
 	var m map[string]msgpack.RawMessage
 	var c bool
-	return wire.Unmarshal(value, &m) == nil && wire.Unmarshal(m["c"], &c) == nil && c
+	return protocol.Unmarshal(value, &m) == nil && protocol.Unmarshal(m["c"], &c) == nil && c
 }
 
 // Placement is a task that may be on a machine.
--- a/internal/ledger/ledger_test.go
+++ b/internal/records/records_test.go
@@ -1,4 +1,4 @@
-package ledger
+package records
 
 import (
 	"math/rand/v2"
--- a/internal/sched/fit.go
+++ b/internal/scheduler/fit.go
@@ -1,10 +1,10 @@
-package sched
+package scheduler
 
 import (
 	"math"
 	"slices"
 
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
 // withoutGPU tells for a job whether it must keep off machines with GPUs: work
@@ -23,13 +23,13 @@
 
 // TypeFits tells whether a task of the job can run on an empty machine of the
 // type in some zone that the job allows.
-func TypeFits(t *Type, j *wire.Job) bool {
+func TypeFits(t *Type, j *protocol.Job) bool {
 	return (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) &&
 		(j.Zone == "" || slices.Contains(t.Zones, j.Zone)) && t.Total.Slots(Need(j)) > 0
 }
 
 // ZoneRoom is how many more tasks of the job may be in the zone.
-func ZoneRoom(d *wire.Job, zoneLive map[string]int, zone string) int {
+func ZoneRoom(d *protocol.Job, zoneLive map[string]int, zone string) int {
 	if d.Zone != "" && d.Zone != zone {
 		return 0
 	}
@@ -59,20 +59,20 @@
 	return boot
 }
 
-func fetchS(t *Type, d *wire.Job) float64 {
+func fetchS(t *Type, d *protocol.Job) float64 {
 	if t.FetchGBps <= 0 {
 		return 0
 	}
 	return d.ImageGB / t.FetchGBps
 }
 
-func (p *planner) allowed(m *Machine, d *wire.Job) bool {
+func (p *planner) allowed(m *Machine, d *protocol.Job) bool {
 	return (len(d.Types) == 0 || slices.Contains(d.Types, p.s.Types[m.Type].Name)) && (!m.Spot || d.Spot)
 }
 
 // eligible tells whether tasks of the job may be on the machine, where those it
 // has are in the given zones and need a machine of their own.
-func (p *planner) eligible(m *Machine, d *wire.Job, zones map[string]int, keepOff bool) bool {
+func (p *planner) eligible(m *Machine, d *protocol.Job, zones map[string]int, keepOff bool) bool {
 	return p.allowed(m, d) && ZoneRoom(d, zones, m.Zone) > 0 && !(keepOff && p.s.Types[m.Type].Total.GPUs > 0)
 }
 
@@ -85,13 +85,13 @@
 	t := &p.s.Types[m.Type]
 	if keepOff && t.Total.GPUs > 0 {
 		switch {
-		case j.Desc.Shape == wire.Service:
+		case j.Desc.Shape == protocol.Service:
 			return 0
 		case p.gpuWork(m):
 			if r := p.s.GPUNeed; r.GPUs > 0 && m.Free.Slots(r) > 0 {
 				return m.Free.Sub(r, 1).Slots(j.Need)
 			}
-		case p.gpuWaits || j.Rank <= p.gpuRank() || j.Desc.Shape == wire.Gang ||
+		case p.gpuWaits || j.Rank <= p.gpuRank() || j.Desc.Shape == protocol.Gang ||
 			m.GPUIdleS >= p.s.giveBack(m):
 			return 0
 		}
--- a/internal/sched/inherit.go
+++ b/internal/scheduler/inherit.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 // Chained is a job with the jobs that must be done before it.
 type Chained struct {
--- a/internal/sched/order.go
+++ b/internal/scheduler/order.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
--- a/internal/sched/sched.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package sched decides, after DRPA, what runs where and what is rented. It is
+// Package scheduler decides, after DRPA, what runs where and what is rented. It is
 // pure: a snapshot in, a plan out; no clock, no I/O.
-package sched
+package scheduler
 
 import (
 	"maps"
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
 type planner struct {
@@ -56,7 +56,7 @@
 	if d.OneZone || d.Spread || d.Zone != "" || !plain {
 		return kindOfTask{}, false
 	}
-	k := kindOfTask{need: j.Need, types: strings.Join(d.Types, " "), spot: d.Spot, rank: j.Rank, service: d.Shape == wire.Service, kind: kind}
+	k := kindOfTask{need: j.Need, types: strings.Join(d.Types, " "), spot: d.Spot, rank: j.Rank, service: d.Shape == protocol.Service, kind: kind}
 	if kind == cached || kind == ready {
 		k.image = d.Image // a machine takes only so many images at once
 	}
@@ -118,14 +118,14 @@
 		return
 	}
 	n := min(j.Waiting, quota(&p.teams[j.Team], j.Need))
-	gang := j.Desc.Shape == wire.Gang
+	gang := j.Desc.Shape == protocol.Gang
 	if n == 0 || (gang && n < j.Waiting) {
 		return
 	}
 	keepOff := withoutGPU(p.s, j)
 	zones := map[string]int{}
 	maps.Copy(zones, j.ZoneLive)
-	if j.Rank == 0 && j.Desc.Shape == wire.Service {
+	if j.Rank == 0 && j.Desc.Shape == protocol.Service {
 		n -= p.serveCached(ji, n, zones, keepOff)
 	}
 	// Held machines first (P1): least price times estimate.
--- a/internal/sched/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -1,10 +1,10 @@
-package sched
+package scheduler
 
 import (
 	"math"
 	"slices"
 
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
 const eps = 1e-9
@@ -80,7 +80,7 @@
 // Job is a job with tasks waiting.
 type Job struct {
 	Ref        string
-	Desc       *wire.Job
+	Desc       *protocol.Job
 	Need       Res
 	Rank       int // 0 is production
 	Guaranteed bool
@@ -159,7 +159,7 @@
 }
 
 // Need is what a task takes.
-func Need(j *wire.Job) Res { return Res{j.Cores, j.GPUs, j.MemGB} }
+func Need(j *protocol.Job) Res { return Res{j.Cores, j.GPUs, j.MemGB} }
 
 // giveBack is how long a machine is kept idle: a number of boots, which is what
 // having it again would take, the fewer the dearer it is against the cheapest
--- a/leader_failures_test.go
+++ b/leader_failures_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"marblehaven/internal/standin"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/fake"
+	"marblehaven/internal/protocol"
 )
 
 // A leader that dies between recording placements and learning how their
@@ -21,7 +21,7 @@
 		run(t, 10+seed, func(c *cluster) {
 			var once sync.Once
 			placed := make(chan struct{})
-			c.w.State.OnCommit = func(txn *wire.Commit) {
+			c.w.State.OnCommit = func(txn *protocol.Commit) {
 				c.checkGuards(txn)
 				for _, ch := range txn.Changes {
 					if strings.HasSuffix(ch.Set, "/t") {
@@ -50,7 +50,7 @@
 		old := slices.Index(nodeNames, c.leader())
 		c.kill(nodeNames[old])
 		c.w.Asked = []string{c.w.Nodes[(old+1)%3]} // the dead one would cost a second
-		if st, s := c.w.Withdraw("req-000001"); st != 200 || s.Phase != wire.PhaseCancelled {
+		if st, s := c.w.Withdraw("req-000001"); st != 200 || s.Phase != protocol.PhaseCancelled {
 			t.Fatalf("withdraw: %d %q", st, s.Phase)
 		}
 		if c.leader() != "" {
@@ -74,7 +74,7 @@
 		old := c.leader()
 		c.w.State.Refuse(old, true)
 		// Its peers cannot warn it, and the workers stay with it.
-		mend := c.isolate(old, standin.Hold, c.others(old)...)
+		mend := c.isolate(old, fake.Hold, c.others(old)...)
 		c.untilAnotherLeads(old, 20*time.Second)
 		c.w.Withdraw("req-000001")
 		time.Sleep(50 * time.Second)
@@ -174,7 +174,7 @@
 		}
 		d := deployment().Workers
 		time.Sleep(time.Duration((d.CancelS - d.LeaseS) * float64(time.Second)))
-		r, _ := wire.Marshal(wire.Report{Machine: "m-000001", Addr: "m-000001:9000", Type: "small", Zone: "a", Session: 1, Seq: 1 << 40})
+		r, _ := protocol.Marshal(protocol.Report{Machine: "m-000001", Addr: "m-000001:9000", Type: "small", Zone: "a", Session: 1, Seq: 1 << 40})
 		rec = httptest.NewRecorder()
 		cut.api.ServeHTTP(rec, httptest.NewRequest("POST", "/hello", bytes.NewReader(r)))
 		if rec.Code == 200 {
@@ -197,7 +197,7 @@
 		time.Sleep(5 * time.Second)
 		before, lapses := on(), c.w.Lapses
 		old := c.leader()
-		mend := c.isolate(old, standin.Hold, c.w.Machines()...)
+		mend := c.isolate(old, fake.Hold, c.w.Machines()...)
 		time.Sleep(25 * time.Second) // twice a lease
 		if c.leader() == old {
 			t.Error("a leader without workers keeps its term")
@@ -214,7 +214,7 @@
 				c.kill(n)
 			}
 		}
-		mend = c.isolate(c.leader(), standin.Hold, c.w.Machines()...)
+		mend = c.isolate(c.leader(), fake.Hold, c.w.Machines()...)
 		time.Sleep(40 * time.Second)
 		mend()
 		c.submit(sweep(22, "check", 6), 10)
--- a/machine_failures_test.go
+++ b/machine_failures_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"marblehaven/internal/standin"
+	"marblehaven/internal/fake"
 )
 
 // Direct commands held by the network and delivered when the leader has long
@@ -16,7 +16,7 @@
 		c.untilDone(2*time.Minute, "req-000001")
 		leader := c.leader()
 		m := c.w.Machines()[0]
-		mend := c.cut(leader, m, standin.Hold)
+		mend := c.cut(leader, m, fake.Hold)
 		c.submit(sweep(2, "check", 12), 25)
 		time.Sleep(9 * time.Second) // the machine is reported silent, not lost
 		c.w.Withdraw("req-000002")
@@ -35,7 +35,7 @@
 		c.submit(standing(1, 2), 0)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 })
 		on := c.w.On("req-000001")
-		mend := c.isolate(on[0], standin.Hold, nodeNames...)
+		mend := c.isolate(on[0], fake.Hold, nodeNames...)
 		resume := c.w.Hang(on[1])
 		c.w.Withdraw("req-000001")
 		time.Sleep(8 * time.Second)
@@ -91,7 +91,7 @@
 		c.until("all run", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 1 && len(c.w.On("req-000002")) >= 2 })
 		time.Sleep(10 * time.Second)
 		rented := c.w.Rented()
-		mend := c.isolate(c.leader(), standin.Hold, c.w.Machines()...)
+		mend := c.isolate(c.leader(), fake.Hold, c.w.Machines()...)
 		time.Sleep(11 * time.Second)
 		if n := len(c.w.Machines()); n < rented {
 			t.Errorf("%d of %d machines are left after a cut of the leader", n, rented)
@@ -143,10 +143,10 @@
 		var mends []func()
 		for _, n := range nodeNames {
 			if n != old {
-				mends = append(mends, c.cut(old, n, standin.Hold), c.cut(inside, n, standin.Hold))
+				mends = append(mends, c.cut(old, n, fake.Hold), c.cut(inside, n, fake.Hold))
 			}
 		}
-		mends = append(mends, c.isolate(old, standin.Hold, "state", "cloud", "users"))
+		mends = append(mends, c.isolate(old, fake.Hold, "state", "cloud", "users"))
 		// With the cloud down the machine cannot be given back either: only X,
 		// after which the old leader stops answering, ends its tasks.
 		c.w.CloudDown = true
--- a/marblehaven.go
+++ b/marblehaven.go
@@ -16,18 +16,18 @@
 
 	"google.golang.org/grpc"
 
+	"marblehaven/internal/agent"
 	"marblehaven/internal/api"
+	"marblehaven/internal/clock"
 	"marblehaven/internal/cloud"
 	"marblehaven/internal/config"
-	"marblehaven/internal/controller"
 	"marblehaven/internal/election"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/pause"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/leader"
 	"marblehaven/internal/peer"
-	"marblehaven/internal/statestore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
-	"marblehaven/internal/wire"
-	"marblehaven/internal/worker"
 )
 
 // Config is everything a controller is told.
@@ -40,14 +40,14 @@
 type node struct {
 	cfg     *Config
 	log     *slog.Logger
-	store   *statestore.Client
+	store   *kvstore.Client
 	cloud   *cloud.Client
 	keeper  *election.Keeper
 	users   *api.Users
-	workers *worker.Client
+	workers *agent.Client
 	peers   *peer.Group
 	api     *api.Server
-	leading atomic.Pointer[controller.Controller]
+	leading atomic.Pointer[leader.Controller]
 	format  int // the version of the formats of records that it reads and writes
 }
 
@@ -90,11 +90,11 @@
 }
 
 func newNode(cfg *Config, log *slog.Logger, l links) (*node, error) {
-	n := &node{cfg: cfg, log: log, format: ledger.FormatOwn}
-	cs := wire.NewComplaints(log)
-	n.store = statestore.New(cfg.Services.State, l.state, cs, cfg.Deployment.State)
+	n := &node{cfg: cfg, log: log, format: records.FormatOwn}
+	cs := protocol.NewComplaints(log)
+	n.store = kvstore.New(cfg.Services.State, l.state, cs, cfg.Deployment.State)
 	n.cloud = cloud.New(cfg.Services.Cloud, l.cloud, cs, cfg.Deployment.Cloud.RPS*cfg.Operator.CallBudget)
-	n.workers = worker.New(l.workers, cs, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
+	n.workers = agent.New(l.workers, cs, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
 	n.keeper = election.New(n.store, cfg.Node, log)
 	n.users = api.NewUsers(cfg, n.store, log)
 	var err error
@@ -109,16 +109,16 @@
 func (n *node) start(ctx context.Context) {
 	n.peers.Run(ctx)
 	go n.learnTypes(ctx)
-	if n.format > ledger.FormatWhole { // which was recorded by nobody
+	if n.format > records.FormatWhole { // which was recorded by nobody
 		go n.recordVersion(ctx)
 	}
 	go n.keeper.Run(ctx, n.lead)
 }
 
 func (n *node) lead(ctx context.Context, held election.Held) {
-	c := controller.New(controller.Deps{
+	c := leader.New(leader.Deps{
 		Config: n.cfg, Store: n.store, Cloud: n.cloud, Worker: n.workers, Log: n.log,
-		OnTerm:       func(t uint64) { n.keeper.Observe(ledger.Term{N: t}) },
+		OnTerm:       func(t uint64) { n.keeper.Observe(records.Term{N: t}) },
 		Resign:       n.keeper.Resign,
 		Redirected:   n.peers.Redirected,
 		Acknowledged: n.acknowledged,
@@ -152,10 +152,10 @@
 // the cloud.
 func (n *node) learnTypes(ctx context.Context) {
 	for !n.users.HasTypes() {
-		var types []wire.MachineType
-		it, err := n.store.Get(ctx, ledger.KeyCatalog)
+		var types []protocol.MachineType
+		it, err := n.store.Get(ctx, records.KeyCatalog)
 		if err == nil {
-			err = wire.Unmarshal(it.Value, &types)
+			err = protocol.Unmarshal(it.Value, &types)
 		}
 		if err != nil || len(types) == 0 {
 			types, err = n.cloud.Catalog(ctx)
@@ -182,34 +182,34 @@
 			return
 		}
 		n.log.Debug("recording the version", "err", err)
-		if !pause.For(ctx, tuning.ElectionRetry) {
+		if !clock.For(ctx, tuning.ElectionRetry) {
 			return
 		}
 	}
 }
 
 func (n *node) writeVersion(ctx context.Context) error {
-	key := ledger.NodeKey(n.cfg.Node)
+	key := records.NodeKey(n.cfg.Node)
 	it, err := n.store.Get(ctx, key)
-	if err != nil && !errors.Is(err, statestore.ErrNotFound) {
+	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return err
 	}
-	var v ledger.Version
-	if err == nil && wire.Unmarshal(it.Value, &v) == nil && v.Format >= n.format {
+	var v records.Version
+	if err == nil && protocol.Unmarshal(it.Value, &v) == nil && v.Format >= n.format {
 		return nil
 	}
-	_, err = n.store.Commit(ctx, wire.Commit{
-		Guards:  []wire.Guard{{Key: key, Version: it.Version}},
-		Changes: []wire.Change{{Set: key, Value: ledger.Version{Format: n.format}}},
+	_, err = n.store.Commit(ctx, protocol.Commit{
+		Guards:  []protocol.Guard{{Key: key, Version: it.Version}},
+		Changes: []protocol.Change{{Set: key, Value: records.Version{Format: n.format}}},
 	})
 	return err
 }
 
 // Leading is the leader of this node's term, nil if it has none.
-func (n *node) Leading() *controller.Controller { return n.leading.Load() }
+func (n *node) Leading() *leader.Controller { return n.leading.Load() }
 
 // Leader is who leads, as far as known.
-func (n *node) Leader() (ledger.Term, bool) {
+func (n *node) Leader() (records.Term, bool) {
 	t, ok := n.keeper.Leader()
 	return t, ok && t.Node != ""
 }
@@ -237,7 +237,7 @@
 func (n *node) Up() bool { return n.users.HasTypes() && !n.Refused() }
 
 // Summary is the leader's status, from whichever node.
-func (n *node) Summary(ctx context.Context) (s controller.Status, ok bool) {
+func (n *node) Summary(ctx context.Context) (s leader.Status, ok bool) {
 	if c := n.leading.Load(); c != nil {
 		return c.Status(ctx)
 	}
@@ -246,7 +246,7 @@
 		return s, false
 	}
 	raw := n.peers.Summary(ctx, t.Node)
-	return s, raw != nil && wire.Unmarshal(raw, &s) == nil
+	return s, raw != nil && protocol.Unmarshal(raw, &s) == nil
 }
 
 // acknowledged returns the jobs that controllers, this one included, have told
@@ -278,7 +278,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), tuning.PeerTimeout)
 		defer cancel()
 		if sum, ok := c.Status(ctx); ok {
-			s.Summary, _ = wire.Marshal(sum)
+			s.Summary, _ = protocol.Marshal(sum)
 		}
 	}
 	return s
@@ -288,7 +288,7 @@
 func (n *node) Leads() bool { return n.leading.Load() != nil }
 
 // ObserveTerm takes in a term that a peer has named.
-func (n *node) ObserveTerm(t ledger.Term) {
+func (n *node) ObserveTerm(t records.Term) {
 	if t.N > 0 {
 		n.keeper.Observe(t)
 	}
--- a/production_size_test.go
+++ b/production_size_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/protocol"
 )
 
 // productionSize is a deployment with five controllers in which hundreds of machines are
@@ -167,7 +167,7 @@
 			c.known(kept...)
 			c.untilDone(10*time.Minute, kept...)
 			for _, ref := range l.kept {
-				if got := c.phase(ref); got != wire.PhaseDone && got != wire.PhaseCancelled {
+				if got := c.phase(ref); got != protocol.PhaseDone && got != protocol.PhaseCancelled {
 					t.Errorf("%s is %s in the end", ref, got)
 				}
 			}
--- a/record_failures_test.go
+++ b/record_failures_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"marblehaven/internal/standin"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/fake"
+	"marblehaven/internal/protocol"
 )
 
 // Submissions and withdrawals delayed beyond their answers are settled by the
@@ -15,7 +15,7 @@
 func TestLateSubmitAndWithdraw(t *testing.T) {
 	run(t, 40, func(c *cluster) {
 		other := nodeNames[(slices.Index(nodeNames, c.leader())+1)%3]
-		mend := c.cut(other, "state", standin.Hold)
+		mend := c.cut(other, "state", fake.Hold)
 		for i := range 6 { // some reach the node that is cut off
 			c.submit(sweep(1+i, "check", 2), 10)
 		}
@@ -23,7 +23,7 @@
 		c.untilDone(3*time.Minute, "req-000002", "req-000003")
 		mend() // held commits arrive now
 		time.Sleep(5 * time.Second)
-		if p := c.phase("req-000001"); p != wire.PhaseCancelled {
+		if p := c.phase("req-000001"); p != protocol.PhaseCancelled {
 			t.Errorf("cancelled job is %s", p)
 		}
 		c.untilDone(3*time.Minute, c.jobs[1:]...)
@@ -77,7 +77,7 @@
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) >= 2 })
 		old := c.leader()
 		// A machine that the next leader does not hear goes on running its part.
-		mend := c.isolate(c.w.On("req-000001")[0], standin.Hold, c.names...)
+		mend := c.isolate(c.w.On("req-000001")[0], fake.Hold, c.names...)
 		c.kill(old)
 		c.w.State.Spoil("o/req-000001/t")
 		c.boot(old)
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"marblehaven/internal/standin"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/fake"
+	"marblehaven/internal/protocol"
 )
 
 func TestQuietDay(t *testing.T) {
@@ -20,7 +20,7 @@
 		c.submit(sweep(4, "check", 1), 5)
 		c.untilDone(6*time.Minute, c.jobs[1:]...)
 		c.until("replicas run in both zones", time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 })
-		if st, s := c.w.Withdraw("req-000002"); st != 200 || s.Phase != wire.PhaseDone {
+		if st, s := c.w.Withdraw("req-000002"); st != 200 || s.Phase != protocol.PhaseDone {
 			t.Errorf("withdrawing a finished job: %d %q", st, s.Phase)
 		}
 		if st := c.w.Submit(sweep(2, "check", 30), 15); st != 200 {
@@ -45,9 +45,9 @@
 	run(t, 97, func(c *cluster) {
 		body := func(change func(m map[string]any)) []byte {
 			j := sweep(1, "check", 2)
-			m := standin.JobMap(&j)
+			m := fake.JobMap(&j)
 			change(m)
-			b, _ := wire.Marshal(m)
+			b, _ := protocol.Marshal(m)
 			return b
 		}
 		many := make([]string, 3000)
--- a/upgrade_test.go
+++ b/upgrade_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/ledger"
-	"marblehaven/internal/standin"
-	"marblehaven/internal/wire"
+	"marblehaven/internal/fake"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 )
 
 // wide is a deployment in which hundreds of tasks of a job run at once, with smaller
@@ -25,7 +25,7 @@
 }
 
 // array is a large array of small tasks.
-func array(n, tasks int) wire.Job {
+func array(n, tasks int) protocol.Job {
 	j := sweep(n, "check", tasks)
 	j.Cores, j.MemGB = 1, 2
 	return j
@@ -39,14 +39,14 @@
 func runUpgradeIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *cluster)) {
 	runIn(t, seed, names, dep, func(c *cluster) {
 		c.restartAs(true, names...)
-		c.w.State.OnCommit = func(txn *wire.Commit) {
+		c.w.State.OnCommit = func(txn *protocol.Commit) {
 			c.checkGuards(txn)
 			c.checkFormat(txn)
 		}
-		for _, key := range c.w.State.Keys(ledger.PrefixNode) {
+		for _, key := range c.w.State.Keys(records.PrefixNode) {
 			c.w.State.Remove(key)
 		}
-		c.w.State.Remove(ledger.KeyCluster)
+		c.w.State.Remove(records.KeyCluster)
 		c.restartAs(true, names...)
 		c.until("a node leads", time.Minute, func() bool { return c.leader() != "" })
 		scenario(c)
@@ -55,7 +55,7 @@
 
 // checkFormat judges that nothing is written that the previous version can't read as
 // long as it may still lead.
-func (c *cluster) checkFormat(txn *wire.Commit) {
+func (c *cluster) checkFormat(txn *protocol.Commit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, ch := range txn.Changes {
@@ -78,7 +78,7 @@
 
 // pieces counts the pieces of run records beyond the first of each job.
 func (c *cluster) pieces() (n int) {
-	for _, key := range c.w.State.Keys(ledger.PrefixOpen) {
+	for _, key := range c.w.State.Keys(records.PrefixOpen) {
 		if isFurtherPiece(key) {
 			n++
 		}
@@ -88,9 +88,9 @@
 
 // upgraded tells whether the cluster uses the new version of the formats.
 func (c *cluster) upgraded() bool {
-	var v ledger.Version
-	raw := c.w.State.Value(ledger.KeyCluster)
-	return raw != nil && wire.Unmarshal(raw, &v) == nil && v.Format == ledger.FormatPieces
+	var v records.Version
+	raw := c.w.State.Value(records.KeyCluster)
+	return raw != nil && protocol.Unmarshal(raw, &v) == nil && v.Format == records.FormatPieces
 }
 
 func (c *cluster) untilUpgraded(limit time.Duration) {
@@ -167,7 +167,7 @@
 		c.submit(array(1, 340), 40)
 		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.w.On(jobID(1))) > 200 })
 		last := nodeNames[2]
-		mend := c.cut(last, "state", standin.Hold)
+		mend := c.cut(last, "state", fake.Hold)
 		for _, name := range nodeNames {
 			c.restartAs(false, name)
 			time.Sleep(3 * time.Second)
@@ -199,9 +199,9 @@
 			c.w.State.Limit(c.dep.State.Smaller())
 			var transactions, killed uint64
 			die := make(chan struct{}, 12)
-			c.w.State.OnCommit = func(txn *wire.Commit) {
+			c.w.State.OnCommit = func(txn *protocol.Commit) {
 				c.checkGuards(txn)
-				further := func(ch wire.Change) bool { return isFurtherPiece(ch.Set + ch.Delete) }
+				further := func(ch protocol.Change) bool { return isFurtherPiece(ch.Set + ch.Delete) }
 				if !slices.ContainsFunc(txn.Changes, further) {
 					return
 				}
@@ -245,7 +245,7 @@
 		c.untilUpgraded(20 * time.Second)
 		c.submit(array(1, 120), 60)
 		c.until("all run", 4*time.Minute, func() bool { return len(c.w.On(jobID(1))) == 120 })
-		c.w.State.Spoil(ledger.PieceKey(jobID(1), 2))
+		c.w.State.Spoil(records.PieceKey(jobID(1), 2))
 		c.killLeader()
 		c.known(jobID(1))
 		c.untilDone(8*time.Minute, jobID(1))
@@ -255,7 +255,7 @@
 // A version record that can't be read counts as one of the previous version.
 func TestUnreadableVersion(t *testing.T) {
 	runUpgrade(t, 74, func(c *cluster) {
-		c.w.State.Spoil(ledger.NodeKey(nodeNames[2]))
+		c.w.State.Spoil(records.NodeKey(nodeNames[2]))
 		c.restartAs(false, nodeNames[0], nodeNames[1])
 		time.Sleep(20 * time.Second)
 		if c.upgraded() {
@@ -292,12 +292,12 @@
 			j.Types = append(j.Types, strings.Repeat("t", 140))
 		}
 		c.w.Register(j)
-		c.w.State.Put(ledger.OpenKey(j.ID), ledger.OpenJob{Job: j, AtMS: time.Now().UnixMilli()})
+		c.w.State.Put(records.OpenKey(j.ID), records.OpenJob{Job: j, AtMS: time.Now().UnixMilli()})
 		c.w.State.Limit(c.dep.State.Smaller())
 		if st := c.w.Submit(j, 5); st != 200 {
 			t.Errorf("an accepted job submitted again gets %d", st)
 		}
 		c.w.Withdraw(j.ID)
-		c.until("it is closed", time.Minute, func() bool { return c.w.State.Value(ledger.FinalKey(j.ID)) != nil })
+		c.until("it is closed", time.Minute, func() bool { return c.w.State.Value(records.FinalKey(j.ID)) != nil })
 	})
 }
