--- a/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -1,4 +1,4 @@
-package marblehaven
+package server
 
 import (
 	"context"
@@ -136,7 +136,7 @@
 // boot starts a node, as a new process would.
 func (c *cluster) boot(name string) {
 	i := slices.Index(c.names, name)
-	cfg := &Config{Node: name, APIAddr: fmt.Sprintf("10.0.0.%d:80", i+1), Deployment: c.dep, Operator: config.DefaultOperator()}
+	cfg := &config.Config{Node: name, APIAddr: fmt.Sprintf("10.0.0.%d:80", i+1), Deployment: c.dep, Operator: config.DefaultOperator()}
 	cfg.Services.Cloud, cfg.Services.State = "cloud:1", "state:1"
 	for _, p := range c.names {
 		if p != name {
--- /dev/null
+++ b/internal/server/server.go
@@ -0,0 +1,293 @@
+// Package server runs one controller process: it wires the packages together,
+// starts and ends the leader with its term, and records the format version that
+// this program reads.
+package server
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"runtime/debug"
+	"sync/atomic"
+	"time"
+
+	"google.golang.org/grpc"
+
+	"marblehaven/internal/agent"
+	"marblehaven/internal/api"
+	"marblehaven/internal/clock"
+	"marblehaven/internal/cloud"
+	"marblehaven/internal/config"
+	"marblehaven/internal/election"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/leader"
+	"marblehaven/internal/peer"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+	"marblehaven/internal/tuning"
+)
+
+type node struct {
+	cfg     *config.Config
+	log     *slog.Logger
+	store   *kvstore.Client
+	cloud   *cloud.Client
+	keeper  *election.Keeper
+	users   *api.Users
+	workers *agent.Client
+	peers   *peer.Group
+	api     *api.Server
+	leading atomic.Pointer[leader.Controller]
+	format  int // the version of the formats of records that it reads and writes
+}
+
+// Run runs a controller until ctx ends. It only returns an error if it cannot
+// start: whatever fails later is waited out.
+func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
+	debug.SetGCPercent(tuning.GCPercent)
+	debug.SetMemoryLimit(int64(cfg.Deployment.Limits.MemoryMB * tuning.MemoryShare * (1 << 20)))
+	apiLn, err := net.Listen("tcp", cfg.APIAddr)
+	if err != nil {
+		return fmt.Errorf("field api_addr: %w", err)
+	}
+	peerLn, err := net.Listen("tcp", cfg.PeerBind)
+	if err != nil {
+		return fmt.Errorf("field peer_bind: %w", err)
+	}
+	n, err := newNode(cfg, log, links{
+		state: transport(tuning.StateConns), cloud: transport(tuning.CloudConns), workers: workerTransport(cfg.Deployment.Sockets(len(cfg.Peers)).Commands), peer: peer.Dial,
+	})
+	if err != nil {
+		return fmt.Errorf("field peers: %w", err)
+	}
+	go func() {
+		if err := peer.Serve(ctx, peerLn, n); err != nil && ctx.Err() == nil {
+			log.Error("peers' address", "err", err)
+		}
+	}()
+	n.start(ctx)
+	log.Info("serving", "node", cfg.Node, "address", cfg.APIAddr)
+	if err := n.api.Serve(ctx, apiLn); err != nil && !errors.Is(err, http.ErrServerClosed) {
+		return err
+	}
+	return nil
+}
+
+// links are a node's ways to the other parts of the system.
+type links struct {
+	state, cloud, workers http.RoundTripper
+	peer                  func(config.Peer) (grpc.ClientConnInterface, error)
+}
+
+func newNode(cfg *config.Config, log *slog.Logger, l links) (*node, error) {
+	n := &node{cfg: cfg, log: log, format: records.FormatOwn}
+	cs := protocol.NewComplaints(log)
+	n.store = kvstore.New(cfg.Services.State, l.state, cs, cfg.Deployment.State)
+	n.cloud = cloud.New(cfg.Services.Cloud, l.cloud, cs, cfg.Deployment.Cloud.RPS*cfg.Operator.CallBudget)
+	n.workers = agent.New(l.workers, cs, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
+	n.keeper = election.New(n.store, cfg.Node, log)
+	n.users = api.NewUsers(cfg, n.store, log)
+	var err error
+	if n.peers, err = peer.NewGroup(cfg.Peers, l.peer, n, log); err != nil {
+		return nil, err
+	}
+	n.api = api.NewServer(cfg, n.users, n, n.peers, log, cs)
+	return n, nil
+}
+
+// start begins everything but serving; it ends with ctx.
+func (n *node) start(ctx context.Context) {
+	n.peers.Run(ctx)
+	go n.learnTypes(ctx)
+	if n.format > records.FormatWhole { // which was recorded by nobody
+		go n.recordVersion(ctx)
+	}
+	go n.keeper.Run(ctx, n.lead)
+}
+
+func (n *node) lead(ctx context.Context, held election.Held) {
+	c := leader.New(leader.Deps{
+		Config: n.cfg, Store: n.store, Cloud: n.cloud, Worker: n.workers, Log: n.log,
+		OnTerm:       func(t uint64) { n.keeper.Observe(records.Term{N: t}) },
+		Resign:       n.keeper.Resign,
+		Redirected:   n.peers.Redirected,
+		Acknowledged: n.acknowledged,
+	}, held)
+	c.Bind(ctx)
+	n.leading.Store(c)
+	defer n.leading.Store(nil)
+	c.Run()
+}
+
+func transport(conns int) *http.Transport {
+	return &http.Transport{
+		DialContext:         (&net.Dialer{Timeout: tuning.DialTimeout, KeepAlive: -1}).DialContext,
+		MaxIdleConnsPerHost: conns,
+		IdleConnTimeout:     tuning.IdleConn,
+		DisableCompression:  true,
+	}
+}
+
+// workerTransport keeps a connection to each worker, as far as the sockets go:
+// half of them may be idle, half in use.
+func workerTransport(sockets int) *http.Transport {
+	t := transport(1)
+	t.MaxIdleConns = max(1, sockets/2)
+	t.IdleConnTimeout = tuning.IdleLeast
+	return t
+}
+
+// learnTypes finds out once which machine types there are: from the leader's
+// copy, so that the cloud's call budget is not spent by every node, or from
+// the cloud.
+func (n *node) learnTypes(ctx context.Context) {
+	for !n.users.HasTypes() {
+		var types []protocol.MachineType
+		it, err := n.store.Get(ctx, records.KeyCatalog)
+		if err == nil {
+			err = protocol.Unmarshal(it.Value, &types)
+		}
+		if err != nil || len(types) == 0 {
+			types, err = n.cloud.Catalog(ctx)
+		}
+		if err == nil {
+			n.users.SetTypes(types)
+			return
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(tuning.ElectionRetry):
+		}
+	}
+}
+
+// recordVersion records once which formats of records this program reads, for the
+// leader to learn when all controllers do. A controller never goes back to an
+// earlier version, so the record holds for good.
+func (n *node) recordVersion(ctx context.Context) {
+	for {
+		err := n.writeVersion(ctx)
+		if err == nil {
+			return
+		}
+		n.log.Debug("recording the version", "err", err)
+		if !clock.For(ctx, tuning.ElectionRetry) {
+			return
+		}
+	}
+}
+
+func (n *node) writeVersion(ctx context.Context) error {
+	key := records.NodeKey(n.cfg.Node)
+	it, err := n.store.Get(ctx, key)
+	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
+		return err
+	}
+	var v records.Version
+	if err == nil && protocol.Unmarshal(it.Value, &v) == nil && v.Format >= n.format {
+		return nil
+	}
+	_, err = n.store.Commit(ctx, protocol.Commit{
+		Guards:  []protocol.Guard{{Key: key, Version: it.Version}},
+		Changes: []protocol.Change{{Set: key, Value: records.Version{Format: n.format}}},
+	})
+	return err
+}
+
+// Leading is the leader of this node's term, nil if it has none.
+func (n *node) Leading() *leader.Controller { return n.leading.Load() }
+
+// Leader is who leads, as far as known.
+func (n *node) Leader() (records.Term, bool) {
+	t, ok := n.keeper.Leader()
+	return t, ok && t.Node != ""
+}
+
+// StateOK tells whether the state service serves this node.
+func (n *node) StateOK() bool { return n.store.SinceOK() < tuning.UpStateAge }
+
+// Refused tells whether the state service refuses this node while it serves
+// others: they were served well after this node was. At the edges of an outage
+// nodes notice at slightly different times, which must not look like this: the
+// load balancer takes a node back later each time it was removed.
+func (n *node) Refused() bool {
+	return !n.StateOK() && (n.peers.ServedAfter(time.Now().Add(tuning.RefusedLag-n.store.SinceOK())) || n.alone())
+}
+
+// alone tells whether neither the state service nor any other controller has
+// been heard for a while: then it is most likely this node that is cut off, and
+// users must not be sent to it.
+func (n *node) alone() bool {
+	return n.store.SinceOK() > tuning.AloneAfter && n.peers.Silent(tuning.AloneAfter)
+}
+
+// Up is off while the state service refuses this node alone. While it serves
+// nobody the node stays up: removing all nodes would only add to the outage.
+func (n *node) Up() bool { return n.users.HasTypes() && !n.Refused() }
+
+// Summary is the leader's status, from whichever node.
+func (n *node) Summary(ctx context.Context) (s leader.Status, ok bool) {
+	if c := n.leading.Load(); c != nil {
+		return c.Status(ctx)
+	}
+	t, known := n.Leader()
+	if !known {
+		return s, false
+	}
+	raw := n.peers.Summary(ctx, t.Node)
+	return s, raw != nil && protocol.Unmarshal(raw, &s) == nil
+}
+
+// acknowledged returns the jobs that controllers, this one included, have told
+// users are cancelled, and the time up to which none of those told after since is
+// missing; ok is false if one of them cannot tell.
+func (n *node) acknowledged(since time.Time) (asOf time.Time, refs []string, ok bool) {
+	now := time.Now() // what this node tells users from here on is later than asOf
+	own, complete := n.users.Acknowledged()
+	if !complete.Before(since) {
+		return asOf, nil, false
+	}
+	asOf, refs, ok = n.peers.Acknowledged(since)
+	if asOf.IsZero() {
+		asOf = now
+	}
+	return asOf, append(own, refs...), ok
+}
+
+// Status is what this node says to its peers.
+func (n *node) Status(r *peer.StatusRequest) peer.Status {
+	s := peer.Status{StateMS: n.store.SinceOK().Milliseconds(), Redirected: n.api.Redirected()}
+	s.Leader, _ = n.keeper.Leader()
+	if r.Acknowledged {
+		var since time.Time
+		s.Acknowledged, since = n.users.Acknowledged()
+		s.CompleteMS = time.Since(since).Milliseconds()
+	}
+	if c := n.leading.Load(); r.Summary && c != nil {
+		ctx, cancel := context.WithTimeout(context.Background(), tuning.PeerTimeout)
+		defer cancel()
+		if sum, ok := c.Status(ctx); ok {
+			s.Summary, _ = protocol.Marshal(sum)
+		}
+	}
+	return s
+}
+
+// Leads tells whether this node leads.
+func (n *node) Leads() bool { return n.leading.Load() != nil }
+
+// ObserveTerm takes in a term that a peer has named.
+func (n *node) ObserveTerm(t records.Term) {
+	if t.N > 0 {
+		n.keeper.Observe(t)
+	}
+}
+
+// UserCall answers a user's call for a peer.
+func (n *node) UserCall(ctx context.Context, c *peer.UserCall) *peer.UserAnswer {
+	return n.users.UserCall(ctx, c)
+}
--- a/settings_shape_test.go
+++ b/internal/server/settings_shape_test.go
@@ -1,4 +1,4 @@
-package marblehaven
+package server
 
 import (
 	"testing"
