--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -19,14 +19,14 @@
 // New makes a client over the given transport that has at most so many commands
 // under way at once: a hundred machines that hang take a socket each until the
 // commands to them are given up.
-func New(rt http.RoundTripper, cs *protocol.Complaints, atOnce int) *Client {
-	return &Client{protocol.Caller{HC: &http.Client{Transport: rt}, Complaints: cs}, make(chan struct{}, max(1, atOnce))}
+func New(rt http.RoundTripper, cs *protocol.MalformedLog, atOnce int) *Client {
+	return &Client{protocol.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs}, make(chan struct{}, max(1, atOnce))}
 }
 
 // Do sends commands to the worker at addr and returns its report after them,
 // executed or refused whole: the report tells. An error means that they may
 // still be executed, even much later.
-func (c *Client) Do(ctx context.Context, addr string, req protocol.DoRequest) (*protocol.Report, error) {
+func (c *Client) SendCommands(ctx context.Context, addr string, req protocol.CommandRequest) (*protocol.Heartbeat, error) {
 	select {
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
@@ -35,7 +35,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.DoTimeout)
 	defer cancel()
-	rep := new(protocol.Report)
+	rep := new(protocol.Heartbeat)
 	status, err := c.caller.Call(ctx, http.MethodPost, "http://"+addr+"/do", req, map[int]any{200: rep, 409: rep})
 	if err == nil && status != 200 && status != 409 {
 		err = fmt.Errorf("worker answered %d", status)
--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -29,12 +29,12 @@
 func TestCommandsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &silent{}
-		c := New(s, protocol.NewComplaints(slog.New(slog.DiscardHandler)), 20)
+		c := New(s, protocol.NewMalformedLog(slog.New(slog.DiscardHandler)), 20)
 		start := time.Now()
 		done := make(chan error)
 		for range 100 {
 			go func() {
-				_, err := c.Do(t.Context(), "m:1", protocol.DoRequest{})
+				_, err := c.SendCommands(t.Context(), "m:1", protocol.CommandRequest{})
 				done <- err
 			}()
 		}
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -48,7 +48,7 @@
 			case cancelled:
 				return dependencyCancelled, w.asOf, nil
 			case f.isOpen():
-				refs = append(refs, f.job.open.Job.Awaits...)
+				refs = append(refs, f.job.open.Job.DependsOn...)
 			}
 		}
 	}
@@ -192,14 +192,14 @@
 	if err != nil || k == nil || k.version == 0 || k.open.Cancelled {
 		return k, err
 	}
-	if len(k.open.Job.Awaits) == 0 {
+	if len(k.open.Job.DependsOn) == 0 {
 		u.confirmOpen(ref, start)
 		return k, nil
 	}
 	if _, ok := u.openAsOf(ref); ok {
 		return k, nil
 	}
-	state, asOf, err := u.dependencies(ctx, k.open.Job.Awaits)
+	state, asOf, err := u.dependencies(ctx, k.open.Job.DependsOn)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -40,7 +40,7 @@
 }
 
 // openRecords reads the records of an open job; none if it is not open.
-func (u *Users) openRecords(ctx context.Context, ref string) ([]protocol.Item, error) {
+func (u *Users) openRecords(ctx context.Context, ref string) ([]protocol.KeyValue, error) {
 	if u.sharedReads.wanted() {
 		return u.sharedReads.records(ctx, ref)
 	}
@@ -52,10 +52,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(page.Items) == 0 || page.Items[0].Key != records.OpenKey(ref) {
+	if len(page.Entries) == 0 || page.Entries[0].Key != records.OpenKey(ref) {
 		return nil, nil
 	}
-	return page.Items, nil
+	return page.Entries, nil
 }
 
 // finalStatus returns the remembered status of a job that is over.
@@ -67,25 +67,25 @@
 }
 
 // openJob makes of an open job's records what its user may be told.
-func (u *Users) openJob(ref string, items []protocol.Item) *known {
+func (u *Users) openJob(ref string, items []protocol.KeyValue) *known {
 	k := &known{version: items[0].Version, status: protocol.JobStatus{ID: ref, Phase: protocol.PhaseQueued}}
 	if err := protocol.Unmarshal(items[0].Value, &k.open); err != nil {
 		// That the record is there says that the job was accepted. Refusing
 		// to answer would make it forgotten.
 		u.Log.Error("unreadable job record", "job", ref, "err", err)
-		k.open = records.OpenJob{Cancelled: records.SaysCancelled(items[0].Value)}
+		k.open = records.OpenJob{Cancelled: records.MarkedCancelled(items[0].Value)}
 		k.broken = true
 	}
-	pieces := map[int]records.Run{}
+	pieces := map[int]records.RunRecord{}
 	for _, it := range items[1:] {
-		of, number := records.SplitOpen(it.Key)
-		var r records.Run
-		if of == ref && number != records.NoPiece && protocol.Unmarshal(it.Value, &r) == nil {
+		of, number := records.ParseOpenKey(it.Key)
+		var r records.RunRecord
+		if of == ref && number != records.NoSegment && protocol.Unmarshal(it.Value, &r) == nil {
 			pieces[number] = r
 		}
 	}
-	run := records.Assemble(pieces)
-	k.status.Done, k.status.Running = run.Done.Count(), len(run.Live)
+	run := records.JoinSegments(pieces)
+	k.status.Done, k.status.Running = run.Done.Count(), len(run.Placements)
 	if k.status.Running > 0 {
 		k.status.Phase = protocol.PhaseRunning
 	}
@@ -105,13 +105,13 @@
 	if err != nil {
 		return nil, err
 	}
-	var f records.Final
+	var f records.FinalRecord
 	if err := protocol.Unmarshal(it.Value, &f); err != nil {
 		return nil, fmt.Errorf("%w of %s: %w", errUnreadable, ref, err)
 	}
 	// Nothing of a job with a final record can run, so to say that it is cancelled
 	// is no acknowledgment that a leader would have to know of.
-	st := protocol.JobStatus{ID: ref, Phase: f.Phase, Done: f.Tasks}
+	st := protocol.JobStatus{ID: ref, Phase: f.Phase, Done: f.TasksDone}
 	u.mu.Lock()
 	if len(u.finals) >= tuning.FinalCache {
 		clear(u.finals)
--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -75,14 +75,14 @@
 	if err != nil {
 		return jobListing{}, err
 	}
-	for _, item := range items.Items {
-		ref, piece := records.SplitOpen(item.Key)
-		if piece != records.NoPiece {
+	for _, item := range items.Entries {
+		ref, piece := records.ParseOpenKey(item.Key)
+		if piece != records.NoSegment {
 			continue
 		}
 		var open records.OpenJob
 		if err := protocol.Unmarshal(item.Value, &open); err != nil {
-			open = records.OpenJob{Cancelled: records.SaysCancelled(item.Value)}
+			open = records.OpenJob{Cancelled: records.MarkedCancelled(item.Value)}
 		}
 		listing.jobs[ref] = open
 	}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -47,11 +47,11 @@
 	conns      *conns
 	idle       time.Duration // how long a connection is kept idle
 	redirected atomic.Uint64 // reports that were sent on to another node
-	complaints *protocol.Complaints
+	complaints *protocol.MalformedLog
 }
 
 // NewServer makes the server of a node.
-func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, cs *protocol.Complaints) *Server {
+func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, cs *protocol.MalformedLog) *Server {
 	sockets := cfg.Deployment.Sockets(len(cfg.Peers))
 	reports := time.Duration(cfg.Deployment.Workers.ReportS * float64(time.Second))
 	return &Server{name: cfg.Node, users: users, node: node, peers: peers, log: log, complaints: cs,
@@ -197,13 +197,13 @@
 	if !ok {
 		return
 	}
-	var rep protocol.Report
+	var rep protocol.Heartbeat
 	err := protocol.Unmarshal(body, &rep)
 	if err == nil {
 		err = rep.Check()
 	}
 	if err != nil {
-		s.complaints.Note(r.RemoteAddr, err)
+		s.complaints.Record(r.RemoteAddr, err)
 		reply(w, http.StatusBadRequest, nil)
 		return
 	}
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -35,7 +35,7 @@
 // sharedRead is one reading, for all who asked before it began.
 type sharedRead struct {
 	done  chan struct{} // closed when the rest is set
-	items []protocol.Item
+	items []protocol.KeyValue
 	err   error
 }
 
@@ -61,7 +61,7 @@
 
 // records returns the records of an open job, as a reading that begins after the call
 // finds them; none if it is not open.
-func (s *sharedReads) records(ctx context.Context, ref string) ([]protocol.Item, error) {
+func (s *sharedReads) records(ctx context.Context, ref string) ([]protocol.KeyValue, error) {
 	r := s.join()
 	select {
 	case <-r.done:
@@ -100,19 +100,19 @@
 	defer cancel()
 	began := time.Now()
 	all, err := s.store.ListAll(ctx, records.PrefixOpen)
-	r.items, r.err = all.Items, err
+	r.items, r.err = all.Entries, err
 	close(r.done)
 	if errors.Is(err, kvstore.ErrThrottled) {
 		s.noteThrottled()
 	}
 	s.mu.Lock()
-	s.notBefore = began.Add(s.pause(all.Items))
+	s.notBefore = began.Add(s.pause(all.Entries))
 	s.mu.Unlock()
 }
 
 // pause is how long after the beginning of a reading that found some records the next
 // may begin.
-func (s *sharedReads) pause(items []protocol.Item) time.Duration {
+func (s *sharedReads) pause(items []protocol.KeyValue) time.Duration {
 	bytes := 0
 	for _, it := range items {
 		bytes += len(it.Value)
@@ -123,9 +123,9 @@
 
 // recordsOf picks the records of a job among those of all open jobs, in the order of
 // their keys.
-func recordsOf(items []protocol.Item, ref string) []protocol.Item {
+func recordsOf(items []protocol.KeyValue, ref string) []protocol.KeyValue {
 	key := records.OpenKey(ref)
-	first, found := slices.BinarySearchFunc(items, key, func(it protocol.Item, key string) int { return strings.Compare(it.Key, key) })
+	first, found := slices.BinarySearchFunc(items, key, func(it protocol.KeyValue, key string) int { return strings.Compare(it.Key, key) })
 	if !found {
 		return nil
 	}
--- a/internal/api/sharedreads_test.go
+++ b/internal/api/sharedreads_test.go
@@ -11,12 +11,12 @@
 // Of the records of all open jobs each job gets its own: its open record and the pieces of
 // its run record, none of another whose name begins the same, and nothing if it is not open.
 func TestRecordsOf(t *testing.T) {
-	var items []protocol.Item
+	var items []protocol.KeyValue
 	for _, key := range []string{
-		records.OpenKey("req-1"), records.PieceKey("req-1", 0), records.PieceKey("req-1", 3),
-		records.OpenKey("req-10"), records.PieceKey("req-10", 0), records.PieceKey("req-11", 0), records.OpenKey("req-2"),
+		records.OpenKey("req-1"), records.SegmentKey("req-1", 0), records.SegmentKey("req-1", 3),
+		records.OpenKey("req-10"), records.SegmentKey("req-10", 0), records.SegmentKey("req-11", 0), records.OpenKey("req-2"),
 	} {
-		items = append(items, protocol.Item{Key: key})
+		items = append(items, protocol.KeyValue{Key: key})
 	}
 	for ref, want := range map[string][]string{
 		"req-1":  {"o/req-1", "o/req-1/t", "o/req-1/t/3"},
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -127,22 +127,22 @@
 			if throttled++; throttled > tries || !u.retries.take() {
 				return busy
 			}
-		case errors.Is(err, kvstore.ErrRefused):
+		case errors.Is(err, kvstore.ErrUnavailable):
 			return refused
-		case errors.Is(err, kvstore.ErrMalformed), errors.Is(err, kvstore.ErrTooLarge):
+		case errors.Is(err, kvstore.ErrInvalidRequest), errors.Is(err, kvstore.ErrTooLarge):
 			u.Log.Error("record refused", "err", err)
 			return busy
 		}
 		// Otherwise the outcome is unknown: the next try reads before it
 		// writes, or its write's guards find out.
-		if !clock.For(ctx, tuning.UserRetryPause) {
+		if !clock.Sleep(ctx, tuning.UserRetryPause) {
 			return refused
 		}
 	}
 }
 
 func (u *Users) poll(ctx context.Context, ref string) answer {
-	if !protocol.ValidID(ref) {
+	if !protocol.ValidJobID(ref) {
 		return fault(404, errors.New("no such job"))
 	}
 	return u.settle(ctx, tuning.PollThrottleTries, func() (answer, error) {
@@ -171,12 +171,12 @@
 	}
 	// Only types that exist are kept: a long list of others must not make the
 	// record too large for the state service.
-	job.Types = slices.DeleteFunc(job.Types, func(name string) bool {
+	job.MachineTypes = slices.DeleteFunc(job.MachineTypes, func(name string) bool {
 		return !slices.ContainsFunc(*types, func(t scheduler.Type) bool { return t.Name == name })
 	})
-	slices.Sort(job.Types)
-	job.Types = slices.Compact(job.Types)
-	open := records.OpenJob{Job: *job, AtMS: time.Now().UnixMilli()}
+	slices.Sort(job.MachineTypes)
+	job.MachineTypes = slices.Compact(job.MachineTypes)
+	open := records.OpenJob{Job: *job, AcceptedMS: time.Now().UnixMilli()}
 	if err := u.fits(open); err != nil {
 		return u.refuse(ctx, job.ID, 400, err)
 	}
@@ -202,7 +202,7 @@
 // will have, so that it can be rewritten at any time.
 func (u *Users) fits(open records.OpenJob) error {
 	open.Cancelled = true // it may become so
-	_, size, err := protocol.Encode(open)
+	_, size, err := protocol.EncodeSized(open)
 	if err == nil && size > u.Config.Deployment.State.Smaller().ValueBytes() {
 		err = errors.New("the description is too long to be kept")
 	}
@@ -212,7 +212,7 @@
 // accept writes the record of a job, unless the job is known already.
 func (u *Users) accept(ctx context.Context, open records.OpenJob) (answer, error) {
 	ref := open.Job.ID
-	state, asOf, err := u.dependencies(ctx, open.Job.Awaits)
+	state, asOf, err := u.dependencies(ctx, open.Job.DependsOn)
 	switch {
 	case err != nil:
 		return answer{}, err
@@ -220,9 +220,9 @@
 		return u.refuse(ctx, ref, 422, errors.New("field awaits names a job that was never accepted")), nil
 	}
 	open.Cancelled = state == dependencyCancelled
-	_, err = u.Store.Commit(ctx, protocol.Commit{
-		Guards:  []protocol.Guard{{Key: records.OpenKey(ref)}, {Key: records.FinalKey(ref)}},
-		Changes: []protocol.Change{{Set: records.OpenKey(ref), Value: open}},
+	_, err = u.Store.Commit(ctx, protocol.Transaction{
+		Preconditions: []protocol.Precondition{{Key: records.OpenKey(ref)}, {Key: records.FinalKey(ref)}},
+		Mutations:     []protocol.Mutation{{Set: records.OpenKey(ref), Value: open}},
 	})
 	if err == nil {
 		phase := protocol.PhaseQueued
@@ -241,7 +241,7 @@
 		return answer{}, err
 	}
 	if k == nil {
-		return answer{}, kvstore.ErrUnknown // guards failed, yet nothing is there: look again
+		return answer{}, kvstore.ErrOutcomeUnknown // guards failed, yet nothing is there: look again
 	}
 	return answer{status: 200, body: k.status}, nil
 }
@@ -260,7 +260,7 @@
 		return errors.New("a task fits no allowed machine type")
 	}
 	n := float64(j.Tasks)
-	if j.Shape == protocol.Array {
+	if j.Kind == protocol.KindArray {
 		n = 1
 	}
 	if over(n*j.Cores, team.CoresMax) || over(n*j.GPUs, team.GPUsMax) {
@@ -273,7 +273,7 @@
 func over(need, limit float64) bool { return limit > 0 && need > limit*(1+1e-9) }
 
 func (u *Users) withdraw(ctx context.Context, ref string) answer {
-	if !protocol.ValidID(ref) {
+	if !protocol.ValidJobID(ref) {
 		return fault(404, errors.New("no such job"))
 	}
 	return u.settle(ctx, tuning.UserThrottleTries, func() (answer, error) {
@@ -302,14 +302,14 @@
 	if u.fits(k.open) != nil {
 		// Accepted under larger limits. Nothing of it starts any more, so what
 		// only says where and when it may start is not needed.
-		k.open.Job.Types, k.open.Job.Awaits = nil, nil
+		k.open.Job.MachineTypes, k.open.Job.DependsOn = nil, nil
 	}
-	_, err := u.Store.Commit(ctx, protocol.Commit{
-		Guards:  []protocol.Guard{{Key: records.OpenKey(ref), Version: k.version}},
-		Changes: []protocol.Change{{Set: records.OpenKey(ref), Value: k.open}},
+	_, err := u.Store.Commit(ctx, protocol.Transaction{
+		Preconditions: []protocol.Precondition{{Key: records.OpenKey(ref), Version: k.version}},
+		Mutations:     []protocol.Mutation{{Set: records.OpenKey(ref), Value: k.open}},
 	})
 	if errors.Is(err, kvstore.ErrConflict) {
-		return kvstore.ErrUnknown // it changed meanwhile: look again
+		return kvstore.ErrOutcomeUnknown // it changed meanwhile: look again
 	}
 	if err != nil {
 		return err
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -7,7 +7,7 @@
 )
 
 // For waits for d; it returns false at once when ctx ends.
-func For(ctx context.Context, d time.Duration) bool {
+func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -19,25 +19,25 @@
 	// ErrNoCapacity: nothing of this type, zone and kind is to be had now.
 	ErrNoCapacity = errors.New("cloud: no capacity")
 	// ErrMalformed: the cloud refused the request as malformed.
-	ErrMalformed = errors.New("cloud: malformed request")
+	ErrInvalidRequest = errors.New("cloud: malformed request")
 	// ErrUnavailable: no usable answer; the request may be executed later.
 	ErrUnavailable = errors.New("cloud: unavailable")
 )
 
 // Client is a client of the cloud. It is safe for concurrent use.
 type Client struct {
-	base   string
-	caller protocol.Caller
-	lim    *rate.Limiter
+	base    string
+	caller  protocol.Caller
+	limiter *rate.Limiter
 }
 
 // New makes a client that makes at most rps calls a second.
-func New(addr string, rt http.RoundTripper, cs *protocol.Complaints, rps float64) *Client {
-	return &Client{base: "http://" + addr, caller: protocol.Caller{HC: &http.Client{Transport: rt}, Complaints: cs}, lim: rate.NewLimiter(rate.Limit(rps), int(math.Max(1, rps*tuning.CloudBurst)))}
+func New(addr string, rt http.RoundTripper, cs *protocol.MalformedLog, rps float64) *Client {
+	return &Client{base: "http://" + addr, caller: protocol.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs}, limiter: rate.NewLimiter(rate.Limit(rps), int(math.Max(1, rps*tuning.CloudBurst)))}
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in any, out map[int]any) error {
-	if err := c.lim.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
@@ -47,7 +47,7 @@
 	case err != nil:
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	case status == http.StatusBadRequest:
-		return ErrMalformed
+		return ErrInvalidRequest
 	case status != http.StatusOK:
 		return fmt.Errorf("%w: status %d", ErrUnavailable, status)
 	}
@@ -74,24 +74,24 @@
 }
 
 // Rent asks for machines under a claim. Repeating it is safe.
-func (c *Client) Rent(ctx context.Context, r protocol.RentRequest) ([]string, error) {
-	var hosts protocol.Hosts
+func (c *Client) Provision(ctx context.Context, r protocol.ProvisionRequest) ([]string, error) {
+	var hosts protocol.MachineIDs
 	var refusal protocol.ErrorReply
 	err := c.call(ctx, http.MethodPost, "/rentals", r, map[int]any{200: &hosts, 503: &refusal})
 	if err != nil && refusal.Error == "no capacity" {
 		return nil, ErrNoCapacity
 	}
-	return hosts.Hosts, err
+	return hosts.IDs, err
 }
 
 // Return gives machines back; on success they and all on them are gone.
-func (c *Client) Return(ctx context.Context, hosts []string) error {
-	return c.call(ctx, http.MethodPost, "/rentals/return", protocol.Hosts{Hosts: hosts}, nil)
+func (c *Client) Deprovision(ctx context.Context, hosts []string) error {
+	return c.call(ctx, http.MethodPost, "/rentals/return", protocol.MachineIDs{IDs: hosts}, nil)
 }
 
 // List reads all machines. A page that leads no further although there is more is an
 // error, so that no part of the list is taken for the whole.
-func (c *Client) List(ctx context.Context) ([]protocol.ListedMachine, error) {
+func (c *Client) ListMachines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
 	for last := ""; ; {
 		q := url.Values{"most": {fmt.Sprint(tuning.ListMax)}}
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -41,8 +41,8 @@
 			return 503, protocol.MachineList{}
 		}
 		return 200, page(from)
-	}), protocol.NewComplaints(slog.New(slog.DiscardHandler)), 1000)
-	if all, err := c.List(t.Context()); err != nil || len(all) != 2500 || all[2499].ID != "m-002499" {
+	}), protocol.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000)
+	if all, err := c.ListMachines(t.Context()); err != nil || len(all) != 2500 || all[2499].ID != "m-002499" {
 		t.Errorf("listed %d machines: %v", len(all), err)
 	}
 	for name, page := range map[string]protocol.MachineList{
@@ -50,13 +50,13 @@
 		"repeated": {More: true, Machines: []protocol.ListedMachine{{ID: "m-000001"}}},
 	} {
 		broken := pages(func(string) (int, protocol.MachineList) { return 200, page })
-		all, err := New("cloud:1", broken, protocol.NewComplaints(slog.New(slog.DiscardHandler)), 1000).List(t.Context())
+		all, err := New("cloud:1", broken, protocol.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000).ListMachines(t.Context())
 		if !errors.Is(err, ErrUnavailable) || all != nil {
 			t.Errorf("a list with a page that is %s: %d machines, %v", name, len(all), err)
 		}
 	}
 	fails = 1500
-	if all, err := c.List(t.Context()); !errors.Is(err, ErrUnavailable) || all != nil {
+	if all, err := c.ListMachines(t.Context()); !errors.Is(err, ErrUnavailable) || all != nil {
 		t.Errorf("a page failed: listed %d machines: %v", len(all), err)
 	}
 }
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -89,7 +89,7 @@
 
 // Reported is a task in a worker's newest report.
 type Reported struct {
-	protocol.TaskReport
+	protocol.TaskStatus
 	Of Key
 	OK bool // its name could be read
 }
@@ -115,8 +115,8 @@
 // One that is not is a late copy, which proves nothing, or comes from a worker
 // that began anew, counting from the start. A worker has one report under way at
 // a time, so between reports that came by themselves there is no other reason.
-func (m *Machine) Heard(r *protocol.Report) bool {
-	at := stamp{r.Session, r.Seq}
+func (m *Machine) Heard(r *protocol.Heartbeat) bool {
+	at := stamp{r.Incarnation, r.Sequence}
 	if !m.heard.before(at) {
 		return false
 	}
@@ -145,7 +145,7 @@
 // only a worker that is there and counts from the start can show it in a report
 // that looks old. It returns true if that is proved: then all that its former
 // life ran is gone, and its counters count from here.
-func (m *Machine) Again(r *protocol.Report) bool {
+func (m *Machine) Again(r *protocol.Heartbeat) bool {
 	switch {
 	case m.probe == 0:
 		m.Token++
@@ -154,7 +154,7 @@
 	case r.Token < m.probe:
 		return false
 	}
-	m.Session, m.Seq, m.Lapsed, m.heard, m.probe = 0, 0, 0, stamp{r.Session, r.Seq}, 0
+	m.Session, m.Seq, m.Lapsed, m.heard, m.probe = 0, 0, 0, stamp{r.Incarnation, r.Sequence}, 0
 	m.reborn = true
 	return true
 }
@@ -201,11 +201,11 @@
 // A placement ends on one of these proofs only: the worker lists its attempt as exited;
 // a later session, or a new life; or its absence, once no start of it can arrive any
 // more.
-func (m *Machine) Observe(r *protocol.Report, parse func(string) (Key, bool), now, leaseEnd time.Time) (ended []Ended, fresh bool) {
-	if r.Session < m.Session || (r.Session == m.Session && r.Seq <= m.Seq) || r.Session <= m.Lapsed {
+func (m *Machine) Observe(r *protocol.Heartbeat, parse func(string) (Key, bool), now, leaseEnd time.Time) (ended []Ended, fresh bool) {
+	if r.Incarnation < m.Session || (r.Incarnation == m.Session && r.Sequence <= m.Seq) || r.Incarnation <= m.Lapsed {
 		return nil, false
 	}
-	newSession := r.Session > m.Session
+	newSession := r.Incarnation > m.Session
 	known := m.Session > 0
 	if r.Token >= m.probe {
 		m.probe = 0
@@ -216,7 +216,7 @@
 		return nil, true // most reports: hundreds a second at a large site
 	}
 	if newSession {
-		ended = m.beginSession(r.Session, known, leaseEnd)
+		ended = m.beginSession(r.Incarnation, known, leaseEnd)
 	}
 	shown := m.takeTasks(r, parse)
 	ended = append(ended, m.endedBy(shown, now)...)
@@ -225,13 +225,13 @@
 }
 
 // takeHeader takes in what a report says of the machine itself.
-func (m *Machine) takeHeader(r *protocol.Report, now time.Time) {
-	m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.Type, r.Zone, r.Spot
-	m.Session, m.Seq, m.Up, m.LastReport, m.Unanswered = r.Session, r.Seq, true, now, 0
+func (m *Machine) takeHeader(r *protocol.Heartbeat, now time.Time) {
+	m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.MachineType, r.Zone, r.Spot
+	m.Session, m.Seq, m.Up, m.LastReport, m.Unanswered = r.Incarnation, r.Sequence, true, now, 0
 	m.Shown = max(m.Shown, r.Token)
 	m.NoticeEnd = time.Time{}
-	if r.Notice != nil {
-		m.NoticeEnd = now.Add(time.Duration(*r.Notice * float64(time.Second)))
+	if r.PreemptionNoticeS != nil {
+		m.NoticeEnd = now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
 	}
 }
 
@@ -267,10 +267,10 @@
 }
 
 // takeTasks takes in the tasks that a report lists and returns those that are known.
-func (m *Machine) takeTasks(r *protocol.Report, parse func(string) (Key, bool)) map[Key]*protocol.TaskReport {
+func (m *Machine) takeTasks(r *protocol.Heartbeat, parse func(string) (Key, bool)) map[Key]*protocol.TaskStatus {
 	m.Reported = make([]Reported, len(r.Tasks))
 	m.UnknownTasks = 0
-	shown := make(map[Key]*protocol.TaskReport, len(r.Tasks))
+	shown := make(map[Key]*protocol.TaskStatus, len(r.Tasks))
 	for i := range r.Tasks {
 		key, ok := parse(r.Tasks[i].Task)
 		m.Reported[i] = Reported{r.Tasks[i], key, ok}
@@ -285,7 +285,7 @@
 
 // endedBy draws the conclusions from the known tasks of the newest report for the
 // placements of its session.
-func (m *Machine) endedBy(shown map[Key]*protocol.TaskReport, now time.Time) (ended []Ended) {
+func (m *Machine) endedBy(shown map[Key]*protocol.TaskStatus, now time.Time) (ended []Ended) {
 	m.matched = true
 	for key, p := range m.Live {
 		if p.Session != m.Session {
@@ -296,7 +296,7 @@
 		case t != nil && t.State == protocol.TaskExited:
 			// The worker ignores a repeated start as long as it lists the
 			// attempt, so the placement is over although a start may be late.
-			ended = append(ended, Ended{Placement: p, Cause: t.Cause, Saved: t.Saved})
+			ended = append(ended, Ended{Placement: p, Cause: t.ExitReason, Saved: t.Checkpointed})
 		case t != nil:
 			p.Sent = true
 			if p.State != t.State {
@@ -339,8 +339,8 @@
 	return out
 }
 
-func (m *Machine) sameTasks(ts []protocol.TaskReport) bool {
-	return slices.EqualFunc(m.Reported, ts, func(a Reported, b protocol.TaskReport) bool { return a.TaskReport == b })
+func (m *Machine) sameTasks(ts []protocol.TaskStatus) bool {
+	return slices.EqualFunc(m.Reported, ts, func(a Reported, b protocol.TaskStatus) bool { return a.TaskStatus == b })
 }
 
 // Lapse ends everything of a session whose lease is surely over.
--- a/internal/cluster/machine_test.go
+++ b/internal/cluster/machine_test.go
@@ -20,8 +20,8 @@
 
 const base = uint64(3) << tuning.TermShift
 
-func report(session, seq, token uint64, tasks ...protocol.TaskReport) *protocol.Report {
-	return &protocol.Report{Machine: "m-1", Session: session, Seq: seq, Token: token, Tasks: tasks}
+func report(session, seq, token uint64, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+	return &protocol.Heartbeat{Machine: "m-1", Incarnation: session, Sequence: seq, Token: token, Tasks: tasks}
 }
 
 // start makes a machine with one placement whose start is under way.
@@ -39,7 +39,7 @@
 // A placement is released on proof only; each step lacks it but the last.
 func TestRelease(t *testing.T) {
 	m, p, now := start(t)
-	expect := func(what string, r *protocol.Report, over bool) {
+	expect := func(what string, r *protocol.Heartbeat, over bool) {
 		t.Helper()
 		ended, _ := m.Observe(r, parse, now, now.Add(lease))
 		if (len(ended) == 1) != over {
@@ -53,11 +53,11 @@
 	}
 	expect("absent, but the start may run late", report(1, 3, base), false)
 	expect("an older report", report(1, 2, base+1), false)
-	expect("running", report(1, 4, base, protocol.TaskReport{Task: "req-1/0", Attempt: 1, State: protocol.TaskRunning}), false)
+	expect("running", report(1, 4, base, protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskRunning}), false)
 	if p.State != protocol.TaskRunning {
 		t.Error("state not taken in")
 	}
-	expect("another attempt of it", report(1, 5, base, protocol.TaskReport{Task: "req-1/0", Attempt: 2, State: protocol.TaskRunning}), false)
+	expect("another attempt of it", report(1, 5, base, protocol.TaskStatus{Task: "req-1/0", Attempt: 2, State: protocol.TaskRunning}), false)
 	if m.UnknownTasks != 1 || len(m.Unknown()) != 1 || m.Unknown()[0].Attempt != 2 {
 		t.Error("what is not in the records was not seen")
 	}
@@ -71,9 +71,9 @@
 func TestReap(t *testing.T) {
 	m, p, now := start(t)
 	m.Answered(true, true)
-	done := protocol.TaskReport{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone}
+	done := protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}
 	ended, _ := m.Observe(report(1, 2, base, done), parse, now, now.Add(lease))
-	if len(ended) != 1 || ended[0].Cause != protocol.CauseDone {
+	if len(ended) != 1 || ended[0].Cause != protocol.ExitDone {
 		t.Fatalf("ended %v", ended)
 	}
 	m.Drop(p, now)
@@ -128,8 +128,8 @@
 func TestLateCopies(t *testing.T) {
 	m, p, now := start(t)
 	m.Answered(true, true)
-	running := protocol.TaskReport{Task: "req-1/0", Attempt: 1, State: protocol.TaskRunning}
-	take := func(r *protocol.Report) bool {
+	running := protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskRunning}
+	take := func(r *protocol.Heartbeat) bool {
 		t.Helper()
 		if !m.Heard(r) && !m.Again(r) {
 			return false
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -18,29 +18,29 @@
 )
 
 // Held is a term that this node holds.
-type Held struct {
-	N     uint64
-	Stamp uint64 // version of the term key: the guard of all the leader's writes
+type Leadership struct {
+	Term        uint64
+	TermVersion uint64 // version of the term key: the guard of all the leader's writes
 }
 
 // Keeper runs elections for one node.
-type Keeper struct {
+type Candidate struct {
 	store *kvstore.Client
 	node  string
 	log   *slog.Logger
 
 	leader atomic.Pointer[records.Term]       // as last seen; nil: none known
-	depose atomic.Pointer[func(newer uint64)] // while leading
+	revoke atomic.Pointer[func(newer uint64)] // while leading
 	resign atomic.Bool
 }
 
 // New makes a keeper.
-func New(store *kvstore.Client, node string, log *slog.Logger) *Keeper {
-	return &Keeper{store: store, node: node, log: log}
+func New(store *kvstore.Client, node string, log *slog.Logger) *Candidate {
+	return &Candidate{store: store, node: node, log: log}
 }
 
 // Leader is who led last, as far as this node knows.
-func (k *Keeper) Leader() (records.Term, bool) {
+func (k *Candidate) Leader() (records.Term, bool) {
 	if t := k.leader.Load(); t != nil {
 		return *t, true
 	}
@@ -49,32 +49,32 @@
 
 // Observe takes in a term heard of from a peer or a worker. A newer one than
 // our own ends our leadership at once.
-func (k *Keeper) Observe(t records.Term) {
+func (k *Candidate) ObserveTerm(t records.Term) {
 	for {
 		cur := k.leader.Load()
-		if cur != nil && cur.N >= t.N {
+		if cur != nil && cur.Number >= t.Number {
 			return
 		}
 		if k.leader.CompareAndSwap(cur, &t) {
 			break
 		}
 	}
-	if f := k.depose.Load(); f != nil {
-		(*f)(t.N)
+	if f := k.revoke.Load(); f != nil {
+		(*f)(t.Number)
 	}
 }
 
 // Resign ends this node's term, if it holds one, so that another node takes over
 // at once.
-func (k *Keeper) Resign() {
-	if f := k.depose.Load(); f != nil {
+func (k *Candidate) Resign() {
+	if f := k.revoke.Load(); f != nil {
 		k.resign.Store(true)
 		(*f)(math.MaxUint64)
 	}
 }
 
 // term reads the term under a key, and the key's version: 0 if it does not exist.
-func (k *Keeper) term(ctx context.Context, key string) (t records.Term, version uint64, err error) {
+func (k *Candidate) readTerm(ctx context.Context, key string) (t records.Term, version uint64, err error) {
 	it, err := k.store.Get(ctx, key)
 	if err == nil {
 		err = protocol.Unmarshal(it.Value, &t)
@@ -84,12 +84,12 @@
 
 // stepDown frees the leader key and leaves the next term to the other nodes,
 // unless none of them takes it.
-func (k *Keeper) stepDown(ctx context.Context, grant uint64) {
-	if err := k.store.EndGrant(ctx, grant); err != nil {
+func (k *Candidate) stepDown(ctx context.Context, grant uint64) {
+	if err := k.store.RevokeLease(ctx, grant); err != nil {
 		k.log.Debug("ending the grant", "err", err) // it runs out by itself
 	}
-	for start := time.Now(); time.Since(start) < tuning.StepDown && clock.For(ctx, tuning.ElectionRetry); {
-		if t, _, err := k.term(ctx, records.KeyLeader); err == nil && t.Node != k.node {
+	for start := time.Now(); time.Since(start) < tuning.StepDown && clock.Sleep(ctx, tuning.ElectionRetry); {
+		if t, _, err := k.readTerm(ctx, records.KeyLeader); err == nil && t.Node != k.node {
 			return
 		}
 	}
@@ -97,21 +97,21 @@
 
 // Run takes part in elections until ctx ends. lead is called with each term
 // held; its context ends with the term.
-func (k *Keeper) Run(ctx context.Context, lead func(context.Context, Held)) {
+func (k *Candidate) Run(ctx context.Context, lead func(context.Context, Leadership)) {
 	for ctx.Err() == nil {
-		held, grant, rev, err := k.attempt(ctx)
+		held, grant, rev, err := k.campaign(ctx)
 		switch {
 		case held != nil:
-			k.log.Info("leading", "term", held.N)
-			k.leader.Store(&records.Term{N: held.N, Node: k.node})
-			grant = k.hold(ctx, *held, grant, lead)
-			k.log.Info("no longer leading", "term", held.N)
+			k.log.Info("leading", "term", held.Term)
+			k.leader.Store(&records.Term{Number: held.Term, Node: k.node})
+			grant = k.holdTerm(ctx, *held, grant, lead)
+			k.log.Info("no longer leading", "term", held.Term)
 			if k.resign.Swap(false) {
 				k.stepDown(ctx, grant)
 			}
 		case err != nil:
 			k.log.Debug("election", "err", err)
-			clock.For(ctx, tuning.ElectionRetry)
+			clock.Sleep(ctx, tuning.ElectionRetry)
 		default:
 			k.watch(ctx, rev)
 		}
@@ -120,29 +120,29 @@
 
 // attempt takes the term if nobody holds it. It returns the revision to watch
 // from when somebody does.
-func (k *Keeper) attempt(ctx context.Context) (*Held, uint64, uint64, error) {
-	leader, guard, err := k.term(ctx, records.KeyLeader)
+func (k *Candidate) campaign(ctx context.Context) (*Leadership, uint64, uint64, error) {
+	leader, guard, err := k.readTerm(ctx, records.KeyLeader)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, 0, 0, err
 	}
 	if err == nil && leader.Node != k.node {
-		k.Observe(leader)
+		k.ObserveTerm(leader)
 		return nil, 0, guard, nil
 	}
 	// If we are named but do not lead, this is an earlier process of ours, which is
 	// gone, or a lost term. It need not be waited out.
-	term, termGuard, err := k.term(ctx, records.KeyTerm)
+	term, termGuard, err := k.readTerm(ctx, records.KeyTerm)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, 0, 0, err
 	}
-	grant, err := k.store.NewGrant(ctx, tuning.GrantLife)
+	grant, err := k.store.GrantLease(ctx, tuning.GrantLife)
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	mine := records.Term{N: term.N + 1, Node: k.node}
-	r, err := k.store.Commit(ctx, protocol.Commit{
-		Guards: []protocol.Guard{{Key: records.KeyLeader, Version: guard}, {Key: records.KeyTerm, Version: termGuard}},
-		Changes: []protocol.Change{
+	mine := records.Term{Number: term.Number + 1, Node: k.node}
+	r, err := k.store.Commit(ctx, protocol.Transaction{
+		Preconditions: []protocol.Precondition{{Key: records.KeyLeader, Version: guard}, {Key: records.KeyTerm, Version: termGuard}},
+		Mutations: []protocol.Mutation{
 			{Set: records.KeyTerm, Value: mine},
 			{Set: records.KeyLeader, Value: mine, Lease: grant},
 		},
@@ -150,20 +150,20 @@
 	if err != nil {
 		return nil, 0, 0, err // if it was applied after all, the next attempt finds our own name
 	}
-	return &Held{N: mine.N, Stamp: r.Revision}, grant, 0, nil
+	return &Leadership{Term: mine.Number, TermVersion: r.Revision}, grant, 0, nil
 }
 
 // hold leads until the term is lost, and returns the grant held last.
-func (k *Keeper) hold(ctx context.Context, held Held, grant uint64, lead func(context.Context, Held)) uint64 {
+func (k *Candidate) holdTerm(ctx context.Context, held Leadership, grant uint64, lead func(context.Context, Leadership)) uint64 {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	depose := func(newer uint64) {
-		if newer > held.N {
+		if newer > held.Term {
 			cancel()
 		}
 	}
-	k.depose.Store(&depose)
-	defer k.depose.Store(nil)
+	k.revoke.Store(&depose)
+	defer k.revoke.Store(nil)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -188,25 +188,25 @@
 		case <-tick.C:
 			if under < tuning.TouchesAtOnce {
 				under++
-				go func(grant uint64) { touches <- touch{grant, k.store.Touch(ctx, grant)} }(grant)
+				go func(grant uint64) { touches <- touch{grant, k.store.KeepAlive(ctx, grant)} }(grant)
 			}
 			continue
 		case t = <-touches:
 			under--
 		}
-		if t.grant != grant || !errors.Is(t.err, kvstore.ErrNoLease) {
+		if t.grant != grant || !errors.Is(t.err, kvstore.ErrLeaseExpired) {
 			continue
 		}
 		// The grant ran out, for instance while this process was held up. If
 		// nobody took the term, the leader key is put up again.
-		g, err := k.store.NewGrant(ctx, tuning.GrantLife)
+		g, err := k.store.GrantLease(ctx, tuning.GrantLife)
 		if err != nil {
 			continue
 		}
 		grant = g
-		_, err = k.store.Commit(ctx, protocol.Commit{
-			Guards:  []protocol.Guard{{Key: records.KeyTerm, Version: held.Stamp}},
-			Changes: []protocol.Change{{Set: records.KeyLeader, Value: records.Term{N: held.N, Node: k.node}, Lease: grant}},
+		_, err = k.store.Commit(ctx, protocol.Transaction{
+			Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: held.TermVersion}},
+			Mutations:     []protocol.Mutation{{Set: records.KeyLeader, Value: records.Term{Number: held.Term, Node: k.node}, Lease: grant}},
 		})
 		if errors.Is(err, kvstore.ErrConflict) {
 			cancel()
@@ -218,11 +218,11 @@
 
 // watch waits until the leader key goes, or until the state service cannot be
 // followed.
-func (k *Keeper) watch(ctx context.Context, rev uint64) {
+func (k *Candidate) watch(ctx context.Context, rev uint64) {
 	for ctx.Err() == nil {
-		ev, err := k.store.Follow(ctx, records.KeyLeader, rev, tuning.LeaderFollowHold)
+		ev, err := k.store.Watch(ctx, records.KeyLeader, rev, tuning.LeaderFollowHold)
 		if err != nil {
-			clock.For(ctx, tuning.ElectionRetry)
+			clock.Sleep(ctx, tuning.ElectionRetry)
 			return
 		}
 		rev = ev.Revision
@@ -232,7 +232,7 @@
 			}
 			var t records.Term
 			if e.Set == records.KeyLeader && protocol.Unmarshal(e.Value, &t) == nil {
-				k.Observe(t)
+				k.ObserveTerm(t)
 				if t.Node == k.node {
 					return
 				}
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -28,8 +28,8 @@
 func newHistory(ctx context.Context) *history {
 	cfg := config.Deployment{Workers: config.Workers{ReportS: 2.5, LeaseS: 1000, CancelS: 37}}
 	w := NewWorld(ctx, NewNetwork(1), cfg, []protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
-	w.Register(protocol.Job{ID: first, Shape: protocol.Array, Tasks: 1, Cores: 1})
-	w.Register(protocol.Job{ID: second, Shape: protocol.Array, Tasks: 1, Cores: 1, Awaits: []string{first}})
+	w.Register(protocol.Job{ID: first, Kind: protocol.KindArray, Tasks: 1, Cores: 1})
+	w.Register(protocol.Job{ID: second, Kind: protocol.KindArray, Tasks: 1, Cores: 1, DependsOn: []string{first}})
 	h := &history{World: w}
 	w.mu.Lock()
 	id := w.newMachine("big", "a", false)
@@ -41,7 +41,7 @@
 }
 
 func (h *history) record(ref, machine string) {
-	h.State.Put(records.PieceKey(ref, 0), records.Run{Next: 2, Live: []records.Placement{{Attempt: 1, Machine: machine}}})
+	h.State.Put(records.SegmentKey(ref, 0), records.RunRecord{NextAttempt: 2, Placements: []records.Placement{{Attempt: 1, Machine: machine}}})
 }
 
 // run makes a job's task run on the machine, as if a controller had started it.
@@ -83,9 +83,9 @@
 		{"a task runs that no record names", func(h *history) { h.record(first, "m-000009"); h.run(first) }, "orphaned: no record names"},
 		{"the record goes before the task", func(h *history) {
 			h.run(first)
-			h.State.Remove(records.PieceKey(first, 0))
+			h.State.Remove(records.SegmentKey(first, 0))
 		}, "orphaned: no record names"},
-		{"a record that can't be read", func(h *history) { h.run(first); h.State.Spoil(records.PieceKey(first, 0)) }, ""},
+		{"a record that can't be read", func(h *history) { h.run(first); h.State.Spoil(records.SegmentKey(first, 0)) }, ""},
 		{"a job starts before the one that it waits for is done", func(h *history) {
 			h.record(second, h.machine.id)
 			h.run(second)
@@ -105,7 +105,7 @@
 			running := h.run(first)
 			h.cancel(first)
 			h.mu.Lock()
-			h.machine.exit(running, protocol.CauseStopped)
+			h.machine.exit(running, protocol.ExitStopped)
 			h.mu.Unlock()
 			time.Sleep(pastCancel)
 		}, ""},
--- a/internal/fake/dependencies.go
+++ b/internal/fake/dependencies.go
@@ -10,14 +10,14 @@
 func (w *World) needed(u *userJob) []*userJob {
 	var out []*userJob
 	seen := map[string]bool{}
-	work := u.job.Awaits
+	work := u.job.DependsOn
 	for len(work) > 0 {
 		ref := work[0]
 		work = work[1:]
 		if d := w.jobs[ref]; d != nil && !seen[ref] {
 			seen[ref] = true
 			out = append(out, d)
-			work = append(work, d.job.Awaits...)
+			work = append(work, d.job.DependsOn...)
 		}
 	}
 	return out
--- a/internal/fake/records.go
+++ b/internal/fake/records.go
@@ -16,7 +16,7 @@
 // decodedPiece is a version of a piece of a run record.
 type decodedPiece struct {
 	version  uint64
-	run      records.Run
+	run      records.RunRecord
 	readable bool
 }
 
@@ -29,10 +29,10 @@
 func (r *recordChecker) piece(ref string, task int) decodedPiece {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
-	key := records.PieceKey(ref, records.Piece(task))
+	key := records.SegmentKey(ref, records.SegmentOf(task))
 	stored, written := r.state.keys[key]
 	if !written {
-		key = records.PieceKey(ref, 0)
+		key = records.SegmentKey(ref, 0)
 		if stored, written = r.state.keys[key]; !written {
 			return decodedPiece{readable: true} // it names nothing
 		}
@@ -53,7 +53,7 @@
 	if !piece.readable {
 		return true
 	}
-	for _, p := range piece.run.Live {
+	for _, p := range piece.run.Placements {
 		if p.Task == t.num && p.Attempt == t.attempt && p.Machine == machine {
 			return true
 		}
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -41,7 +41,7 @@
 	changed chan struct{}
 	refuse  map[string]bool // hosts that get 503; "" for all
 	// OnCommit is told of every applied commit.
-	OnCommit func(c *protocol.Commit)
+	OnCommit func(c *protocol.Transaction)
 	// Limits of a commit; 0 is none. Breaking one is the caller's mistake.
 	MaxOps, MaxValue int
 	// limited: the limits have become smaller without notice. Breaking one gets 400,
@@ -57,7 +57,7 @@
 	// LoseReply picks applied commits that are not answered.
 	LoseReply func() bool
 	// Fault picks what goes wrong with a commit, before its conditions are looked at.
-	Fault func(c *protocol.Commit) Fault
+	Fault func(c *protocol.Transaction) Fault
 	// Late picks commits that get no answer and are carried out so much later,
 	// after newer ones; 0: not this one.
 	Late func() time.Duration
@@ -83,7 +83,7 @@
 
 type change struct {
 	key string
-	ev  protocol.Event
+	ev  protocol.WatchEvent
 }
 
 // NewState makes an empty state service.
@@ -185,13 +185,13 @@
 
 func (s *State) put(key string, e entry) {
 	s.keys[key] = e
-	s.log = append(s.log, change{key, protocol.Event{Set: key, Value: e.value, Version: e.version}})
+	s.log = append(s.log, change{key, protocol.WatchEvent{Set: key, Value: e.value, Version: e.version}})
 }
 
 func (s *State) del(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
-		s.log = append(s.log, change{key, protocol.Event{Delete: key, Version: s.rev}})
+		s.log = append(s.log, change{key, protocol.WatchEvent{Delete: key, Version: s.rev}})
 	}
 }
 
@@ -268,19 +268,19 @@
 			}
 		}
 		slices.Sort(keys)
-		page := protocol.Items{Revision: s.rev, Items: []protocol.Item{}}
+		page := protocol.KeyValuePage{Revision: s.rev, Entries: []protocol.KeyValue{}}
 		for _, k := range keys {
-			if len(page.Items) == s.pageSize(most) {
+			if len(page.Entries) == s.pageSize(most) {
 				page.More = true
 				break
 			}
-			page.Items = append(page.Items, protocol.Item{Key: k, Value: s.keys[k].value, Version: s.keys[k].version})
+			page.Entries = append(page.Entries, protocol.KeyValue{Key: k, Value: s.keys[k].value, Version: s.keys[k].version})
 		}
 		answer(w, 200, page)
 	case strings.HasPrefix(path, "/keys/"):
 		k := strings.TrimPrefix(path, "/keys/")
 		if e, ok := s.keys[k]; ok {
-			answer(w, 200, protocol.Item{Key: k, Value: e.value, Version: e.version})
+			answer(w, 200, protocol.KeyValue{Key: k, Value: e.value, Version: e.version})
 		} else {
 			answer(w, 404, epoch{s.rev})
 		}
@@ -299,21 +299,21 @@
 		}
 		s.commit(w, body)
 	case path == "/grants":
-		var g protocol.GrantRequest
+		var g protocol.LeaseRequest
 		if err := protocol.Unmarshal(body, &g); err != nil {
 			panic(err)
 		}
 		s.nextID++
-		life := time.Duration(g.LifeMS) * time.Millisecond
+		life := time.Duration(g.TTLMS) * time.Millisecond
 		s.leases[s.nextID] = &lease{life, time.Now().Add(life)}
 		id := s.nextID
 		go s.watchLease(id, life)
-		answer(w, 200, protocol.Grant{Lease: id})
+		answer(w, 200, protocol.Lease{ID: id})
 	case strings.HasSuffix(path, "/touch"):
 		id, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 		if l := s.leases[id]; l != nil {
 			l.expires = time.Now().Add(l.life)
-			answer(w, 200, protocol.Grant{Lease: id})
+			answer(w, 200, protocol.Lease{ID: id})
 		} else {
 			answer(w, 404, nil)
 		}
@@ -329,7 +329,7 @@
 		until := time.NewTimer(time.Duration(hold) * time.Millisecond)
 		defer until.Stop()
 		for over := false; ; {
-			out := protocol.Events{Revision: s.rev, Events: []protocol.Event{}}
+			out := protocol.WatchReply{Revision: s.rev, Events: []protocol.WatchEvent{}}
 			for _, c := range s.log {
 				if c.ev.Version > after && strings.HasPrefix(c.key, q.Get("prefix")) && (s.LoseEvent == nil || !s.LoseEvent(c.key)) {
 					out.Events = append(out.Events, c.ev)
@@ -399,7 +399,7 @@
 
 // transaction is a commit as it arrives.
 type transaction struct {
-	Guards  []protocol.Guard `msgpack:"guards"`
+	Guards  []protocol.Precondition `msgpack:"guards"`
 	Changes []struct {
 		Set    string             `msgpack:"set"`
 		Value  msgpack.RawMessage `msgpack:"data"`
@@ -409,10 +409,10 @@
 }
 
 // keys is the transaction without its values.
-func (t *transaction) keys() *protocol.Commit {
-	out := &protocol.Commit{Guards: t.Guards}
+func (t *transaction) keys() *protocol.Transaction {
+	out := &protocol.Transaction{Preconditions: t.Guards}
 	for _, ch := range t.Changes {
-		out.Changes = append(out.Changes, protocol.Change{Set: ch.Set, Delete: ch.Delete})
+		out.Mutations = append(out.Mutations, protocol.Mutation{Set: ch.Set, Delete: ch.Delete})
 	}
 	return out
 }
@@ -453,7 +453,7 @@
 			broken = fmt.Sprintf("value of %d bytes at %s", n, ch.Set)
 		}
 		if ch.Lease != 0 && s.leases[ch.Lease] == nil {
-			answer(w, 400, protocol.ErrorReply{Error: protocol.ErrNoLease})
+			answer(w, 400, protocol.ErrorReply{Error: protocol.ReasonNoLease})
 			return
 		}
 	}
@@ -479,7 +479,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		answer(w, 409, protocol.CommitReply{Failed: failed, Revision: s.rev})
+		answer(w, 409, protocol.TransactionReply{FailedKeys: failed, Revision: s.rev})
 		return
 	}
 	if len(c.Changes) > 0 {
@@ -500,5 +500,5 @@
 		answer(w, 502, nil)
 		return
 	}
-	answer(w, 200, protocol.CommitReply{Revision: s.rev})
+	answer(w, 200, protocol.TransactionReply{Revision: s.rev})
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -157,8 +157,8 @@
 				m.images[u.job.Image] = true
 				switch {
 				case u.finished[t.num]:
-					m.exit(t, protocol.CauseDone)
-				case u.job.Shape == protocol.Gang:
+					m.exit(t, protocol.ExitDone)
+				case u.job.Kind == protocol.KindGang:
 					m.enter(t, protocol.TaskWaiting)
 				default:
 					t.left = u.runS * (1 + m.w.Uneven*float64(t.num))
@@ -172,21 +172,21 @@
 				m.exit(t, "incomplete")
 			}
 		case protocol.TaskRunning:
-			if u.job.Shape == protocol.Service {
+			if u.job.Kind == protocol.KindService {
 				continue
 			}
 			if t.left -= dt; t.left <= 0 {
 				u.finished[t.num] = true
-				m.exit(t, protocol.CauseDone)
+				m.exit(t, protocol.ExitDone)
 				if m.w.OnDone != nil && len(u.finished) == u.job.Tasks {
 					go m.w.OnDone(t.ref)
 				}
 			}
 		case protocol.TaskSaving:
-			if age >= u.job.SaveS {
+			if age >= u.job.CheckpointSaveS {
 				t.saved = true
 				m.w.Saved++
-				m.exit(t, protocol.CauseStopped)
+				m.exit(t, protocol.ExitStopped)
 			}
 		}
 	}
@@ -197,7 +197,7 @@
 func (m *machine) exit(t *task, cause string) {
 	t.cause = cause
 	m.enter(t, protocol.TaskExited)
-	if m.w.jobs[t.ref].job.Shape == protocol.Gang {
+	if m.w.jobs[t.ref].job.Kind == protocol.KindGang {
 		m.w.gangsChanged()
 	}
 }
@@ -214,7 +214,7 @@
 		for _, t := range m.tasks {
 			g := gang{t.ref, t.attempt}
 			switch {
-			case w.jobs[t.ref].job.Shape != protocol.Gang:
+			case w.jobs[t.ref].job.Kind != protocol.KindGang:
 			case t.state == protocol.TaskWaiting:
 				waiting[g] = append(waiting[g], t)
 			case t.state == protocol.TaskRunning, t.state == protocol.TaskSaving, t.saved:
@@ -240,23 +240,23 @@
 			}
 			t.state, t.since, t.cause = protocol.TaskExited, time.Now(), "peers"
 			if len(u.finished) > 0 { // they complete together
-				u.finished[t.num], t.cause = true, protocol.CauseDone
+				u.finished[t.num], t.cause = true, protocol.ExitDone
 			}
 		}
 	}
 }
 
-func (m *machine) message() protocol.Report {
+func (m *machine) message() protocol.Heartbeat {
 	m.seq++
-	r := protocol.Report{Machine: m.id, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot, Session: m.session,
-		Seq: m.seq, Token: m.token, Tasks: []protocol.TaskReport{}}
+	r := protocol.Heartbeat{Machine: m.id, Addr: m.addr, MachineType: m.typ.Name, Zone: m.zone, Spot: m.spot, Incarnation: m.session,
+		Sequence: m.seq, Token: m.token, Tasks: []protocol.TaskStatus{}}
 	if !m.notice.IsZero() {
 		left := time.Until(m.notice).Seconds()
-		r.Notice = &left
+		r.PreemptionNoticeS = &left
 	}
 	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: fmt.Sprintf("%s/%d", t.ref, t.num), Attempt: t.attempt,
-			State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("%s/%d", t.ref, t.num), Attempt: t.attempt,
+			State: t.state, ExitReason: t.cause, Checkpointed: t.saved})
 	}
 	return r
 }
@@ -283,7 +283,7 @@
 		m.w.mu.Unlock()
 		last = time.Now()
 		ctx, cancel := context.WithTimeout(m.w.life, 4*time.Second)
-		var ans protocol.ReportReply
+		var ans protocol.HeartbeatReply
 		var redirect protocol.Redirect
 		status, err := protocol.Call(ctx, hc, http.MethodPost, "http://"+addr+"/hello", msg, map[int]any{200: &ans, 421: &redirect})
 		cancel()
@@ -297,10 +297,10 @@
 			status = 0
 		}
 		if status == 200 && err == nil {
-			if ans.Token >= m.token && msg.Session == m.session && !m.gone {
+			if ans.Token >= m.token && msg.Incarnation == m.session && !m.gone {
 				m.renewed = last
 				m.setToken(ans.Token)
-				m.execute(ans.Orders)
+				m.execute(ans.Commands)
 			}
 			m.w.mu.Unlock()
 			continue
@@ -337,7 +337,7 @@
 	return nil
 }
 
-func (m *machine) execute(orders []protocol.Order) {
+func (m *machine) execute(orders []protocol.Command) {
 	for _, o := range orders {
 		ref, num := parseTask(o.Task)
 		var same *task
@@ -356,14 +356,14 @@
 				continue
 			}
 			u := m.w.jobs[ref]
-			saves := same.state == protocol.TaskRunning && u.job.CheckpointS > 0 && o.Grace >= u.job.SaveS
+			saves := same.state == protocol.TaskRunning && u.job.CheckpointIntervalS > 0 && o.GracePeriodS >= u.job.CheckpointSaveS
 			switch {
 			case saves:
 				m.enter(same, protocol.TaskSaving)
-			case same.state != protocol.TaskSaving || o.Grace == 0:
-				m.exit(same, protocol.CauseStopped)
+			case same.state != protocol.TaskSaving || o.GracePeriodS == 0:
+				m.exit(same, protocol.ExitStopped)
 			}
-		case protocol.VerbForget:
+		case protocol.VerbRelease:
 			for i, t := range m.tasks {
 				if t == same && t.state == protocol.TaskExited {
 					m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
@@ -380,7 +380,7 @@
 	m.changed = true
 	u := m.w.jobs[ref]
 	if u == nil {
-		t.cause = protocol.CauseUnknown
+		t.cause = protocol.ExitUnknownTask
 		m.tasks = append(m.tasks, t)
 		return
 	}
@@ -394,9 +394,9 @@
 	other := m.find(ref, num)
 	switch {
 	case other != nil && other.state != protocol.TaskExited:
-		t.cause = protocol.CauseBusy
+		t.cause = protocol.ExitDuplicate
 	case u.job.Cores > cores+1e-6 || u.job.GPUs > gpus+1e-6 || u.job.MemGB > mem+1e-6:
-		t.cause = protocol.CauseNoRoom
+		t.cause = protocol.ExitNoCapacity
 	default:
 		t.state = protocol.TaskFetching
 	}
@@ -421,18 +421,18 @@
 		answer(rw, 200, m.message())
 		return
 	}
-	var req protocol.DoRequest
+	var req protocol.CommandRequest
 	if protocol.Unmarshal(body, &req) != nil {
 		answer(rw, 400, nil)
 		return
 	}
-	if req.Token < m.token || req.Session != m.session {
+	if req.Token < m.token || req.Incarnation != m.session {
 		answer(rw, 409, m.message())
 		return
 	}
 	m.setToken(req.Token)
-	m.execute(req.Orders)
-	if d := m.hangs; d > 0 && len(req.Orders) > 0 {
+	m.execute(req.Commands)
+	if d := m.hangs; d > 0 && len(req.Commands) > 0 {
 		m.hangs, m.hung = 0, true
 		m.w.mu.Unlock()
 		time.Sleep(d)
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -233,12 +233,12 @@
 		slices.SortFunc(c.Types, func(a, b protocol.MachineType) int { return strings.Compare(a.Name, b.Name) })
 		return 200, c
 	case r.URL.Path == "/rentals" && r.Method == http.MethodPost:
-		var req protocol.RentRequest
+		var req protocol.ProvisionRequest
 		if protocol.Unmarshal(body, &req) != nil || req.Count < 1 || req.Count > 50 {
 			return 400, nil
 		}
-		if hosts, ok := w.claims[req.Claim]; ok {
-			return 200, protocol.Hosts{Hosts: hosts}
+		if hosts, ok := w.claims[req.RequestID]; ok {
+			return 200, protocol.MachineIDs{IDs: hosts}
 		}
 		n := req.Count
 		if limit, ok := w.capacity[fmt.Sprint(req.Type, req.Zone, req.Spot)]; ok {
@@ -256,14 +256,14 @@
 		for range n {
 			hosts = append(hosts, w.newMachine(req.Type, req.Zone, req.Spot))
 		}
-		w.claims[req.Claim] = hosts
-		return 200, protocol.Hosts{Hosts: hosts}
+		w.claims[req.RequestID] = hosts
+		return 200, protocol.MachineIDs{IDs: hosts}
 	case r.URL.Path == "/rentals/return":
-		var h protocol.Hosts
-		if protocol.Unmarshal(body, &h) != nil || len(h.Hosts) > 100 {
+		var h protocol.MachineIDs
+		if protocol.Unmarshal(body, &h) != nil || len(h.IDs) > 100 {
 			return 400, nil
 		}
-		for _, id := range h.Hosts {
+		for _, id := range h.IDs {
 			w.remove(id)
 		}
 		return 200, nil
@@ -335,12 +335,12 @@
 
 // JobMap spells a job as users do; only what has a value where null is allowed.
 func JobMap(j *protocol.Job) map[string]any {
-	m := map[string]any{"ref": j.ID, "workload": j.Class, "owner": j.Team, "shape": j.Shape, "rank": j.Rank,
+	m := map[string]any{"ref": j.ID, "workload": j.Class, "owner": j.Team, "shape": j.Kind, "rank": j.Priority,
 		"pieces": j.Tasks, "cores": j.Cores, "cards": j.GPUs, "memGb": j.MemGB, "bundle": j.Image,
 		"imageGb": j.ImageGB, "samePlace": j.OneZone, "spread": j.Spread, "loaners": j.Spot,
-		"guessS": j.EstimateS, "snapshotS": j.CheckpointS, "flushS": j.SaveS, "quarry": nil, "unheardOf": []int{1}}
-	if j.Types != nil {
-		m["flavors"] = j.Types
+		"guessS": j.EstimateS, "snapshotS": j.CheckpointIntervalS, "flushS": j.CheckpointSaveS, "quarry": nil, "unheardOf": []int{1}}
+	if j.MachineTypes != nil {
+		m["flavors"] = j.MachineTypes
 	}
 	if j.Zone != "" {
 		m["quarry"] = j.Zone
@@ -348,8 +348,8 @@
 	if j.DeadlineS > 0 {
 		m["dueS"] = j.DeadlineS
 	}
-	if j.Awaits != nil {
-		m["awaits"] = j.Awaits
+	if j.DependsOn != nil {
+		m["awaits"] = j.DependsOn
 	}
 	return m
 }
@@ -473,7 +473,7 @@
 	}
 	zones[m.zone]++
 	switch {
-	case len(d.Types) > 0 && !slices.Contains(d.Types, m.typ.Name), d.Zone != "" && d.Zone != m.zone, m.spot && !d.Spot,
+	case len(d.MachineTypes) > 0 && !slices.Contains(d.MachineTypes, m.typ.Name), d.Zone != "" && d.Zone != m.zone, m.spot && !d.Spot,
 		d.OneZone && len(zones) > 1, d.Spread && zones[m.zone] > (d.Tasks+1)/2:
 		w.breakRule("wrong_place: %s/%d on %s", t.ref, t.num, m.id)
 	}
@@ -532,7 +532,7 @@
 		return
 	}
 	for _, u := range w.jobs {
-		if !u.accepted || u.job.Shape == protocol.Gang || !w.mustStart(u) || !w.roomFor(u) {
+		if !u.accepted || u.job.Kind == protocol.KindGang || !w.mustStart(u) || !w.roomFor(u) {
 			u.besideRoom = time.Time{}
 			continue
 		}
@@ -576,7 +576,7 @@
 	}
 	for _, m := range w.machines {
 		if !m.up || m.hung || !m.notice.IsZero() || (m.spot && !d.Spot) || (d.Zone != "" && d.Zone != m.zone) ||
-			(len(d.Types) > 0 && !slices.Contains(d.Types, m.typ.Name)) ||
+			(len(d.MachineTypes) > 0 && !slices.Contains(d.MachineTypes, m.typ.Name)) ||
 			(d.OneZone && len(zones) > 0 && zones[m.zone] == 0) || (d.Spread && zones[m.zone]+1 > (d.Tasks+1)/2) {
 			continue
 		}
--- a/internal/kvstore/apply.go
+++ b/internal/kvstore/apply.go
@@ -29,64 +29,64 @@
 // As long as the condition on the fence holds, the caller must be the only one to create
 // or delete any of the keys that the transaction changes under a condition, or to set
 // any that it sets, and must have one transaction under way at a time.
-func (c *Client) Apply(ctx context.Context, txn protocol.Commit, fence string) (protocol.CommitReply, error) {
+func (c *Client) CommitUntilKnown(ctx context.Context, txn protocol.Transaction, fence string) (protocol.TransactionReply, error) {
 	unanswered := false
 	for ctx.Err() == nil {
 		reply, err := c.Commit(ctx, txn)
 		switch {
-		case errors.Is(err, ErrUnknown):
+		case errors.Is(err, ErrOutcomeUnknown):
 			unanswered = true
 		case !unanswered:
 			return reply, err
-		case errors.Is(err, ErrConflict) && slices.Contains(reply.Failed, fence):
+		case errors.Is(err, ErrConflict) && slices.Contains(reply.FailedKeys, fence):
 			return reply, err
 		case errors.Is(err, ErrConflict):
 			return c.resolveConflict(ctx, &txn, reply)
 		case err == nil:
 			return reply, nil
-		case !errors.Is(err, ErrRefused):
+		case !errors.Is(err, ErrUnavailable):
 			// It cannot be sent any more, for instance since the limits have
 			// become smaller. That says nothing of the first try.
 			return reply, fmt.Errorf("%w: %w", ErrInDoubt, err)
 		}
-		clock.For(ctx, tuning.ElectionRetry)
+		clock.Sleep(ctx, tuning.ElectionRetry)
 	}
-	return protocol.CommitReply{}, ctx.Err()
+	return protocol.TransactionReply{}, ctx.Err()
 }
 
 // resolveConflict tells whether a conflict shows that an earlier, unanswered try was
 // executed: that would have changed every key that the transaction changes, so the
 // conditions on all of these fail. One that holds proves that it was not executed; and
 // since versions never come back it never will be.
-func (c *Client) resolveConflict(ctx context.Context, txn *protocol.Commit, reply protocol.CommitReply) (protocol.CommitReply, error) {
-	set, executed := changedKeys(txn, reply.Failed)
+func (c *Client) resolveConflict(ctx context.Context, txn *protocol.Transaction, reply protocol.TransactionReply) (protocol.TransactionReply, error) {
+	set, executed := changedKeys(txn, reply.FailedKeys)
 	if !executed {
 		return reply, ErrConflict
 	}
 	if set == "" {
-		return protocol.CommitReply{}, nil // it deleted records only, which leaves no version
+		return protocol.TransactionReply{}, nil // it deleted records only, which leaves no version
 	}
 	for ctx.Err() == nil {
 		item, err := c.Get(ctx, set)
 		switch {
 		case err == nil:
-			return protocol.CommitReply{Revision: item.Version}, nil
+			return protocol.TransactionReply{Revision: item.Version}, nil
 		case errors.Is(err, ErrNotFound):
 			return reply, fmt.Errorf("%w: %s is gone", ErrInDoubt, set)
 		}
-		clock.For(ctx, tuning.ElectionRetry)
+		clock.Sleep(ctx, tuning.ElectionRetry)
 	}
-	return protocol.CommitReply{}, ctx.Err()
+	return protocol.TransactionReply{}, ctx.Err()
 }
 
 // changedKeys tells whether all conditions on keys that a transaction changes have
 // failed, of which there must be one, and names a key that it sets under a condition.
-func changedKeys(txn *protocol.Commit, failed []string) (set string, allFailed bool) {
+func changedKeys(txn *protocol.Transaction, failed []string) (set string, allFailed bool) {
 	conditions := map[string]bool{}
-	for _, guard := range txn.Guards {
+	for _, guard := range txn.Preconditions {
 		conditions[guard.Key] = true
 	}
-	for _, change := range txn.Changes {
+	for _, change := range txn.Mutations {
 		key := change.Set + change.Delete
 		if !conditions[key] {
 			continue
--- a/internal/kvstore/apply_test.go
+++ b/internal/kvstore/apply_test.go
@@ -42,9 +42,9 @@
 	network := fake.NewNetwork(seed)
 	network.Listen("state", "state:1", w.state)
 	limits := config.State{StateLimits: config.StateLimits{ValueKB: 32, TxnOps: 20}}
-	w.client = kvstore.New("state:1", network.From(t.Context(), "leader"), protocol.NewComplaints(slog.New(slog.DiscardHandler)), limits)
-	w.state.OnCommit = func(txn *protocol.Commit) {
-		for _, guard := range txn.Guards {
+	w.client = kvstore.New("state:1", network.From(t.Context(), "leader"), protocol.NewMalformedLog(slog.New(slog.DiscardHandler)), limits)
+	w.state.OnCommit = func(txn *protocol.Transaction) {
+		for _, guard := range txn.Preconditions {
 			var number int
 			if _, err := fmt.Sscanf(guard.Key, "number/%d", &number); err == nil {
 				w.mu.Lock()
@@ -72,7 +72,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	for _, item := range items.Items {
+	for _, item := range items.Entries {
 		w.versions[item.Key] = item.Version
 	}
 }
@@ -88,30 +88,30 @@
 
 // transaction rewrites some records, closes a job whose open record the user changes as
 // well, or does both.
-func (w *writer) transaction() protocol.Commit {
+func (w *writer) transaction() protocol.Transaction {
 	w.number++
-	txn := protocol.Commit{Guards: []protocol.Guard{{Key: fence, Version: w.versions[fence]}, {Key: fmt.Sprint("number/", w.number)}}}
+	txn := protocol.Transaction{Preconditions: []protocol.Precondition{{Key: fence, Version: w.versions[fence]}, {Key: fmt.Sprint("number/", w.number)}}}
 	guard := func(key string) {
-		txn.Guards = append(txn.Guards, protocol.Guard{Key: key, Version: w.versions[key]})
+		txn.Preconditions = append(txn.Preconditions, protocol.Precondition{Key: key, Version: w.versions[key]})
 	}
 	for i := range 3 {
 		if key := fmt.Sprint("run/", i); w.rng.IntN(2) == 0 {
 			guard(key)
-			txn.Changes = append(txn.Changes, protocol.Change{Set: key, Value: w.number})
+			txn.Mutations = append(txn.Mutations, protocol.Mutation{Set: key, Value: w.number})
 		}
 	}
 	if w.versions["open"] > 0 && w.rng.IntN(2) == 0 {
 		final := fmt.Sprint("final/", w.versions["open"])
 		guard("open")
 		guard(final)
-		txn.Changes = append(txn.Changes, protocol.Change{Delete: "open"}, protocol.Change{Set: final, Value: w.number})
+		txn.Mutations = append(txn.Mutations, protocol.Mutation{Delete: "open"}, protocol.Mutation{Set: final, Value: w.number})
 	}
 	return txn
 }
 
 // learn takes in that a transaction was carried out.
-func (w *writer) learn(txn *protocol.Commit, revision uint64) {
-	for _, change := range txn.Changes {
+func (w *writer) learn(txn *protocol.Transaction, revision uint64) {
+	for _, change := range txn.Mutations {
 		if change.Delete != "" {
 			delete(w.versions, change.Delete)
 		} else {
@@ -127,7 +127,7 @@
 		w.newTerm()
 	}
 	txn := w.transaction()
-	if len(txn.Changes) == 0 {
+	if len(txn.Mutations) == 0 {
 		return
 	}
 	if w.rng.IntN(3) == 0 { // its user cancels it meanwhile
@@ -141,7 +141,7 @@
 	}
 	ctx, cancel := context.WithTimeout(w.t.Context(), time.Minute)
 	defer cancel()
-	reply, err := w.client.Apply(ctx, txn, fence)
+	reply, err := w.client.CommitUntilKnown(ctx, txn, fence)
 	time.Sleep(time.Second)
 	w.outcome[w.number] = err
 	switch {
@@ -172,7 +172,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newWriter(t, seed)
 			faults := rand.New(rand.NewPCG(seed, 4)) // the service asks for one fault at a time
-			w.state.Fault = func(*protocol.Commit) fake.Fault {
+			w.state.Fault = func(*protocol.Transaction) fake.Fault {
 				return []fake.Fault{fake.None, fake.None, fake.None, fake.AnswerLost,
 					fake.NotExecuted, fake.OverLimit, fake.Throttled}[faults.IntN(7)]
 			}
@@ -208,14 +208,14 @@
 }
 
 // pages answers lists with pages made up by a function of the last key before.
-type pages func(after string) protocol.Items
+type pages func(after string) protocol.KeyValuePage
 
 // A list of several pages that breaks off, comes again or goes back is no list: records
 // that are missing in it would be taken for closed jobs, and their pieces deleted.
 func TestListAll(t *testing.T) {
-	row := func(keys ...string) (out []protocol.Item) {
+	row := func(keys ...string) (out []protocol.KeyValue) {
 		for _, key := range keys {
-			out = append(out, protocol.Item{Key: key, Version: 1})
+			out = append(out, protocol.KeyValue{Key: key, Version: 1})
 		}
 		return out
 	}
@@ -224,26 +224,28 @@
 		pages pages
 		want  int // -1: an error
 	}{
-		{"one page", func(string) protocol.Items { return protocol.Items{Items: row("a", "b"), Revision: 5} }, 2},
-		{"none", func(string) protocol.Items { return protocol.Items{Revision: 5} }, 0},
-		{"two pages", func(after string) protocol.Items {
+		{"one page", func(string) protocol.KeyValuePage { return protocol.KeyValuePage{Entries: row("a", "b"), Revision: 5} }, 2},
+		{"none", func(string) protocol.KeyValuePage { return protocol.KeyValuePage{Revision: 5} }, 0},
+		{"two pages", func(after string) protocol.KeyValuePage {
 			if after == "b" {
-				return protocol.Items{Items: row("c"), Revision: 6}
+				return protocol.KeyValuePage{Entries: row("c"), Revision: 6}
 			}
-			return protocol.Items{Items: row("a", "b"), More: true, Revision: 5}
+			return protocol.KeyValuePage{Entries: row("a", "b"), More: true, Revision: 5}
 		}, 3},
-		{"an empty page before the end", func(after string) protocol.Items {
+		{"an empty page before the end", func(after string) protocol.KeyValuePage {
 			if after == "b" {
-				return protocol.Items{More: true, Revision: 6}
+				return protocol.KeyValuePage{More: true, Revision: 6}
 			}
-			return protocol.Items{Items: row("a", "b"), More: true, Revision: 5}
+			return protocol.KeyValuePage{Entries: row("a", "b"), More: true, Revision: 5}
 		}, -1},
-		{"the same page again", func(string) protocol.Items { return protocol.Items{Items: row("a", "b"), More: true, Revision: 5} }, -1},
-		{"out of order", func(string) protocol.Items { return protocol.Items{Items: row("b", "a"), Revision: 5} }, -1},
+		{"the same page again", func(string) protocol.KeyValuePage {
+			return protocol.KeyValuePage{Entries: row("a", "b"), More: true, Revision: 5}
+		}, -1},
+		{"out of order", func(string) protocol.KeyValuePage { return protocol.KeyValuePage{Entries: row("b", "a"), Revision: 5} }, -1},
 	} {
-		all, err := kvstore.New("state:1", b.pages, protocol.NewComplaints(slog.New(slog.DiscardHandler)), config.State{}).ListAll(t.Context(), "")
-		if (err != nil) != (b.want < 0) || (err == nil && (len(all.Items) != b.want || all.Revision != 5)) {
-			t.Errorf("%s: %d records at %d, %v", b.name, len(all.Items), all.Revision, err)
+		all, err := kvstore.New("state:1", b.pages, protocol.NewMalformedLog(slog.New(slog.DiscardHandler)), config.State{}).ListAll(t.Context(), "")
+		if (err != nil) != (b.want < 0) || (err == nil && (len(all.Entries) != b.want || all.Revision != 5)) {
+			t.Errorf("%s: %d records at %d, %v", b.name, len(all.Entries), all.Revision, err)
 		}
 	}
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -18,19 +18,19 @@
 
 var (
 	// ErrUnknown: no usable answer; the request may be executed, also later.
-	ErrUnknown = errors.New("state service: outcome unknown")
+	ErrOutcomeUnknown = errors.New("state service: outcome unknown")
 	// ErrRefused: answered 503 or 429; the request was not executed.
-	ErrRefused = errors.New("state service: refused")
+	ErrUnavailable = errors.New("state service: refused")
 	// ErrThrottled: answered 429; the request was not executed.
-	ErrThrottled = fmt.Errorf("%w: too many requests", ErrRefused)
+	ErrThrottled = fmt.Errorf("%w: too many requests", ErrUnavailable)
 	// ErrConflict: a guard of the commit did not hold.
 	ErrConflict = errors.New("state service: guard failed")
 	// ErrNotFound: no such key.
 	ErrNotFound = errors.New("state service: not found")
 	// ErrNoLease: the grant is over.
-	ErrNoLease = errors.New("state service: grant is over")
+	ErrLeaseExpired = errors.New("state service: grant is over")
 	// ErrMalformed: the service refused the request as malformed; not executed.
-	ErrMalformed = errors.New("state service: malformed request")
+	ErrInvalidRequest = errors.New("state service: malformed request")
 	// ErrTooLarge: the transaction exceeds the limits, so it was not sent.
 	ErrTooLarge = errors.New("state service: beyond the limits")
 	// ErrCompacted: the follow position is too old.
@@ -39,33 +39,33 @@
 
 // Client is a client of the state service. It is safe for concurrent use.
 type Client struct {
-	base   string
-	caller protocol.Caller
-	limits *limits
-	lastOK atomic.Int64 // steady time of the last answer that shows service, ns since start
-	start  time.Time
+	base       string
+	caller     protocol.Caller
+	limits     *limits
+	lastServed atomic.Int64 // steady time of the last answer that shows service, ns since start
+	start      time.Time
 }
 
 // New makes a client for the address host:port over the given transport, within
 // the limits that the settings give.
-func New(addr string, rt http.RoundTripper, cs *protocol.Complaints, state config.State) *Client {
-	return &Client{base: "http://" + addr, caller: protocol.Caller{HC: &http.Client{Transport: rt}, Complaints: cs},
+func New(addr string, rt http.RoundTripper, cs *protocol.MalformedLog, state config.State) *Client {
+	return &Client{base: "http://" + addr, caller: protocol.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs},
 		limits: newLimits(state), start: time.Now()}
 }
 
 // ValueBytes is the largest value, in bytes as JSON, that may be written now.
-func (c *Client) ValueBytes() int { return c.limits.valueBytes() }
+func (c *Client) MaxValueBytes() int { return c.limits.valueBytes() }
 
 // TxnOps is how many changes a transaction may have.
-func (c *Client) TxnOps() int { return c.limits.smaller.TxnOps }
+func (c *Client) MaxMutations() int { return c.limits.smaller.TxnOps }
 
 // UseSmaller keeps to the smaller of the present and the announced value limit
 // from now on.
-func (c *Client) UseSmaller() { c.limits.strict.Store(true) }
+func (c *Client) UseAnnouncedLimits() { c.limits.announced.Store(true) }
 
 // SinceOK is the time since the service last answered other than by refusing.
-func (c *Client) SinceOK() time.Duration {
-	return time.Since(c.start) - time.Duration(c.lastOK.Load())
+func (c *Client) SinceServed() time.Duration {
+	return time.Since(c.start) - time.Duration(c.lastServed.Load())
 }
 
 func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, in any, out map[int]any) (int, error) {
@@ -73,25 +73,25 @@
 	defer cancel()
 	status, err := c.caller.Call(ctx, method, c.base+path, in, out)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 	}
 	if status != http.StatusServiceUnavailable {
-		c.lastOK.Store(int64(time.Since(c.start)))
+		c.lastServed.Store(int64(time.Since(c.start)))
 	}
 	switch status {
 	case http.StatusServiceUnavailable:
-		return status, ErrRefused
+		return status, ErrUnavailable
 	case http.StatusTooManyRequests:
 		return status, ErrThrottled
 	}
 	return status, nil
 }
 
-func unexpected(status int) error { return fmt.Errorf("%w: status %d", ErrUnknown, status) }
+func unexpected(status int) error { return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status) }
 
 // Get reads a key.
-func (c *Client) Get(ctx context.Context, key string) (protocol.Item, error) {
-	var it protocol.Item
+func (c *Client) Get(ctx context.Context, key string) (protocol.KeyValue, error) {
+	var it protocol.KeyValue
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodGet, "/keys/"+key, nil, map[int]any{200: &it})
 	switch {
 	case err != nil:
@@ -105,8 +105,8 @@
 }
 
 // List reads one page of the keys with a prefix.
-func (c *Client) List(ctx context.Context, prefix, after string, limit int) (protocol.Items, error) {
-	var page protocol.Items
+func (c *Client) List(ctx context.Context, prefix, after string, limit int) (protocol.KeyValuePage, error) {
+	var page protocol.KeyValuePage
 	q := url.Values{"prefix": {prefix}, "most": {fmt.Sprint(limit)}}
 	if after != "" {
 		q.Set("after", after)
@@ -122,36 +122,36 @@
 // follow from it sees whatever changed between the pages. A page that does not go on
 // where the last one ended is an error: what is missing would look like records that
 // do not exist.
-func (c *Client) ListAll(ctx context.Context, prefix string) (protocol.Items, error) {
-	var all protocol.Items
+func (c *Client) ListAll(ctx context.Context, prefix string) (protocol.KeyValuePage, error) {
+	var all protocol.KeyValuePage
 	for last := ""; ; {
 		page, err := c.List(ctx, prefix, last, tuning.StatePage)
 		if err != nil {
-			return protocol.Items{}, err
+			return protocol.KeyValuePage{}, err
 		}
 		if last == "" {
 			all.Revision = page.Revision
 		}
-		for _, item := range page.Items {
+		for _, item := range page.Entries {
 			if item.Key <= last {
-				return protocol.Items{}, fmt.Errorf("%w: key %q listed after %q", ErrUnknown, item.Key, last)
+				return protocol.KeyValuePage{}, fmt.Errorf("%w: key %q listed after %q", ErrOutcomeUnknown, item.Key, last)
 			}
 			last = item.Key
 		}
-		all.Items = append(all.Items, page.Items...)
+		all.Entries = append(all.Entries, page.Entries...)
 		if !page.More {
 			return all, nil
 		}
-		if len(page.Items) == 0 {
-			return protocol.Items{}, fmt.Errorf("%w: empty page with more to come", ErrUnknown)
+		if len(page.Entries) == 0 {
+			return protocol.KeyValuePage{}, fmt.Errorf("%w: empty page with more to come", ErrOutcomeUnknown)
 		}
 	}
 }
 
 // Commit applies a transaction. On ErrConflict the reply names the guards. All
 // writes of the service come through here, so here they are held to the limits.
-func (c *Client) Commit(ctx context.Context, txn protocol.Commit) (protocol.CommitReply, error) {
-	var r protocol.CommitReply
+func (c *Client) Commit(ctx context.Context, txn protocol.Transaction) (protocol.TransactionReply, error) {
+	var r protocol.TransactionReply
 	if err := c.limits.check(&txn); err != nil {
 		return r, err
 	}
@@ -162,12 +162,12 @@
 		return r, err
 	case status == 409:
 		return r, ErrConflict
-	case status == 400 && r.Error == protocol.ErrNoLease:
-		return r, ErrNoLease
+	case status == 400 && r.Error == protocol.ReasonNoLease:
+		return r, ErrLeaseExpired
 	case status == 400:
 		// The limits may have become smaller, which no message announces.
-		c.UseSmaller()
-		return r, fmt.Errorf("%w: %s", ErrMalformed, r.Error)
+		c.UseAnnouncedLimits()
+		return r, fmt.Errorf("%w: %s", ErrInvalidRequest, r.Error)
 	case status != 200 || r.Revision == 0:
 		return r, unexpected(status)
 	}
@@ -175,24 +175,24 @@
 }
 
 // NewGrant opens a lease.
-func (c *Client) NewGrant(ctx context.Context, life time.Duration) (uint64, error) {
-	var g protocol.Grant
+func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
+	var g protocol.Lease
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodPost, "/grants",
-		protocol.GrantRequest{LifeMS: life.Milliseconds()}, map[int]any{200: &g})
-	if err == nil && (status != 200 || g.Lease == 0) {
+		protocol.LeaseRequest{TTLMS: life.Milliseconds()}, map[int]any{200: &g})
+	if err == nil && (status != 200 || g.ID == 0) {
 		err = unexpected(status)
 	}
-	return g.Lease, err
+	return g.ID, err
 }
 
 // Touch renews a lease.
-func (c *Client) Touch(ctx context.Context, lease uint64) error {
+func (c *Client) KeepAlive(ctx context.Context, lease uint64) error {
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodPost, fmt.Sprintf("/grants/%d/touch", lease), nil, nil)
 	switch {
 	case err != nil:
 		return err
 	case status == 404:
-		return ErrNoLease
+		return ErrLeaseExpired
 	case status != 200:
 		return unexpected(status)
 	}
@@ -200,7 +200,7 @@
 }
 
 // EndGrant ends a lease at once.
-func (c *Client) EndGrant(ctx context.Context, lease uint64) error {
+func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil)
 	if err == nil && status != 200 && status != 404 {
 		err = unexpected(status)
@@ -209,8 +209,8 @@
 }
 
 // Follow waits up to hold for changes under a prefix after a revision.
-func (c *Client) Follow(ctx context.Context, prefix string, after uint64, hold time.Duration) (protocol.Events, error) {
-	var ev protocol.Events
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (protocol.WatchReply, error) {
+	var ev protocol.WatchReply
 	q := url.Values{"prefix": {prefix}, "after": {fmt.Sprint(after)}, "holdMs": {fmt.Sprint(hold.Milliseconds())}}
 	status, err := c.call(ctx, hold+tuning.FollowGrace, http.MethodGet, "/follow?"+q.Encode(), nil, map[int]any{200: &ev})
 	switch {
--- a/internal/kvstore/limits.go
+++ b/internal/kvstore/limits.go
@@ -14,9 +14,9 @@
 // are written as the previous version of the service reads them, and respect the
 // announced limit from the moment when strict is set, which is never undone.
 type limits struct {
-	present config.StateLimits
-	smaller config.StateLimits
-	strict  atomic.Bool
+	present   config.StateLimits
+	smaller   config.StateLimits
+	announced atomic.Bool
 }
 
 func newLimits(state config.State) *limits {
@@ -24,7 +24,7 @@
 }
 
 func (l *limits) valueBytes() int {
-	if l.strict.Load() {
+	if l.announced.Load() {
 		return l.smaller.ValueBytes()
 	}
 	return l.present.ValueBytes()
@@ -32,21 +32,21 @@
 
 // check encodes the values of a transaction and fails with ErrTooLarge if the
 // state service would refuse it.
-func (l *limits) check(txn *protocol.Commit) error {
-	if n := len(txn.Changes); n > l.smaller.TxnOps {
+func (l *limits) check(txn *protocol.Transaction) error {
+	if n := len(txn.Mutations); n > l.smaller.TxnOps {
 		return fmt.Errorf("%w: %d changes", ErrTooLarge, n)
 	}
-	if n := len(txn.Guards); n > tuning.TxnGuards*l.smaller.TxnOps {
+	if n := len(txn.Preconditions); n > tuning.TxnGuards*l.smaller.TxnOps {
 		return fmt.Errorf("%w: %d conditions", ErrTooLarge, n)
 	}
-	total := len(txn.Guards) * tuning.TxnEntryBytes
-	for i := range txn.Changes {
-		change := &txn.Changes[i]
+	total := len(txn.Preconditions) * tuning.TxnEntryBytes
+	for i := range txn.Mutations {
+		change := &txn.Mutations[i]
 		total += tuning.TxnEntryBytes
 		if change.Value == nil {
 			continue
 		}
-		raw, size, err := protocol.Encode(change.Value)
+		raw, size, err := protocol.EncodeSized(change.Value)
 		if err != nil {
 			return err
 		}
--- a/internal/leader/authority.go
+++ b/internal/leader/authority.go
@@ -18,14 +18,14 @@
 	read := time.Now()
 	for ctx.Err() == nil {
 		start := time.Now()
-		ev, err := c.Store.Follow(ctx, records.PrefixOpen, rev, tuning.FollowHold)
+		ev, err := c.Store.Watch(ctx, records.PrefixOpen, rev, tuning.FollowHold)
 		switch {
 		case err == nil:
 			rev = ev.Revision
 			c.send(eventsMsg{ev.Events, start})
 		case errors.Is(err, kvstore.ErrCompacted):
 		default:
-			clock.For(ctx, tuning.ElectionRetry)
+			clock.Sleep(ctx, tuning.ElectionRetry)
 			continue
 		}
 		// All is read again now and then: an event that was lost would leave an
@@ -34,13 +34,13 @@
 			start := time.Now()
 			items, lerr := c.Store.ListAll(ctx, records.PrefixOpen)
 			if lerr != nil {
-				clock.For(ctx, tuning.ElectionRetry)
+				clock.Sleep(ctx, tuning.ElectionRetry)
 				continue
 			}
 			read = time.Now()
 			m := eventsMsg{asOf: start}
-			for _, it := range items.Items {
-				m.events = append(m.events, protocol.Event{Set: it.Key, Value: it.Value, Version: it.Version})
+			for _, it := range items.Entries {
+				m.events = append(m.events, protocol.WatchEvent{Set: it.Key, Value: it.Value, Version: it.Version})
 			}
 			if err != nil {
 				rev = items.Revision
@@ -52,16 +52,16 @@
 
 // confirmTerm proves once a second that the term is still ours.
 func (c *Controller) confirmTerm(ctx context.Context) {
-	for clock.For(ctx, tuning.FollowHold) {
+	for clock.Sleep(ctx, tuning.FollowHold) {
 		start := time.Now()
 		it, err := c.Store.Get(ctx, records.KeyTerm)
 		if err != nil {
 			continue
 		}
-		if it.Version != c.term.Stamp {
+		if it.Version != c.term.TermVersion {
 			var t records.Term
 			if protocol.Unmarshal(it.Value, &t) == nil {
-				c.OnTerm(t.N)
+				c.OnTerm(t.Number)
 			}
 			return
 		}
@@ -125,7 +125,7 @@
 func (c *Controller) onEvents(m eventsMsg, now time.Time) {
 	for _, e := range m.events {
 		if e.Set != "" {
-			if _, piece := records.SplitOpen(e.Set); piece == records.NoPiece {
+			if _, piece := records.ParseOpenKey(e.Set); piece == records.NoSegment {
 				c.setOpen(e.Set, e.Value, e.Version, now)
 			}
 		}
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -29,16 +29,16 @@
 		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprint("t", i), Cores: 900, CoresMax: 10000})
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	store := kvstore.New("state:1", &calls{}, protocol.NewComplaints(log), d.State)
-	c := New(Deps{Config: cfg, Store: store, Log: log, OnTerm: func(uint64) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Held{N: 1, Stamp: 1})
+	store := kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(log), d.State)
+	c := New(Deps{Config: cfg, Store: store, Log: log, OnTerm: func(uint64) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
 	c.Bind(context.Background())
 	now := time.Now()
 	c.takeover, c.asOfFollow, c.asOfTerm = now, now, now
 	c.setTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
 	c.loadedTypes = true
 	for i := range jobs {
-		o := records.OpenJob{AtMS: now.UnixMilli(), Job: protocol.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: fmt.Sprint("t", i%10),
-			Shape: protocol.Array, Rank: protocol.Standard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
+		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: fmt.Sprint("t", i%10),
+			Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
 		b, _ := protocol.Marshal(o)
 		c.setOpen(records.OpenKey(o.Job.ID), b, 1, now)
 	}
@@ -56,11 +56,11 @@
 	return c, now
 }
 
-func fullReport(c *Controller, i int, seq uint64) *protocol.Report {
-	r := &protocol.Report{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", Type: "big", Zone: "a", Session: 1, Seq: seq, Token: c.term.N << tuning.TermShift}
+func fullReport(c *Controller, i int, seq uint64) *protocol.Heartbeat {
+	r := &protocol.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: seq, Token: c.term.Term << tuning.TermShift}
 	for t := range 4 {
 		n := i*4 + t
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: fmt.Sprintf("req-%06d/%d", n/60, n%60), Attempt: 1, State: protocol.TaskRunning})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("req-%06d/%d", n/60, n%60), Attempt: 1, State: protocol.TaskRunning})
 	}
 	return r
 }
@@ -71,11 +71,11 @@
 	raw, _ := protocol.Marshal(fullReport(c, 0, 2))
 	b.ReportAllocs()
 	for i := range b.N {
-		var r protocol.Report
+		var r protocol.Heartbeat
 		if err := protocol.Unmarshal(raw, &r); err != nil {
 			b.Fatal(err)
 		}
-		r.Seq = uint64(2 + i)
+		r.Sequence = uint64(2 + i)
 		protocol.Marshal(c.onReport(&r, now))
 	}
 }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -15,11 +15,11 @@
 	if m.InFlight || !m.Up || m.Addr == "" || m.Session <= m.Lapsed {
 		return
 	}
-	var orders []protocol.Order
+	var orders []protocol.Command
 	starts := false
 	for _, p := range m.Live {
 		if p.Stopping && p.Sent && now.Sub(p.StopAt) < tuning.TickEvery {
-			orders = append(orders, protocol.Order{Verb: protocol.VerbStop, Task: taskName(p.Key), Attempt: p.Attempt, Grace: p.Grace})
+			orders = append(orders, protocol.Command{Verb: protocol.VerbStop, Task: taskName(p.Key), Attempt: p.Attempt, GracePeriodS: p.Grace})
 			p.StopAt = now.Add(-tuning.TickEvery) // the reports carry repeats
 		}
 	}
@@ -36,7 +36,7 @@
 		default:
 			m.Start(p)
 			starts = true
-			orders = append(orders, protocol.Order{Verb: protocol.VerbStart, Task: taskName(p.Key), Attempt: p.Attempt})
+			orders = append(orders, protocol.Command{Verb: protocol.VerbStart, Task: taskName(p.Key), Attempt: p.Attempt})
 		}
 	}
 	m.Outbox = waiting
@@ -118,14 +118,14 @@
 	return session
 }
 
-func (c *Controller) do(m *cluster.Machine, orders []protocol.Order, session uint64, starts, handshake bool) {
+func (c *Controller) do(m *cluster.Machine, orders []protocol.Command, session uint64, starts, handshake bool) {
 	m.InFlight = true
 	if orders == nil {
-		orders = []protocol.Order{}
+		orders = []protocol.Command{}
 	}
-	req, addr := protocol.DoRequest{Token: m.Token, Session: session, Orders: orders}, m.Addr
+	req, addr := protocol.CommandRequest{Token: m.Token, Incarnation: session, Commands: orders}, m.Addr
 	go func() {
-		rep, err := c.Worker.Do(c.ctx, addr, req)
+		rep, err := c.Worker.SendCommands(c.ctx, addr, req)
 		c.send(doMsg{m, rep, starts, handshake, err})
 	}()
 }
@@ -142,7 +142,7 @@
 		c.Log.Info("direct command unanswered", "machine", d.m.ID, "err", d.err)
 		return
 	}
-	if d.rep.Token>>tuning.TermShift > c.term.N {
+	if d.rep.Token>>tuning.TermShift > c.term.Term {
 		c.OnTerm(d.rep.Token >> tuning.TermShift)
 		return
 	}
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -14,7 +14,7 @@
 
 // batch is one commit under way and what it means once applied.
 type batch struct {
-	txn       protocol.Commit
+	txn       protocol.Transaction
 	runs      []runWrite
 	closed    []closing
 	claims    []*claim   // written
@@ -35,7 +35,7 @@
 // closing is a job that a batch moves to its final record, and what that says.
 type closing struct {
 	job   *job
-	final records.Final
+	final records.FinalRecord
 }
 
 // leftover is a piece of a finished job's run record.
@@ -46,20 +46,20 @@
 
 // room tells whether some more changes of so many bytes as JSON fit.
 func (b *batch) room(changes, bytes int) bool {
-	return len(b.txn.Changes)+changes <= b.opsMost && b.bytes+bytes <= tuning.CommitBytes
+	return len(b.txn.Mutations)+changes <= b.opsMost && b.bytes+bytes <= tuning.CommitBytes
 }
 
 func (b *batch) guard(key string, version uint64) {
-	b.txn.Guards = append(b.txn.Guards, protocol.Guard{Key: key, Version: version})
+	b.txn.Preconditions = append(b.txn.Preconditions, protocol.Precondition{Key: key, Version: version})
 }
 
 func (b *batch) put(key string, value any, bytes int) {
-	b.txn.Changes = append(b.txn.Changes, protocol.Change{Set: key, Value: value})
+	b.txn.Mutations = append(b.txn.Mutations, protocol.Mutation{Set: key, Value: value})
 	b.bytes += bytes
 }
 
 func (b *batch) remove(key string) {
-	b.txn.Changes = append(b.txn.Changes, protocol.Change{Delete: key})
+	b.txn.Mutations = append(b.txn.Mutations, protocol.Mutation{Delete: key})
 	b.bytes += smallRecordBytes
 }
 
@@ -80,13 +80,13 @@
 	if c.awaitsBudget(due, budget) {
 		return
 	}
-	b := &batch{opsMost: min(c.Store.TxnOps(), budget)}
-	b.guard(records.KeyTerm, c.term.Stamp)
+	b := &batch{opsMost: min(c.Store.MaxMutations(), budget)}
+	b.guard(records.KeyTerm, c.term.TermVersion)
 	c.addClaims(b)
 	c.addJobs(b, due, budget, now)
 	c.addDrops(b)
 	c.addLeftovers(b)
-	changes := len(b.txn.Changes)
+	changes := len(b.txn.Mutations)
 	if changes == 0 {
 		return
 	}
@@ -98,7 +98,7 @@
 func (c *Controller) addClaims(b *batch) {
 	for _, cl := range c.claims {
 		if !cl.recorded && b.room(1, smallRecordBytes) {
-			b.put(records.ClaimKey(cl.Claim.Claim), cl.Claim, smallRecordBytes)
+			b.put(records.ProvisioningKey(cl.ProvisioningRequest.ID), cl.ProvisioningRequest, smallRecordBytes)
 			b.claims = append(b.claims, cl)
 		}
 	}
@@ -107,7 +107,7 @@
 func (c *Controller) addDrops(b *batch) {
 	for _, cl := range c.claims {
 		if cl.recorded && cl.drop && b.room(1, smallRecordBytes) {
-			b.remove(records.ClaimKey(cl.Claim.Claim))
+			b.remove(records.ProvisioningKey(cl.ProvisioningRequest.ID))
 			b.drops = append(b.drops, cl)
 		}
 	}
@@ -133,7 +133,7 @@
 	if !b.room(openAndFinal+1, openAndFinal*smallRecordBytes) {
 		return
 	}
-	final := records.Final{Phase: protocol.PhaseDone, Tasks: j.nDone, AtMS: now.UnixMilli()}
+	final := records.FinalRecord{Phase: protocol.PhaseDone, TasksDone: j.nDone, ClosedMS: now.UnixMilli()}
 	if j.cancelled {
 		final.Phase = protocol.PhaseCancelled
 	}
@@ -146,7 +146,7 @@
 		if p.version == 0 || !b.room(1, smallRecordBytes) {
 			continue
 		}
-		key := records.PieceKey(j.ref, number)
+		key := records.SegmentKey(j.ref, number)
 		b.guard(key, p.version)
 		b.remove(key)
 		p.removed = true
@@ -156,12 +156,12 @@
 
 // addPiece writes a piece of a job's run record.
 func (c *Controller) addPiece(b *batch, j *job, number int, now time.Time) {
-	record, size, err := protocol.Encode(j.record(number))
+	record, size, err := protocol.EncodeSized(j.record(number))
 	if err != nil {
 		c.Log.Error("encoding a run record", "job", j.ref, "err", err)
 		return
 	}
-	if size > c.Store.ValueBytes() {
+	if size > c.Store.MaxValueBytes() {
 		c.onRecordTooLarge(j, number, now)
 		return
 	}
@@ -180,7 +180,7 @@
 		}
 	}
 	p := j.piece(number)
-	key := records.PieceKey(j.ref, number)
+	key := records.SegmentKey(j.ref, number)
 	b.guard(records.OpenKey(j.ref), j.openVersion)
 	b.guard(key, p.version)
 	b.put(key, record, size)
@@ -195,7 +195,7 @@
 func (c *Controller) onRecordTooLarge(j *job, number int, now time.Time) {
 	c.changed = true
 	head := j.piece(number)
-	if c.format >= records.FormatPieces && number == 0 && j.divide(head.urgent, now) {
+	if c.format >= records.FormatSegmented && number == 0 && j.divide(head.urgent, now) {
 		return
 	}
 	c.Log.Error("run record beyond the limits", "job", j.ref, "piece", number, "running", len(j.live))
@@ -214,8 +214,8 @@
 
 // runCommit carries a commit through to a certain outcome.
 func (c *Controller) runCommit(b *batch) {
-	reply, err := c.Store.Apply(c.ctx, b.txn, records.KeyTerm)
-	c.send(commitMsg{b, reply.Revision, reply.Failed, err})
+	reply, err := c.Store.CommitUntilKnown(c.ctx, b.txn, records.KeyTerm)
+	c.send(commitMsg{b, reply.Revision, reply.FailedKeys, err})
 }
 
 func (c *Controller) onCommit(m commitMsg, now time.Time) {
@@ -236,7 +236,7 @@
 		cl.recorded = true
 	}
 	for _, cl := range m.b.drops {
-		delete(c.claims, cl.Claim.Claim)
+		delete(c.claims, cl.ProvisioningRequest.ID)
 	}
 	c.leftovers = slices.DeleteFunc(c.leftovers, func(l leftover) bool { return slices.Contains(m.b.leftovers, l) })
 	c.dispatchAll(now)
@@ -264,13 +264,13 @@
 	c.Log.Debug("job over", "job", j.ref, "phase", cl.final.Phase)
 	for number, p := range j.pieces {
 		if p.version > 0 && !p.removed {
-			c.leftovers = append(c.leftovers, leftover{records.PieceKey(j.ref, number), p.version})
+			c.leftovers = append(c.leftovers, leftover{records.SegmentKey(j.ref, number), p.version})
 		}
 	}
 	delete(c.jobs, j.ref)
 	c.closed[j.ref] = now
 	c.dropDependent(j)
-	c.settle(j.ref, outcome{cl.final.Phase, time.UnixMilli(cl.final.AtMS)}, now)
+	c.settle(j.ref, outcome{cl.final.Phase, time.UnixMilli(cl.final.ClosedMS)}, now)
 }
 
 func (c *Controller) onCommitFailed(m commitMsg, now time.Time) {
@@ -289,15 +289,15 @@
 		// What was written is not known, and may still be written. The next
 		// term's key makes that impossible, and its leader reads what there is.
 		c.Log.Error("leaving the term to know the outcome of a transaction", "err", m.err)
-		c.OnTerm(c.term.N + 1)
+		c.OnTerm(c.term.Term + 1)
 		return
 	case conflict && slices.Contains(m.failed, records.KeyTerm):
 		c.Log.Info("the term was taken by another node")
-		c.OnTerm(c.term.N + 1)
+		c.OnTerm(c.term.Term + 1)
 		return
 	case conflict:
 		c.Log.Debug("commit refused", "failed", m.failed)
-	case errors.Is(m.err, kvstore.ErrRefused):
+	case errors.Is(m.err, kvstore.ErrUnavailable):
 		c.commitAfter = now.Add(tuning.ElectionRetry)
 		return
 	default:
@@ -311,7 +311,7 @@
 		// The records are not what we take them for, and nothing would
 		// be written ever again: a new term reads them anew.
 		c.Log.Error("records have changed behind this leader", "keys", m.failed, "err", m.err)
-		c.OnTerm(c.term.N + 1)
+		c.OnTerm(c.term.Term + 1)
 		return
 	}
 	c.takeBackStarts(m, now)
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -20,14 +20,14 @@
 
 // addDependencies notes what a job that has become known waits for.
 func (c *Controller) addDependencies(j *job, now time.Time) {
-	for _, ref := range j.desc.Awaits {
+	for _, ref := range j.desc.DependsOn {
 		if j.waitsFor == nil {
 			j.waitsFor = map[string]bool{}
 		}
 		j.waitsFor[ref] = true
 		c.dependents[ref] = append(c.dependents[ref], j.ref)
 	}
-	for _, ref := range j.desc.Awaits {
+	for _, ref := range j.desc.DependsOn {
 		if out, known := c.outcomes[ref]; known {
 			c.settle(ref, out, now)
 		} else if dependency := c.jobs[ref]; dependency != nil && dependency.cancelled {
@@ -126,14 +126,14 @@
 		if err != nil {
 			continue
 		}
-		var f records.Final
+		var f records.FinalRecord
 		if err := protocol.Unmarshal(it.Value, &f); err != nil {
 			c.Log.Error("unreadable record of a dependency", "job", ref, "err", err)
 			continue
 		}
 		out := outcome{phase: f.Phase}
-		if f.AtMS > 0 {
-			out.at = time.UnixMilli(f.AtMS)
+		if f.ClosedMS > 0 {
+			out.at = time.UnixMilli(f.ClosedMS)
 		}
 		m.outcomes[ref] = out
 	}
--- a/internal/leader/duewrites.go
+++ b/internal/leader/duewrites.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		if j.over() {
-			due = append(due, dueWrite{j, records.NoPiece, writeClose, j.seenAt})
+			due = append(due, dueWrite{j, records.NoSegment, writeClose, j.seenAt})
 			continue
 		}
 		for number := range j.pieces {
@@ -64,7 +64,7 @@
 			changes += d.changes()
 		}
 	}
-	return budget < min(changes, c.Store.TxnOps())
+	return budget < min(changes, c.Store.MaxMutations())
 }
 
 // openAndFinal is how many changes move a job from its open to its final record.
@@ -72,7 +72,7 @@
 
 // changes is how many changes of a transaction the write takes.
 func (d dueWrite) changes() int {
-	if d.number != records.NoPiece {
+	if d.number != records.NoSegment {
 		return 1
 	}
 	changes := openAndFinal
@@ -94,7 +94,7 @@
 		if !b.room(1, 0) {
 			return
 		}
-		if d.number == records.NoPiece {
+		if d.number == records.NoSegment {
 			b.close(d.job, now)
 		} else {
 			c.addPiece(b, d.job, d.number, now)
--- a/internal/leader/duewrites_test.go
+++ b/internal/leader/duewrites_test.go
@@ -27,7 +27,7 @@
 		}
 		refill := time.Duration(float64(time.Second) / float64(c.writes.Limit()))
 		for task := 0; !closed(); task++ {
-			if task > c.Store.TxnOps() {
+			if task > c.Store.MaxMutations() {
 				t.Fatalf("not closed when %d changes could have been written", task)
 			}
 			c.inCommit = nil
@@ -37,7 +37,7 @@
 		}
 		c.inCommit = nil
 		c.writes.AllowN(now, int(c.writes.TokensAt(now)))
-		busy.desc.Rank = protocol.Production
+		busy.desc.Priority = protocol.PriorityProduction
 		now = now.Add(refill)
 		c.markDirty(busy, 0, true, now)
 		if c.commit(now); c.inCommit == nil || len(c.inCommit.runs) != 1 {
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -49,15 +49,15 @@
 		c, now := large(2100, 1000)
 		w := &calls{answer: make(chan struct{})}
 		defer close(w.answer)
-		c.Worker = agent.New(w, protocol.NewComplaints(c.Log), 5000)
-		c.term.N++ // a leader that has seen none of them yet
+		c.Worker = agent.New(w, protocol.NewMalformedLog(c.Log), 5000)
+		c.term.Term++ // a leader that has seen none of them yet
 		production := map[string]bool{}
 		for i, m := range c.sorted {
 			m.Addr = m.ID + ":1"
 			if i%50 == 49 {
 				production[m.ID] = true
 				for k := range m.Live {
-					c.jobs[k.Job].desc.Rank = protocol.Production
+					c.jobs[k.Job].desc.Priority = protocol.PriorityProduction
 				}
 			}
 		}
@@ -99,7 +99,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, now := large(350, 30)
 		w := &calls{answer: make(chan struct{})}
-		c.Cloud = cloud.New("cloud:1", w, protocol.NewComplaints(c.Log), 1000)
+		c.Cloud = cloud.New("cloud:1", w, protocol.NewMalformedLog(c.Log), 1000)
 		for i := 0; i < 350; i += 10 {
 			c.giveBack(c.sorted[i:i+10], "test", now)
 		}
@@ -212,7 +212,7 @@
 	// Once the state service has spoken the start goes out.
 	w := &calls{answer: make(chan struct{})}
 	defer close(w.answer)
-	c.Worker = agent.New(w, protocol.NewComplaints(c.Log), 5000)
+	c.Worker = agent.New(w, protocol.NewMalformedLog(c.Log), 5000)
 	later := now.Add(12 * time.Second)
 	c.asOfFollow, c.asOfTerm = later, later
 	if c.dispatch(m, later); !start.Sent || len(m.Outbox) > 0 {
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -14,7 +14,7 @@
 // stays under way. The returned function ends its calls.
 func withSilentStore(t *testing.T, c *Controller) (end func()) {
 	t.Helper()
-	c.Store = kvstore.New("state:1", &calls{}, protocol.NewComplaints(c.Log), c.Config.Deployment.State)
+	c.Store = kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(c.Log), c.Config.Deployment.State)
 	ctx, cancel := context.WithCancel(t.Context())
 	c.Bind(ctx)
 	return func() {
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -24,13 +24,13 @@
 		c.hintFrom, c.hintPart = 0, 0
 	}
 	h, n := makeHint(c.sorted[c.hintFrom:], c.Config.Deployment.State.Smaller().ValueBytes())
-	key := fmt.Sprint(records.PrefixHint, c.hintPart)
+	key := fmt.Sprint(records.PrefixImages, c.hintPart)
 	c.hintFrom += n
 	c.hintPart++
 	go func() {
-		_, err := c.Store.Commit(c.ctx, protocol.Commit{
-			Guards:  []protocol.Guard{{Key: records.KeyTerm, Version: c.term.Stamp}},
-			Changes: []protocol.Change{{Set: key, Value: h}},
+		_, err := c.Store.Commit(c.ctx, protocol.Transaction{
+			Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: c.term.TermVersion}},
+			Mutations:     []protocol.Mutation{{Set: key, Value: h}},
 		})
 		if err != nil {
 			c.Log.Debug("saving hints", "err", err)
@@ -40,7 +40,7 @@
 
 // makeHint describes the images on the first of the machines, as many as surely fit
 // in a value of so many bytes as JSON, and returns how many these are.
-func makeHint(ms []*cluster.Machine, bytes int) (h records.Hint, n int) {
+func makeHint(ms []*cluster.Machine, bytes int) (h records.ImageInventory, n int) {
 	h.Machines = map[string][]int{}
 	size := tuning.HintBytes
 	for n = 0; n < min(len(ms), tuning.HintMachines); n++ {
@@ -59,12 +59,12 @@
 	return h, n
 }
 
-func addImages(h *records.Hint, m *cluster.Machine) {
+func addImages(h *records.ImageInventory, m *cluster.Machine) {
 	m.EachImage(func(name string, gb float64) {
 		i := slices.Index(h.Images, name)
 		if i < 0 {
 			i = len(h.Images)
-			h.Images, h.GB = append(h.Images, name), append(h.GB, gb)
+			h.Images, h.SizesGB = append(h.Images, name), append(h.SizesGB, gb)
 		}
 		if l := h.Machines[m.ID]; len(l) < tuning.HintImages {
 			h.Machines[m.ID] = append(l, i)
@@ -74,14 +74,14 @@
 
 // loadHints reads what an earlier leader knew; without it all goes on.
 func (c *Controller) loadHints(ctx context.Context) {
-	items, err := c.Store.ListAll(ctx, records.PrefixHint)
+	items, err := c.Store.ListAll(ctx, records.PrefixImages)
 	if err != nil {
 		c.Log.Debug("reading hints", "err", err)
 		return
 	}
-	for _, it := range items.Items {
-		var h records.Hint
-		if protocol.Unmarshal(it.Value, &h) == nil && len(h.Images) == len(h.GB) {
+	for _, it := range items.Entries {
+		var h records.ImageInventory
+		if protocol.Unmarshal(it.Value, &h) == nil && len(h.Images) == len(h.SizesGB) {
 			for id := range h.Machines {
 				c.hints[id] = &h
 			}
@@ -100,7 +100,7 @@
 	if h != nil {
 		for _, k := range slices.Backward(h.Machines[m.ID]) {
 			if k >= 0 && k < len(h.Images) {
-				touch(h.Images[k], h.GB[k])
+				touch(h.Images[k], h.SizesGB[k])
 			}
 		}
 		delete(c.hints, m.ID)
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -25,7 +25,7 @@
 	readyAt  time.Time       // when the last dependency was done; without any, at
 
 	next    uint64 // the next unused attempt
-	done    records.Ranges
+	done    records.TaskRanges
 	nDone   int
 	live    map[int]*cluster.Placement
 	cursor  int   // tasks from here on were never started
@@ -42,20 +42,20 @@
 }
 
 func newJob(ref string, o *records.OpenJob, version uint64, now time.Time) *job {
-	at := time.UnixMilli(o.AtMS)
+	at := time.UnixMilli(o.AcceptedMS)
 	return &job{ref: ref, desc: o.Job, at: at, readyAt: at, cancelled: o.Cancelled, openVersion: version,
 		next: 1, live: map[int]*cluster.Placement{}, pendingDone: map[int]bool{}, seenAt: now}
 }
 
 // restore takes in the run record of an earlier leader.
-func (j *job) restore(r *records.Run) {
-	j.next, j.done = max(1, r.Next), r.Done
+func (j *job) restore(r *records.RunRecord) {
+	j.next, j.done = max(1, r.NextAttempt), r.Done
 	j.nDone = j.done.Count()
 	for _, e := range j.done {
 		j.cursor = max(j.cursor, e[1]+1)
 	}
 	held := map[int]bool{}
-	for _, p := range r.Live {
+	for _, p := range r.Placements {
 		j.cursor = max(j.cursor, p.Task+1)
 		held[p.Task] = true
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-func (j *job) gang() bool { return j.desc.Shape == protocol.Gang }
+func (j *job) gang() bool { return j.desc.Kind == protocol.KindGang }
 
 // waiting is how many tasks may be started now. A gang starts whole: none while
 // anything of an earlier attempt may still be on a machine.
@@ -80,7 +80,7 @@
 // begun tells whether all tasks have been started once, a gang's or service's
 // if they are on machines.
 func (j *job) begun() bool {
-	if j.desc.Shape == protocol.Array {
+	if j.desc.Kind == protocol.KindArray {
 		return j.cursor >= j.desc.Tasks
 	}
 	return len(j.live) >= j.desc.Tasks
@@ -134,7 +134,7 @@
 func (j *job) need() scheduler.Res { return scheduler.Need(&j.desc) }
 
 func (j *job) rank() int {
-	return slices.Index([]string{protocol.Production, protocol.High, protocol.Standard, protocol.Idle}, j.desc.Rank)
+	return slices.Index([]string{protocol.PriorityProduction, protocol.PriorityHigh, protocol.PriorityStandard, protocol.PriorityIdle}, j.desc.Priority)
 }
 
 func taskName(k cluster.Key) string { return k.Job + "/" + strconv.Itoa(k.Task) }
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -21,9 +21,9 @@
 // possibly on a machine, the lowest numbers first.
 func TestRestore(t *testing.T) {
 	now := time.Now()
-	o := &records.OpenJob{Job: protocol.Job{ID: "req-1", Shape: protocol.Array, Tasks: 10}}
+	o := &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 10}}
 	j := newJob("req-1", o, 1, now)
-	j.restore(&records.Run{Next: 9, Done: records.Ranges{{0, 1}, {4, 4}}, Live: []records.Placement{{Task: 6, Attempt: 8}}})
+	j.restore(&records.RunRecord{NextAttempt: 9, Done: records.TaskRanges{{0, 1}, {4, 4}}, Placements: []records.Placement{{Task: 6, Attempt: 8}}})
 	j.live[6] = &cluster.Placement{Key: cluster.Key{Job: "req-1", Task: 6}, Machine: &cluster.Machine{ID: "m"}}
 	var got []int
 	for j.waiting() > 0 {
@@ -34,7 +34,7 @@
 	if d := cmp.Diff([]int{2, 3, 5, 7, 8, 9}, got); d != "" {
 		t.Error(d)
 	}
-	if r := j.record(0); len(r.Live) != 7 || r.Next != 9 || r.Done.Count() != 3 {
+	if r := j.record(0); len(r.Placements) != 7 || r.NextAttempt != 9 || r.Done.Count() != 3 {
 		t.Errorf("recorded as %+v", r)
 	}
 }
@@ -69,7 +69,7 @@
 
 // A gang starts whole: nothing waits while a member may be on a machine.
 func TestGangWaitsWhole(t *testing.T) {
-	j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Shape: protocol.Gang, Tasks: 3}}, 1, time.Now())
+	j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindGang, Tasks: 3}}, 1, time.Now())
 	if j.waiting() != 3 {
 		t.Errorf("%d wait", j.waiting())
 	}
@@ -83,18 +83,18 @@
 // in between would leave nothing that shows it.
 func TestDoneIsRecordedBeforeReap(t *testing.T) {
 	now := time.Now()
-	c := &Controller{jobs: map[string]*job{}, term: election.Held{N: 1}}
-	j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Shape: protocol.Array, Tasks: 2}}, 1, now)
+	c := &Controller{jobs: map[string]*job{}, term: election.Leadership{Term: 1}}
+	j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 2}}, 1, now)
 	c.jobs["req-1"] = j
 	m := cluster.New("m-1", c.token(), now, now.Add(time.Hour))
-	m.Observe(&protocol.Report{Machine: "m-1", Session: 1, Seq: 1, Token: c.token(), Tasks: []protocol.TaskReport{
-		{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone}}}, parseTask, now, now)
+	m.Observe(&protocol.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, Token: c.token(), Tasks: []protocol.TaskStatus{
+		{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}}}, parseTask, now, now)
 	j.pendingDone[0] = true
 	if o := c.orders(m); len(o) > 0 {
 		t.Errorf("ordered %v before the completion was recorded", o)
 	}
 	delete(j.pendingDone, 0)
-	if o := c.orders(m); len(o) != 1 || o[0].Verb != protocol.VerbForget {
+	if o := c.orders(m); len(o) != 1 || o[0].Verb != protocol.VerbRelease {
 		t.Errorf("ordered %v after it", o)
 	}
 }
@@ -135,12 +135,12 @@
 	hint, _ := makeHint(c.sorted, 32<<10)
 	raw, _ := protocol.Marshal(hint)
 	next, _ := large(0, 1)
-	var h records.Hint
+	var h records.ImageInventory
 	if err := protocol.Unmarshal(raw, &h); err != nil {
 		t.Fatal(err)
 	}
 	next.hints["m-000001"] = &h
-	next.onReport(&protocol.Report{Machine: "m-000001", Addr: "x:1", Type: "big", Zone: "a", Session: 1, Seq: 9}, now)
+	next.onReport(&protocol.Heartbeat{Machine: "m-000001", Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: 9}, now)
 	if d := cmp.Diff(m.Images(), next.machines["m-000001"].Images()); d != "" {
 		t.Error(d)
 	}
@@ -165,7 +165,7 @@
 		if c.inCommit != nil {
 			t.Error("a job was closed on a version that is behind")
 		}
-		o := records.OpenJob{AtMS: now.UnixMilli(), Job: named.desc, Cancelled: true}
+		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: named.desc, Cancelled: true}
 		b, _ := protocol.Marshal(o)
 		c.setOpen(records.OpenKey(named.ref), b, named.openVersion+1, late)
 		c.commit(late)
@@ -182,18 +182,18 @@
 func TestReadingFromBeforeClosing(t *testing.T) {
 	c, now := large(0, 1)
 	j := c.jobs["req-000000"]
-	raw, _ := protocol.Marshal(records.OpenJob{AtMS: now.UnixMilli(), Job: j.desc})
-	record := protocol.Item{Key: records.OpenKey(j.ref), Value: raw, Version: j.openVersion}
-	reading := eventsMsg{events: []protocol.Event{{Set: record.Key, Value: raw, Version: record.Version}}, asOf: now.Add(time.Second)}
+	raw, _ := protocol.Marshal(records.OpenJob{AcceptedMS: now.UnixMilli(), Job: j.desc})
+	record := protocol.KeyValue{Key: records.OpenKey(j.ref), Value: raw, Version: j.openVersion}
+	reading := eventsMsg{events: []protocol.WatchEvent{{Set: record.Key, Value: raw, Version: record.Version}}, asOf: now.Add(time.Second)}
 	c.lookingUp, c.lookupBegan = true, now.Add(time.Second)
-	c.onClosed(closing{j, records.Final{Phase: protocol.PhaseDone, AtMS: now.UnixMilli()}}, now.Add(2*time.Second))
+	c.onClosed(closing{j, records.FinalRecord{Phase: protocol.PhaseDone, ClosedMS: now.UnixMilli()}}, now.Add(2*time.Second))
 	long := now.Add(2 * tuning.RereadEvery)
 	c.forgetClosed()
 	c.onEvents(reading, long)
 	c.forgetClosed()
 	c.onEvents(eventsMsg{asOf: now.Add(3 * time.Second)}, long)
 	c.forgetClosed()
-	c.onLookup(lookupMsg{open: []protocol.Item{record}}, long)
+	c.onLookup(lookupMsg{open: []protocol.KeyValue{record}}, long)
 	if len(c.jobs) > 0 {
 		t.Error("a closed job was opened again")
 	}
@@ -210,7 +210,7 @@
 	until := now.Add(time.Hour)
 	j.unread = true
 	j.rest(until)
-	for _, cause := range []string{protocol.CauseError, protocol.CauseUnknown} {
+	for _, cause := range []string{protocol.ExitError, protocol.ExitUnknownTask} {
 		for _, p := range m.Live {
 			c.end([]cluster.Ended{{Placement: p, Cause: cause}}, now)
 			break
@@ -225,11 +225,11 @@
 func TestUnknownTask(t *testing.T) {
 	c, now := large(2, 1)
 	r := fullReport(c, 0, 2)
-	stray := protocol.TaskReport{Task: "req-000000/59", Attempt: 9, State: protocol.TaskRunning}
-	r.Tasks = append(r.Tasks, stray, protocol.TaskReport{Task: "req-999999/0", Attempt: 1, State: protocol.TaskExited},
-		protocol.TaskReport{Task: "nonsense", Attempt: 1, State: protocol.TaskFetching})
+	stray := protocol.TaskStatus{Task: "req-000000/59", Attempt: 9, State: protocol.TaskRunning}
+	r.Tasks = append(r.Tasks, stray, protocol.TaskStatus{Task: "req-999999/0", Attempt: 1, State: protocol.TaskExited},
+		protocol.TaskStatus{Task: "nonsense", Attempt: 1, State: protocol.TaskFetching})
 	var stopped []string
-	for _, order := range c.onReport(r, now).Orders {
+	for _, order := range c.onReport(r, now).Commands {
 		if order.Verb == protocol.VerbStop {
 			stopped = append(stopped, order.Task)
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -47,12 +47,12 @@
 
 type (
 	reportMsg struct {
-		rep   *protocol.Report
-		reply chan *protocol.ReportReply // nil answer: not entitled
+		rep   *protocol.Heartbeat
+		reply chan *protocol.HeartbeatReply // nil answer: not entitled
 	}
 	doMsg struct {
 		m         *cluster.Machine
-		rep       *protocol.Report
+		rep       *protocol.Heartbeat
 		starts    bool
 		handshake bool
 		err       error
@@ -64,13 +64,13 @@
 		err      error
 	}
 	eventsMsg struct {
-		events []protocol.Event
+		events []protocol.WatchEvent
 		asOf   time.Time // every cancellation told before it is in here
 	}
 	termMsg   struct{ asOf time.Time }
 	lookupMsg struct {
 		outcomes map[string]outcome
-		open     []protocol.Item
+		open     []protocol.KeyValue
 	}
 	versionsMsg struct {
 		formats   map[string]int // by controller
@@ -94,7 +94,7 @@
 )
 
 type claim struct {
-	records.Claim
+	records.ProvisioningRequest
 	recorded, calling, settled bool
 	hosts                      []string
 	callAt                     time.Time
@@ -104,7 +104,7 @@
 // Controller is the leader of one term.
 type Controller struct {
 	Deps
-	term  election.Held
+	term  election.Leadership
 	inbox chan any
 	ctx   context.Context
 
@@ -129,7 +129,7 @@
 	asOfPeers   time.Time // see extendAuthority
 	inCommit    *batch
 	commitAfter time.Time
-	hints       map[string]*records.Hint // of an earlier leader, by machine
+	hints       map[string]*records.ImageInventory // of an earlier leader, by machine
 	hintAt      time.Time
 	hintPart    int // the next hint's number
 	hintFrom    int // the first machine, of the sorted ones, that it describes
@@ -179,16 +179,16 @@
 }
 
 // New makes the leader of a term.
-func New(d Deps, term election.Held) *Controller {
+func New(d Deps, term election.Leadership) *Controller {
 	limits := d.Config.Deployment.State.Smaller()
-	floor := term.N << tuning.TermShift
+	floor := term.Term << tuning.TermShift
 	wr := limits.WriteRPS * tuning.LeaderWriteShare
 	return &Controller{
 		Deps: d, term: term,
 		// A report that waits holds a connection, so that none is refused here:
 		// after a takeover all workers report at once.
 		inbox: make(chan any, d.Config.Deployment.Sockets(len(d.Config.Peers)).Incoming),
-		jobs:  map[string]*job{}, machines: map[string]*cluster.Machine{}, gone: map[string]time.Time{}, closed: map[string]time.Time{}, hints: map[string]*records.Hint{}, touched: map[*cluster.Machine]bool{},
+		jobs:  map[string]*job{}, machines: map[string]*cluster.Machine{}, gone: map[string]time.Time{}, closed: map[string]time.Time{}, hints: map[string]*records.ImageInventory{}, touched: map[*cluster.Machine]bool{},
 		floor: floor, gpuRank: -1, claims: map[string]*claim{}, refused: map[offer]*refusal{}, typeIdx: map[string]int{},
 		est:     estimator{off: d.Config.Operator.Estimator == "user", classes: map[string]*classRuns{}},
 		writes:  rate.NewLimiter(rate.Limit(wr), max(int(wr), limits.TxnOps)),
@@ -198,8 +198,8 @@
 }
 
 // Report answers a worker's report, or fails with ErrNotEntitled.
-func (c *Controller) Report(ctx context.Context, rep *protocol.Report) (*protocol.ReportReply, error) {
-	reply := make(chan *protocol.ReportReply, 1)
+func (c *Controller) Report(ctx context.Context, rep *protocol.Heartbeat) (*protocol.HeartbeatReply, error) {
+	reply := make(chan *protocol.HeartbeatReply, 1)
 	select {
 	case c.inbox <- reportMsg{rep, reply}:
 	default:
@@ -249,7 +249,7 @@
 	if !ok {
 		return
 	}
-	c.Log.Info("records read", "term", c.term.N, "jobs", len(c.jobs), "machines", len(c.machines), "claims", len(c.claims))
+	c.Log.Info("records read", "term", c.term.Term, "jobs", len(c.jobs), "machines", len(c.machines), "claims", len(c.claims))
 	go c.follow(ctx, rev)
 	go c.confirmTerm(ctx)
 	go c.watchVersions(ctx)
@@ -336,7 +336,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (c *Controller) token() uint64 { return c.term.N << tuning.TermShift }
+func (c *Controller) token() uint64 { return c.term.Term << tuning.TermShift }
 
 func (c *Controller) bootS(m *cluster.Machine) float64 {
 	if i, ok := c.typeIdx[m.Type]; ok {
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -16,15 +16,15 @@
 
 // records is what an earlier leader left.
 type storedRecords struct {
-	open, claims     protocol.Items
-	catalog, cluster protocol.Item
+	open, claims     protocol.KeyValuePage
+	catalog, cluster protocol.KeyValue
 }
 
 func (c *Controller) readRecords(ctx context.Context) (r storedRecords, err error) {
 	if r.open, err = c.Store.ListAll(ctx, records.PrefixOpen); err != nil {
 		return r, err
 	}
-	if r.claims, err = c.Store.ListAll(ctx, records.PrefixRent); err != nil {
+	if r.claims, err = c.Store.ListAll(ctx, records.PrefixProvisioning); err != nil {
 		return r, err
 	}
 	if r.catalog, err = c.Store.Get(ctx, records.KeyCatalog); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
@@ -43,7 +43,7 @@
 		r, err := c.readRecords(ctx)
 		if err != nil {
 			c.Log.Debug("reading records", "err", err)
-			clock.For(ctx, tuning.ElectionRetry)
+			clock.Sleep(ctx, tuning.ElectionRetry)
 			continue
 		}
 		c.restore(&r, time.Now())
@@ -57,13 +57,13 @@
 func (c *Controller) restore(r *storedRecords, now time.Time) {
 	if r.cluster.Version > 0 {
 		// Whatever it says, it was written when all controllers read pieces.
-		c.useFormat(records.FormatPieces)
+		c.useFormat(records.FormatSegmented)
 	}
-	c.restoreJobs(r.open.Items, now)
-	for _, it := range r.claims.Items {
-		var cl records.Claim
+	c.restoreJobs(r.open.Entries, now)
+	for _, it := range r.claims.Entries {
+		var cl records.ProvisioningRequest
 		if err := protocol.Unmarshal(it.Value, &cl); err == nil {
-			c.claims[cl.Claim] = &claim{Claim: cl, recorded: true}
+			c.claims[cl.ID] = &claim{ProvisioningRequest: cl, recorded: true}
 		}
 	}
 	if r.catalog.Value == nil {
@@ -77,12 +77,12 @@
 }
 
 // restoreJobs takes in the open jobs with the pieces of their run records.
-func (c *Controller) restoreJobs(items []protocol.Item, now time.Time) {
+func (c *Controller) restoreJobs(items []protocol.KeyValue, now time.Time) {
 	open := map[string]bool{}
-	pieces := map[string][]protocol.Item{}
+	pieces := map[string][]protocol.KeyValue{}
 	for _, it := range items {
-		ref, number := records.SplitOpen(it.Key)
-		if number == records.NoPiece {
+		ref, number := records.ParseOpenKey(it.Key)
+		if number == records.NoSegment {
 			open[ref] = true
 			c.setOpen(it.Key, it.Value, it.Version, now)
 			continue
@@ -110,17 +110,17 @@
 }
 
 // restoreRun takes in the pieces of a job's run record.
-func (c *Controller) restoreRun(j *job, items []protocol.Item, now time.Time) {
-	runs := map[int]records.Run{}
+func (c *Controller) restoreRun(j *job, items []protocol.KeyValue, now time.Time) {
+	runs := map[int]records.RunRecord{}
 	for _, it := range items {
-		_, number := records.SplitOpen(it.Key)
-		if number < 0 || number >= max(1, records.Pieces(j.desc.Tasks)) {
+		_, number := records.ParseOpenKey(it.Key)
+		if number < 0 || number >= max(1, records.SegmentCount(j.desc.Tasks)) {
 			c.Log.Error("run record of no task", "key", it.Key)
 			c.leftovers = append(c.leftovers, leftover{it.Key, it.Version})
 			continue
 		}
 		j.piece(number).version = it.Version
-		var r records.Run
+		var r records.RunRecord
 		if err := protocol.Unmarshal(it.Value, &r); err != nil {
 			c.Log.Error("unreadable run record", "job", j.ref, "piece", number, "err", err)
 			j.unread = true
@@ -128,16 +128,16 @@
 		}
 		runs[number] = r
 	}
-	whole := records.Assemble(runs)
+	whole := records.JoinSegments(runs)
 	j.restore(&whole)
 	if j.unread {
 		// Anything of it may run anywhere. It rests until that is surely
 		// over, as on machines never heard from, and then goes on with what it
 		// has no record of: workers kept the results of what was done.
-		j.next = max(j.next, c.term.N<<tuning.TermShift+1) // no earlier attempt has this number
+		j.next = max(j.next, c.term.Term<<tuning.TermShift+1) // no earlier attempt has this number
 		j.rest(c.leaseFrom(c.takeover.Add(c.leaderLease())))
 	}
-	for _, lp := range whole.Live {
+	for _, lp := range whole.Placements {
 		c.restorePlacement(j, lp, now)
 	}
 }
@@ -147,14 +147,14 @@
 	if m.Zone == "" {
 		m.Zone = lp.Zone
 	}
-	p := &cluster.Placement{Key: cluster.Key{Job: j.ref, Task: lp.Task}, Attempt: lp.Attempt, Session: lp.Session,
+	p := &cluster.Placement{Key: cluster.Key{Job: j.ref, Task: lp.Task}, Attempt: lp.Attempt, Session: lp.Incarnation,
 		Machine: m, Recorded: true, Sent: true, StartToken: c.token() - 1, Since: now}
 	j.live[lp.Task], m.Live[p.Key] = p, p
 }
 
 // setOpen takes in an open job's record.
 func (c *Controller) setOpen(key string, value []byte, version uint64, now time.Time) {
-	ref, _ := records.SplitOpen(key)
+	ref, _ := records.ParseOpenKey(key)
 	j := c.jobs[ref]
 	var o records.OpenJob
 	if err := protocol.Unmarshal(value, &o); err != nil {
@@ -186,7 +186,7 @@
 
 // onUnreadable draws from an open record that cannot be read what can be told.
 func (c *Controller) onUnreadable(ref string, value []byte, now time.Time) {
-	if !records.SaysCancelled(value) {
+	if !records.MarkedCancelled(value) {
 		return
 	}
 	if j := c.jobs[ref]; j != nil && !j.cancelled {
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -75,7 +75,7 @@
 	c.listing = true
 	c.nextList = now.Add(c.listPause())
 	go func() {
-		machines, err := c.Cloud.List(c.ctx)
+		machines, err := c.Cloud.ListMachines(c.ctx)
 		c.send(listMsg{now, machines, err})
 	}()
 }
@@ -89,7 +89,7 @@
 	save := !c.loadedTypes
 	go func() {
 		types, err := c.Cloud.Catalog(c.ctx)
-		for err != nil && clock.For(c.ctx, tuning.MachineBackoff) {
+		for err != nil && clock.Sleep(c.ctx, tuning.MachineBackoff) {
 			types, err = c.Cloud.Catalog(c.ctx)
 		}
 		if err != nil {
@@ -110,11 +110,11 @@
 	left := m.NoticeEnd.Sub(now).Seconds()
 	for _, p := range m.Live {
 		j := c.jobs[p.Job]
-		if j == nil || p.Stopping || p.State != protocol.TaskRunning || j.desc.CheckpointS <= 0 ||
-			left > j.desc.SaveS+tuning.NoticeMargin {
+		if j == nil || p.Stopping || p.State != protocol.TaskRunning || j.desc.CheckpointIntervalS <= 0 ||
+			left > j.desc.CheckpointSaveS+tuning.NoticeMargin {
 			continue
 		}
-		grace := j.desc.SaveS + tuning.SaveMargin
+		grace := j.desc.CheckpointSaveS + tuning.SaveMargin
 		c.stop(p, grace, now)
 		if j.gang() {
 			for _, q := range j.live {
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -23,8 +23,8 @@
 	count = min(count, tuning.RentMax)
 	c.claimSeq++
 	// The term makes the name unique over all leaders, for ever.
-	name := fmt.Sprintf("r-%d-%d", c.term.N, c.claimSeq)
-	c.claims[name] = &claim{Claim: records.Claim{Claim: name, Type: typ, Zone: zone, Spot: spot, Count: count, AtMS: now.UnixMilli()}}
+	name := fmt.Sprintf("r-%d-%d", c.term.Term, c.claimSeq)
+	c.claims[name] = &claim{ProvisioningRequest: records.ProvisioningRequest{ID: name, Type: typ, Zone: zone, Spot: spot, Count: count, RequestedMS: now.UnixMilli()}}
 	c.Log.Info("renting", "claim", name, "type", typ, "zone", zone, "spot", spot, "count", count)
 }
 
@@ -35,9 +35,9 @@
 			continue
 		}
 		cl.calling = true
-		req := protocol.RentRequest{Claim: cl.Claim.Claim, Type: cl.Type, Zone: cl.Zone, Spot: cl.Spot, Count: cl.Count}
+		req := protocol.ProvisionRequest{RequestID: cl.ProvisioningRequest.ID, Type: cl.Type, Zone: cl.Zone, Spot: cl.Spot, Count: cl.Count}
 		go func() {
-			hosts, err := c.Cloud.Rent(c.ctx, req)
+			hosts, err := c.Cloud.Provision(c.ctx, req)
 			c.send(rentMsg{cl, hosts, err})
 		}()
 	}
@@ -56,7 +56,7 @@
 				continue
 			}
 			if c.machines[id] == nil {
-				mc := c.machine(id, time.UnixMilli(cl.AtMS))
+				mc := c.machine(id, time.UnixMilli(cl.RequestedMS))
 				mc.Type, mc.Zone, mc.Spot = cl.Type, cl.Zone, cl.Spot
 				mc.Rented = now
 			}
@@ -66,7 +66,7 @@
 		} else {
 			delete(c.refused, offer{cl.Type, cl.Zone, cl.Spot})
 		}
-		c.Log.Info("rented", "claim", cl.Claim.Claim, "got", len(m.hosts), "asked", cl.Count)
+		c.Log.Info("rented", "claim", cl.ProvisioningRequest.ID, "got", len(m.hosts), "asked", cl.Count)
 	case errors.Is(m.err, cloud.ErrNoCapacity):
 		cl.settled, cl.drop = true, true
 		c.cloudOK = true
@@ -77,8 +77,8 @@
 		// called again, which rents at most once.
 		cl.callAt = now.Add(tuning.MachineBackoff)
 		c.cloudOK = false
-		c.Log.Info("rental call failed", "claim", cl.Claim.Claim, "err", m.err)
-		if errors.Is(m.err, cloud.ErrMalformed) {
+		c.Log.Info("rental call failed", "claim", cl.ProvisioningRequest.ID, "err", m.err)
+		if errors.Is(m.err, cloud.ErrInvalidRequest) {
 			cl.settled, cl.drop = true, true
 			c.refuse(offer{cl.Type, cl.Zone, cl.Spot}, now)
 		}
@@ -132,7 +132,7 @@
 	n := min(len(c.toReturn), tuning.ReturnMax)
 	c.returning, c.toReturn = c.toReturn[:n:n], slices.Clone(c.toReturn[n:])
 	ids := names(c.returning)
-	go func() { c.send(returnMsg{c.Cloud.Return(c.ctx, ids)}) }()
+	go func() { c.send(returnMsg{c.Cloud.Deprovision(c.ctx, ids)}) }()
 }
 
 func (c *Controller) onReturn(r returnMsg, now time.Time) {
@@ -246,9 +246,9 @@
 // saveCatalog keeps the catalog for nodes that cannot reach the cloud. Losing
 // this write does no harm, so it is not part of the batches.
 func (c *Controller) saveCatalog(ctx context.Context, types []protocol.MachineType) {
-	_, err := c.Store.Commit(ctx, protocol.Commit{
-		Guards:  []protocol.Guard{{Key: records.KeyTerm, Version: c.term.Stamp}},
-		Changes: []protocol.Change{{Set: records.KeyCatalog, Value: types}},
+	_, err := c.Store.Commit(ctx, protocol.Transaction{
+		Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: c.term.TermVersion}},
+		Mutations:     []protocol.Mutation{{Set: records.KeyCatalog, Value: types}},
 	})
 	if err != nil {
 		c.Log.Debug("saving the catalog", "err", err)
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -37,8 +37,8 @@
 	c.changed = true
 }
 
-func (c *Controller) onReport(r *protocol.Report, now time.Time) *protocol.ReportReply {
-	if r.Token>>tuning.TermShift > c.term.N {
+func (c *Controller) onReport(r *protocol.Heartbeat, now time.Time) *protocol.HeartbeatReply {
+	if r.Token>>tuning.TermShift > c.term.Term {
 		c.Log.Info("a worker has seen a newer term", "machine", r.Machine)
 		c.OnTerm(r.Token >> tuning.TermShift)
 		return nil
@@ -47,14 +47,14 @@
 		return nil
 	}
 	if _, ok := c.gone[r.Machine]; ok {
-		return &protocol.ReportReply{Token: c.token(), Orders: []protocol.Order{}}
+		return &protocol.HeartbeatReply{Token: c.token(), Commands: []protocol.Command{}}
 	}
 	m := c.machine(r.Machine, now)
 	if !m.Heard(r) && !m.Again(r) {
 		// A late copy: nobody takes its answer, so it renews no lease, and what
 		// it says is as old as it is. Or a worker that began anew, which shows
 		// by the token in this answer that it is there.
-		return &protocol.ReportReply{Token: m.Token, Orders: []protocol.Order{}}
+		return &protocol.HeartbeatReply{Token: m.Token, Commands: []protocol.Command{}}
 	}
 	m.LastOwnReport = now
 	c.observe(m, r, now)
@@ -62,11 +62,11 @@
 		m.LeaseEnd = until
 	}
 	m.Answer()
-	return &protocol.ReportReply{Token: m.Token, Orders: c.orders(m)}
+	return &protocol.HeartbeatReply{Token: m.Token, Commands: c.orders(m)}
 }
 
 // observe takes in a report from /hello or from a direct command's answer.
-func (c *Controller) observe(m *cluster.Machine, r *protocol.Report, now time.Time) {
+func (c *Controller) observe(m *cluster.Machine, r *protocol.Heartbeat, now time.Time) {
 	wasUp, unknown := m.Up, m.UnknownTasks
 	ended, fresh := m.Observe(r, parseTask, now, c.leaseFrom(now))
 	if !fresh {
@@ -94,8 +94,8 @@
 }
 
 // orders are what a machine is to stop and to forget. Both may be repeated.
-func (c *Controller) orders(m *cluster.Machine) []protocol.Order {
-	out := []protocol.Order{}
+func (c *Controller) orders(m *cluster.Machine) []protocol.Command {
+	out := []protocol.Command{}
 	for i := range m.Reported {
 		t := &m.Reported[i]
 		k, ok := t.Of, t.OK
@@ -106,14 +106,14 @@
 			// To forget it earlier could make the worker run it again: a start
 			// still under way, or a completion that is not recorded yet.
 			if m.MayForget(k, t.Attempt) && !(j != nil && j.pendingDone[k.Task]) && (p == nil || p.Attempt != t.Attempt) {
-				out = append(out, protocol.Order{Verb: protocol.VerbForget, Task: t.Task, Attempt: t.Attempt})
+				out = append(out, protocol.Command{Verb: protocol.VerbRelease, Task: t.Task, Attempt: t.Attempt})
 			}
 		case !ok || p == nil || p.Attempt != t.Attempt:
 			if m.Shown >= c.token() {
-				out = append(out, protocol.Order{Verb: protocol.VerbStop, Task: t.Task, Attempt: t.Attempt})
+				out = append(out, protocol.Command{Verb: protocol.VerbStop, Task: t.Task, Attempt: t.Attempt})
 			}
 		case p.Stopping && (t.State != protocol.TaskSaving || p.Grace == 0):
-			out = append(out, protocol.Order{Verb: protocol.VerbStop, Task: t.Task, Attempt: t.Attempt, Grace: p.Grace})
+			out = append(out, protocol.Command{Verb: protocol.VerbStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: p.Grace})
 		}
 	}
 	return out
@@ -133,7 +133,7 @@
 			continue
 		}
 		delete(j.live, p.Task)
-		if e.Cause == protocol.CauseDone {
+		if e.Cause == protocol.ExitDone {
 			c.completeTask(j, p, now)
 		} else {
 			c.retryTask(j, &e, now)
@@ -161,18 +161,18 @@
 		// The next leader would leave it its time to end all over again.
 		c.markDirty(j, p.Task, false, now)
 	}
-	if e.Cause != protocol.CauseStopped && !j.cancelled {
+	if e.Cause != protocol.ExitStopped && !j.cancelled {
 		c.Log.Info("task ended", "task", taskName(p.Key), "try", p.Attempt, "machine", p.Machine.ID, "cause", e.Cause)
 	}
 	switch e.Cause {
-	case protocol.CauseError:
+	case protocol.ExitError:
 		j.errors++
 		pause := tuning.ErrorBackoff << min(j.errors-1, 10)
 		j.rest(now.Add(min(pause, tuning.ErrorBackoffMax)))
 		p.Machine.Failed(j.ref)
-	case protocol.CauseNoRoom, protocol.CauseBusy:
+	case protocol.ExitNoCapacity, protocol.ExitDuplicate:
 		p.Machine.RestUntil = now.Add(tuning.MachineBackoff)
-	case protocol.CauseUnknown:
+	case protocol.ExitUnknownTask:
 		j.rest(now.Add(tuning.MachineBackoff))
 	}
 	if !j.gang() {
--- a/internal/leader/runrecord.go
+++ b/internal/leader/runrecord.go
@@ -32,7 +32,7 @@
 // owns tells whether a task is kept in the piece with the number. The first also
 // keeps the tasks of pieces that were not written yet (see ledger.Assemble).
 func (j *job) owns(number, task int) bool {
-	own := records.Piece(task)
+	own := records.SegmentOf(task)
 	if number != 0 {
 		return own == number
 	}
@@ -40,32 +40,32 @@
 }
 
 // record is a piece of the run record in the present state.
-func (j *job) record(number int) records.Run {
-	r := records.Run{Next: j.next, Done: j.doneIn(number), Live: []records.Placement{}}
+func (j *job) record(number int) records.RunRecord {
+	r := records.RunRecord{NextAttempt: j.next, Done: j.doneIn(number), Placements: []records.Placement{}}
 	for n, p := range j.live {
 		if !j.owns(number, n) {
 			continue
 		}
-		placement := records.Placement{Task: n, Attempt: p.Attempt, Machine: p.Machine.ID, Session: p.Session}
+		placement := records.Placement{Task: n, Attempt: p.Attempt, Machine: p.Machine.ID, Incarnation: p.Session}
 		if j.desc.Spread || j.desc.OneZone {
 			placement.Zone = p.Machine.Zone
 		}
-		r.Live = append(r.Live, placement)
+		r.Placements = append(r.Placements, placement)
 	}
-	slices.SortFunc(r.Live, func(a, b records.Placement) int { return a.Task - b.Task })
+	slices.SortFunc(r.Placements, func(a, b records.Placement) int { return a.Task - b.Task })
 	return r
 }
 
 // doneIn is the part of the done tasks that is kept in the piece with the number.
-func (j *job) doneIn(number int) records.Ranges {
+func (j *job) doneIn(number int) records.TaskRanges {
 	if number != 0 {
 		first := number * tuning.PieceTasks
 		return j.done.Within(first, first+tuning.PieceTasks-1)
 	}
-	out := records.Ranges{}
+	out := records.TaskRanges{}
 	for _, e := range j.done {
 		for low := e[0]; low <= e[1]; {
-			high := min(e[1], (records.Piece(low)+1)*tuning.PieceTasks-1)
+			high := min(e[1], (records.SegmentOf(low)+1)*tuning.PieceTasks-1)
 			if j.owns(0, low) {
 				out.Append(low, high)
 			}
@@ -80,10 +80,10 @@
 func (j *job) divide(urgent bool, now time.Time) bool {
 	found := map[int]bool{}
 	for n := range j.live {
-		found[records.Piece(n)] = true
+		found[records.SegmentOf(n)] = true
 	}
 	for _, e := range j.done {
-		for number := records.Piece(e[0]); number <= records.Piece(e[1]); number++ {
+		for number := records.SegmentOf(e[0]); number <= records.SegmentOf(e[1]); number++ {
 			found[number] = true
 		}
 	}
@@ -109,8 +109,8 @@
 // whole job until the whole cluster reads pieces, and where the whole surely fits in
 // a value: each piece that changes is a write.
 func (c *Controller) markDirty(j *job, task int, urgent bool, now time.Time) {
-	number := records.Piece(task)
-	undivided := c.format < records.FormatPieces || j.desc.Tasks*tuning.RecordEntryBytes <= c.Store.ValueBytes()
+	number := records.SegmentOf(task)
+	undivided := c.format < records.FormatSegmented || j.desc.Tasks*tuning.RecordEntryBytes <= c.Store.MaxValueBytes()
 	if undivided && !j.written(number) {
 		number = 0
 	}
--- a/internal/leader/runrecord_test.go
+++ b/internal/leader/runrecord_test.go
@@ -23,9 +23,9 @@
 const completed taskState = -1
 
 // stateOf lists the states of all tasks as a record says.
-func stateOf(r *records.Run, tasks int) []taskState {
+func stateOf(r *records.RunRecord, tasks int) []taskState {
 	out := make([]taskState, tasks)
-	for _, p := range r.Live {
+	for _, p := range r.Placements {
 		out[p.Task] = taskState(p.Attempt)
 	}
 	for task := range out {
@@ -43,11 +43,11 @@
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range 200 {
 		tasks := 1 + rng.IntN(200)
-		j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Shape: protocol.Array, Tasks: tasks}}, 1, time.Now())
+		j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: tasks}}, 1, time.Now())
 		c := &Controller{format: records.FormatWhole}
 		c.Store = kvstore.New("state:1", &calls{}, nil, config.State{StateLimits: config.StateLimits{ValueKB: float64(1 + rng.IntN(8))}})
 		machine := &cluster.Machine{ID: "m-000001"}
-		stored := map[int]records.Run{}
+		stored := map[int]records.RunRecord{}
 		model := make([]taskState, tasks)
 		for step := range 100 {
 			switch rng.IntN(4) {
@@ -59,13 +59,13 @@
 				writePiece(j, rng, stored, model, uint64(step+2))
 			case 3:
 				if rng.IntN(5) == 0 {
-					c.format = records.FormatPieces
+					c.format = records.FormatSegmented
 				}
-				if c.format >= records.FormatPieces && rng.IntN(4) == 0 {
+				if c.format >= records.FormatSegmented && rng.IntN(4) == 0 {
 					j.divide(false, time.Now())
 				}
 			}
-			whole := records.Assemble(stored)
+			whole := records.JoinSegments(stored)
 			if d := cmp.Diff(model, stateOf(&whole, tasks)); d != "" {
 				t.Fatalf("%d tasks, step %d: %s", tasks, step, d)
 			}
@@ -89,7 +89,7 @@
 }
 
 // writePiece writes one of the pieces that lag behind.
-func writePiece(j *job, rng *rand.Rand, stored map[int]records.Run, model []taskState, version uint64) {
+func writePiece(j *job, rng *rand.Rand, stored map[int]records.RunRecord, model []taskState, version uint64) {
 	var dirty []int
 	for number := range j.pieces {
 		if j.pieces[number].dirty {
@@ -124,8 +124,8 @@
 	limits := c.Config.Deployment.State
 	value := tuning.ValueLeastKB
 	limits.Next.ValueKB = &value
-	c.Store = kvstore.New("state:1", &calls{}, protocol.NewComplaints(c.Log), limits)
-	c.useFormat(records.FormatPieces)
+	c.Store = kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(c.Log), limits)
+	c.useFormat(records.FormatSegmented)
 	j := c.jobs["req-000000"]
 	j.desc.Tasks = 300
 	machine := &cluster.Machine{ID: "m-000001", Live: map[cluster.Key]*cluster.Placement{}}
@@ -135,8 +135,8 @@
 		j.next++
 	}
 	j.piece(0).version = 1
-	c.end([]cluster.Ended{{Placement: j.live[3], Cause: protocol.CauseDone}}, now)
-	stored := map[int]records.Run{0: {Next: j.next}}
+	c.end([]cluster.Ended{{Placement: j.live[3], Cause: protocol.ExitDone}}, now)
+	stored := map[int]records.RunRecord{0: {NextAttempt: j.next}}
 	for commits := 0; j.piece(0).dirty; commits++ {
 		if commits > 20 {
 			t.Fatal("the record is not written")
@@ -146,11 +146,11 @@
 		later := now.Add(time.Minute)
 		c.addJobs(b, c.dueWrites(later), 1000, later)
 		for i, w := range b.runs {
-			raw := b.txn.Changes[i].Value.(msgpack.RawMessage)
-			if size, err := protocol.JSONSize(raw); err != nil || size > c.Store.ValueBytes() {
+			raw := b.txn.Mutations[i].Value.(msgpack.RawMessage)
+			if size, err := protocol.JSONSize(raw); err != nil || size > c.Store.MaxValueBytes() {
 				t.Errorf("piece %d of %d bytes, %v", w.number, size, err)
 			}
-			var r records.Run
+			var r records.RunRecord
 			if err := protocol.Unmarshal(raw, &r); err != nil {
 				t.Fatal(err)
 			}
@@ -158,9 +158,9 @@
 			c.onRunWritten(w, uint64(commits+2))
 		}
 	}
-	whole := records.Assemble(stored)
-	if len(j.live) != 299 || len(whole.Live) != 299 || whole.Done.Count() != 1 {
-		t.Errorf("%d run; recorded are %d and %v done", len(j.live), len(whole.Live), whole.Done)
+	whole := records.JoinSegments(stored)
+	if len(j.live) != 299 || len(whole.Placements) != 299 || whole.Done.Count() != 1 {
+		t.Errorf("%d run; recorded are %d and %v done", len(j.live), len(whole.Placements), whole.Done)
 	}
 }
 
@@ -169,7 +169,7 @@
 	for _, share := range []int{0, 2, 3, 1000} {
 		j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Tasks: tuning.MaxTasks, Spread: true}}, 1, time.Now())
 		j.next = 900 << tuning.TermShift
-		number := records.Pieces(tuning.MaxTasks) - 1
+		number := records.SegmentCount(tuning.MaxTasks) - 1
 		for task := number * tuning.PieceTasks; task < tuning.MaxTasks; task++ {
 			if share > 0 && task%share == 0 {
 				j.done.Add(task)
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -302,7 +302,7 @@
 	ran := b.now.Sub(p.Since).Seconds()
 	r.LeftS = max(0, j.EstimateS-ran)
 	lost := ran
-	if interval := j.Desc.CheckpointS; interval > 0 {
+	if interval := j.Desc.CheckpointIntervalS; interval > 0 {
 		lost = min(lost, interval)
 	}
 	r.LostS += lost
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -70,7 +70,7 @@
 }
 
 func (c *Controller) summarize(s *scheduler.Snapshot, jobs []*job, plan scheduler.Plan, now time.Time) {
-	st := Status{Term: c.term.N, CloudOK: c.cloudOK, Format: c.format, Versions: c.nodeVersions()}
+	st := Status{Term: c.term.Term, CloudOK: c.cloudOK, Format: c.format, Versions: c.nodeVersions()}
 	late := map[int]bool{}
 	for _, i := range plan.Late {
 		late[i] = true
--- a/internal/leader/versions.go
+++ b/internal/leader/versions.go
@@ -26,7 +26,7 @@
 		} else {
 			c.send(m)
 		}
-		if m.committed || !clock.For(ctx, tuning.VersionEvery) {
+		if m.committed || !clock.Sleep(ctx, tuning.VersionEvery) {
 			return
 		}
 	}
@@ -38,8 +38,8 @@
 	if err != nil {
 		return m, err
 	}
-	for _, it := range page.Items {
-		var v records.Version
+	for _, it := range page.Entries {
+		var v records.FormatVersion
 		if err := protocol.Unmarshal(it.Value, &v); err != nil {
 			c.Log.Error("unreadable version record", "key", it.Key, "err", err)
 			continue // it counts as an earlier version
@@ -57,11 +57,11 @@
 // allRead tells whether every controller of the settings reads what this program
 // writes.
 func (c *Controller) allRead(formats map[string]int) bool {
-	if formats[c.Config.Node] < records.FormatOwn {
+	if formats[c.Config.Node] < records.FormatSupported {
 		return false
 	}
 	for _, p := range c.Config.Peers {
-		if formats[p.Node] < records.FormatOwn {
+		if formats[p.Node] < records.FormatSupported {
 			return false
 		}
 	}
@@ -69,9 +69,9 @@
 }
 
 func (c *Controller) commitFormat(ctx context.Context) bool {
-	_, err := c.Store.Commit(ctx, protocol.Commit{
-		Guards:  []protocol.Guard{{Key: records.KeyTerm, Version: c.term.Stamp}},
-		Changes: []protocol.Change{{Set: records.KeyCluster, Value: records.Version{Format: records.FormatOwn}}},
+	_, err := c.Store.Commit(ctx, protocol.Transaction{
+		Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: c.term.TermVersion}},
+		Mutations:     []protocol.Mutation{{Set: records.KeyCluster, Value: records.FormatVersion{Format: records.FormatSupported}}},
 	})
 	if err != nil {
 		c.Log.Info("recording the cluster's version", "err", err) // read again before the next try
@@ -82,7 +82,7 @@
 func (c *Controller) onVersions(m versionsMsg) {
 	c.formats = m.formats
 	if m.committed {
-		c.useFormat(records.FormatPieces)
+		c.useFormat(records.FormatSegmented)
 	}
 }
 
@@ -93,15 +93,15 @@
 	}
 	c.format = format
 	c.changed = true
-	c.Store.UseSmaller()
+	c.Store.UseAnnouncedLimits()
 	c.Log.Info("cluster version", "format", format)
 }
 
 // liveMost is how many tasks of a job may be in flight: any number once its run
 // record is kept in pieces, otherwise what one record surely holds.
 func (c *Controller) liveMost() int {
-	if c.format >= records.FormatPieces {
+	if c.format >= records.FormatSegmented {
 		return tuning.MaxTasks
 	}
-	return max(1, c.Store.ValueBytes()/2/tuning.RecordEntryBytes)
+	return max(1, c.Store.MaxValueBytes()/2/tuning.RecordEntryBytes)
 }
--- a/internal/peer/compatible_test.go
+++ b/internal/peer/compatible_test.go
@@ -27,19 +27,19 @@
 	if err := json.Unmarshal(raw, &kept); err != nil {
 		t.Fatal(err)
 	}
-	job := protocol.Job{ID: "req-000412", Class: "train", Team: "vision", Shape: protocol.Gang, Rank: protocol.High, Tasks: 16, Cores: 8, GPUs: 1,
-		MemGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
+	job := protocol.Job{ID: "req-000412", Class: "train", Team: "vision", Kind: protocol.KindGang, Priority: protocol.PriorityHigh, Tasks: 16, Cores: 8, GPUs: 1,
+		MemGB: 64, Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}
 	const atMS = 1790000000123
-	term := records.Term{N: 41, Node: "marble-2"}
+	term := records.Term{Number: 41, Node: "marble-2"}
 	for name, want := range map[string]any{
-		"open":      &records.OpenJob{Job: job, AtMS: atMS},
-		"cancelled": &records.OpenJob{Job: job, AtMS: atMS, Cancelled: true},
-		"run": &records.Run{Next: 900, Done: records.Ranges{{0, 3}, {7, 7}, {40, 99}}, Live: []records.Placement{
-			{Task: 5, Attempt: 12, Machine: "m-000231", Session: 2, Zone: "a"}, {Task: 101, Attempt: 899, Machine: "m-000007", Session: 1}}},
-		"final": &records.Final{Phase: protocol.PhaseDone, Tasks: 16},
+		"open":      &records.OpenJob{Job: job, AcceptedMS: atMS},
+		"cancelled": &records.OpenJob{Job: job, AcceptedMS: atMS, Cancelled: true},
+		"run": &records.RunRecord{NextAttempt: 900, Done: records.TaskRanges{{0, 3}, {7, 7}, {40, 99}}, Placements: []records.Placement{
+			{Task: 5, Attempt: 12, Machine: "m-000231", Incarnation: 2, Zone: "a"}, {Task: 101, Attempt: 899, Machine: "m-000007", Incarnation: 1}}},
+		"final": &records.FinalRecord{Phase: protocol.PhaseDone, TasksDone: 16},
 		"term":  &term,
-		"claim": &records.Claim{Claim: "r-41-7", Type: "g8", Zone: "a", Spot: true, Count: 12, AtMS: atMS},
-		"hint":  &records.Hint{Images: []string{"img-07", "img-09"}, GB: []float64{6.2, 1}, Machines: map[string][]int{"m-000231": {1, 0}}},
+		"claim": &records.ProvisioningRequest{ID: "r-41-7", Type: "g8", Zone: "a", Spot: true, Count: 12, RequestedMS: atMS},
+		"hint":  &records.ImageInventory{Images: []string{"img-07", "img-09"}, SizesGB: []float64{6.2, 1}, Machines: map[string][]int{"m-000231": {1, 0}}},
 		"catalog": &[]protocol.MachineType{{Name: "g8", Cores: 96, GPUs: 8, MemGB: 768, CacheGB: 200, FetchGBps: 1, Price: 12, SpotPrice: 4.5,
 			BootS: 45, Zones: []string{"a", "b"}}},
 		"statusRequest": &StatusRequest{Leader: term, Acknowledged: true},
@@ -72,7 +72,7 @@
 // What this version writes beyond that is passed over by the one in production, whose
 // structures are these: the names of a job's dependencies, and when a job was closed.
 func TestReadByProduction(t *testing.T) {
-	open, _ := protocol.Marshal(records.OpenJob{Job: protocol.Job{ID: "req-000001", Tasks: 3, Awaits: []string{"req-000002"}}, AtMS: 7})
+	open, _ := protocol.Marshal(records.OpenJob{Job: protocol.Job{ID: "req-000001", Tasks: 3, DependsOn: []string{"req-000002"}}, AcceptedMS: 7})
 	var job struct {
 		Job struct {
 			ID    string `msgpack:"ref"`
@@ -84,7 +84,7 @@
 	if err := protocol.Unmarshal(open, &job); err != nil || job.Job.ID != "req-000001" || job.Job.Tasks != 3 || job.AtMS != 7 {
 		t.Errorf("open record read as %+v, %v", job, err)
 	}
-	closed, _ := protocol.Marshal(records.Final{Phase: protocol.PhaseDone, Tasks: 3, AtMS: 9})
+	closed, _ := protocol.Marshal(records.FinalRecord{Phase: protocol.PhaseDone, TasksDone: 3, ClosedMS: 9})
 	var final struct {
 		Phase string `msgpack:"p"`
 		Tasks int    `msgpack:"n"`
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -16,32 +16,32 @@
 
 // Job is a job's description as its user submits it.
 type Job struct {
-	ID          string   `msgpack:"ref"`
-	Class       string   `msgpack:"workload"`
-	Team        string   `msgpack:"owner"`
-	Shape       string   `msgpack:"shape"`
-	Rank        string   `msgpack:"rank"`
-	Tasks       int      `msgpack:"pieces"`
-	Cores       float64  `msgpack:"cores"`
-	GPUs        float64  `msgpack:"cards"`
-	MemGB       float64  `msgpack:"memGb"`
-	Image       string   `msgpack:"bundle"`
-	ImageGB     float64  `msgpack:"imageGb"`
-	Types       []string `msgpack:"flavors"`
-	Zone        string   `msgpack:"quarry"`
-	OneZone     bool     `msgpack:"samePlace"`
-	Spread      bool     `msgpack:"spread"`
-	Spot        bool     `msgpack:"loaners"`
-	EstimateS   float64  `msgpack:"guessS"`
-	CheckpointS float64  `msgpack:"snapshotS"`
-	SaveS       float64  `msgpack:"flushS"`
-	DeadlineS   float64  `msgpack:"dueS"` // 0: none
+	ID                  string   `msgpack:"ref"`
+	Class               string   `msgpack:"workload"`
+	Team                string   `msgpack:"owner"`
+	Kind                string   `msgpack:"shape"`
+	Priority            string   `msgpack:"rank"`
+	Tasks               int      `msgpack:"pieces"`
+	Cores               float64  `msgpack:"cores"`
+	GPUs                float64  `msgpack:"cards"`
+	MemGB               float64  `msgpack:"memGb"`
+	Image               string   `msgpack:"bundle"`
+	ImageGB             float64  `msgpack:"imageGb"`
+	MachineTypes        []string `msgpack:"flavors"`
+	Zone                string   `msgpack:"quarry"`
+	OneZone             bool     `msgpack:"samePlace"`
+	Spread              bool     `msgpack:"spread"`
+	Spot                bool     `msgpack:"loaners"`
+	EstimateS           float64  `msgpack:"guessS"`
+	CheckpointIntervalS float64  `msgpack:"snapshotS"`
+	CheckpointSaveS     float64  `msgpack:"flushS"`
+	DeadlineS           float64  `msgpack:"dueS"` // 0: none
 	// Awaits names the jobs that must be done before any task of this one starts.
-	Awaits []string `msgpack:"awaits,omitempty"`
+	DependsOn []string `msgpack:"awaits,omitempty"`
 }
 
 // ValidID tells whether s has the form of a job id.
-func ValidID(s string) bool {
+func ValidJobID(s string) bool {
 	const prefix = "req-"
 	if len(s) <= len(prefix) || len(s) > len(prefix)+20 || s[:len(prefix)] != prefix {
 		return false
@@ -216,23 +216,23 @@
 
 func (r *jobReader) job() *Job {
 	return &Job{
-		ID: r.texts["ref"], Class: r.texts["workload"], Team: r.texts["owner"], Shape: r.texts["shape"], Rank: r.texts["rank"],
+		ID: r.texts["ref"], Class: r.texts["workload"], Team: r.texts["owner"], Kind: r.texts["shape"], Priority: r.texts["rank"],
 		Tasks: r.tasks, Cores: r.amounts["cores"], GPUs: r.amounts["cards"], MemGB: r.amounts["memGb"],
-		Image: r.texts["bundle"], ImageGB: r.amounts["imageGb"], Types: r.lists["flavors"], Zone: r.texts["quarry"],
+		Image: r.texts["bundle"], ImageGB: r.amounts["imageGb"], MachineTypes: r.lists["flavors"], Zone: r.texts["quarry"],
 		OneZone: r.bools["samePlace"], Spread: r.bools["spread"], Spot: r.bools["loaners"],
-		EstimateS: r.amounts["guessS"], CheckpointS: r.amounts["snapshotS"], SaveS: r.amounts["flushS"],
-		DeadlineS: r.amounts["dueS"], Awaits: r.lists["awaits"],
+		EstimateS: r.amounts["guessS"], CheckpointIntervalS: r.amounts["snapshotS"], CheckpointSaveS: r.amounts["flushS"],
+		DeadlineS: r.amounts["dueS"], DependsOn: r.lists["awaits"],
 	}
 }
 
 // check refuses values that no job can have.
 func (j *Job) check() error {
 	switch {
-	case !ValidID(j.ID):
+	case !ValidJobID(j.ID):
 		return errors.New("field ref is malformed")
-	case !slices.Contains([]string{Array, Gang, Service}, j.Shape):
+	case !slices.Contains([]string{KindArray, KindGang, KindService}, j.Kind):
 		return errors.New("unknown shape")
-	case !slices.Contains([]string{Production, High, Standard, Idle}, j.Rank):
+	case !slices.Contains([]string{PriorityProduction, PriorityHigh, PriorityStandard, PriorityIdle}, j.Priority):
 		return errors.New("unknown rank")
 	}
 	return j.checkDependencies()
@@ -241,17 +241,17 @@
 // checkDependencies checks the ids of the jobs that the job waits for, and drops
 // repeated ones.
 func (j *Job) checkDependencies() error {
-	for _, ref := range j.Awaits {
+	for _, ref := range j.DependsOn {
 		switch {
-		case !ValidID(ref):
+		case !ValidJobID(ref):
 			return errors.New("field awaits names no job")
 		case ref == j.ID:
 			return errors.New("field awaits names the job itself")
 		}
 	}
-	slices.Sort(j.Awaits)
-	j.Awaits = slices.Compact(j.Awaits)
-	if len(j.Awaits) > tuning.DependenciesMost {
+	slices.Sort(j.DependsOn)
+	j.DependsOn = slices.Compact(j.DependsOn)
+	if len(j.DependsOn) > tuning.DependenciesMost {
 		return fmt.Errorf("field awaits names more than %d jobs", tuning.DependenciesMost)
 	}
 	return nil
--- a/internal/protocol/job_test.go
+++ b/internal/protocol/job_test.go
@@ -26,9 +26,9 @@
 }
 
 func TestDecodeJob(t *testing.T) {
-	want := &Job{ID: "req-000412", Class: "train", Team: "vision", Shape: Gang, Rank: High, Tasks: 16, Cores: 8, GPUs: 1,
-		MemGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, OneZone: true, Spot: true, EstimateS: 240,
-		CheckpointS: 30, SaveS: 4, DeadlineS: 900}
+	want := &Job{ID: "req-000412", Class: "train", Team: "vision", Kind: KindGang, Priority: PriorityHigh, Tasks: 16, Cores: 8, GPUs: 1,
+		MemGB: 64, Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, OneZone: true, Spot: true, EstimateS: 240,
+		CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}
 	m := valid()
 	m["unheardOf"] = map[string]any{"deep": []any{1, nil, "x"}}
 	got, err := DecodeJob(encode(t, m))
@@ -107,7 +107,7 @@
 		if err != nil {
 			return
 		}
-		if !ValidID(j.ID) || j.Tasks < 1 || !(j.Cores >= 0) || !(j.MemGB >= 0) || !(j.EstimateS >= 0) || j.Team == "" {
+		if !ValidJobID(j.ID) || j.Tasks < 1 || !(j.Cores >= 0) || !(j.MemGB >= 0) || !(j.EstimateS >= 0) || j.Team == "" {
 			t.Errorf("accepted %+v", j)
 		}
 	})
--- a/internal/protocol/jsonsize.go
+++ b/internal/protocol/jsonsize.go
@@ -16,7 +16,7 @@
 
 // Encode encodes a value, unless it is encoded already, and returns its size as
 // JSONSize does.
-func Encode(value any) (raw msgpack.RawMessage, size int, err error) {
+func EncodeSized(value any) (raw msgpack.RawMessage, size int, err error) {
 	raw, encoded := value.(msgpack.RawMessage)
 	if !encoded {
 		if raw, err = Marshal(value); err != nil {
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -20,14 +20,14 @@
 
 // Placement shapes, ranks, phases, causes and verbs as spelled on the wire.
 const (
-	Array   = "sweep"
-	Gang    = "group"
-	Service = "standing"
+	KindArray   = "sweep"
+	KindGang    = "group"
+	KindService = "standing"
 
-	Production = "production"
-	High       = "high"
-	Standard   = "standard"
-	Idle       = "idle"
+	PriorityProduction = "production"
+	PriorityHigh       = "high"
+	PriorityStandard   = "standard"
+	PriorityIdle       = "idle"
 
 	PhaseQueued    = "queued"
 	PhaseRunning   = "running"
@@ -40,21 +40,21 @@
 	TaskSaving   = "saving"
 	TaskExited   = "ended"
 
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "in_use"
-	CauseUnknown = "no_such"
+	ExitDone        = "done"
+	ExitStopped     = "stopped"
+	ExitError       = "error"
+	ExitNoCapacity  = "no_room"
+	ExitDuplicate   = "in_use"
+	ExitUnknownTask = "no_such"
 
-	VerbStart  = "start"
-	VerbStop   = "kill"
-	VerbForget = "reap"
+	VerbStart   = "start"
+	VerbStop    = "kill"
+	VerbRelease = "reap"
 
 	MachineStarting = "starting"
 	MachineFailed   = "failed"
 
-	ErrNoLease = "no such lease"
+	ReasonNoLease = "no such lease"
 )
 
 // JobStatus answers users' calls.
@@ -66,48 +66,48 @@
 }
 
 // TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Task    string `msgpack:"piece"`
-	Attempt uint64 `msgpack:"try"`
-	State   string `msgpack:"phase"`
-	Cause   string `msgpack:"cause"`
-	Saved   bool   `msgpack:"stored"`
+type TaskStatus struct {
+	Task         string `msgpack:"piece"`
+	Attempt      uint64 `msgpack:"try"`
+	State        string `msgpack:"phase"`
+	ExitReason   string `msgpack:"cause"`
+	Checkpointed bool   `msgpack:"stored"`
 }
 
 // Report is what a worker tells about itself.
-type Report struct {
-	Machine string       `msgpack:"host"`
-	Addr    string       `msgpack:"endpoint"`
-	Type    string       `msgpack:"flavor"`
-	Zone    string       `msgpack:"quarry"`
-	Spot    bool         `msgpack:"loaners"`
-	Session uint64       `msgpack:"tenure"`
-	Seq     uint64       `msgpack:"tick"`
-	Token   uint64       `msgpack:"baton"`
-	Notice  *float64     `msgpack:"recallS"`
-	Tasks   []TaskReport `msgpack:"pieces"`
+type Heartbeat struct {
+	Machine           string       `msgpack:"host"`
+	Addr              string       `msgpack:"endpoint"`
+	MachineType       string       `msgpack:"flavor"`
+	Zone              string       `msgpack:"quarry"`
+	Spot              bool         `msgpack:"loaners"`
+	Incarnation       uint64       `msgpack:"tenure"`
+	Sequence          uint64       `msgpack:"tick"`
+	Token             uint64       `msgpack:"baton"`
+	PreemptionNoticeS *float64     `msgpack:"recallS"`
+	Tasks             []TaskStatus `msgpack:"pieces"`
 }
 
 // Check tells whether a report can be worked with.
-func (r *Report) Check() error {
-	if r.Machine == "" || len(r.Machine) > tuning.MaxName || r.Session == 0 {
+func (r *Heartbeat) Check() error {
+	if r.Machine == "" || len(r.Machine) > tuning.MaxName || r.Incarnation == 0 {
 		return errors.New("report without host or tenure")
 	}
 	return nil
 }
 
 // Order is a command to a worker.
-type Order struct {
-	Verb    string  `msgpack:"verb"`
-	Task    string  `msgpack:"piece"`
-	Attempt uint64  `msgpack:"try"`
-	Grace   float64 `msgpack:"windupS,omitempty"`
+type Command struct {
+	Verb         string  `msgpack:"verb"`
+	Task         string  `msgpack:"piece"`
+	Attempt      uint64  `msgpack:"try"`
+	GracePeriodS float64 `msgpack:"windupS,omitempty"`
 }
 
 // ReportReply answers a report.
-type ReportReply struct {
-	Token  uint64  `msgpack:"baton"`
-	Orders []Order `msgpack:"orders"`
+type HeartbeatReply struct {
+	Token    uint64    `msgpack:"baton"`
+	Commands []Command `msgpack:"orders"`
 }
 
 // Redirect names the node that takes reports.
@@ -116,10 +116,10 @@
 }
 
 // DoRequest carries direct commands.
-type DoRequest struct {
-	Token   uint64  `msgpack:"baton"`
-	Session uint64  `msgpack:"tenure"`
-	Orders  []Order `msgpack:"orders"`
+type CommandRequest struct {
+	Token       uint64    `msgpack:"baton"`
+	Incarnation uint64    `msgpack:"tenure"`
+	Commands    []Command `msgpack:"orders"`
 }
 
 // MachineType is an entry of the cloud's catalog.
@@ -142,17 +142,17 @@
 }
 
 // RentRequest asks the cloud for machines.
-type RentRequest struct {
-	Claim string `msgpack:"claim"`
-	Type  string `msgpack:"flavor"`
-	Zone  string `msgpack:"quarry"`
-	Spot  bool   `msgpack:"loaners"`
-	Count int    `msgpack:"howMany"`
+type ProvisionRequest struct {
+	RequestID string `msgpack:"claim"`
+	Type      string `msgpack:"flavor"`
+	Zone      string `msgpack:"quarry"`
+	Spot      bool   `msgpack:"loaners"`
+	Count     int    `msgpack:"howMany"`
 }
 
 // Hosts lists machine names.
-type Hosts struct {
-	Hosts []string `msgpack:"hosts"`
+type MachineIDs struct {
+	IDs []string `msgpack:"hosts"`
 }
 
 // ListedMachine is an entry of the cloud's machine list.
@@ -173,27 +173,27 @@
 }
 
 // Item is a key of the state service with its value.
-type Item struct {
+type KeyValue struct {
 	Key     string             `msgpack:"path"`
 	Value   msgpack.RawMessage `msgpack:"data"`
 	Version uint64             `msgpack:"stamp"`
 }
 
 // Items is a page of keys.
-type Items struct {
-	Items    []Item `msgpack:"rows"`
-	More     bool   `msgpack:"truncated"`
-	Revision uint64 `msgpack:"epoch"`
+type KeyValuePage struct {
+	Entries  []KeyValue `msgpack:"rows"`
+	More     bool       `msgpack:"truncated"`
+	Revision uint64     `msgpack:"epoch"`
 }
 
 // Guard is a condition of a commit.
-type Guard struct {
+type Precondition struct {
 	Key     string `msgpack:"path"`
 	Version uint64 `msgpack:"stamp"`
 }
 
 // Change is a put (Set) or a delete.
-type Change struct {
+type Mutation struct {
 	Set    string `msgpack:"set,omitempty"`
 	Value  any    `msgpack:"data,omitempty"`
 	Lease  uint64 `msgpack:"permit,omitempty"`
@@ -201,30 +201,30 @@
 }
 
 // Commit is a transaction.
-type Commit struct {
-	Guards  []Guard  `msgpack:"guards"`
-	Changes []Change `msgpack:"then,omitempty"`
+type Transaction struct {
+	Preconditions []Precondition `msgpack:"guards"`
+	Mutations     []Mutation     `msgpack:"then,omitempty"`
 }
 
 // CommitReply answers a transaction.
-type CommitReply struct {
-	Revision uint64   `msgpack:"epoch"`
-	Failed   []string `msgpack:"failed"`
-	Error    string   `msgpack:"error"`
+type TransactionReply struct {
+	Revision   uint64   `msgpack:"epoch"`
+	FailedKeys []string `msgpack:"failed"`
+	Error      string   `msgpack:"error"`
 }
 
 // GrantRequest asks for a lease at the state service.
-type GrantRequest struct {
-	LifeMS int64 `msgpack:"lifeMs"`
+type LeaseRequest struct {
+	TTLMS int64 `msgpack:"lifeMs"`
 }
 
 // Grant is a lease at the state service.
-type Grant struct {
-	Lease uint64 `msgpack:"permit"`
+type Lease struct {
+	ID uint64 `msgpack:"permit"`
 }
 
 // Event is a change seen by a follow call.
-type Event struct {
+type WatchEvent struct {
 	Set     string             `msgpack:"set"`
 	Value   msgpack.RawMessage `msgpack:"data"`
 	Delete  string             `msgpack:"delete"`
@@ -232,9 +232,9 @@
 }
 
 // Events answers a follow call.
-type Events struct {
-	Revision uint64  `msgpack:"epoch"`
-	Events   []Event `msgpack:"events"`
+type WatchReply struct {
+	Revision uint64       `msgpack:"epoch"`
+	Events   []WatchEvent `msgpack:"events"`
 }
 
 // ErrorReply explains a refusal.
@@ -261,16 +261,16 @@
 var ErrMalformed = errors.New("malformed answer")
 
 // Complaints logs malformed messages at a limited rate.
-type Complaints struct {
+type MalformedLog struct {
 	log  *slog.Logger
 	last atomic.Int64 // when it last logged, ns
 }
 
 // NewComplaints makes a log of malformed messages.
-func NewComplaints(log *slog.Logger) *Complaints { return &Complaints{log: log} }
+func NewMalformedLog(log *slog.Logger) *MalformedLog { return &MalformedLog{log: log} }
 
 // Note logs a malformed message, unless another was logged just before.
-func (c *Complaints) Note(from string, err error) {
+func (c *MalformedLog) Record(from string, err error) {
 	now := time.Now().UnixNano()
 	last := c.last.Load()
 	if now-last >= int64(tuning.ErrorLogEvery) && c.last.CompareAndSwap(last, now) {
@@ -280,15 +280,15 @@
 
 // Caller makes calls to one kind of service.
 type Caller struct {
-	HC         *http.Client
-	Complaints *Complaints
+	HTTP      *http.Client
+	Malformed *MalformedLog
 }
 
 // Call is Call, with malformed answers noted.
 func (c Caller) Call(ctx context.Context, method, url string, in any, out map[int]any) (int, error) {
-	status, err := Call(ctx, c.HC, method, url, in, out)
+	status, err := Call(ctx, c.HTTP, method, url, in, out)
 	if errors.Is(err, ErrMalformed) {
-		c.Complaints.Note(url, err)
+		c.Malformed.Record(url, err)
 	}
 	return status, err
 }
--- a/internal/records/pieces.go
+++ b/internal/records/pieces.go
@@ -5,28 +5,28 @@
 // Piece is the number of the run record's piece that a task belongs to. The first
 // piece, number 0, also holds the tasks of every piece that was not written yet: a
 // record that holds the whole job is a first piece without others.
-func Piece(task int) int { return task / tuning.PieceTasks }
+func SegmentOf(task int) int { return task / tuning.PieceTasks }
 
 // Pieces is how many pieces the run record of a job with so many tasks has.
-func Pieces(tasks int) int { return (tasks + tuning.PieceTasks - 1) / tuning.PieceTasks }
+func SegmentCount(tasks int) int { return (tasks + tuning.PieceTasks - 1) / tuning.PieceTasks }
 
 // Assemble joins the pieces of a job's run record. Where the first piece still names
 // tasks of a piece that was written since, the latter alone counts for them.
-func Assemble(pieces map[int]Run) Run {
-	var whole Run
+func JoinSegments(pieces map[int]RunRecord) RunRecord {
+	var whole RunRecord
 	for number, piece := range pieces {
-		whole.Next = max(whole.Next, piece.Next)
+		whole.NextAttempt = max(whole.NextAttempt, piece.NextAttempt)
 		counts := func(task int) bool {
-			own := Piece(task)
+			own := SegmentOf(task)
 			if number != 0 {
 				return own == number
 			}
 			_, written := pieces[own]
 			return own == 0 || !written
 		}
-		for _, placement := range piece.Live {
+		for _, placement := range piece.Placements {
 			if counts(placement.Task) {
-				whole.Live = append(whole.Live, placement)
+				whole.Placements = append(whole.Placements, placement)
 			}
 		}
 		for _, r := range piece.Done.Within(0, tuning.MaxTasks-1) {
@@ -41,7 +41,7 @@
 }
 
 // Append adds a range that begins behind all members of the set.
-func (r *Ranges) Append(first, last int) {
+func (r *TaskRanges) Append(first, last int) {
 	if n := len(*r); n > 0 && (*r)[n-1][1] == first-1 {
 		(*r)[n-1][1] = last
 		return
@@ -50,8 +50,8 @@
 }
 
 // Within returns the members of the set from first to last.
-func (r Ranges) Within(first, last int) Ranges {
-	out := Ranges{}
+func (r TaskRanges) Within(first, last int) TaskRanges {
+	out := TaskRanges{}
 	for _, e := range r {
 		low, high := max(e[0], first), min(e[1], last)
 		if low <= high {
--- a/internal/records/placement.go
+++ b/internal/records/placement.go
@@ -20,7 +20,7 @@
 	if err := e.EncodeString(p.Machine); err != nil {
 		return err
 	}
-	if err := e.EncodeUint64(p.Session); err != nil {
+	if err := e.EncodeUint64(p.Incarnation); err != nil {
 		return err
 	}
 	return e.EncodeString(p.Zone)
@@ -38,7 +38,7 @@
 		func() (err error) { p.Task, err = d.DecodeInt(); return err },
 		func() (err error) { p.Attempt, err = d.DecodeUint64(); return err },
 		func() (err error) { p.Machine, err = d.DecodeString(); return err },
-		func() (err error) { p.Session, err = d.DecodeUint64(); return err },
+		func() (err error) { p.Incarnation, err = d.DecodeUint64(); return err },
 		func() (err error) { p.Zone, err = d.DecodeString(); return err },
 	}
 	for i := range n {
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -20,28 +20,28 @@
 
 // Keys of single records and prefixes of the others.
 const (
-	KeyTerm    = "term"
-	KeyLeader  = "leader"
-	KeyCatalog = "catalog"
-	KeyCluster = "version"
-	PrefixOpen = "o/"
-	PrefixRent = "r/"
-	PrefixHint = "h/"
-	PrefixNode = "v/"
+	KeyTerm            = "term"
+	KeyLeader          = "leader"
+	KeyCatalog         = "catalog"
+	KeyCluster         = "version"
+	PrefixOpen         = "o/"
+	PrefixProvisioning = "r/"
+	PrefixImages       = "h/"
+	PrefixNode         = "v/"
 )
 
 // OpenKey, FinalKey, ClaimKey and NodeKey name the records of a job, a claim and a
 // controller.
-func OpenKey(ref string) string  { return PrefixOpen + ref }
-func FinalKey(ref string) string { return "d/" + ref }
-func ClaimKey(c string) string   { return PrefixRent + c }
-func NodeKey(node string) string { return PrefixNode + node }
+func OpenKey(ref string) string       { return PrefixOpen + ref }
+func FinalKey(ref string) string      { return "d/" + ref }
+func ProvisioningKey(c string) string { return PrefixProvisioning + c }
+func NodeKey(node string) string      { return PrefixNode + node }
 
 const runSuffix = "/t"
 
 // PieceKey names a piece of a job's run record. The first has the key of the whole
 // record as version 1 of the formats writes it.
-func PieceKey(ref string, piece int) string {
+func SegmentKey(ref string, piece int) string {
 	if piece == 0 {
 		return PrefixOpen + ref + runSuffix
 	}
@@ -49,14 +49,14 @@
 }
 
 // NoPiece is the piece number of an open job's own record.
-const NoPiece = -1
+const NoSegment = -1
 
 // SplitOpen takes the key of an open job's record or of a piece of its run record
 // apart.
-func SplitOpen(key string) (ref string, piece int) {
+func ParseOpenKey(key string) (ref string, piece int) {
 	ref, rest, isRun := strings.Cut(strings.TrimPrefix(key, PrefixOpen), runSuffix)
 	if !isRun {
-		return ref, NoPiece
+		return ref, NoSegment
 	}
 	number, err := strconv.Atoi(strings.TrimPrefix(rest, "/"))
 	if err != nil {
@@ -68,35 +68,35 @@
 // Versions of the formats of records. Version 1 keeps a job's whole run record
 // under one key; version 2 divides it into pieces.
 const (
-	FormatWhole  = 1
-	FormatPieces = 2
+	FormatWhole     = 1
+	FormatSegmented = 2
 	// FormatOwn is what this program can read and write.
-	FormatOwn = FormatPieces
+	FormatSupported = FormatSegmented
 )
 
 // Version is the format version that a controller can read and write, under its
 // node key, or the one that the whole cluster uses, under the cluster key.
-type Version struct {
+type FormatVersion struct {
 	Format int `msgpack:"v"`
 }
 
 // Term says who leads. The term key outlives every leader; the leader key,
 // with the same content, hangs on the leader's grant.
 type Term struct {
-	N    uint64 `msgpack:"n"`
-	Node string `msgpack:"node"`
+	Number uint64 `msgpack:"n"`
+	Node   string `msgpack:"node"`
 }
 
 // OpenJob is an accepted job that is not over.
 type OpenJob struct {
-	Job       protocol.Job `msgpack:"j"`
-	AtMS      int64        `msgpack:"a"` // time of day of acceptance
-	Cancelled bool         `msgpack:"c,omitempty"`
+	Job        protocol.Job `msgpack:"j"`
+	AcceptedMS int64        `msgpack:"a"` // time of day of acceptance
+	Cancelled  bool         `msgpack:"c,omitempty"`
 }
 
 // SaysCancelled looks for the mark of a cancellation in an open record that
 // cannot be read as a whole.
-func SaysCancelled(value []byte) bool {
+func MarkedCancelled(value []byte) bool {
 	var m map[string]msgpack.RawMessage
 	var c bool
 	return protocol.Unmarshal(value, &m) == nil && protocol.Unmarshal(m["c"], &c) == nil && c
@@ -104,10 +104,10 @@
 
 // Placement is a task that may be on a machine.
 type Placement struct {
-	Task    int
-	Attempt uint64
-	Machine string
-	Session uint64
+	Task        int
+	Attempt     uint64
+	Machine     string
+	Incarnation uint64
 	// Zone is set where the job has conditions on zones: a new leader may not
 	// know the machine's yet, and must count the task where it is.
 	Zone string
@@ -115,44 +115,44 @@
 
 // Run is what was done about an open job. Live holds every task that may be on
 // a machine: it is written before a start is sent, and shrinks on proof only.
-type Run struct {
-	Next uint64      `msgpack:"n"` // the next unused attempt number
-	Done Ranges      `msgpack:"d"`
-	Live []Placement `msgpack:"l"`
+type RunRecord struct {
+	NextAttempt uint64      `msgpack:"n"` // the next unused attempt number
+	Done        TaskRanges  `msgpack:"d"`
+	Placements  []Placement `msgpack:"l"`
 }
 
 // Final is the last word on a job.
-type Final struct {
-	Phase string `msgpack:"p"`
-	Tasks int    `msgpack:"n"`
+type FinalRecord struct {
+	Phase     string `msgpack:"p"`
+	TasksDone int    `msgpack:"n"`
 	// AtMS is the time of day when the job was closed; the waits of jobs that
 	// depend on it count from then. 0 in records of earlier versions.
-	AtMS int64 `msgpack:"a,omitempty"`
+	ClosedMS int64 `msgpack:"a,omitempty"`
 }
 
 // Claim is a rental, written before its call. A claim's name is never reused.
-type Claim struct {
-	Claim string `msgpack:"c"`
-	Type  string `msgpack:"t"`
-	Zone  string `msgpack:"z"`
-	Spot  bool   `msgpack:"s"`
-	Count int    `msgpack:"n"`
-	AtMS  int64  `msgpack:"a"`
+type ProvisioningRequest struct {
+	ID          string `msgpack:"c"`
+	Type        string `msgpack:"t"`
+	Zone        string `msgpack:"z"`
+	Spot        bool   `msgpack:"s"`
+	Count       int    `msgpack:"n"`
+	RequestedMS int64  `msgpack:"a"`
 }
 
 // Hint keeps what a leader knows of the images on some machines, for the next
 // one. Nothing depends on it but where work starts soonest.
-type Hint struct {
+type ImageInventory struct {
 	Images   []string         `msgpack:"i"`
-	GB       []float64        `msgpack:"g"`
+	SizesGB  []float64        `msgpack:"g"`
 	Machines map[string][]int `msgpack:"m"` // indices of images, the most recent first
 }
 
 // Ranges is a set of task numbers as sorted, disjoint, closed ranges, so that a
 // job of 100,000 finished tasks takes a few bytes.
-type Ranges [][2]int
+type TaskRanges [][2]int
 
-func (r Ranges) find(n int) (int, bool) {
+func (r TaskRanges) find(n int) (int, bool) {
 	return slices.BinarySearchFunc(r, n, func(e [2]int, n int) int {
 		switch {
 		case e[1] < n:
@@ -165,10 +165,10 @@
 }
 
 // Has tells whether n is in the set.
-func (r Ranges) Has(n int) bool { _, ok := r.find(n); return ok }
+func (r TaskRanges) Has(n int) bool { _, ok := r.find(n); return ok }
 
 // Add puts n into the set.
-func (r *Ranges) Add(n int) {
+func (r *TaskRanges) Add(n int) {
 	i, ok := r.find(n)
 	if ok {
 		return
@@ -191,7 +191,7 @@
 }
 
 // Count is the size of the set.
-func (r Ranges) Count() int {
+func (r TaskRanges) Count() int {
 	n := 0
 	for _, e := range r {
 		n += e[1] - e[0] + 1
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -9,7 +9,7 @@
 func TestRanges(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 50 {
-		var r Ranges
+		var r TaskRanges
 		plain := map[int]bool{}
 		size := 1 + rng.IntN(200)
 		for range rng.IntN(300) {
--- a/internal/scheduler/fit.go
+++ b/internal/scheduler/fit.go
@@ -24,7 +24,7 @@
 // TypeFits tells whether a task of the job can run on an empty machine of the
 // type in some zone that the job allows.
 func TypeFits(t *Type, j *protocol.Job) bool {
-	return (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) &&
+	return (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, t.Name)) &&
 		(j.Zone == "" || slices.Contains(t.Zones, j.Zone)) && t.Total.Slots(Need(j)) > 0
 }
 
@@ -67,7 +67,7 @@
 }
 
 func (p *planner) allowed(m *Machine, d *protocol.Job) bool {
-	return (len(d.Types) == 0 || slices.Contains(d.Types, p.s.Types[m.Type].Name)) && (!m.Spot || d.Spot)
+	return (len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, p.s.Types[m.Type].Name)) && (!m.Spot || d.Spot)
 }
 
 // eligible tells whether tasks of the job may be on the machine, where those it
@@ -85,13 +85,13 @@
 	t := &p.s.Types[m.Type]
 	if keepOff && t.Total.GPUs > 0 {
 		switch {
-		case j.Desc.Shape == protocol.Service:
+		case j.Desc.Kind == protocol.KindService:
 			return 0
 		case p.gpuWork(m):
 			if r := p.s.GPUNeed; r.GPUs > 0 && m.Free.Slots(r) > 0 {
 				return m.Free.Sub(r, 1).Slots(j.Need)
 			}
-		case p.gpuWaits || j.Rank <= p.gpuRank() || j.Desc.Shape == protocol.Gang ||
+		case p.gpuWaits || j.Rank <= p.gpuRank() || j.Desc.Kind == protocol.KindGang ||
 			m.GPUIdleS >= p.s.giveBack(m):
 			return 0
 		}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -20,7 +20,7 @@
 // how many tasks there will be room.
 func (p *planner) makeRoom(ji, n int, zones map[string]int, keepOff, cached bool) int {
 	j := &p.s.Jobs[ji]
-	if j.Desc.Shape == protocol.Gang && n > 1 {
+	if j.Desc.Kind == protocol.KindGang && n > 1 {
 		return 0 // a gang starts whole: room for a part of it is of no use
 	}
 	if n == 0 {
@@ -82,7 +82,7 @@
 		if p.pos[r.Job] < p.pos[ji] {
 			continue // it would take the room again at once
 		}
-		if v.Desc.Shape == protocol.Gang && v.Desc.Tasks > 1 {
+		if v.Desc.Kind == protocol.KindGang && v.Desc.Tasks > 1 {
 			continue
 		}
 		free = free.Sub(v.Need, -r.Ending)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -56,7 +56,7 @@
 	if d.OneZone || d.Spread || d.Zone != "" || !plain {
 		return kindOfTask{}, false
 	}
-	k := kindOfTask{need: j.Need, types: strings.Join(d.Types, " "), spot: d.Spot, rank: j.Rank, service: d.Shape == protocol.Service, kind: kind}
+	k := kindOfTask{need: j.Need, types: strings.Join(d.MachineTypes, " "), spot: d.Spot, rank: j.Rank, service: d.Kind == protocol.KindService, kind: kind}
 	if kind == cached || kind == ready {
 		k.image = d.Image // a machine takes only so many images at once
 	}
@@ -118,14 +118,14 @@
 		return
 	}
 	n := min(j.Waiting, quota(&p.teams[j.Team], j.Need))
-	gang := j.Desc.Shape == protocol.Gang
+	gang := j.Desc.Kind == protocol.KindGang
 	if n == 0 || (gang && n < j.Waiting) {
 		return
 	}
 	keepOff := withoutGPU(p.s, j)
 	zones := map[string]int{}
 	maps.Copy(zones, j.ZoneLive)
-	if j.Rank == 0 && j.Desc.Shape == protocol.Service {
+	if j.Rank == 0 && j.Desc.Kind == protocol.KindService {
 		n -= p.serveCached(ji, n, zones, keepOff)
 	}
 	// Held machines first (P1): least price times estimate.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -25,23 +25,23 @@
 		},
 		Teams: []Team{{Max: Res{Cores: 30, GPUs: 8}}, {}},
 	}
-	shapes := []string{protocol.Array, protocol.Array, protocol.Gang, protocol.Service}
+	shapes := []string{protocol.KindArray, protocol.KindArray, protocol.KindGang, protocol.KindService}
 	for i := range 1 + rng.IntN(6) {
-		d := &protocol.Job{ID: fmt.Sprint(i), Shape: shapes[rng.IntN(4)], Tasks: 1 + rng.IntN(9), Cores: float64(1 + rng.IntN(4)),
+		d := &protocol.Job{ID: fmt.Sprint(i), Kind: shapes[rng.IntN(4)], Tasks: 1 + rng.IntN(9), Cores: float64(1 + rng.IntN(4)),
 			MemGB: float64(1 + rng.IntN(16)), OneZone: rng.IntN(4) == 0, Spread: rng.IntN(4) == 0, Spot: rng.IntN(2) == 0,
 			Image: fmt.Sprint("img", rng.IntN(2)), ImageGB: 2}
 		if rng.IntN(4) == 0 {
 			d.GPUs = float64(1 + rng.IntN(4))
 		}
 		if rng.IntN(5) == 0 {
-			d.Types = []string{"big", "card"}
+			d.MachineTypes = []string{"big", "card"}
 		}
 		if rng.IntN(5) == 0 {
 			d.Zone = zones[rng.IntN(2)]
 		}
 		j := Job{Ref: d.ID, Desc: d, Need: Need(d), Rank: rng.IntN(4), Guaranteed: rng.IntN(2) == 0, EstimateS: float64(rng.IntN(60)),
 			DueS: float64(rng.IntN(400) - 100), Waiting: rng.IntN(d.Tasks + 1), Team: rng.IntN(2), ZoneLive: map[string]int{}, Resting: rng.IntN(8) == 0}
-		if d.Shape == protocol.Gang && j.Waiting > 0 {
+		if d.Kind == protocol.KindGang && j.Waiting > 0 {
 			j.Waiting = d.Tasks
 		}
 		s.Jobs = append(s.Jobs, j)
@@ -58,7 +58,7 @@
 		m.Coming = !m.Ready && rng.IntN(2) == 0
 		for ji := range s.Jobs {
 			j := &s.Jobs[ji]
-			if busy && m.Ready && rng.IntN(2) == 0 && m.Free.Slots(j.Need) > 0 && len(j.Desc.Types) == 0 && j.Desc.Shape != protocol.Gang {
+			if busy && m.Ready && rng.IntN(2) == 0 && m.Free.Slots(j.Need) > 0 && len(j.Desc.MachineTypes) == 0 && j.Desc.Kind != protocol.KindGang {
 				m.Free = m.Free.Sub(j.Need, 1)
 				m.Tasks = append(m.Tasks, Running{Job: ji, Count: 1})
 				j.ZoneLive[m.Zone]++
@@ -121,11 +121,11 @@
 				for i, m := range s.Machines {
 					t := s.Types[m.Type]
 					fits := f[i].Cores >= j.Need.Cores && f[i].GPUs >= j.Need.GPUs && f[i].Mem >= j.Need.Mem
-					place := (len(d.Types) == 0 || slices.Contains(d.Types, t.Name)) && (d.Zone == "" || d.Zone == m.Zone) &&
+					place := (len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, t.Name)) && (d.Zone == "" || d.Zone == m.Zone) &&
 						(only == "" || only == m.Zone) && (!m.Spot || d.Spot) && (!d.Spread || z[m.Zone] < (d.Tasks+1)/2 || (whole && live[m.Zone] < (d.Tasks+1)/2))
 					if t.Total.GPUs > 0 && d.GPUs == 0 && plainFits(s, d) {
 						switch {
-						case d.Shape == protocol.Service:
+						case d.Kind == protocol.KindService:
 							place = false
 						case gpuTask[i]:
 							r := s.GPUNeed
@@ -133,7 +133,7 @@
 								fits = f[i].Cores-r.Cores >= j.Need.Cores && f[i].Mem-r.Mem >= j.Need.Mem
 							}
 						default:
-							place = place && !gpuWaits && j.Rank > below && d.Shape != protocol.Gang && m.GPUIdleS < s.giveBack(&m)
+							place = place && !gpuWaits && j.Rank > below && d.Kind != protocol.KindGang && m.GPUIdleS < s.giveBack(&m)
 						}
 					}
 					if d.OneZone && z[zones[0]]+z[zones[1]] > 0 && z[m.Zone] == 0 {
@@ -169,7 +169,7 @@
 		}
 		// Player-facing services go where their image is, then anywhere.
 		stages := []bool{false}
-		if j.Rank == 0 && d.Shape == protocol.Service {
+		if j.Rank == 0 && d.Kind == protocol.KindService {
 			stages = []bool{true, false}
 		}
 		for _, cached := range stages {
@@ -193,7 +193,7 @@
 					}
 				}
 			}
-			if d.Shape == protocol.Gang && len(at) < j.Waiting {
+			if d.Kind == protocol.KindGang && len(at) < j.Waiting {
 				continue
 			}
 			limit -= len(at)
@@ -215,7 +215,7 @@
 
 func plainFits(s *Snapshot, d *protocol.Job) bool {
 	for _, t := range s.Types {
-		if t.Total.GPUs == 0 && d.Cores <= t.Total.Cores && d.MemGB <= t.Total.Mem && (len(d.Types) == 0 || slices.Contains(d.Types, t.Name)) {
+		if t.Total.GPUs == 0 && d.Cores <= t.Total.Cores && d.MemGB <= t.Total.Mem && (len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, t.Name)) {
 			return true
 		}
 	}
@@ -273,13 +273,13 @@
 			started[st.Job] += st.Count
 			touched[st.Machine] = true
 			d := j.Desc
-			if !m.Ready || (m.Spot && !d.Spot) || (d.Zone != "" && d.Zone != m.Zone) || (d.Types != nil && !slices.Contains(d.Types, s.Types[m.Type].Name)) {
+			if !m.Ready || (m.Spot && !d.Spot) || (d.Zone != "" && d.Zone != m.Zone) || (d.MachineTypes != nil && !slices.Contains(d.MachineTypes, s.Types[m.Type].Name)) {
 				t.Fatalf("snapshot %d: job %d on machine %d", i, st.Job, st.Machine)
 			}
 		}
 		for ji, n := range started {
 			d := s.Jobs[ji].Desc
-			if n > s.Jobs[ji].Waiting || (d.Shape == protocol.Gang && n < s.Jobs[ji].Waiting) || s.Jobs[ji].Resting {
+			if n > s.Jobs[ji].Waiting || (d.Kind == protocol.KindGang && n < s.Jobs[ji].Waiting) || s.Jobs[ji].Resting {
 				t.Fatalf("snapshot %d: job %d starts %d", i, ji, n)
 			}
 			for z, n := range zone[ji] {
@@ -345,7 +345,7 @@
 	s := &Snapshot{Rho: 1, GiveBack: 4, OverdueShare: 0.5, GPURank: 2, GPUNeed: need, Refused: map[Offer]bool{},
 		Types: []Type{{Name: "card", Total: Res{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones}}, Teams: []Team{{}}}
 	add := func(ref string, tasks int, overdue float64) {
-		d := &protocol.Job{ID: ref, Shape: protocol.Gang, Tasks: tasks, Cores: 4, GPUs: 4, MemGB: 8, OneZone: true, Rank: protocol.Standard}
+		d := &protocol.Job{ID: ref, Kind: protocol.KindGang, Tasks: tasks, Cores: 4, GPUs: 4, MemGB: 8, OneZone: true, Priority: protocol.PriorityStandard}
 		s.Jobs = append(s.Jobs, Job{Ref: ref, Desc: d, Need: Need(d), Rank: 2, EstimateS: 60, DueS: 100 - overdue, Waiting: tasks, OverdueS: overdue, Counts: 1})
 	}
 	add("big", 4, 5)
@@ -383,7 +383,7 @@
 // test found one waiting for ever: the machine that was free for a part of it
 // was taken for all it needed. So would be machines in different zones.)
 func TestGangRentsTheRest(t *testing.T) {
-	d := &protocol.Job{ID: "g", Shape: protocol.Gang, Tasks: 3, Cores: 4, GPUs: 2, MemGB: 8, OneZone: true, Spot: true}
+	d := &protocol.Job{ID: "g", Kind: protocol.KindGang, Tasks: 3, Cores: 4, GPUs: 2, MemGB: 8, OneZone: true, Spot: true}
 	s := &Snapshot{Rho: 1, MayRent: true, Refused: map[Offer]bool{}, Teams: []Team{{}},
 		Types: []Type{{Name: "card", Total: Res{8, 4, 16}, Price: 9, SpotPrice: 3, BootS: 35, FetchGBps: 1, Zones: zones}},
 		Jobs:  []Job{{Ref: "g", Desc: d, Need: Need(d), Rank: 1, EstimateS: 60, DueS: -10, Waiting: 3}}}
@@ -442,9 +442,9 @@
 				d := &protocol.Job{ID: fmt.Sprint(len(s.Jobs)), MemGB: 8, Spot: true}
 				switch {
 				case rng.Float64() < 0.10: // a gang; of the tasks, half are in the largest
-					d.Shape, d.Tasks, d.Cores, d.GPUs, d.OneZone = protocol.Gang, []int{1, 1, 1, 1, 2, 2, 2, 4, 4, 16}[rng.IntN(10)], 4, 4, true
+					d.Kind, d.Tasks, d.Cores, d.GPUs, d.OneZone = protocol.KindGang, []int{1, 1, 1, 1, 2, 2, 2, 4, 4, 16}[rng.IntN(10)], 4, 4, true
 				case rng.Float64() < 0.018:
-					d.Shape, d.Tasks, d.Cores = protocol.Array, []int{10, 20, 30, 40, 300}[rng.IntN(5)], 4
+					d.Kind, d.Tasks, d.Cores = protocol.KindArray, []int{10, 20, 30, 40, 300}[rng.IntN(5)], 4
 				default:
 					continue
 				}
@@ -477,7 +477,7 @@
 		}
 		for i, j := range jobs {
 			if j.begun < 0 && j.at < 960 || j.begun-j.at > 240 {
-				t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s", seed, i, s.Jobs[i].Desc.Tasks, s.Jobs[i].Desc.Shape, s.Jobs[i].Team, j.at, j.begun)
+				t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s", seed, i, s.Jobs[i].Desc.Tasks, s.Jobs[i].Desc.Kind, s.Jobs[i].Team, j.at, j.begun)
 			}
 		}
 		for team, w := range waits {
@@ -495,10 +495,10 @@
 	s := &Snapshot{Rho: 1, GPURank: -1, Refused: map[Offer]bool{}, Teams: []Team{{}},
 		Types: []Type{{Name: "small", Total: Res{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}}}
 	for i, rank := range []int{0, 2, 3} {
-		d := &protocol.Job{ID: fmt.Sprint(i), Shape: protocol.Array, Tasks: 1, Cores: 4, MemGB: 4}
+		d := &protocol.Job{ID: fmt.Sprint(i), Kind: protocol.KindArray, Tasks: 1, Cores: 4, MemGB: 4}
 		j := Job{Ref: d.ID, Desc: d, Need: Need(d), Rank: rank, EstimateS: 60, DueS: 100}
 		if rank == 0 {
-			d.Shape, j.Waiting = protocol.Service, 1
+			d.Kind, j.Waiting = protocol.KindService, 1
 		} else {
 			j.Live = 1
 			s.Machines = append(s.Machines, Machine{ID: d.ID, Zone: "a", Ready: true, Free: Res{0, 0, 12},
@@ -518,7 +518,7 @@
 		Types:    []Type{{Name: "small", Total: Res{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}},
 		Machines: []Machine{{Zone: "a", Ready: true, Free: Res{4, 0, 16}, Images: []string{"there"}, FetchGB: 2 * tuning.FetchAheadS}}}
 	for i, image := range []string{"elsewhere", "there"} {
-		d := &protocol.Job{ID: fmt.Sprint(i), Shape: protocol.Array, Tasks: 1, Cores: 1, MemGB: 1, Image: image, ImageGB: 2}
+		d := &protocol.Job{ID: fmt.Sprint(i), Kind: protocol.KindArray, Tasks: 1, Cores: 1, MemGB: 1, Image: image, ImageGB: 2}
 		s.Jobs = append(s.Jobs, Job{Ref: d.ID, Desc: d, Need: Need(d), Rank: 2, EstimateS: 60, DueS: 500 + float64(i), Waiting: 1})
 	}
 	if st := Decide(s).Starts; len(st) != 1 || st[0].Job != 1 {
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -53,14 +53,14 @@
 		default:
 			j = sweep(next, "check", 1+rng.IntN(20))
 		}
-		if rng.IntN(2) == 0 && j.Shape != protocol.Gang {
+		if rng.IntN(2) == 0 && j.Kind != protocol.KindGang {
 			j.Team = "blue"
 		}
-		cancel := j.Shape == protocol.Service || rng.IntN(4) == 0
+		cancel := j.Kind == protocol.KindService || rng.IntN(4) == 0
 		mu.Lock()
 		for range rng.IntN(3) {
-			if chains && len(accepted) > 0 && j.Shape != protocol.Service {
-				j.Awaits = append(j.Awaits, accepted[rng.IntN(len(accepted))])
+			if chains && len(accepted) > 0 && j.Kind != protocol.KindService {
+				j.DependsOn = append(j.DependsOn, accepted[rng.IntN(len(accepted))])
 			}
 		}
 		mu.Unlock()
@@ -72,7 +72,7 @@
 				if !cancel {
 					keep = append(keep, j.ID)
 				}
-				if j.Shape != protocol.Service {
+				if j.Kind != protocol.KindService {
 					accepted = append(accepted, j.ID)
 				}
 				mu.Unlock()
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -106,12 +106,12 @@
 // checkGuards judges applied commits: a leader's writes are guarded by its term
 // and by the records they change, an open job's by its own version; otherwise a
 // late copy could undo what came after it.
-func (c *cluster) checkGuards(txn *protocol.Commit) {
+func (c *cluster) checkGuards(txn *protocol.Transaction) {
 	guarded := map[string]bool{}
-	for _, g := range txn.Guards {
+	for _, g := range txn.Preconditions {
 		guarded[g.Key] = true
 	}
-	for _, ch := range txn.Changes {
+	for _, ch := range txn.Mutations {
 		key := ch.Set + ch.Delete
 		leaders := isRun(key) || strings.HasPrefix(key, "d/") || strings.HasPrefix(key, "r/") || key == "catalog"
 		if (leaders && !guarded["term"]) || (strings.HasPrefix(key, "o/") && !guarded[key]) {
@@ -122,14 +122,14 @@
 
 // isRun tells whether a key is of a piece of a run record.
 func isRun(key string) bool {
-	_, piece := records.SplitOpen(key)
-	return strings.HasPrefix(key, records.PrefixOpen) && piece != records.NoPiece
+	_, piece := records.ParseOpenKey(key)
+	return strings.HasPrefix(key, records.PrefixOpen) && piece != records.NoSegment
 }
 
 // isFurtherPiece tells whether a key is of a piece beyond the first, which the previous
 // version of the formats does not know.
 func isFurtherPiece(key string) bool {
-	_, piece := records.SplitOpen(key)
+	_, piece := records.ParseOpenKey(key)
 	return isRun(key) && piece > 0
 }
 
@@ -175,7 +175,7 @@
 	defer c.mu.Unlock()
 	for _, nd := range c.nodes {
 		t, _ := nd.Leader()
-		n = max(n, t.N)
+		n = max(n, t.Number)
 	}
 	return n
 }
@@ -252,19 +252,19 @@
 func jobID(n int) string { return fmt.Sprintf("req-%06d", n) }
 
 func sweep(n int, ref string, tasks int) protocol.Job {
-	return protocol.Job{ID: jobID(n), Class: ref, Team: "red", Shape: protocol.Array, Rank: protocol.Standard, Tasks: tasks,
+	return protocol.Job{ID: jobID(n), Class: ref, Team: "red", Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: tasks,
 		Cores: 2, MemGB: 4, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 20}
 }
 
 func standing(n, tasks int) protocol.Job {
 	j := sweep(n, "front", tasks)
-	j.Shape, j.Rank, j.Spread, j.Spot, j.EstimateS, j.Cores = protocol.Service, protocol.Production, true, false, 0, 1
+	j.Kind, j.Priority, j.Spread, j.Spot, j.EstimateS, j.Cores = protocol.KindService, protocol.PriorityProduction, true, false, 0, 1
 	return j
 }
 
 func gang(n, tasks int) protocol.Job {
 	j := sweep(n, "train", tasks)
-	j.Shape, j.Rank, j.OneZone, j.GPUs, j.Cores, j.CheckpointS, j.SaveS = protocol.Gang, protocol.High, true, 2, 4, 10, 2
+	j.Kind, j.Priority, j.OneZone, j.GPUs, j.Cores, j.CheckpointIntervalS, j.CheckpointSaveS = protocol.KindGang, protocol.PriorityHigh, true, 2, 4, 10, 2
 	return j
 }
 
--- a/internal/server/cluster_troubles_test.go
+++ b/internal/server/cluster_troubles_test.go
@@ -68,7 +68,7 @@
 				p := c.phase(ref)
 				return (p == protocol.PhaseCancelled || p == protocol.PhaseDone) && len(c.w.On(ref)) == 0
 			})
-		case j.Shape == protocol.Service:
+		case j.Kind == protocol.KindService:
 			c.until(ref+" runs", 3*time.Minute, func() bool { return len(c.w.On(ref)) == j.Tasks })
 		default:
 			c.untilDone(6*time.Minute, ref)
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -11,9 +11,9 @@
 )
 
 // changesAll tells whether a transaction changes all the keys.
-func changesAll(txn *protocol.Commit, keys ...string) bool {
+func changesAll(txn *protocol.Transaction, keys ...string) bool {
 	for _, key := range keys {
-		if !slices.ContainsFunc(txn.Changes, func(ch protocol.Change) bool { return ch.Set == key || ch.Delete == key }) {
+		if !slices.ContainsFunc(txn.Mutations, func(ch protocol.Mutation) bool { return ch.Set == key || ch.Delete == key }) {
 			return false
 		}
 	}
@@ -34,7 +34,7 @@
 	)
 	at := nothing
 	ch := make(chan struct{})
-	c.w.State.Fault = func(txn *protocol.Commit) fake.Fault {
+	c.w.State.Fault = func(txn *protocol.Transaction) fake.Fault {
 		switch {
 		case at == nothing && changesAll(txn, first):
 			at = carriedOut
@@ -61,8 +61,8 @@
 
 // faultyCommits makes transactions fail in every way that leaves their outcome unknown,
 // or says nothing of an earlier try.
-func (c *cluster) faultyCommits() func(*protocol.Commit) fake.Fault {
-	return func(*protocol.Commit) fake.Fault {
+func (c *cluster) faultyCommits() func(*protocol.Transaction) fake.Fault {
+	return func(*protocol.Transaction) fake.Fault {
 		switch p := c.w.Random(); {
 		case p < 0.25:
 			return fake.AnswerLost
@@ -86,7 +86,7 @@
 		c.untilUpgraded(20 * time.Second)
 		c.submit(sweep(1, "warm", 2), 300) // so that there is a machine
 		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.w.On(jobID(1))) == 2 })
-		refused := c.inDoubt(records.PieceKey(jobID(2), 0), records.PieceKey(jobID(3), 0))
+		refused := c.inDoubt(records.SegmentKey(jobID(2), 0), records.SegmentKey(jobID(3), 0))
 		c.submit(array(2, 1), 30)
 		<-refused
 		c.submit(array(3, 1), 30)
@@ -103,7 +103,7 @@
 		c.untilUpgraded(20 * time.Second)
 		c.submit(sweep(1, "warm", 2), 300)
 		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.w.On(jobID(1))) == 2 })
-		refused := c.inDoubt(records.PieceKey(jobID(2), 0), records.PieceKey(jobID(3), 0))
+		refused := c.inDoubt(records.SegmentKey(jobID(2), 0), records.SegmentKey(jobID(3), 0))
 		c.submit(array(2, 1), 30)
 		<-refused
 		c.submit(array(3, 1), 300)
--- a/internal/server/compound_test.go
+++ b/internal/server/compound_test.go
@@ -118,9 +118,9 @@
 				c.w.Limit("small", zone, true, 2)
 			}
 			c.net.Delay = func(from, to string) time.Duration { return time.Duration(c.w.Random()*300) * time.Millisecond }
-			for i, rank := range []string{protocol.Idle, protocol.Standard, protocol.High, protocol.Idle, protocol.Standard, protocol.High} {
+			for i, rank := range []string{protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh, protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh} {
 				j := sweep(1+i, "check", 10)
-				j.Rank = rank
+				j.Priority = rank
 				c.submit(j, 15)
 			}
 			c.submit(standing(7, 2), 0)
@@ -293,9 +293,9 @@
 		c.w.CloudDown = true // no return, no rental
 		c.w.Kill(c.w.On("req-000001")[0])
 		time.Sleep(20 * time.Second) // its lease is over
-		var r records.Run
-		if err := protocol.Unmarshal(c.w.State.Value("o/req-000001/t"), &r); err != nil || len(r.Live) != 2 || len(c.w.On("req-000001")) != 2 {
-			t.Errorf("%d run, recorded as running: %v (%v)", len(c.w.On("req-000001")), r.Live, err)
+		var r records.RunRecord
+		if err := protocol.Unmarshal(c.w.State.Value("o/req-000001/t"), &r); err != nil || len(r.Placements) != 2 || len(c.w.On("req-000001")) != 2 {
+			t.Errorf("%d run, recorded as running: %v (%v)", len(c.w.On("req-000001")), r.Placements, err)
 		}
 		c.settle()
 	})
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -13,7 +13,7 @@
 
 // after makes a job wait for others.
 func after(j protocol.Job, refs ...string) protocol.Job {
-	j.Awaits = refs
+	j.DependsOn = refs
 	return j
 }
 
@@ -23,17 +23,17 @@
 	c.t.Helper()
 	small := func(i, tasks int, rank string) protocol.Job {
 		j := sweep(first+i, "stage", tasks)
-		j.Rank, j.Cores, j.EstimateS = rank, 1, 8
+		j.Priority, j.Cores, j.EstimateS = rank, 1, 8
 		return j
 	}
 	join := gang(first+3, 2)
-	join.GPUs, join.Cores, join.Rank = 0, 2, protocol.Standard
-	last := small(4, 2, protocol.High)
+	join.GPUs, join.Cores, join.Priority = 0, 2, protocol.PriorityStandard
+	last := small(4, 2, protocol.PriorityHigh)
 	last.DeadlineS = 200
 	jobs := []protocol.Job{
-		small(0, 4, protocol.Idle),
-		after(small(1, 6, protocol.Idle), jobID(first)),
-		after(small(2, 3, protocol.Idle), jobID(first)),
+		small(0, 4, protocol.PriorityIdle),
+		after(small(1, 6, protocol.PriorityIdle), jobID(first)),
+		after(small(2, 3, protocol.PriorityIdle), jobID(first)),
 		after(join, jobID(first), jobID(first+1)),
 		after(last, jobID(first+2), jobID(first+3)),
 	}
@@ -115,7 +115,7 @@
 			t.Errorf("an accepted job submitted again gets %d", st)
 		}
 		none := sweep(3, "stage", 1)
-		none.Awaits = []string{}
+		none.DependsOn = []string{}
 		c.submit(none, 5)
 		c.untilDone(3*time.Minute, first.ID, second.ID, none.ID)
 	})
@@ -151,8 +151,8 @@
 // leaderless makes all controllers take a node for the leader that is none.
 func (c *cluster) leaderless() {
 	c.t.Helper()
-	c.w.State.Put(records.KeyTerm, records.Term{N: 99, Node: "gone"})
-	c.w.State.Put(records.KeyLeader, records.Term{N: 99, Node: "gone"})
+	c.w.State.Put(records.KeyTerm, records.Term{Number: 99, Node: "gone"})
+	c.w.State.Put(records.KeyLeader, records.Term{Number: 99, Node: "gone"})
 	c.until("nobody leads", time.Minute, func() bool { return c.leader() == "" })
 }
 
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -32,7 +32,7 @@
 		c.w.State.LimitRequests(c.dep.State.RPS)
 		for i := range arrays {
 			j := array(1+i, tasks) // a machine for each task
-			j.Types, j.Cores, j.MemGB, j.EstimateS = []string{"big"}, 16, 60, 120
+			j.MachineTypes, j.Cores, j.MemGB, j.EstimateS = []string{"big"}, 16, 60, 120
 			j.DeadlineS = 180
 			j.Team = c.dep.Teams[i%2].Name
 			c.submit(j, 120)
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -21,9 +21,9 @@
 		run(t, 10+seed, func(c *cluster) {
 			var once sync.Once
 			placed := make(chan struct{})
-			c.w.State.OnCommit = func(txn *protocol.Commit) {
+			c.w.State.OnCommit = func(txn *protocol.Transaction) {
 				c.checkGuards(txn)
-				for _, ch := range txn.Changes {
+				for _, ch := range txn.Mutations {
 					if strings.HasSuffix(ch.Set, "/t") {
 						once.Do(func() { close(placed) })
 					}
@@ -174,7 +174,7 @@
 		}
 		d := deployment().Workers
 		time.Sleep(time.Duration((d.CancelS - d.LeaseS) * float64(time.Second)))
-		r, _ := protocol.Marshal(protocol.Report{Machine: "m-000001", Addr: "m-000001:9000", Type: "small", Zone: "a", Session: 1, Seq: 1 << 40})
+		r, _ := protocol.Marshal(protocol.Heartbeat{Machine: "m-000001", Addr: "m-000001:9000", MachineType: "small", Zone: "a", Incarnation: 1, Sequence: 1 << 40})
 		rec = httptest.NewRecorder()
 		cut.api.ServeHTTP(rec, httptest.NewRequest("POST", "/hello", bytes.NewReader(r)))
 		if rec.Code == 200 {
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -69,7 +69,7 @@
 func TestNoticeSaves(t *testing.T) {
 	run(t, 95, func(c *cluster) {
 		j := sweep(1, "check", 2)
-		j.CheckpointS, j.SaveS = 10, 3
+		j.CheckpointIntervalS, j.CheckpointSaveS = 10, 3
 		c.submit(j, 90)
 		c.until("it runs", time.Minute, func() bool { return len(c.w.On(j.ID)) > 0 })
 		time.Sleep(10 * time.Second)
@@ -175,7 +175,7 @@
 		}
 		for i := range 10 {
 			j := sweep(1+i, "check", 1) // each takes a small machine whole
-			j.Cores, j.Types = 4, []string{"small"}
+			j.Cores, j.MachineTypes = 4, []string{"small"}
 			c.submit(j, 60)
 		}
 		c.until("all run", 2*time.Minute, func() bool {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -35,7 +35,7 @@
 	log     *slog.Logger
 	store   *kvstore.Client
 	cloud   *cloud.Client
-	keeper  *election.Keeper
+	keeper  *election.Candidate
 	users   *api.Users
 	workers *agent.Client
 	peers   *peer.Group
@@ -83,8 +83,8 @@
 }
 
 func newNode(cfg *config.Config, log *slog.Logger, l links) (*node, error) {
-	n := &node{cfg: cfg, log: log, format: records.FormatOwn}
-	cs := protocol.NewComplaints(log)
+	n := &node{cfg: cfg, log: log, format: records.FormatSupported}
+	cs := protocol.NewMalformedLog(log)
 	n.store = kvstore.New(cfg.Services.State, l.state, cs, cfg.Deployment.State)
 	n.cloud = cloud.New(cfg.Services.Cloud, l.cloud, cs, cfg.Deployment.Cloud.RPS*cfg.Operator.CallBudget)
 	n.workers = agent.New(l.workers, cs, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
@@ -108,10 +108,10 @@
 	go n.keeper.Run(ctx, n.lead)
 }
 
-func (n *node) lead(ctx context.Context, held election.Held) {
+func (n *node) lead(ctx context.Context, held election.Leadership) {
 	c := leader.New(leader.Deps{
 		Config: n.cfg, Store: n.store, Cloud: n.cloud, Worker: n.workers, Log: n.log,
-		OnTerm:       func(t uint64) { n.keeper.Observe(records.Term{N: t}) },
+		OnTerm:       func(t uint64) { n.keeper.ObserveTerm(records.Term{Number: t}) },
 		Resign:       n.keeper.Resign,
 		Redirected:   n.peers.Redirected,
 		Acknowledged: n.acknowledged,
@@ -175,7 +175,7 @@
 			return
 		}
 		n.log.Debug("recording the version", "err", err)
-		if !clock.For(ctx, tuning.ElectionRetry) {
+		if !clock.Sleep(ctx, tuning.ElectionRetry) {
 			return
 		}
 	}
@@ -187,13 +187,13 @@
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return err
 	}
-	var v records.Version
+	var v records.FormatVersion
 	if err == nil && protocol.Unmarshal(it.Value, &v) == nil && v.Format >= n.format {
 		return nil
 	}
-	_, err = n.store.Commit(ctx, protocol.Commit{
-		Guards:  []protocol.Guard{{Key: key, Version: it.Version}},
-		Changes: []protocol.Change{{Set: key, Value: records.Version{Format: n.format}}},
+	_, err = n.store.Commit(ctx, protocol.Transaction{
+		Preconditions: []protocol.Precondition{{Key: key, Version: it.Version}},
+		Mutations:     []protocol.Mutation{{Set: key, Value: records.FormatVersion{Format: n.format}}},
 	})
 	return err
 }
@@ -208,21 +208,21 @@
 }
 
 // StateOK tells whether the state service serves this node.
-func (n *node) StateOK() bool { return n.store.SinceOK() < tuning.UpStateAge }
+func (n *node) StateOK() bool { return n.store.SinceServed() < tuning.UpStateAge }
 
 // Refused tells whether the state service refuses this node while it serves
 // others: they were served well after this node was. At the edges of an outage
 // nodes notice at slightly different times, which must not look like this: the
 // load balancer takes a node back later each time it was removed.
 func (n *node) Refused() bool {
-	return !n.StateOK() && (n.peers.ServedAfter(time.Now().Add(tuning.RefusedLag-n.store.SinceOK())) || n.alone())
+	return !n.StateOK() && (n.peers.ServedAfter(time.Now().Add(tuning.RefusedLag-n.store.SinceServed())) || n.alone())
 }
 
 // alone tells whether neither the state service nor any other controller has
 // been heard for a while: then it is most likely this node that is cut off, and
 // users must not be sent to it.
 func (n *node) alone() bool {
-	return n.store.SinceOK() > tuning.AloneAfter && n.peers.Silent(tuning.AloneAfter)
+	return n.store.SinceServed() > tuning.AloneAfter && n.peers.Silent(tuning.AloneAfter)
 }
 
 // Up is off while the state service refuses this node alone. While it serves
@@ -260,7 +260,7 @@
 
 // Status is what this node says to its peers.
 func (n *node) Status(r *peer.StatusRequest) peer.Status {
-	s := peer.Status{StateMS: n.store.SinceOK().Milliseconds(), Redirected: n.api.Redirected()}
+	s := peer.Status{StateMS: n.store.SinceServed().Milliseconds(), Redirected: n.api.Redirected()}
 	s.Leader, _ = n.keeper.Leader()
 	if r.Acknowledged {
 		var since time.Time
@@ -282,8 +282,8 @@
 
 // ObserveTerm takes in a term that a peer has named.
 func (n *node) ObserveTerm(t records.Term) {
-	if t.N > 0 {
-		n.keeper.Observe(t)
+	if t.Number > 0 {
+		n.keeper.ObserveTerm(t)
 	}
 }
 
