--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -39,7 +39,7 @@
 func runUpgradeIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *cluster)) {
 	runIn(t, seed, names, dep, func(c *cluster) {
 		c.restartAs(true, names...)
-		c.w.State.OnCommit = func(txn *protocol.Commit) {
+		c.w.State.OnCommit = func(txn *protocol.Transaction) {
 			c.checkGuards(txn)
 			c.checkFormat(txn)
 		}
@@ -55,10 +55,10 @@
 
 // checkFormat judges that nothing is written that the previous version can't read as
 // long as it may still lead.
-func (c *cluster) checkFormat(txn *protocol.Commit) {
+func (c *cluster) checkFormat(txn *protocol.Transaction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, ch := range txn.Changes {
+	for _, ch := range txn.Mutations {
 		if isFurtherPiece(ch.Set) && slices.ContainsFunc(c.names, func(n string) bool { return c.previous[n] }) {
 			c.t.Errorf("%s is written while not all can read it", ch.Set)
 		}
@@ -88,9 +88,9 @@
 
 // upgraded tells whether the cluster uses the new version of the formats.
 func (c *cluster) upgraded() bool {
-	var v records.Version
+	var v records.FormatVersion
 	raw := c.w.State.Value(records.KeyCluster)
-	return raw != nil && protocol.Unmarshal(raw, &v) == nil && v.Format == records.FormatPieces
+	return raw != nil && protocol.Unmarshal(raw, &v) == nil && v.Format == records.FormatSegmented
 }
 
 func (c *cluster) untilUpgraded(limit time.Duration) {
@@ -199,10 +199,10 @@
 			c.w.State.Limit(c.dep.State.Smaller())
 			var transactions, killed uint64
 			die := make(chan struct{}, 12)
-			c.w.State.OnCommit = func(txn *protocol.Commit) {
+			c.w.State.OnCommit = func(txn *protocol.Transaction) {
 				c.checkGuards(txn)
-				further := func(ch protocol.Change) bool { return isFurtherPiece(ch.Set + ch.Delete) }
-				if !slices.ContainsFunc(txn.Changes, further) {
+				further := func(ch protocol.Mutation) bool { return isFurtherPiece(ch.Set + ch.Delete) }
+				if !slices.ContainsFunc(txn.Mutations, further) {
 					return
 				}
 				if transactions++; transactions%3 == seed%3 && killed < 12 {
@@ -245,7 +245,7 @@
 		c.untilUpgraded(20 * time.Second)
 		c.submit(array(1, 120), 60)
 		c.until("all run", 4*time.Minute, func() bool { return len(c.w.On(jobID(1))) == 120 })
-		c.w.State.Spoil(records.PieceKey(jobID(1), 2))
+		c.w.State.Spoil(records.SegmentKey(jobID(1), 2))
 		c.killLeader()
 		c.known(jobID(1))
 		c.untilDone(8*time.Minute, jobID(1))
@@ -289,10 +289,10 @@
 	runIn(t, 75, nodeNames, wide(), func(c *cluster) {
 		j := sweep(1, strings.Repeat("c", 140), 1)
 		for range 20 {
-			j.Types = append(j.Types, strings.Repeat("t", 140))
+			j.MachineTypes = append(j.MachineTypes, strings.Repeat("t", 140))
 		}
 		c.w.Register(j)
-		c.w.State.Put(records.OpenKey(j.ID), records.OpenJob{Job: j, AtMS: time.Now().UnixMilli()})
+		c.w.State.Put(records.OpenKey(j.ID), records.OpenJob{Job: j, AcceptedMS: time.Now().UnixMilli()})
 		c.w.State.Limit(c.dep.State.Smaller())
 		if st := c.w.Submit(j, 5); st != 200 {
 			t.Errorf("an accepted job submitted again gets %d", st)
