--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -33,7 +33,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err() // the term is over, and the command never left
 	}
-	ctx, cancel := context.WithTimeout(ctx, tuning.DoTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tuning.CommandTimeout)
 	defer cancel()
 	rep := new(protocol.Heartbeat)
 	status, err := c.caller.Call(ctx, http.MethodPost, "http://"+addr+"/do", req, map[int]any{200: rep, 409: rep})
--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -46,7 +46,7 @@
 		if s.most.Load() > 20 {
 			t.Errorf("%d commands at once", s.most.Load())
 		}
-		if took := time.Since(start); took > 5*tuning.DoTimeout+time.Second {
+		if took := time.Since(start); took > 5*tuning.CommandTimeout+time.Second {
 			t.Errorf("took %v", took)
 		}
 	})
--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -8,7 +8,7 @@
 )
 
 // acknowledgedJobs remembers the jobs that this process has told users are cancelled,
-// the latest tuning.AckJobs of them. A leader without state service that knows
+// the latest tuning.AcknowledgedJobs of them. A leader without state service that knows
 // them all may go on answering workers. A job is added before the answer leaves,
 // so the list never claims too much.
 type acknowledgedJobs struct {
@@ -35,7 +35,7 @@
 	if a.has[ref] {
 		return // only the first acknowledgment starts cancel_s
 	}
-	if len(a.jobs) >= tuning.AckJobs {
+	if len(a.jobs) >= tuning.AcknowledgedJobs {
 		a.since = a.jobs[0].at
 		delete(a.has, a.jobs[0].ref)
 		a.jobs = a.jobs[1:]
--- a/internal/api/acknowledged_test.go
+++ b/internal/api/acknowledged_test.go
@@ -19,16 +19,16 @@
 		a := newAcknowledgedJobs(time.Now())
 		first := map[string]time.Time{}
 		dropped := false
-		for range 4 * tuning.AckJobs {
+		for range 4 * tuning.AcknowledgedJobs {
 			time.Sleep(time.Duration(1+rng.IntN(50)) * time.Millisecond)
-			ref := fmt.Sprint("req-", rng.IntN(2*tuning.AckJobs))
+			ref := fmt.Sprint("req-", rng.IntN(2*tuning.AcknowledgedJobs))
 			if _, ok := first[ref]; !ok {
 				first[ref] = time.Now()
 			}
 			a.add(ref)
 		}
 		refs, since := a.list()
-		if len(refs) > tuning.AckJobs {
+		if len(refs) > tuning.AcknowledgedJobs {
 			t.Errorf("%d jobs are remembered", len(refs))
 		}
 		for ref, at := range first {
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -45,7 +45,7 @@
 		return u.sharedReads.records(ctx, ref)
 	}
 	// All in one read: o/<ref>, o/<ref>/t and its further pieces sort next to each other.
-	page, err := u.Store.List(ctx, records.OpenKey(ref), "", 1+tuning.PiecesRead)
+	page, err := u.Store.List(ctx, records.OpenKey(ref), "", 1+tuning.SegmentsRead)
 	if errors.Is(err, kvstore.ErrThrottled) {
 		u.sharedReads.noteThrottled()
 	}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -56,7 +56,7 @@
 	reports := time.Duration(cfg.Deployment.Workers.ReportS * float64(time.Second))
 	return &Server{name: cfg.Node, users: users, node: node, peers: peers, log: log, complaints: cs,
 		slots: make(chan struct{}, sockets.Users), conns: newConns(sockets.Incoming),
-		idle: max(tuning.IdleLeast, tuning.IdleReports*reports)}
+		idle: max(tuning.IdleMin, tuning.IdleHeartbeats*reports)}
 }
 
 // Serve answers on the listener until ctx ends.
@@ -208,7 +208,7 @@
 		return
 	}
 	if c := s.node.Leading(); c != nil {
-		ctx, cancel := context.WithTimeout(r.Context(), tuning.ReportDeadline)
+		ctx, cancel := context.WithTimeout(r.Context(), tuning.HeartbeatDeadline)
 		defer cancel()
 		if h, err := c.Report(ctx, &rep); err == nil {
 			reply(w, http.StatusOK, h)
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -130,7 +130,7 @@
 		return nil
 	}
 	end := first + 1
-	for end < len(items) && end-first <= tuning.PiecesRead && strings.HasPrefix(items[end].Key, key+"/") {
+	for end < len(items) && end-first <= tuning.SegmentsRead && strings.HasPrefix(items[end].Key, key+"/") {
 		end++
 	}
 	return items[first:end]
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -145,7 +145,7 @@
 	if !protocol.ValidJobID(ref) {
 		return fault(404, errors.New("no such job"))
 	}
-	return u.settle(ctx, tuning.PollThrottleTries, func() (answer, error) {
+	return u.settle(ctx, tuning.PollThrottleRetries, func() (answer, error) {
 		k, err := u.current(ctx, ref)
 		if err != nil {
 			return answer{}, err
@@ -180,13 +180,13 @@
 	if err := u.fits(open); err != nil {
 		return u.refuse(ctx, job.ID, 400, err)
 	}
-	return u.settle(ctx, tuning.UserThrottleTries, func() (answer, error) { return u.accept(ctx, open) })
+	return u.settle(ctx, tuning.UserThrottleRetries, func() (answer, error) { return u.accept(ctx, open) })
 }
 
 // refuse answers a submission that cannot be accepted. A job that was accepted
 // stays accepted, also if the catalog has changed since.
 func (u *Users) refuse(ctx context.Context, ref string, status int, reason error) answer {
-	return u.settle(ctx, tuning.UserThrottleTries, func() (answer, error) {
+	return u.settle(ctx, tuning.UserThrottleRetries, func() (answer, error) {
 		k, err := u.current(ctx, ref)
 		switch {
 		case err != nil:
@@ -276,7 +276,7 @@
 	if !protocol.ValidJobID(ref) {
 		return fault(404, errors.New("no such job"))
 	}
-	return u.settle(ctx, tuning.UserThrottleTries, func() (answer, error) {
+	return u.settle(ctx, tuning.UserThrottleRetries, func() (answer, error) {
 		k, err := u.find(ctx, ref)
 		switch {
 		case err != nil:
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -138,7 +138,7 @@
 
 // Deaf tells whether the worker's reports arrive while our answers do not reach
 // it. That we answered proves nothing then: its lease is running out.
-func (m *Machine) Deaf() bool { return m.unheard >= tuning.DeafReports }
+func (m *Machine) Deaf() bool { return m.unheard >= tuning.OneWayPartitionHeartbeats }
 
 // Again takes in a report that is not newer than others. To tell a late copy
 // from a worker that began anew, the answer carries a token never sent before;
@@ -389,7 +389,7 @@
 // machine show that it is the machine.
 func (m *Machine) Failed(job string) {
 	m.failed[job] = true
-	m.Faulty = len(m.failed) >= tuning.FaultyJobs
+	m.Faulty = len(m.failed) >= tuning.QuarantineJobs
 }
 
 // TouchImage notes that an image is on the machine, and forgets the least
--- a/internal/cluster/machine_test.go
+++ b/internal/cluster/machine_test.go
@@ -181,7 +181,7 @@
 	m, _, now := start(t)
 	m.Answered(true, true)
 	for seq := uint64(2); seq < 10; seq++ {
-		if seq >= 2+1+tuning.DeafReports && !m.Deaf() {
+		if seq >= 2+1+tuning.OneWayPartitionHeartbeats && !m.Deaf() {
 			t.Errorf("not deaf at report %d", seq)
 		}
 		r := report(1, seq, base)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -125,7 +125,7 @@
 func (d *Deployment) Sockets(peers int) Sockets {
 	users := min(tuning.MaxInflight, d.Limits.Sockets/tuning.SocketsUsers)
 	left := d.Limits.Sockets - tuning.SocketsOwn - 2*peers - users
-	commands := min(tuning.SocketsCommandsMost, int(float64(left)*tuning.SocketsCommands))
+	commands := min(tuning.SocketsCommandsMax, int(float64(left)*tuning.SocketsCommands))
 	return Sockets{Users: users, Incoming: left - commands, Commands: commands}
 }
 
@@ -261,11 +261,11 @@
 		return err
 	}
 	// What cannot be served with is said at once; whatever can, starts.
-	if s := d.Sockets(len(c.Peers)); s.Incoming < tuning.SocketsLeast || s.Commands < 1 || s.Users < 1 {
+	if s := d.Sockets(len(c.Peers)); s.Incoming < tuning.SocketsMin || s.Commands < 1 || s.Users < 1 {
 		return fmt.Errorf("field deployment.limits.sockets: %d is too few to serve with", d.Limits.Sockets)
 	}
-	if d.Limits.MemoryMB < tuning.MemoryLeastMB {
-		return fmt.Errorf("field deployment.limits.memory_mb: %v is too little to serve with, below %d", d.Limits.MemoryMB, tuning.MemoryLeastMB)
+	if d.Limits.MemoryMB < tuning.MemoryMinMB {
+		return fmt.Errorf("field deployment.limits.memory_mb: %v is too little to serve with, below %d", d.Limits.MemoryMB, tuning.MemoryMinMB)
 	}
 	if err := d.State.check("deployment.state"); err != nil {
 		return err
@@ -275,12 +275,12 @@
 
 // check refuses times with which machines would lose their leases without any failure.
 func (w Workers) check() error {
-	least := w.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseLeast).Seconds()
+	least := w.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
 	if w.CancelS < least {
 		return fmt.Errorf("field deployment.workers.cancel_s: %v is below %v, lease_s and what a leader needs to answer reports", w.CancelS, least)
 	}
-	if w.LeaseS <= tuning.ReportLate*w.ReportS {
-		return fmt.Errorf("field deployment.workers.lease_s: %v is not above %v, the longest pause between two reports", w.LeaseS, tuning.ReportLate*w.ReportS)
+	if w.LeaseS <= tuning.HeartbeatJitter*w.ReportS {
+		return fmt.Errorf("field deployment.workers.lease_s: %v is not above %v, the longest pause between two reports", w.LeaseS, tuning.HeartbeatJitter*w.ReportS)
 	}
 	return nil
 }
@@ -292,10 +292,10 @@
 		return fmt.Errorf("field %s.rps: not above 0", field)
 	case !(l.WriteRPS > 0):
 		return fmt.Errorf("field %s.write_rps: not above 0", field)
-	case l.TxnOps < tuning.TxnOpsLeast:
-		return fmt.Errorf("field %s.txn_ops: below %d, the changes that end a job", field, tuning.TxnOpsLeast)
-	case l.ValueKB < tuning.ValueLeastKB:
-		return fmt.Errorf("field %s.value_kb: below %v, what a record takes", field, tuning.ValueLeastKB)
+	case l.TxnOps < tuning.TransactionMutationsMin:
+		return fmt.Errorf("field %s.txn_ops: below %d, the changes that end a job", field, tuning.TransactionMutationsMin)
+	case l.ValueKB < tuning.ValueMinKB:
+		return fmt.Errorf("field %s.value_kb: below %v, what a record takes", field, tuning.ValueMinKB)
 	}
 	return nil
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -88,7 +88,7 @@
 	if err := k.store.RevokeLease(ctx, grant); err != nil {
 		k.log.Debug("ending the grant", "err", err) // it runs out by itself
 	}
-	for start := time.Now(); time.Since(start) < tuning.StepDown && clock.Sleep(ctx, tuning.ElectionRetry); {
+	for start := time.Now(); time.Since(start) < tuning.StepDownPause && clock.Sleep(ctx, tuning.ElectionRetry); {
 		if t, _, err := k.readTerm(ctx, records.KeyLeader); err == nil && t.Node != k.node {
 			return
 		}
@@ -135,7 +135,7 @@
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, 0, 0, err
 	}
-	grant, err := k.store.GrantLease(ctx, tuning.GrantLife)
+	grant, err := k.store.GrantLease(ctx, tuning.LeadershipTTL)
 	if err != nil {
 		return nil, 0, 0, err
 	}
@@ -176,9 +176,9 @@
 		grant uint64
 		err   error
 	}
-	touches := make(chan touch, tuning.TouchesAtOnce)
+	touches := make(chan touch, tuning.KeepAlivesInFlight)
 	under := 0
-	tick := time.NewTicker(tuning.GrantTouch)
+	tick := time.NewTicker(tuning.KeepAliveInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		var t touch
@@ -186,7 +186,7 @@
 		case <-ctx.Done():
 			continue
 		case <-tick.C:
-			if under < tuning.TouchesAtOnce {
+			if under < tuning.KeepAlivesInFlight {
 				under++
 				go func(grant uint64) { touches <- touch{grant, k.store.KeepAlive(ctx, grant)} }(grant)
 			}
@@ -199,7 +199,7 @@
 		}
 		// The grant ran out, for instance while this process was held up. If
 		// nobody took the term, the leader key is put up again.
-		g, err := k.store.GrantLease(ctx, tuning.GrantLife)
+		g, err := k.store.GrantLease(ctx, tuning.LeadershipTTL)
 		if err != nil {
 			continue
 		}
@@ -220,7 +220,7 @@
 // followed.
 func (k *Candidate) watch(ctx context.Context, rev uint64) {
 	for ctx.Err() == nil {
-		ev, err := k.store.Watch(ctx, records.KeyLeader, rev, tuning.LeaderFollowHold)
+		ev, err := k.store.Watch(ctx, records.KeyLeader, rev, tuning.LeaderWatchHold)
 		if err != nil {
 			clock.Sleep(ctx, tuning.ElectionRetry)
 			return
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -212,7 +212,7 @@
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (protocol.WatchReply, error) {
 	var ev protocol.WatchReply
 	q := url.Values{"prefix": {prefix}, "after": {fmt.Sprint(after)}, "holdMs": {fmt.Sprint(hold.Milliseconds())}}
-	status, err := c.call(ctx, hold+tuning.FollowGrace, http.MethodGet, "/follow?"+q.Encode(), nil, map[int]any{200: &ev})
+	status, err := c.call(ctx, hold+tuning.WatchGrace, http.MethodGet, "/follow?"+q.Encode(), nil, map[int]any{200: &ev})
 	switch {
 	case err != nil:
 		return ev, err
--- a/internal/kvstore/limits.go
+++ b/internal/kvstore/limits.go
@@ -36,13 +36,13 @@
 	if n := len(txn.Mutations); n > l.smaller.TxnOps {
 		return fmt.Errorf("%w: %d changes", ErrTooLarge, n)
 	}
-	if n := len(txn.Preconditions); n > tuning.TxnGuards*l.smaller.TxnOps {
+	if n := len(txn.Preconditions); n > tuning.TransactionPreconditions*l.smaller.TxnOps {
 		return fmt.Errorf("%w: %d conditions", ErrTooLarge, n)
 	}
-	total := len(txn.Preconditions) * tuning.TxnEntryBytes
+	total := len(txn.Preconditions) * tuning.TransactionEntryBytes
 	for i := range txn.Mutations {
 		change := &txn.Mutations[i]
-		total += tuning.TxnEntryBytes
+		total += tuning.TransactionEntryBytes
 		if change.Value == nil {
 			continue
 		}
@@ -56,7 +56,7 @@
 		}
 		total += size
 	}
-	if total > tuning.TxnBytes {
+	if total > tuning.TransactionBytes {
 		return fmt.Errorf("%w: %d bytes in all", ErrTooLarge, total)
 	}
 	return nil
--- a/internal/leader/authority.go
+++ b/internal/leader/authority.go
@@ -18,7 +18,7 @@
 	read := time.Now()
 	for ctx.Err() == nil {
 		start := time.Now()
-		ev, err := c.Store.Watch(ctx, records.PrefixOpen, rev, tuning.FollowHold)
+		ev, err := c.Store.Watch(ctx, records.PrefixOpen, rev, tuning.WatchHold)
 		switch {
 		case err == nil:
 			rev = ev.Revision
@@ -30,7 +30,7 @@
 		}
 		// All is read again now and then: an event that was lost would leave an
 		// accepted job waiting for ever, or a cancelled one running.
-		if err != nil || time.Since(read) > tuning.RereadEvery {
+		if err != nil || time.Since(read) > tuning.RereadInterval {
 			start := time.Now()
 			items, lerr := c.Store.ListAll(ctx, records.PrefixOpen)
 			if lerr != nil {
@@ -52,7 +52,7 @@
 
 // confirmTerm proves once a second that the term is still ours.
 func (c *Controller) confirmTerm(ctx context.Context) {
-	for clock.Sleep(ctx, tuning.FollowHold) {
+	for clock.Sleep(ctx, tuning.WatchHold) {
 		start := time.Now()
 		it, err := c.Store.Get(ctx, records.KeyTerm)
 		if err != nil {
@@ -93,7 +93,7 @@
 // before it counts anybody's lease as over, and has not answered yet.
 func (c *Controller) extendAuthority(now time.Time) {
 	since := c.confirmed()
-	if now.Sub(since) < tuning.StartAuthority || c.Acknowledged == nil {
+	if now.Sub(since) < tuning.StartConfirmationAge || c.Acknowledged == nil {
 		return
 	}
 	asOf, refs, ok := c.Acknowledged(since)
@@ -119,7 +119,7 @@
 }
 
 func (c *Controller) leaseFrom(t time.Time) time.Time {
-	return t.Add(seconds(c.Config.Deployment.Workers.LeaseS*(1+tuning.DriftShare)) + tuning.LeaseMargin)
+	return t.Add(seconds(c.Config.Deployment.Workers.LeaseS*(1+tuning.ClockDrift)) + tuning.AgentLeaseMargin)
 }
 
 func (c *Controller) onEvents(m eventsMsg, now time.Time) {
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -100,7 +100,7 @@
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			c, now := large(machines, 300+machines/10)
 			c.listing, c.catalogAt, c.hintAt = true, now.Add(time.Hour), now.Add(time.Hour)
-			c.handshaking = tuning.HandshakesAtOnce
+			c.handshaking = tuning.HandshakesInFlight
 			b.ReportAllocs()
 			for range b.N {
 				c.onTick(now)
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -18,13 +18,13 @@
 	var orders []protocol.Command
 	starts := false
 	for _, p := range m.Live {
-		if p.Stopping && p.Sent && now.Sub(p.StopAt) < tuning.TickEvery {
+		if p.Stopping && p.Sent && now.Sub(p.StopAt) < tuning.TickInterval {
 			orders = append(orders, protocol.Command{Verb: protocol.VerbStop, Task: taskName(p.Key), Attempt: p.Attempt, GracePeriodS: p.Grace})
-			p.StopAt = now.Add(-tuning.TickEvery) // the reports carry repeats
+			p.StopAt = now.Add(-tuning.TickInterval) // the reports carry repeats
 		}
 	}
 	// Placed before an outage or a standstill, its job may be cancelled by now.
-	mayStart := now.Sub(c.confirmed()) < tuning.StartAuthority
+	mayStart := now.Sub(c.confirmed()) < tuning.StartConfirmationAge
 	waiting := m.Outbox[:0]
 	for _, p := range m.Outbox {
 		switch {
@@ -81,7 +81,7 @@
 
 // nextHandshakes begins as many handshakes as may be under way at once.
 func (c *Controller) nextHandshakes(now time.Time) {
-	for len(c.toHandshake) > 0 && c.handshaking < tuning.HandshakesAtOnce {
+	for len(c.toHandshake) > 0 && c.handshaking < tuning.HandshakesInFlight {
 		m := c.toHandshake[0]
 		c.toHandshake = c.toHandshake[1:]
 		c.handshake(m, now)
@@ -103,7 +103,7 @@
 	if !c.needsHandshake(m, now) {
 		return
 	}
-	m.HandshakeAt = now.Add(tuning.HandshakeEvery)
+	m.HandshakeAt = now.Add(tuning.HandshakeInterval)
 	c.handshaking++
 	c.do(m, nil, lastSession(m), false, true)
 }
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -307,7 +307,7 @@
 	if c.failingSince.IsZero() {
 		c.failingSince = now
 	}
-	if now.Sub(c.failingSince) > tuning.ConflictGiveUp {
+	if now.Sub(c.failingSince) > tuning.CommitFailureLimit {
 		// The records are not what we take them for, and nothing would
 		// be written ever again: a new term reads them anew.
 		c.Log.Error("records have changed behind this leader", "keys", m.failed, "err", m.err)
@@ -315,7 +315,7 @@
 		return
 	}
 	c.takeBackStarts(m, now)
-	c.commitAfter = now.Add(tuning.PassGap)
+	c.commitAfter = now.Add(tuning.CycleInterval)
 }
 
 // takeBackStarts drops the new starts of jobs whose open record has changed: the
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -102,14 +102,14 @@
 	var refs []string
 	for ref := range c.dependents {
 		_, known := c.outcomes[ref]
-		if !known && c.jobs[ref] == nil && len(refs) < tuning.LookupsAtOnce {
+		if !known && c.jobs[ref] == nil && len(refs) < tuning.DependencyLookupBatch {
 			refs = append(refs, ref)
 		}
 	}
 	if len(refs) == 0 {
 		return
 	}
-	c.lookingUp, c.lookupBegan, c.lookupAt = true, now, now.Add(tuning.LookupEvery)
+	c.lookingUp, c.lookupBegan, c.lookupAt = true, now, now.Add(tuning.DependencyLookupInterval)
 	go func() { c.send(c.readOutcomes(c.ctx, refs)) }()
 }
 
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -69,7 +69,7 @@
 		c.planHandshakes(now)
 		synctest.Wait()
 		first := w.seen()
-		if len(first) != tuning.HandshakesAtOnce {
+		if len(first) != tuning.HandshakesInFlight {
 			t.Fatalf("%d handshakes at once", len(first))
 		}
 		for _, id := range first {
@@ -86,7 +86,7 @@
 		}
 		c.planHandshakes(time.Now())
 		synctest.Wait()
-		if c.handshaking != tuning.HandshakesAtOnce {
+		if c.handshaking != tuning.HandshakesInFlight {
 			t.Errorf("%d handshakes again", c.handshaking)
 		}
 	})
@@ -125,7 +125,7 @@
 		for len(c.machines) > 0 {
 			synctest.Wait()
 			order = append(order, c.returning...)
-			if n := len(c.returning); n == 0 || n > tuning.ReturnMax {
+			if n := len(c.returning); n == 0 || n > tuning.DeprovisionMax {
 				t.Fatalf("%d in a call", n)
 			}
 			c.onReturn(returnMsg{}, time.Now())
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -19,7 +19,7 @@
 	if now.Before(c.hintAt) || len(c.sorted) == 0 || !c.writes.AllowN(now, 1) {
 		return
 	}
-	c.hintAt = now.Add(tuning.HintEvery)
+	c.hintAt = now.Add(tuning.ImageInventoryInterval)
 	if c.hintFrom >= len(c.sorted) {
 		c.hintFrom, c.hintPart = 0, 0
 	}
@@ -42,13 +42,13 @@
 // in a value of so many bytes as JSON, and returns how many these are.
 func makeHint(ms []*cluster.Machine, bytes int) (h records.ImageInventory, n int) {
 	h.Machines = map[string][]int{}
-	size := tuning.HintBytes
-	for n = 0; n < min(len(ms), tuning.HintMachines); n++ {
-		size += tuning.HintBytes + len(ms[n].ID)
+	size := tuning.ImageInventoryEntryBytes
+	for n = 0; n < min(len(ms), tuning.ImageInventoryMachines); n++ {
+		size += tuning.ImageInventoryEntryBytes + len(ms[n].ID)
 		ms[n].EachImage(func(name string, _ float64) {
-			size += tuning.HintIndexBytes
+			size += tuning.ImageInventoryIndexBytes
 			if !slices.Contains(h.Images, name) {
-				size += tuning.HintBytes + len(name)
+				size += tuning.ImageInventoryEntryBytes + len(name)
 			}
 		})
 		if size > bytes && n > 0 {
@@ -66,7 +66,7 @@
 			i = len(h.Images)
 			h.Images, h.SizesGB = append(h.Images, name), append(h.SizesGB, gb)
 		}
-		if l := h.Machines[m.ID]; len(l) < tuning.HintImages {
+		if l := h.Machines[m.ID]; len(l) < tuning.ImageInventoryImages {
 			h.Machines[m.ID] = append(l, i)
 		}
 	})
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -187,7 +187,7 @@
 	reading := eventsMsg{events: []protocol.WatchEvent{{Set: record.Key, Value: raw, Version: record.Version}}, asOf: now.Add(time.Second)}
 	c.lookingUp, c.lookupBegan = true, now.Add(time.Second)
 	c.onClosed(closing{j, records.FinalRecord{Phase: protocol.PhaseDone, ClosedMS: now.UnixMilli()}}, now.Add(2*time.Second))
-	long := now.Add(2 * tuning.RereadEvery)
+	long := now.Add(2 * tuning.RereadInterval)
 	c.forgetClosed()
 	c.onEvents(reading, long)
 	c.forgetClosed()
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -244,7 +244,7 @@
 func (c *Controller) Run() {
 	ctx := c.ctx
 	c.takeover = time.Now()
-	c.fitSince = c.takeover.Add(tuning.WorkerRetry)
+	c.fitSince = c.takeover.Add(tuning.AgentRetry)
 	rev, ok := c.load(ctx)
 	if !ok {
 		return
@@ -253,7 +253,7 @@
 	go c.follow(ctx, rev)
 	go c.confirmTerm(ctx)
 	go c.watchVersions(ctx)
-	tick := time.NewTicker(tuning.TickEvery)
+	tick := time.NewTicker(tuning.TickInterval)
 	defer tick.Stop()
 	c.onTick(time.Now())
 	passTimer := time.NewTimer(0)
@@ -294,7 +294,7 @@
 // passGap is the least time between two passes. It grows with what a pass
 // takes, so that decisions never starve the answers to workers.
 func (c *Controller) passGap() time.Duration {
-	return min(max(tuning.PassGap, tuning.PassPause*c.passTook), tuning.PassGapMax)
+	return min(max(tuning.CycleInterval, tuning.CyclePauseFactor*c.passTook), tuning.CycleIntervalMax)
 }
 
 func (c *Controller) handle(m any) {
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -51,7 +51,7 @@
 		case m.Leaving:
 		case presumed[m]:
 			lost = append(lost, m)
-		case m.Up && (now.After(m.LeaseEnd.Add(tuning.SilentReturn)) || now.Sub(m.LastOwnReport) > tuning.MuteReturn):
+		case m.Up && (now.After(m.LeaseEnd.Add(tuning.UnreachableGrace)) || now.Sub(m.LastOwnReport) > tuning.NoHeartbeatLimit):
 			lost = append(lost, m)
 		case !m.Up && len(m.Live) == 0 && c.loadedTypes &&
 			now.Sub(m.Rented) > seconds(tuning.BootGiveUp*c.bootS(m)):
@@ -85,7 +85,7 @@
 	if !now.After(c.catalogAt) {
 		return
 	}
-	c.catalogAt = now.Add(tuning.CatalogEvery)
+	c.catalogAt = now.Add(tuning.CatalogInterval)
 	save := !c.loadedTypes
 	go func() {
 		types, err := c.Cloud.Catalog(c.ctx)
@@ -126,7 +126,7 @@
 
 // pass decides and writes.
 func (c *Controller) pass(now time.Time) {
-	if c.loadedTypes && now.Sub(c.confirmed()) < tuning.StartAuthority {
+	if c.loadedTypes && now.Sub(c.confirmed()) < tuning.StartConfirmationAge {
 		c.decide(now)
 	}
 	c.changed = false
@@ -167,7 +167,7 @@
 		back = append(back, machines[i])
 	}
 	c.giveBack(back, "idle", now)
-	if now.Sub(c.summarized) >= tuning.StatusEvery {
+	if now.Sub(c.summarized) >= tuning.StatusInterval {
 		c.summarized = now
 		c.summarize(snap, jobs, plan, now)
 	}
@@ -222,7 +222,7 @@
 	}
 	for _, rent := range rents {
 		wanted := offer{snap.Types[rent.Type].Name, rent.Zone, rent.Spot}
-		if asked[wanted] || len(asked) >= tuning.OffersAtOnce {
+		if asked[wanted] || len(asked) >= tuning.PoolsInFlight {
 			continue
 		}
 		asked[wanted] = true
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -20,7 +20,7 @@
 // made together most were refused for the reason of the first, and a hundred
 // writes a minute went into claims that rented nothing.
 func (c *Controller) rent(typ, zone string, spot bool, count int, now time.Time) {
-	count = min(count, tuning.RentMax)
+	count = min(count, tuning.ProvisionMax)
 	c.claimSeq++
 	// The term makes the name unique over all leaders, for ever.
 	name := fmt.Sprintf("r-%d-%d", c.term.Term, c.claimSeq)
@@ -129,7 +129,7 @@
 	slices.SortStableFunc(c.toReturn, func(a, b *cluster.Machine) int {
 		return cmp.Compare(min(1, len(b.Live)), min(1, len(a.Live)))
 	})
-	n := min(len(c.toReturn), tuning.ReturnMax)
+	n := min(len(c.toReturn), tuning.DeprovisionMax)
 	c.returning, c.toReturn = c.toReturn[:n:n], slices.Clone(c.toReturn[n:])
 	ids := names(c.returning)
 	go func() { c.send(returnMsg{c.Cloud.Deprovision(c.ctx, ids)}) }()
@@ -225,7 +225,7 @@
 func (c *Controller) listPause() time.Duration {
 	pages := float64(len(c.machines)/tuning.ListMax + 1)
 	calls := c.Config.Deployment.Cloud.RPS * c.Config.Operator.CallBudget
-	return max(tuning.CloudTick, seconds(pages/(calls*tuning.ListShare)))
+	return max(tuning.ListInterval, seconds(pages/(calls*tuning.ListShare)))
 }
 
 func (c *Controller) onCatalog(m catalogMsg, _ time.Time) {
--- a/internal/leader/runrecord.go
+++ b/internal/leader/runrecord.go
@@ -59,13 +59,13 @@
 // doneIn is the part of the done tasks that is kept in the piece with the number.
 func (j *job) doneIn(number int) records.TaskRanges {
 	if number != 0 {
-		first := number * tuning.PieceTasks
-		return j.done.Within(first, first+tuning.PieceTasks-1)
+		first := number * tuning.SegmentTasks
+		return j.done.Within(first, first+tuning.SegmentTasks-1)
 	}
 	out := records.TaskRanges{}
 	for _, e := range j.done {
 		for low := e[0]; low <= e[1]; {
-			high := min(e[1], (records.SegmentOf(low)+1)*tuning.PieceTasks-1)
+			high := min(e[1], (records.SegmentOf(low)+1)*tuning.SegmentTasks-1)
 			if j.owns(0, low) {
 				out.Append(low, high)
 			}
--- a/internal/leader/runrecord_test.go
+++ b/internal/leader/runrecord_test.go
@@ -122,7 +122,7 @@
 func TestDivideLargeRecord(t *testing.T) {
 	c, now := large(0, 1)
 	limits := c.Config.Deployment.State
-	value := tuning.ValueLeastKB
+	value := tuning.ValueMinKB
 	limits.Next.ValueKB = &value
 	c.Store = kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(c.Log), limits)
 	c.useFormat(records.FormatSegmented)
@@ -170,7 +170,7 @@
 		j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Tasks: tuning.MaxTasks, Spread: true}}, 1, time.Now())
 		j.next = 900 << tuning.TermShift
 		number := records.SegmentCount(tuning.MaxTasks) - 1
-		for task := number * tuning.PieceTasks; task < tuning.MaxTasks; task++ {
+		for task := number * tuning.SegmentTasks; task < tuning.MaxTasks; task++ {
 			if share > 0 && task%share == 0 {
 				j.done.Add(task)
 				continue
@@ -182,7 +182,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if size, err := protocol.JSONSize(raw); err != nil || size > tuning.ValueLeastKB*1024 {
+		if size, err := protocol.JSONSize(raw); err != nil || size > tuning.ValueMinKB*1024 {
 			t.Errorf("%d bytes, %v", size, err)
 		}
 	}
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -9,13 +9,13 @@
 
 // silence is how long a machine may be silent and still be given new work.
 func (c *Controller) silence() time.Duration {
-	return seconds(c.Config.Deployment.Workers.ReportS * tuning.SilentReports)
+	return seconds(c.Config.Deployment.Workers.ReportS * tuning.SchedulableHeartbeats)
 }
 
 // unheard is how long a machine may be silent before it is asked after, or counts as
 // not heard.
 func (c *Controller) unheard() time.Duration {
-	return seconds(c.Config.Deployment.Workers.ReportS * tuning.UnheardReports)
+	return seconds(c.Config.Deployment.Workers.ReportS * tuning.MissedHeartbeats)
 }
 
 // counts tells whether a machine is one that should be heard: it has been, or there
@@ -59,14 +59,14 @@
 			deaf = append(deaf, m)
 		}
 	}
-	lost := seconds(c.Config.Deployment.Workers.ReportS * tuning.SilentLost)
+	lost := seconds(c.Config.Deployment.Workers.ReportS * tuning.UnreachableHeartbeats)
 	for _, m := range mute {
-		if float64(silentIn[m.Zone]) > max(1, float64(inZone[m.Zone])*tuning.SilentZone) {
+		if float64(silentIn[m.Zone]) > max(1, float64(inZone[m.Zone])*tuning.ZoneOutageShare) {
 			continue
 		}
 		long := now.Sub(m.LastReport) > lost && now.Sub(c.takeover) > lost
 		switch {
-		case m.Unanswered >= tuning.SilentCalls:
+		case m.Unanswered >= tuning.UnreachableCommands:
 			out[m] = long || c.urgent(m)
 		case m.Addr == "": // not listed either, so there is nothing to call
 			out[m] = long && c.listed
@@ -76,7 +76,7 @@
 	}
 	// Machines whose reports come although nothing reaches them are as lost, but
 	// where they are many it is the link.
-	if len(deaf) <= max(1, int(float64(up)*tuning.DeafFew)) {
+	if len(deaf) <= max(1, int(float64(up)*tuning.OneWayPartitionShare)) {
 		for _, m := range deaf {
 			out[m] = true
 		}
@@ -112,7 +112,7 @@
 // must hear more of them than it does: where the machines themselves are gone one
 // leader after another would leave, and none would ever learn that they are.
 func (c *Controller) cutOff(now time.Time) bool {
-	if now.Sub(c.confirmed()) > tuning.StartAuthority && now.After(c.fitSince) {
+	if now.Sub(c.confirmed()) > tuning.StartConfirmationAge && now.After(c.fitSince) {
 		c.fitSince = now
 	}
 	span := c.unheard()
@@ -130,6 +130,6 @@
 		}
 	}
 	c.heardMost = c.heardMost || 2*heard > known
-	return known >= tuning.UnheardLeast && float64(heard) < float64(known)*tuning.HeardShare &&
-		(c.heardMost || c.Redirected() > max(heard, tuning.UnheardLeast))
+	return known >= tuning.IsolationMinMachines && float64(heard) < float64(known)*tuning.IsolationShare &&
+		(c.heardMost || c.Redirected() > max(heard, tuning.IsolationMinMachines))
 }
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -78,9 +78,9 @@
 func mayWait(j *job, est, slots float64, zones int) float64 {
 	gather := 0.0
 	if j.gang() && j.desc.Tasks > 1 && slots > 0 {
-		gather = tuning.GatherSlack * est * float64(j.desc.Tasks) * float64(zones) / slots
+		gather = tuning.GangSlackFactor * est * float64(j.desc.Tasks) * float64(zones) / slots
 	}
-	return max(tuning.OverdueLeast, tuning.MustBegin-tuning.OverdueMargin-gather)
+	return max(tuning.StarvationMinS, tuning.MaxStartWaitS-tuning.StarvationMarginS-gather)
 }
 
 // snapshotter builds the snapshot that decisions are made from.
@@ -105,7 +105,7 @@
 	b := &snapshotter{Controller: c, now: now, teams: map[string]int{}, jobIndex: map[string]int{}, slots: map[bool]float64{}, zones: 1}
 	op := c.Config.Operator
 	b.snap = &scheduler.Snapshot{Rho: op.Rho, GPURank: c.gpuRank, GPUNeed: c.gpuNeed, GiveBack: op.GiveBackFactor,
-		OverdueShare: tuning.OverdueShare, OverdueShareIdle: tuning.OverdueShareIdle, Refused: map[scheduler.Offer]bool{}}
+		StarvationShare: tuning.StarvationShare, StarvationShareIdle: tuning.StarvationShareIdle, Refused: map[scheduler.Offer]bool{}}
 	b.addTypes()
 	b.addTeams()
 	b.addJobs()
@@ -317,7 +317,7 @@
 		sj := &b.snap.Jobs[i]
 		age := b.now.Sub(j.readyAt).Seconds()
 		sj.OverdueS = max(0, age-mayWait(j, sj.EstimateS, b.slots[sj.Need.GPUs > 0], b.zones))
-		sj.TooLate = age > tuning.MustBegin
+		sj.TooLate = age > tuning.MaxStartWaitS
 	}
 }
 
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -97,7 +97,7 @@
 		if s.Jobs[i].DueS < 0 && s.Jobs[i].Rank > 0 || late[i] {
 			k.Late++
 		}
-		if s.Jobs[i].Rank == 0 && waiting > 0 && len(j.waitsFor) == 0 && now.Sub(j.readyAt) > tuning.ErrorLogEvery {
+		if s.Jobs[i].Rank == 0 && waiting > 0 && len(j.waitsFor) == 0 && now.Sub(j.readyAt) > tuning.ErrorLogInterval {
 			st.Behind = append(st.Behind, Behind{j.ref, j.desc.Class, waiting, now.Sub(j.readyAt).Seconds()})
 		}
 	}
@@ -125,7 +125,7 @@
 	c.addUnknown(&st)
 	slices.SortFunc(st.Machines, func(a, b MachineCount) int { return cmp.Compare(a.Type, b.Type) })
 	c.status = st
-	if len(st.Behind) > 0 && now.Sub(c.lateLogged) > tuning.LateLogEvery {
+	if len(st.Behind) > 0 && now.Sub(c.lateLogged) > tuning.OverdueLogInterval {
 		c.lateLogged = now
 		c.Log.Error("liaison: player-facing production work is behind", "jobs", len(st.Behind), "first", st.Behind[0].Job)
 	}
@@ -139,7 +139,7 @@
 		}
 		st.UnknownTasks += m.UnknownTasks
 		for _, t := range m.Unknown() {
-			if len(st.Unknown) < tuning.UnknownShown {
+			if len(st.Unknown) < tuning.UnknownTasksShown {
 				st.Unknown = append(st.Unknown, c.describeUnknown(m, &t))
 			}
 		}
--- a/internal/leader/versions.go
+++ b/internal/leader/versions.go
@@ -26,7 +26,7 @@
 		} else {
 			c.send(m)
 		}
-		if m.committed || !clock.Sleep(ctx, tuning.VersionEvery) {
+		if m.committed || !clock.Sleep(ctx, tuning.VersionCheckInterval) {
 			return
 		}
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -133,7 +133,7 @@
 
 // Dial prepares a connection to a peer; it is made when used.
 func Dial(p config.Peer) (grpc.ClientConnInterface, error) {
-	bo := backoff.Config{BaseDelay: tuning.PeerRedial, Multiplier: 1.5, MaxDelay: tuning.PeerEvery}
+	bo := backoff.Config{BaseDelay: tuning.PeerRedial, Multiplier: 1.5, MaxDelay: tuning.PeerExchangeInterval}
 	return grpc.NewClient("passthrough:///"+p.Address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.ForceCodec(messageCodec{})),
@@ -158,7 +158,7 @@
 func (g *Group) Run(ctx context.Context) {
 	for _, l := range g.links {
 		go func() {
-			t := time.NewTicker(tuning.PeerEvery)
+			t := time.NewTicker(tuning.PeerExchangeInterval)
 			defer t.Stop()
 			for {
 				g.ask(ctx, l, false)
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -251,8 +251,8 @@
 	}
 	slices.Sort(j.DependsOn)
 	j.DependsOn = slices.Compact(j.DependsOn)
-	if len(j.DependsOn) > tuning.DependenciesMost {
-		return fmt.Errorf("field awaits names more than %d jobs", tuning.DependenciesMost)
+	if len(j.DependsOn) > tuning.DependenciesMax {
+		return fmt.Errorf("field awaits names more than %d jobs", tuning.DependenciesMax)
 	}
 	return nil
 }
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -273,7 +273,7 @@
 func (c *MalformedLog) Record(from string, err error) {
 	now := time.Now().UnixNano()
 	last := c.last.Load()
-	if now-last >= int64(tuning.ErrorLogEvery) && c.last.CompareAndSwap(last, now) {
+	if now-last >= int64(tuning.ErrorLogInterval) && c.last.CompareAndSwap(last, now) {
 		c.log.Error("malformed message", "from", from, "err", err)
 	}
 }
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -64,8 +64,8 @@
 		}
 	}
 	slices.SortFunc(old, func(a, b int) int { return overdue(&s.Jobs[a], &s.Jobs[b]) })
-	leftCores, leftGPUs := cores*s.OverdueShare, gpus*s.OverdueShare
-	idle := cores * s.OverdueShareIdle // of the lowest rank, with what of it runs
+	leftCores, leftGPUs := cores*s.StarvationShare, gpus*s.StarvationShare
+	idle := cores * s.StarvationShareIdle // of the lowest rank, with what of it runs
 	for i := range s.Jobs {
 		if j := &s.Jobs[i]; j.Rank == LowestRank && j.Need.GPUs == 0 {
 			idle -= j.Need.Cores * float64(j.Live)
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -342,7 +342,7 @@
 // it starts. Without the guard the small ones take every machine for ever.
 func TestOverdueGangGathers(t *testing.T) {
 	need := Res{4, 4, 8}
-	s := &Snapshot{Rho: 1, GiveBack: 4, OverdueShare: 0.5, GPURank: 2, GPUNeed: need, Refused: map[Offer]bool{},
+	s := &Snapshot{Rho: 1, GiveBack: 4, StarvationShare: 0.5, GPURank: 2, GPUNeed: need, Refused: map[Offer]bool{},
 		Types: []Type{{Name: "card", Total: Res{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones}}, Teams: []Team{{}}}
 	add := func(ref string, tasks int, overdue float64) {
 		d := &protocol.Job{ID: ref, Kind: protocol.KindGang, Tasks: tasks, Cores: 4, GPUs: 4, MemGB: 8, OneZone: true, Priority: protocol.PriorityStandard}
@@ -402,7 +402,7 @@
 func TestLargestBegin(t *testing.T) {
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		s := &Snapshot{Rho: 1, GiveBack: 4, OverdueShare: 0.5, GPURank: 2, GPUNeed: Res{4, 4, 8}, Refused: map[Offer]bool{},
+		s := &Snapshot{Rho: 1, GiveBack: 4, StarvationShare: 0.5, GPURank: 2, GPUNeed: Res{4, 4, 8}, Refused: map[Offer]bool{},
 			Types: []Type{
 				{Name: "card", Total: Res{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones},
 				{Name: "cpu", Total: Res{16, 0, 64}, Price: 1, BootS: 35, FetchGBps: 1, Zones: zones},
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -119,12 +119,12 @@
 	GiveBack  float64 // see giveBack
 	MayRent   bool
 	MayReturn bool
-	// OverdueShare is the part of the held machines that may be kept for what
+	// StarvationShare is the part of the held machines that may be kept for what
 	// has waited too long.
-	OverdueShare float64
-	// OverdueShareIdle is the part that the lowest rank may have while it is so
+	StarvationShare float64
+	// StarvationShareIdle is the part that the lowest rank may have while it is so
 	// served, with what of it runs.
-	OverdueShareIdle float64
+	StarvationShareIdle float64
 	// GPURank is the lowest rank of the work with GPUs that has been seen, -1
 	// if there was none; GPUNeed is the most that a task of it takes.
 	GPURank int
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -126,7 +126,7 @@
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: tuning.DialTimeout, KeepAlive: -1}).DialContext,
 		MaxIdleConnsPerHost: conns,
-		IdleConnTimeout:     tuning.IdleConn,
+		IdleConnTimeout:     tuning.IdleTimeout,
 		DisableCompression:  true,
 	}
 }
@@ -136,7 +136,7 @@
 func workerTransport(sockets int) *http.Transport {
 	t := transport(1)
 	t.MaxIdleConns = max(1, sockets/2)
-	t.IdleConnTimeout = tuning.IdleLeast
+	t.IdleConnTimeout = tuning.IdleMin
 	return t
 }
 
@@ -208,21 +208,21 @@
 }
 
 // StateOK tells whether the state service serves this node.
-func (n *node) StateOK() bool { return n.store.SinceServed() < tuning.UpStateAge }
+func (n *node) StateOK() bool { return n.store.SinceServed() < tuning.StoreServedAge }
 
 // Refused tells whether the state service refuses this node while it serves
 // others: they were served well after this node was. At the edges of an outage
 // nodes notice at slightly different times, which must not look like this: the
 // load balancer takes a node back later each time it was removed.
 func (n *node) Refused() bool {
-	return !n.StateOK() && (n.peers.ServedAfter(time.Now().Add(tuning.RefusedLag-n.store.SinceServed())) || n.alone())
+	return !n.StateOK() && (n.peers.ServedAfter(time.Now().Add(tuning.RefusedAloneLag-n.store.SinceServed())) || n.alone())
 }
 
 // alone tells whether neither the state service nor any other controller has
 // been heard for a while: then it is most likely this node that is cut off, and
 // users must not be sent to it.
 func (n *node) alone() bool {
-	return n.store.SinceServed() > tuning.AloneAfter && n.peers.Silent(tuning.AloneAfter)
+	return n.store.SinceServed() > tuning.IsolatedAfter && n.peers.Silent(tuning.IsolatedAfter)
 }
 
 // Up is off while the state service refuses this node alone. While it serves
--- a/internal/server/settings_shape_test.go
+++ b/internal/server/settings_shape_test.go
@@ -16,7 +16,7 @@
 	d.Zones = []string{"a"}
 	d.Teams = []config.Team{{Name: "red", Cores: 1e6}, {Name: "unused", Cores: 10, CoresMax: 20}}
 	d.Workers.ReportS = d.Workers.LeaseS / 3
-	d.Workers.CancelS = d.Workers.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseLeast).Seconds()
+	d.Workers.CancelS = d.Workers.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
 	runIn(t, 902, nodeNames, d, func(c *cluster) {
 		for _, typ := range testTypes {
 			for _, zone := range typ.Zones {
--- a/internal/tuning/machines.go
+++ b/internal/tuning/machines.go
@@ -4,68 +4,68 @@
 
 // Constants of workers and the machines that they run on.
 const (
-	// DoTimeout ends a direct command. Workers answer at once unless they hang.
-	DoTimeout = 2 * time.Second
+	// CommandTimeout ends a direct command. Workers answer at once unless they hang.
+	CommandTimeout = 2 * time.Second
 
-	// HandshakeEvery is the pause between attempts to reach a machine that has not
+	// HandshakeInterval is the pause between attempts to reach a machine that has not
 	// seen the term's token; its own report comes within a few seconds anyway.
-	HandshakeEvery = 2 * time.Second
+	HandshakeInterval = 2 * time.Second
 
-	// HandshakesAtOnce is how many handshakes are under way at the same time after a
+	// HandshakesInFlight is how many handshakes are under way at the same time after a
 	// takeover, production's first: all at once would keep the processor from
 	// the answers that hold their leases.
-	// One that hangs holds its place for DoTimeout.
-	HandshakesAtOnce = 128
+	// One that hangs holds its place for CommandTimeout.
+	HandshakesInFlight = 128
 
-	// WorkerRetry is what a worker takes to find out that a node does not answer
+	// AgentRetry is what a worker takes to find out that a node does not answer
 	// and to try another: PROTOCOL's 4 s and 1 s.
-	WorkerRetry = 5 * time.Second
+	AgentRetry = 5 * time.Second
 
-	// ReportLate times report_s is the longest pause between two reports of a worker.
-	ReportLate = 1.25
-	// SilentReports is how many report intervals may pass before a machine is
+	// HeartbeatJitter times report_s is the longest pause between two reports of a worker.
+	HeartbeatJitter = 1.25
+	// SchedulableHeartbeats is how many report intervals may pass before a machine is
 	// not given new work.
-	SilentReports = 2.6
+	SchedulableHeartbeats = 2.6
 
-	// SilentLost is how many report intervals a silent machine that answers no
+	// UnreachableHeartbeats is how many report intervals a silent machine that answers no
 	// direct call either is waited for, if what is on it can wait; reports come
 	// every 0.75 to 1.25 intervals, and after a lost one in about 5 s.
-	SilentLost = 3.5
+	UnreachableHeartbeats = 3.5
 
-	// DeafFew is the share of machines that may be deaf at once to be given back.
-	DeafFew = 0.1
+	// OneWayPartitionShare is the share of machines that may be deaf at once to be given back.
+	OneWayPartitionShare = 0.1
 
-	// SilentCalls is how many direct calls in a row a machine that is silent for
-	// one and a half report intervals must leave unanswered, DoTimeout each, to
+	// UnreachableCommands is how many direct calls in a row a machine that is silent for
+	// one and a half report intervals must leave unanswered, CommandTimeout each, to
 	// count as lost. One may be lost itself.
-	SilentCalls = 2
+	UnreachableCommands = 2
 
-	// SilentZone is the share of a zone's machines that may be silent for that:
+	// ZoneOutageShare is the share of a zone's machines that may be silent for that:
 	// beyond it the zone or the link to it is cut, and the work goes on there.
-	SilentZone = 0.4
+	ZoneOutageShare = 0.4
 
-	// DeafReports is how many reports in a row may show nothing of a higher token
+	// OneWayPartitionHeartbeats is how many reports in a row may show nothing of a higher token
 	// that the ones before were answered with: one answer may be lost or late.
-	DeafReports = 3
+	OneWayPartitionHeartbeats = 3
 
-	// SilentReturn is how long after its lease a silent machine is given back:
+	// UnreachableGrace is how long after its lease a silent machine is given back:
 	// a cut often ends within this time, a dead one costs money.
-	SilentReturn = 20 * time.Second
+	UnreachableGrace = 20 * time.Second
 
-	// MuteReturn is how long a machine that answers commands may report nothing by
+	// NoHeartbeatLimit is how long a machine that answers commands may report nothing by
 	// itself before it is given back all the same: it can do no work. Longer than
 	// what keeps workers from connecting usually lasts, since it is often many of
 	// them, and to rent as many anew takes a boot and the cloud's calls.
-	MuteReturn = 4 * time.Minute
+	NoHeartbeatLimit = 4 * time.Minute
 
 	// MachineBackoff rests a machine that refused a start.
 	MachineBackoff = 2 * time.Second
 
-	// FaultyJobs is how many different jobs must fail on a machine before it is
+	// QuarantineJobs is how many different jobs must fail on a machine before it is
 	// taken for faulty: one alone may be the job's own mistake.
-	FaultyJobs = 2
+	QuarantineJobs = 2
 
-	// ReportDeadline ends the wait for the leader's answer to a report; workers
+	// HeartbeatDeadline ends the wait for the leader's answer to a report; workers
 	// drop answers after 4 s.
-	ReportDeadline = 3 * time.Second
+	HeartbeatDeadline = 3 * time.Second
 )
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -4,8 +4,8 @@
 
 // Constants of what controllers exchange.
 const (
-	// PeerEvery is the pause between status exchanges with peers.
-	PeerEvery = 1 * time.Second
+	// PeerExchangeInterval is the pause between status exchanges with peers.
+	PeerExchangeInterval = 1 * time.Second
 
 	// PeerWindow is the window in which peers' reports sent on are counted; up to
 	// twice as long. A worker that cannot reach the leader asks them all in it.
@@ -20,17 +20,17 @@
 	// ForwardTimeout ends a user's call passed to a peer; a poll has 2 s in all.
 	ForwardTimeout = 1500 * time.Millisecond
 
-	// UpStateAge is how long ago the state service may have served a node that
+	// StoreServedAge is how long ago the state service may have served a node that
 	// counts as served; its follow of the leader key returns every second.
-	UpStateAge = 2500 * time.Millisecond
+	StoreServedAge = 2500 * time.Millisecond
 
-	// RefusedLag is how much later peers must have been served for a node to
+	// RefusedAloneLag is how much later peers must have been served for a node to
 	// count as refused alone: more than nodes differ at the start of an outage.
-	RefusedLag = 2500 * time.Millisecond
+	RefusedAloneLag = 2500 * time.Millisecond
 
-	// AloneAfter is how long neither the state service nor a peer may be heard
+	// IsolatedAfter is how long neither the state service nor a peer may be heard
 	// before a node takes itself for cut off: some exchanges of both.
-	AloneAfter = 5 * time.Second
+	IsolatedAfter = 5 * time.Second
 
 	// PeerFresh is how old a peer's being served may be to count as present:
 	// the follow's second, the exchange's second and their delays.
--- a/internal/tuning/process.go
+++ b/internal/tuning/process.go
@@ -4,15 +4,15 @@
 
 // Constants of the means of a process: sockets, memory, logs.
 const (
-	// IdleConn closes connections nobody has used for so long, but for those
+	// IdleTimeout closes connections nobody has used for so long, but for those
 	// that users and workers make.
-	IdleConn = 120 * time.Second
+	IdleTimeout = 120 * time.Second
 
-	// IdleReports times report_s is how long a connection that was made to us is
-	// kept idle, and IdleLeast the least: users poll about every 5 s. A worker
+	// IdleHeartbeats times report_s is how long a connection that was made to us is
+	// kept idle, and IdleMin the least: users poll about every 5 s. A worker
 	// that left, or reports to another node, must not hold a socket for long.
-	IdleReports = 5
-	IdleLeast   = 20 * time.Second
+	IdleHeartbeats = 5
+	IdleMin        = 20 * time.Second
 
 	// DialTimeout ends a connection attempt: a host that is cut off is silent.
 	DialTimeout = 1 * time.Second
@@ -33,34 +33,34 @@
 	// command's only for milliseconds.
 	SocketsCommands = 0.2
 
-	// SocketsCommandsMost bounds that part, half of it for commands under way: with
-	// DoTimeout for each that hangs, a tenth of 4,000 machines is asked within 4 s.
+	// SocketsCommandsMax bounds that part, half of it for commands under way: with
+	// CommandTimeout for each that hangs, a tenth of 4,000 machines is asked within 4 s.
 	// More would take connections from workers, of which each holds one.
-	SocketsCommandsMost = 512
+	SocketsCommandsMax = 512
 
-	// SocketsLeast is the least that must be left for connections made to us.
-	SocketsLeast = 32
+	// SocketsMin is the least that must be left for connections made to us.
+	SocketsMin = 32
 
 	// MemoryShare is the part of the memory limit given to the Go runtime.
 	MemoryShare = 0.75
 
-	// MemoryLeastMB is the least memory to serve with, in MB: the program and the
+	// MemoryMinMB is the least memory to serve with, in MB: the program and the
 	// runtime take half of it when idle.
-	MemoryLeastMB = 64
+	MemoryMinMB = 64
 
 	// GCPercent is how much the heap may grow before it is collected, in percent:
 	// processor time is scarcer than memory, which has its own limit above.
 	GCPercent = 400
 
-	// ErrorLogEvery limits repeated complaints about one source.
-	ErrorLogEvery = 5 * time.Second
+	// ErrorLogInterval limits repeated complaints about one source.
+	ErrorLogInterval = 5 * time.Second
 
-	// LateLogEvery limits the liaison's log line about late production work.
-	LateLogEvery = 10 * time.Second
+	// OverdueLogInterval limits the liaison's log line about late production work.
+	OverdueLogInterval = 10 * time.Second
 
-	// StatusEvery is how often the summary for the status page is made.
-	StatusEvery = 1 * time.Second
+	// StatusInterval is how often the summary for the status page is made.
+	StatusInterval = 1 * time.Second
 
-	// UnknownShown is how many tasks that no record names are on the status page.
-	UnknownShown = 20
+	// UnknownTasksShown is how many tasks that no record names are on the status page.
+	UnknownTasksShown = 20
 )
--- a/internal/tuning/records.go
+++ b/internal/tuning/records.go
@@ -25,44 +25,44 @@
 	// is left for submissions and cancellations on all nodes.
 	LeaderWriteShare = 0.7
 
-	// HintEvery is the pause between writes of what is known of images, of as many
-	// machines as fit in a value, HintMachines at most, and HintImages images each:
+	// ImageInventoryInterval is the pause between writes of what is known of images, of as many
+	// machines as fit in a value, ImageInventoryMachines at most, and ImageInventoryImages images each:
 	// one change of the dozen that a leader has in a second, in 2.5 s.
-	HintEvery    = 2500 * time.Millisecond
-	HintMachines = 300
-	HintImages   = 16
+	ImageInventoryInterval = 2500 * time.Millisecond
+	ImageInventoryMachines = 300
+	ImageInventoryImages   = 16
 
-	// HintBytes is more than a machine or an image takes in a hint beside its name,
-	// in bytes as JSON: quotes, brackets and the image's size. HintIndexBytes is what
+	// ImageInventoryEntryBytes is more than a machine or an image takes in a hint beside its name,
+	// in bytes as JSON: quotes, brackets and the image's size. ImageInventoryIndexBytes is what
 	// the index of an image takes.
-	HintBytes      = 28
-	HintIndexBytes = 4
+	ImageInventoryEntryBytes = 28
+	ImageInventoryIndexBytes = 4
 
 	// RecordEntryBytes is what a placement takes in a job's record at the most,
 	// in bytes as JSON; it bounds a job's tasks in flight by value_kb while all
 	// of them are kept in one record.
 	RecordEntryBytes = 48
 
-	// PieceTasks is how many tasks share one piece of a run record. It is part of
-	// the record format and must never change: with ValueLeastKB it leaves 60
+	// SegmentTasks is how many tasks share one piece of a run record. It is part of
+	// the record format and must never change: with ValueMinKB it leaves 60
 	// bytes for a task, more than RecordEntryBytes.
-	PieceTasks = 32
+	SegmentTasks = 32
 
-	// ValueLeastKB is the smallest value limit to serve with, in KiB: a piece of a
+	// ValueMinKB is the smallest value limit to serve with, in KiB: a piece of a
 	// run record must fit.
-	ValueLeastKB = 2.0
+	ValueMinKB = 2.0
 
-	// TxnOpsLeast is the smallest transaction to serve with: a job's open and
+	// TransactionMutationsMin is the smallest transaction to serve with: a job's open and
 	// final records and a piece of its run record, and one change beside them.
-	TxnOpsLeast = 4
+	TransactionMutationsMin = 4
 
-	// TxnGuards is how many conditions a transaction may have for each change.
-	TxnGuards = 4
+	// TransactionPreconditions is how many conditions a transaction may have for each change.
+	TransactionPreconditions = 4
 
-	// TxnEntryBytes is what a condition or a change takes in a transaction beside
+	// TransactionEntryBytes is what a condition or a change takes in a transaction beside
 	// its value, in bytes as JSON: its key, field names and a version.
-	TxnEntryBytes = 120
+	TransactionEntryBytes = 120
 
-	// TxnBytes is the largest transaction in bytes as JSON.
-	TxnBytes = 64 << 10
+	// TransactionBytes is the largest transaction in bytes as JSON.
+	TransactionBytes = 64 << 10
 )
--- a/internal/tuning/rentals.go
+++ b/internal/tuning/rentals.go
@@ -11,8 +11,8 @@
 	// cloud allows two.
 	CloudBurst = 1.5
 
-	// CloudTick is the pause between cloud list calls, within the call budget.
-	CloudTick = 3 * time.Second
+	// ListInterval is the pause between cloud list calls, within the call budget.
+	ListInterval = 3 * time.Second
 
 	// ListLags times the lag of the cloud's list is how long after a machine was given
 	// back a list may begin that still names it: usually twice the lag at most.
@@ -21,17 +21,17 @@
 	// ListShare is the part of the calls that may be made that goes into lists.
 	ListShare = 0.25
 
-	// CatalogEvery refreshes prices; they move slowly.
-	CatalogEvery = 30 * time.Second
+	// CatalogInterval refreshes prices; they move slowly.
+	CatalogInterval = 30 * time.Second
 
-	// RentMax and ReturnMax are the limits of PROTOCOL on one call.
-	RentMax   = 50
-	ReturnMax = 100
-	ListMax   = 500
+	// ProvisionMax and DeprovisionMax are the limits of PROTOCOL on one call.
+	ProvisionMax   = 50
+	DeprovisionMax = 100
+	ListMax        = 500
 
-	// OffersAtOnce is for how many offers the cloud is asked at once: about what
+	// PoolsInFlight is for how many offers the cloud is asked at once: about what
 	// it answers in a second or two.
-	OffersAtOnce = 6
+	PoolsInFlight = 6
 
 	// NoCapacityBackoff and its maximum rest a type, zone and kind after a
 	// refusal. Capacity comes back when others return machines.
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -4,47 +4,47 @@
 
 // Constants of when and how a leader decides.
 const (
-	// PassGap is the least time between two decision passes; events within it
+	// CycleInterval is the least time between two decision passes; events within it
 	// are decided together.
-	PassGap = 25 * time.Millisecond
+	CycleInterval = 25 * time.Millisecond
 
-	// PassPause times what the last pass took is the least time to the next,
+	// CyclePauseFactor times what the last pass took is the least time to the next,
 	// so that passes take at most a fifth of the process's time.
-	PassPause = 4
+	CyclePauseFactor = 4
 
-	// PassGapMax bounds that pause: services should start within a second.
-	PassGapMax = 400 * time.Millisecond
+	// CycleIntervalMax bounds that pause: services should start within a second.
+	CycleIntervalMax = 400 * time.Millisecond
 
-	// MustBegin is when even the largest jobs must have begun, in seconds (the
+	// MaxStartWaitS is when even the largest jobs must have begun, in seconds (the
 	// operators' rule).
-	MustBegin = 240.0
+	MaxStartWaitS = 240.0
 
-	// OverdueMargin is how long before that a job goes first, in seconds: about a
+	// StarvationMarginS is how long before that a job goes first, in seconds: about a
 	// boot, or the time in which a few hundred small tasks end.
-	OverdueMargin = 40.0
+	StarvationMarginS = 40.0
 
-	// GatherSlack times the time in which as many machines fall free is allowed
+	// GangSlackFactor times the time in which as many machines fall free is allowed
 	// for a gang to gather, since others gather as well.
-	GatherSlack = 2.0
+	GangSlackFactor = 2.0
 
-	// OverdueLeast is the least that a job waits, in seconds: a boot, for work
+	// StarvationMinS is the least that a job waits, in seconds: a boot, for work
 	// just rented for.
-	OverdueLeast = 30.0
+	StarvationMinS = 30.0
 
-	// OverdueShareIdle is the part of the held machines' cores that the lowest
+	// StarvationShareIdle is the part of the held machines' cores that the lowest
 	// rank may have while its overdue jobs go before others' work.
-	OverdueShareIdle = 0.4
+	StarvationShareIdle = 0.4
 
-	// OverdueShare is the part of the held machines kept for such jobs at most,
+	// StarvationShare is the part of the held machines kept for such jobs at most,
 	// beyond one job: the others must be served as well.
-	OverdueShare = 0.5
+	StarvationShare = 0.5
 
 	// FetchAheadS is how many seconds of image fetches may be under way on a
 	// machine when a task with another image is put on it.
 	FetchAheadS = 4.0
 
-	// TickEvery drives everything that depends on time alone.
-	TickEvery = 500 * time.Millisecond
+	// TickInterval drives everything that depends on time alone.
+	TickInterval = 500 * time.Millisecond
 
 	// EstimatorWeight is the weight of the newest run in a class's average.
 	EstimatorWeight = 0.2
--- a/internal/tuning/users.go
+++ b/internal/tuning/users.go
@@ -24,13 +24,13 @@
 	// a bucket of 25 changes a second refills by two in this time.
 	UserRetryPause = 60 * time.Millisecond
 
-	// UserThrottleTries is how often a throttled user request is tried before
+	// UserThrottleRetries is how often a throttled user request is tried before
 	// it is refused with 503: together under the 200 ms of the submission aim.
-	UserThrottleTries = 3
+	UserThrottleRetries = 3
 
-	// PollThrottleTries is the same for a poll, which has 2 s and, unlike a
+	// PollThrottleRetries is the same for a poll, which has 2 s and, unlike a
 	// submission, comes again only seconds later.
-	PollThrottleTries = 15
+	PollThrottleRetries = 15
 
 	// RetryBudget is how many retries of throttled requests a node may make beyond
 	// RetryShare for each request that succeeds: enough for a burst of submissions,
@@ -45,10 +45,10 @@
 	// each).
 	FinalCache = 20000
 
-	// AckJobs is how many jobs a node remembers that it told users are cancelled,
+	// AcknowledgedJobs is how many jobs a node remembers that it told users are cancelled,
 	// for a leader without state service: some seconds' worth of all the changes
 	// that a large site's state service takes, and less than MaxBody together.
-	AckJobs = 1000
+	AcknowledgedJobs = 1000
 
 	// MaxInflight bounds user requests being worked on at once in one node, and
 	// so does the number of its sockets over SocketsUsers: each may take one to
@@ -56,10 +56,10 @@
 	MaxInflight  = 256
 	SocketsUsers = 6
 
-	// DependenciesMost bounds the jobs that one job may wait for: their names must
+	// DependenciesMax bounds the jobs that one job may wait for: their names must
 	// fit in its record, with ids of the largest form in 30 bytes each, and in
 	// one transaction's conditions. Pipelines have a handful.
-	DependenciesMost = 32
+	DependenciesMax = 32
 
 	// DependencyReads bounds the jobs that jobs wait for which are read one by one, for
 	// an answer and by a node within DependencyCheckShare of cancel_s: a few pipelines'
@@ -71,9 +71,9 @@
 	// them is cancelled must hear the same of the dependents within cancel_s.
 	DependencyCheckShare = 0.25
 
-	// PiecesRead is how many pieces of a job a poll reads; its counts of tasks are
+	// SegmentsRead is how many pieces of a job a poll reads; its counts of tasks are
 	// for display, and it reads no more for jobs of thousands of tasks.
-	PiecesRead = 32
+	SegmentsRead = 32
 
 	// SharedReadsFor is for how long after a throttled read questions share readings of
 	// all open jobs: a user asks again within about 5 s.
