--- a/internal/cluster/machine_test.go
+++ b/internal/cluster/machine_test.go
@@ -10,10 +10,10 @@
 	"marblehaven/internal/tuning"
 )
 
-func parse(s string) (Key, bool) {
+func parse(s string) (TaskKey, bool) {
 	ref, num, ok := strings.Cut(s, "/")
 	n, _ := strconv.Atoi(num)
-	return Key{ref, n}, ok
+	return TaskKey{ref, n}, ok
 }
 
 const lease = 12 * time.Second
@@ -27,12 +27,12 @@
 // start makes a machine with one placement whose start is under way.
 func start(t *testing.T) (*Machine, *Placement, time.Time) {
 	now := time.Now()
-	m := New("m-1", base, now, now.Add(time.Hour))
-	m.Observe(report(1, 1, base), parse, now, now.Add(lease))
-	p := &Placement{Key: Key{"req-1", 0}, Attempt: 1, Session: 1, Machine: m, Recorded: true}
-	m.Live[p.Key] = p
-	m.InFlight = true
-	m.Start(p)
+	m := NewMachine("m-1", base, now, now.Add(time.Hour))
+	m.ApplyStatus(report(1, 1, base), parse, now, now.Add(lease))
+	p := &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 1, Incarnation: 1, Machine: m, Recorded: true}
+	m.Placements[p.TaskKey] = p
+	m.CommandInFlight = true
+	m.RecordStart(p)
 	return m, p, now
 }
 
@@ -41,14 +41,14 @@
 	m, p, now := start(t)
 	expect := func(what string, r *protocol.Heartbeat, over bool) {
 		t.Helper()
-		ended, _ := m.Observe(r, parse, now, now.Add(lease))
+		ended, _ := m.ApplyStatus(r, parse, now, now.Add(lease))
 		if (len(ended) == 1) != over {
 			t.Errorf("%s: ended %v", what, ended)
 		}
 	}
 	expect("absent while the command is under way", report(1, 2, base), false)
-	m.Answered(true, false)
-	if m.Usable(now, time.Minute) {
+	m.RecordCommandOutcome(true, false)
+	if m.Schedulable(now, time.Minute) {
 		t.Error("usable while an outcome is unknown")
 	}
 	expect("absent, but the start may run late", report(1, 3, base), false)
@@ -58,11 +58,11 @@
 		t.Error("state not taken in")
 	}
 	expect("another attempt of it", report(1, 5, base, protocol.TaskStatus{Task: "req-1/0", Attempt: 2, State: protocol.TaskRunning}), false)
-	if m.UnknownTasks != 1 || len(m.Unknown()) != 1 || m.Unknown()[0].Attempt != 2 {
+	if m.UnknownTaskCount != 1 || len(m.UnknownTasks()) != 1 || m.UnknownTasks()[0].Attempt != 2 {
 		t.Error("what is not in the records was not seen")
 	}
 	expect("absent after the higher token was shown", report(1, 6, base+1), true)
-	if !m.Usable(now, time.Minute) {
+	if !m.Schedulable(now, time.Minute) {
 		t.Error("not usable after the outcome is settled")
 	}
 }
@@ -70,18 +70,18 @@
 // An attempt is not reaped while a copy of its start could run it again.
 func TestReap(t *testing.T) {
 	m, p, now := start(t)
-	m.Answered(true, true)
+	m.RecordCommandOutcome(true, true)
 	done := protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}
-	ended, _ := m.Observe(report(1, 2, base, done), parse, now, now.Add(lease))
-	if len(ended) != 1 || ended[0].Cause != protocol.ExitDone {
+	ended, _ := m.ApplyStatus(report(1, 2, base, done), parse, now, now.Add(lease))
+	if len(ended) != 1 || ended[0].ExitReason != protocol.ExitDone {
 		t.Fatalf("ended %v", ended)
 	}
-	m.Drop(p, now)
-	if m.MayForget(p.Key, 1) {
+	m.RemovePlacement(p, now)
+	if m.MayRelease(p.TaskKey, 1) {
 		t.Error("reaped while a copy of the start would be executed")
 	}
-	m.Observe(report(1, 3, base+1, done), parse, now, now.Add(lease))
-	if !m.MayForget(p.Key, 1) {
+	m.ApplyStatus(report(1, 3, base+1, done), parse, now, now.Add(lease))
+	if !m.MayRelease(p.TaskKey, 1) {
 		t.Error("not reaped although copies are refused")
 	}
 }
@@ -90,34 +90,34 @@
 // to a report of the session before.
 func TestNewSessionKeepsItsLease(t *testing.T) {
 	m, _, now := start(t)
-	m.LeaseEnd = now.Add(time.Second)
-	m.Answered(true, true)
-	m.Observe(report(2, 2, base+1), parse, now, now.Add(lease))
-	p := &Placement{Key: Key{"req-1", 0}, Attempt: 2, Session: 2, Machine: m, Recorded: true}
-	m.Live[p.Key] = p
-	if ended := m.Lapse(now.Add(2 * time.Second)); len(ended) > 0 {
+	m.LeaseExpiry = now.Add(time.Second)
+	m.RecordCommandOutcome(true, true)
+	m.ApplyStatus(report(2, 2, base+1), parse, now, now.Add(lease))
+	p := &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 2, Incarnation: 2, Machine: m, Recorded: true}
+	m.Placements[p.TaskKey] = p
+	if ended := m.ExpireLease(now.Add(2 * time.Second)); len(ended) > 0 {
 		t.Error("a session was over before its lease")
 	}
-	if ended := m.Lapse(now.Add(lease + time.Second)); len(ended) == 0 {
+	if ended := m.ExpireLease(now.Add(lease + time.Second)); len(ended) == 0 {
 		t.Error("a session without answers lasts beyond its lease")
 	}
 }
 
 func TestNewSessionAndLapse(t *testing.T) {
 	m, p, now := start(t)
-	if ended := m.Lapse(now); len(ended) > 0 {
+	if ended := m.ExpireLease(now); len(ended) > 0 {
 		t.Error("lapsed before the lease is over")
 	}
-	if ended, _ := m.Observe(report(2, 2, base), parse, now, now.Add(lease)); len(ended) != 1 || ended[0].Placement != p {
+	if ended, _ := m.ApplyStatus(report(2, 2, base), parse, now, now.Add(lease)); len(ended) != 1 || ended[0].Placement != p {
 		t.Error("a new tenure did not release")
 	}
 	m, p, _ = start(t)
-	after := m.LeaseEnd.Add(time.Millisecond)
-	if ended := m.Lapse(after); len(ended) != 1 || ended[0].Placement != p {
+	after := m.LeaseExpiry.Add(time.Millisecond)
+	if ended := m.ExpireLease(after); len(ended) != 1 || ended[0].Placement != p {
 		t.Error("a lease that is over did not release")
 	}
-	m.Answered(true, true)
-	if _, fresh := m.Observe(report(1, 9, base), parse, after, after.Add(lease)); fresh || m.Usable(after, time.Minute) {
+	m.RecordCommandOutcome(true, true)
+	if _, fresh := m.ApplyStatus(report(1, 9, base), parse, after, after.Add(lease)); fresh || m.Schedulable(after, time.Minute) {
 		t.Error("a report of a session that is over was taken in")
 	}
 }
@@ -127,15 +127,15 @@
 // began anew can show a token that was sent in answer to a report that looks old.
 func TestLateCopies(t *testing.T) {
 	m, p, now := start(t)
-	m.Answered(true, true)
+	m.RecordCommandOutcome(true, true)
 	running := protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskRunning}
 	take := func(r *protocol.Heartbeat) bool {
 		t.Helper()
-		if !m.Heard(r) && !m.Again(r) {
+		if !m.AcceptHeartbeat(r) && !m.DetectRestart(r) {
 			return false
 		}
-		m.Observe(r, parse, now, now.Add(lease))
-		m.Answer()
+		m.ApplyStatus(r, parse, now, now.Add(lease))
+		m.RecordAnswer()
 		return true
 	}
 	for seq := uint64(2); seq < 6; seq++ {
@@ -148,29 +148,29 @@
 			t.Errorf("a copy of report %d was taken in", seq)
 		}
 	}
-	if len(m.Live) != 1 || p.State != protocol.TaskRunning {
+	if len(m.Placements) != 1 || p.State != protocol.TaskRunning {
 		t.Error("a copy released a placement")
 	}
-	if !take(report(1, 6, m.Token, running)) {
+	if !take(report(1, 6, m.IssuedToken, running)) {
 		t.Error("the newest report looks old after copies")
 	}
 	// Copies of what it said since it has seen the token prove nothing either.
-	if take(report(1, 6, m.Token, running)) || take(report(1, 4, base+1)) {
+	if take(report(1, 6, m.IssuedToken, running)) || take(report(1, 4, base+1)) {
 		t.Error("a copy was taken in")
 	}
 	// It began anew: first nothing is believed, then the token proves it.
 	if take(report(1, 1, 0)) {
 		t.Error("a report without proof was taken in")
 	}
-	ended, _ := []Ended(nil), false
-	r := report(1, 2, m.Token)
-	if m.Heard(r) || !m.Again(r) {
+	ended, _ := []EndedPlacement(nil), false
+	r := report(1, 2, m.IssuedToken)
+	if m.AcceptHeartbeat(r) || !m.DetectRestart(r) {
 		t.Fatal("a worker that began anew is not known as such")
 	}
-	if ended, _ = m.Observe(r, parse, now, now.Add(lease)); len(ended) != 1 {
+	if ended, _ = m.ApplyStatus(r, parse, now, now.Add(lease)); len(ended) != 1 {
 		t.Error("what its former life ran is not over")
 	}
-	if m.Usable(now, time.Minute) {
+	if m.Schedulable(now, time.Minute) {
 		t.Error("usable before it has shown that commands of the former life are refused")
 	}
 }
@@ -179,28 +179,28 @@
 // the token it was answered with is deaf, one that does now and then is not.
 func TestDeaf(t *testing.T) {
 	m, _, now := start(t)
-	m.Answered(true, true)
+	m.RecordCommandOutcome(true, true)
 	for seq := uint64(2); seq < 10; seq++ {
-		if seq >= 2+1+tuning.OneWayPartitionHeartbeats && !m.Deaf() {
+		if seq >= 2+1+tuning.OneWayPartitionHeartbeats && !m.OneWayPartitioned() {
 			t.Errorf("not deaf at report %d", seq)
 		}
 		r := report(1, seq, base)
-		m.Heard(r)
-		m.Observe(r, parse, now, now.Add(lease))
-		m.Answer()
+		m.AcceptHeartbeat(r)
+		m.ApplyStatus(r, parse, now, now.Add(lease))
+		m.RecordAnswer()
 	}
-	if m.Usable(now, time.Minute) {
+	if m.Schedulable(now, time.Minute) {
 		t.Error("a deaf machine is usable")
 	}
-	r := report(1, 10, m.Token)
-	m.Heard(r)
-	m.Observe(r, parse, now, now.Add(lease))
-	if m.Deaf() {
+	r := report(1, 10, m.IssuedToken)
+	m.AcceptHeartbeat(r)
+	m.ApplyStatus(r, parse, now, now.Add(lease))
+	if m.OneWayPartitioned() {
 		t.Error("deaf although it has shown the token")
 	}
 	// A lease lost although reports were answered is the same sign.
-	m.Observe(report(2, 11, m.Token), parse, now, now.Add(lease))
-	if m.Usable(now, time.Minute) {
+	m.ApplyStatus(report(2, 11, m.IssuedToken), parse, now, now.Add(lease))
+	if m.Schedulable(now, time.Minute) {
 		t.Error("usable before it has shown that it hears")
 	}
 }
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -47,8 +47,8 @@
 		rep := fullReport(c, i, 1)
 		for _, t := range rep.Tasks {
 			k, _ := parseTask(t.Task)
-			p := &cluster.Placement{Key: k, Attempt: 1, Session: 1, Machine: m, Recorded: true, Sent: true, Since: now}
-			m.Live[k] = p
+			p := &cluster.Placement{TaskKey: k, Attempt: 1, Incarnation: 1, Machine: m, Recorded: true, Sent: true, Since: now}
+			m.Placements[k] = p
 			c.jobs[k.Job].live[k.Task] = p
 		}
 		c.onReport(rep, now)
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -12,15 +12,15 @@
 
 // dispatch sends what is due to a machine directly.
 func (c *Controller) dispatch(m *cluster.Machine, now time.Time) {
-	if m.InFlight || !m.Up || m.Addr == "" || m.Session <= m.Lapsed {
+	if m.CommandInFlight || !m.Up || m.Addr == "" || m.Incarnation <= m.ExpiredIncarnation {
 		return
 	}
 	var orders []protocol.Command
 	starts := false
-	for _, p := range m.Live {
-		if p.Stopping && p.Sent && now.Sub(p.StopAt) < tuning.TickInterval {
-			orders = append(orders, protocol.Command{Verb: protocol.VerbStop, Task: taskName(p.Key), Attempt: p.Attempt, GracePeriodS: p.Grace})
-			p.StopAt = now.Add(-tuning.TickInterval) // the reports carry repeats
+	for _, p := range m.Placements {
+		if p.Stopping && p.Sent && now.Sub(p.StopOrderedAt) < tuning.TickInterval {
+			orders = append(orders, protocol.Command{Verb: protocol.VerbStop, Task: taskName(p.TaskKey), Attempt: p.Attempt, GracePeriodS: p.GracePeriodS})
+			p.StopOrderedAt = now.Add(-tuning.TickInterval) // the reports carry repeats
 		}
 	}
 	// Placed before an outage or a standstill, its job may be cancelled by now.
@@ -28,20 +28,20 @@
 	waiting := m.Outbox[:0]
 	for _, p := range m.Outbox {
 		switch {
-		case m.Live[p.Key] != p || p.Sent:
-		case p.Stopping || p.Session != m.Session || m.Shown < c.token():
+		case m.Placements[p.TaskKey] != p || p.Sent:
+		case p.Stopping || p.Incarnation != m.Incarnation || m.AcknowledgedToken < c.token():
 			c.unplace(p, now) // never sent, so it can be taken back
 		case !mayStart:
 			waiting = append(waiting, p)
 		default:
-			m.Start(p)
+			m.RecordStart(p)
 			starts = true
-			orders = append(orders, protocol.Command{Verb: protocol.VerbStart, Task: taskName(p.Key), Attempt: p.Attempt})
+			orders = append(orders, protocol.Command{Verb: protocol.VerbStart, Task: taskName(p.TaskKey), Attempt: p.Attempt})
 		}
 	}
 	m.Outbox = waiting
 	if len(orders) > 0 {
-		c.do(m, orders, m.Session, starts, false)
+		c.do(m, orders, m.Incarnation, starts, false)
 	}
 }
 
@@ -63,10 +63,10 @@
 		switch {
 		case c.production(m):
 			d.order = 0
-		case len(m.Live) > 0:
+		case len(m.Placements) > 0:
 			d.order = 1
 		}
-		if !m.HandshakeAt.IsZero() {
+		if !m.NextHandshake.IsZero() {
 			d.order += 3
 		}
 		dues = append(dues, d)
@@ -91,8 +91,8 @@
 // needsHandshake tells whether a machine runs and has not seen the term's token, or has said
 // nothing for a lease, after which what ran on it is gone if it is there at all.
 func (c *Controller) needsHandshake(m *cluster.Machine, now time.Time) bool {
-	return !m.InFlight && !m.Leaving && m.Addr != "" && !now.Before(m.HandshakeAt) &&
-		(m.Shown < c.token() || m.Up && now.Sub(m.LastReport) > seconds(c.Config.Deployment.Workers.LeaseS))
+	return !m.CommandInFlight && !m.Deprovisioning && m.Addr != "" && !now.Before(m.NextHandshake) &&
+		(m.AcknowledgedToken < c.token() || m.Up && now.Sub(m.LastContact) > seconds(c.Config.Deployment.Workers.LeaseS))
 }
 
 // handshake shows the term's token to a machine that runs but has not reported yet,
@@ -103,7 +103,7 @@
 	if !c.needsHandshake(m, now) {
 		return
 	}
-	m.HandshakeAt = now.Add(tuning.HandshakeInterval)
+	m.NextHandshake = now.Add(tuning.HandshakeInterval)
 	c.handshaking++
 	c.do(m, nil, lastSession(m), false, true)
 }
@@ -111,19 +111,19 @@
 // lastSession is the latest session of a machine that is known, from its reports or
 // from the records.
 func lastSession(m *cluster.Machine) uint64 {
-	session := max(m.Session, 1)
-	for _, p := range m.Live {
-		session = max(session, p.Session)
+	session := max(m.Incarnation, 1)
+	for _, p := range m.Placements {
+		session = max(session, p.Incarnation)
 	}
 	return session
 }
 
 func (c *Controller) do(m *cluster.Machine, orders []protocol.Command, session uint64, starts, handshake bool) {
-	m.InFlight = true
+	m.CommandInFlight = true
 	if orders == nil {
 		orders = []protocol.Command{}
 	}
-	req, addr := protocol.CommandRequest{Token: m.Token, Incarnation: session, Commands: orders}, m.Addr
+	req, addr := protocol.CommandRequest{Token: m.IssuedToken, Incarnation: session, Commands: orders}, m.Addr
 	go func() {
 		rep, err := c.Worker.SendCommands(c.ctx, addr, req)
 		c.send(doMsg{m, rep, starts, handshake, err})
@@ -131,7 +131,7 @@
 }
 
 func (c *Controller) onDo(d doMsg, now time.Time) {
-	d.m.Answered(d.starts, d.err == nil)
+	d.m.RecordCommandOutcome(d.starts, d.err == nil)
 	if d.handshake {
 		c.handshaking--
 		defer c.nextHandshakes(now)
@@ -148,8 +148,8 @@
 	}
 	if d.rep.Machine == d.m.ID {
 		c.observe(d.m, d.rep, now)
-		if d.m.Shown < c.token() {
-			d.m.HandshakeAt = now // refused for its tenure, which is known now
+		if d.m.AcknowledgedToken < c.token() {
+			d.m.NextHandshake = now // refused for its tenure, which is known now
 			c.handshake(d.m, now)
 		}
 	}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -56,13 +56,13 @@
 			m.Addr = m.ID + ":1"
 			if i%50 == 49 {
 				production[m.ID] = true
-				for k := range m.Live {
+				for k := range m.Placements {
 					c.jobs[k.Job].desc.Priority = protocol.PriorityProduction
 				}
 			}
 		}
 		for _, m := range c.sorted { // a job is on several machines
-			for k := range m.Live {
+			for k := range m.Placements {
 				production[m.ID] = production[m.ID] || c.jobs[k.Job].rank() == 0
 			}
 		}
@@ -110,7 +110,7 @@
 		var idle []*cluster.Machine
 		for i, m := range c.sorted[200:] {
 			if i%2 == 0 {
-				clear(m.Live)
+				clear(m.Placements)
 				idle = append(idle, m)
 			}
 		}
@@ -146,11 +146,11 @@
 	c, now := large(2100, 200)
 	live := 0
 	for _, m := range c.machines {
-		live += len(m.Live)
+		live += len(m.Placements)
 	}
 	c.onList(listMsg{machines: []protocol.ListedMachine{{ID: "m-000007", State: protocol.MachineStarting}}}, now)
 	for _, m := range c.machines {
-		live -= len(m.Live)
+		live -= len(m.Placements)
 	}
 	if len(c.machines) != 2100 || live != 0 || len(c.toReturn) > 0 || len(c.returning) > 0 {
 		t.Errorf("%d machines are left, %d tasks less, %d to be returned", len(c.machines), live, len(c.toReturn))
@@ -164,16 +164,16 @@
 func TestStandingStill(t *testing.T) {
 	free := func(c *Controller) {
 		for _, m := range c.sorted[:50] {
-			for _, p := range m.Live {
+			for _, p := range m.Placements {
 				delete(c.jobs[p.Job].live, p.Task)
 			}
-			clear(m.Live)
+			clear(m.Placements)
 		}
 		c.listing, c.listed, c.catalogAt, c.hintAt = true, true, c.takeover.Add(time.Hour), c.takeover.Add(time.Hour)
 	}
 	placed := func(c *Controller) (n int) {
 		for _, m := range c.sorted[:50] {
-			n += len(m.Live)
+			n += len(m.Placements)
 		}
 		return n
 	}
@@ -190,10 +190,10 @@
 	// One start was recorded and not yet sent: its job may be cancelled by now.
 	m := c.sorted[100]
 	var start *cluster.Placement
-	for _, start = range m.Live {
+	for _, start = range m.Placements {
 		break
 	}
-	start.Recorded, start.Sent, start.Session = true, false, m.Session
+	start.Recorded, start.Sent, start.Incarnation = true, false, m.Incarnation
 	m.Addr, m.Outbox = m.ID+":1", []*cluster.Placement{start}
 	for _, still := range []time.Duration{4, 8, 12} {
 		later := now.Add(still * time.Second)
@@ -201,7 +201,7 @@
 		c.pass(later)
 		calls := 0
 		for _, m := range c.machines {
-			if m.InFlight {
+			if m.CommandInFlight {
 				calls++
 			}
 		}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -27,7 +27,7 @@
 func dropAll(now time.Time, jobs ...*job) {
 	for _, j := range jobs {
 		for _, p := range j.live {
-			p.Machine.Drop(p, now)
+			p.Machine.RemovePlacement(p, now)
 		}
 		clear(j.live)
 	}
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -96,7 +96,7 @@
 	if !known {
 		return
 	}
-	touch := func(name string, gb float64) { m.TouchImage(name, gb, c.types[i].CacheGB) }
+	touch := func(name string, gb float64) { m.RecordImageUse(name, gb, c.types[i].CacheGB) }
 	if h != nil {
 		for _, k := range slices.Backward(h.Machines[m.ID]) {
 			if k >= 0 && k < len(h.Images) {
@@ -105,7 +105,7 @@
 		}
 		delete(c.hints, m.ID)
 	}
-	for k, p := range m.Live {
+	for k, p := range m.Placements {
 		if j := c.jobs[k.Job]; j != nil && p.State != "" && p.State != protocol.TaskFetching {
 			touch(j.desc.Image, j.desc.ImageGB)
 		}
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -137,10 +137,10 @@
 	return slices.Index([]string{protocol.PriorityProduction, protocol.PriorityHigh, protocol.PriorityStandard, protocol.PriorityIdle}, j.desc.Priority)
 }
 
-func taskName(k cluster.Key) string { return k.Job + "/" + strconv.Itoa(k.Task) }
+func taskName(k cluster.TaskKey) string { return k.Job + "/" + strconv.Itoa(k.Task) }
 
-func parseTask(s string) (cluster.Key, bool) {
+func parseTask(s string) (cluster.TaskKey, bool) {
 	ref, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
-	return cluster.Key{Job: ref, Task: n}, ok && err == nil && n >= 0
+	return cluster.TaskKey{Job: ref, Task: n}, ok && err == nil && n >= 0
 }
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -24,11 +24,11 @@
 	o := &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 10}}
 	j := newJob("req-1", o, 1, now)
 	j.restore(&records.RunRecord{NextAttempt: 9, Done: records.TaskRanges{{0, 1}, {4, 4}}, Placements: []records.Placement{{Task: 6, Attempt: 8}}})
-	j.live[6] = &cluster.Placement{Key: cluster.Key{Job: "req-1", Task: 6}, Machine: &cluster.Machine{ID: "m"}}
+	j.live[6] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: "req-1", Task: 6}, Machine: &cluster.Machine{ID: "m"}}
 	var got []int
 	for j.waiting() > 0 {
 		n := j.take()
-		j.live[n] = &cluster.Placement{Key: cluster.Key{Job: "req-1", Task: n}, Machine: &cluster.Machine{ID: "m"}}
+		j.live[n] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: "req-1", Task: n}, Machine: &cluster.Machine{ID: "m"}}
 		got = append(got, n)
 	}
 	if d := cmp.Diff([]int{2, 3, 5, 7, 8, 9}, got); d != "" {
@@ -86,8 +86,8 @@
 	c := &Controller{jobs: map[string]*job{}, term: election.Leadership{Term: 1}}
 	j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 2}}, 1, now)
 	c.jobs["req-1"] = j
-	m := cluster.New("m-1", c.token(), now, now.Add(time.Hour))
-	m.Observe(&protocol.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, Token: c.token(), Tasks: []protocol.TaskStatus{
+	m := cluster.NewMachine("m-1", c.token(), now, now.Add(time.Hour))
+	m.ApplyStatus(&protocol.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, Token: c.token(), Tasks: []protocol.TaskStatus{
 		{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}}}, parseTask, now, now)
 	j.pendingDone[0] = true
 	if o := c.orders(m); len(o) > 0 {
@@ -105,7 +105,7 @@
 	c, now := large(2, 1)
 	m := c.machines["m-000000"]
 	r := fullReport(c, 0, 7)
-	r.Token, r.Tasks = m.Token, nil
+	r.Token, r.Tasks = m.IssuedToken, nil
 	c.onReport(r, now)
 	c.returning = []*cluster.Machine{m}
 	c.onReturn(returnMsg{}, now)
@@ -114,13 +114,13 @@
 	}
 	clear(c.gone)
 	c.onReport(r, now)
-	if m := c.machines["m-000000"]; m == nil || m.Usable(now, time.Minute) {
+	if m := c.machines["m-000000"]; m == nil || m.Schedulable(now, time.Minute) {
 		t.Error("a copy made a machine usable that is gone")
 	}
 	r2 := fullReport(c, 0, 8)
-	r2.Token, r2.Tasks = c.machines["m-000000"].Token, nil
+	r2.Token, r2.Tasks = c.machines["m-000000"].IssuedToken, nil
 	c.onReport(r2, now)
-	if !c.machines["m-000000"].Usable(now, time.Minute) {
+	if !c.machines["m-000000"].Schedulable(now, time.Minute) {
 		t.Error("a machine that is there, and shows it, is not usable")
 	}
 }
@@ -130,7 +130,7 @@
 	c, now := large(2, 1)
 	m := c.machines["m-000001"]
 	for _, name := range []string{"a", "b", "c"} {
-		m.TouchImage(name, 10, 40)
+		m.RecordImageUse(name, 10, 40)
 	}
 	hint, _ := makeHint(c.sorted, 32<<10)
 	raw, _ := protocol.Marshal(hint)
@@ -211,8 +211,8 @@
 	j.unread = true
 	j.rest(until)
 	for _, cause := range []string{protocol.ExitError, protocol.ExitUnknownTask} {
-		for _, p := range m.Live {
-			c.end([]cluster.Ended{{Placement: p, Cause: cause}}, now)
+		for _, p := range m.Placements {
+			c.end([]cluster.EndedPlacement{{Placement: p, ExitReason: cause}}, now)
 			break
 		}
 	}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -147,9 +147,9 @@
 	if m.Zone == "" {
 		m.Zone = lp.Zone
 	}
-	p := &cluster.Placement{Key: cluster.Key{Job: j.ref, Task: lp.Task}, Attempt: lp.Attempt, Session: lp.Incarnation,
+	p := &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.ref, Task: lp.Task}, Attempt: lp.Attempt, Incarnation: lp.Incarnation,
 		Machine: m, Recorded: true, Sent: true, StartToken: c.token() - 1, Since: now}
-	j.live[lp.Task], m.Live[p.Key] = p, p
+	j.live[lp.Task], m.Placements[p.TaskKey] = p, p
 }
 
 // setOpen takes in an open job's record.
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -41,22 +41,22 @@
 func (c *Controller) reviewMachines(now time.Time) (lost, stuck []*cluster.Machine) {
 	presumed := c.presumedLost(now)
 	for _, m := range c.machines {
-		if m.Session > m.Lapsed || len(m.Live) > 0 {
-			if ended := m.Lapse(now); len(ended) > 0 {
+		if m.Incarnation > m.ExpiredIncarnation || len(m.Placements) > 0 {
+			if ended := m.ExpireLease(now); len(ended) > 0 {
 				c.Log.Info("lease over", "machine", m.ID, "tasks", len(ended))
 				c.end(ended, now)
 			}
 		}
 		switch {
-		case m.Leaving:
+		case m.Deprovisioning:
 		case presumed[m]:
 			lost = append(lost, m)
-		case m.Up && (now.After(m.LeaseEnd.Add(tuning.UnreachableGrace)) || now.Sub(m.LastOwnReport) > tuning.NoHeartbeatLimit):
+		case m.Up && (now.After(m.LeaseExpiry.Add(tuning.UnreachableGrace)) || now.Sub(m.LastHeartbeat) > tuning.NoHeartbeatLimit):
 			lost = append(lost, m)
-		case !m.Up && len(m.Live) == 0 && c.loadedTypes &&
-			now.Sub(m.Rented) > seconds(tuning.BootGiveUp*c.bootS(m)):
+		case !m.Up && len(m.Placements) == 0 && c.loadedTypes &&
+			now.Sub(m.ProvisionedAt) > seconds(tuning.BootGiveUp*c.bootS(m)):
 			stuck = append(stuck, m)
-		case m.Up && m.Faulty && len(m.Live) == 0 && m.Settled():
+		case m.Up && m.Quarantined && len(m.Placements) == 0 && m.CommandsResolved():
 			lost = append(lost, m)
 		}
 		c.drain(m, now)
@@ -104,11 +104,11 @@
 
 // drain saves in time what can be saved on a machine that the cloud takes away.
 func (c *Controller) drain(m *cluster.Machine, now time.Time) {
-	if m.NoticeEnd.IsZero() || m.Shown < c.token() {
+	if m.PreemptionAt.IsZero() || m.AcknowledgedToken < c.token() {
 		return // a copy of a report from before this term proves no notice
 	}
-	left := m.NoticeEnd.Sub(now).Seconds()
-	for _, p := range m.Live {
+	left := m.PreemptionAt.Sub(now).Seconds()
+	for _, p := range m.Placements {
 		j := c.jobs[p.Job]
 		if j == nil || p.Stopping || p.State != protocol.TaskRunning || j.desc.CheckpointIntervalS <= 0 ||
 			left > j.desc.CheckpointSaveS+tuning.NoticeMargin {
@@ -138,7 +138,7 @@
 // dispatchAll sends what is due to the machines for which there is something.
 func (c *Controller) dispatchAll(now time.Time) {
 	for m := range c.touched {
-		if !m.InFlight {
+		if !m.CommandInFlight {
 			delete(c.touched, m)
 			c.dispatch(m, now)
 		}
@@ -177,15 +177,15 @@
 func (c *Controller) placeTasks(j *job, m *cluster.Machine, count int, now time.Time) {
 	for range count {
 		task := j.take()
-		p := &cluster.Placement{Key: cluster.Key{Job: j.ref, Task: task}, Attempt: j.next, Session: m.Session, Machine: m, Since: now}
+		p := &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.ref, Task: task}, Attempt: j.next, Incarnation: m.Incarnation, Machine: m, Since: now}
 		if !j.gang() {
 			j.next++
 		}
-		j.live[task], m.Live[p.Key] = p, p
+		j.live[task], m.Placements[p.TaskKey] = p, p
 		c.markDirty(j, task, true, now)
 	}
 	if i, ok := c.typeIdx[m.Type]; ok {
-		m.TouchImage(j.desc.Image, j.desc.ImageGB, c.types[i].CacheGB)
+		m.RecordImageUse(j.desc.Image, j.desc.ImageGB, c.types[i].CacheGB)
 	}
 	c.Log.Debug("placing", "job", j.ref, "machine", m.ID, "count", count)
 }
@@ -195,7 +195,7 @@
 func (c *Controller) stopTasks(j *job, m *cluster.Machine, count int, now time.Time) {
 	c.Log.Info("making room", "machine", m.ID, "job", j.ref, "count", count)
 	var placed []*cluster.Placement
-	for _, p := range m.Live {
+	for _, p := range m.Placements {
 		if p.Job == j.ref && !p.Stopping {
 			placed = append(placed, p)
 		}
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -58,7 +58,7 @@
 			if c.machines[id] == nil {
 				mc := c.machine(id, time.UnixMilli(cl.RequestedMS))
 				mc.Type, mc.Zone, mc.Spot = cl.Type, cl.Zone, cl.Spot
-				mc.Rented = now
+				mc.ProvisionedAt = now
 			}
 		}
 		if len(m.hosts) < cl.Count {
@@ -103,7 +103,7 @@
 		return
 	}
 	for _, m := range ms {
-		m.Leaving = true
+		m.Deprovisioning = true
 	}
 	c.Log.Info("returning machines", "why", why, "machines", names(ms))
 	c.toReturn = append(c.toReturn, ms...)
@@ -127,7 +127,7 @@
 		return
 	}
 	slices.SortStableFunc(c.toReturn, func(a, b *cluster.Machine) int {
-		return cmp.Compare(min(1, len(b.Live)), min(1, len(a.Live)))
+		return cmp.Compare(min(1, len(b.Placements)), min(1, len(a.Placements)))
 	})
 	n := min(len(c.toReturn), tuning.DeprovisionMax)
 	c.returning, c.toReturn = c.toReturn[:n:n], slices.Clone(c.toReturn[n:])
@@ -147,9 +147,9 @@
 		return
 	}
 	for _, m := range ms {
-		var ended []cluster.Ended
-		for _, p := range m.Live {
-			ended = append(ended, cluster.Ended{Placement: p})
+		var ended []cluster.EndedPlacement
+		for _, p := range m.Placements {
+			ended = append(ended, cluster.EndedPlacement{Placement: p})
 		}
 		c.end(ended, now)
 		c.forget(m)
@@ -176,16 +176,16 @@
 		m := c.machines[lm.ID]
 		if m == nil {
 			m = c.machine(lm.ID, now)
-			m.Rented = now.Add(-seconds(lm.AgeS))
+			m.ProvisionedAt = now.Add(-seconds(lm.AgeS))
 			m.Type, m.Zone, m.Spot = lm.Type, lm.Zone, lm.Spot
 		}
 		if m.Type == "" {
-			m.Type, m.Zone, m.Spot, m.Rented = lm.Type, lm.Zone, lm.Spot, now.Add(-seconds(lm.AgeS))
+			m.Type, m.Zone, m.Spot, m.ProvisionedAt = lm.Type, lm.Zone, lm.Spot, now.Add(-seconds(lm.AgeS))
 		}
 		if !m.Up && m.Addr == "" && lm.Addr != "" && lm.State != protocol.MachineStarting {
 			m.Addr = lm.Addr
 		}
-		if lm.State == protocol.MachineFailed && !m.Leaving {
+		if lm.State == protocol.MachineFailed && !m.Deprovisioning {
 			failed = append(failed, m)
 		}
 	}
--- a/internal/leader/runrecord.go
+++ b/internal/leader/runrecord.go
@@ -46,7 +46,7 @@
 		if !j.owns(number, n) {
 			continue
 		}
-		placement := records.Placement{Task: n, Attempt: p.Attempt, Machine: p.Machine.ID, Incarnation: p.Session}
+		placement := records.Placement{Task: n, Attempt: p.Attempt, Machine: p.Machine.ID, Incarnation: p.Incarnation}
 		if j.desc.Spread || j.desc.OneZone {
 			placement.Zone = p.Machine.Zone
 		}
--- a/internal/leader/runrecord_test.go
+++ b/internal/leader/runrecord_test.go
@@ -78,7 +78,7 @@
 	switch {
 	case j.done.Has(task):
 	case j.live[task] == nil:
-		j.live[task] = &cluster.Placement{Key: cluster.Key{Job: j.ref, Task: task}, Attempt: j.next, Machine: machine}
+		j.live[task] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.ref, Task: task}, Attempt: j.next, Machine: machine}
 		j.next++
 	case rng.IntN(2) == 0:
 		delete(j.live, task)
@@ -128,14 +128,14 @@
 	c.useFormat(records.FormatSegmented)
 	j := c.jobs["req-000000"]
 	j.desc.Tasks = 300
-	machine := &cluster.Machine{ID: "m-000001", Live: map[cluster.Key]*cluster.Placement{}}
+	machine := &cluster.Machine{ID: "m-000001", Placements: map[cluster.TaskKey]*cluster.Placement{}}
 	for task := range 300 {
-		p := &cluster.Placement{Key: cluster.Key{Job: j.ref, Task: task}, Attempt: j.next, Machine: machine, Recorded: true, Sent: true}
-		j.live[task], machine.Live[p.Key] = p, p
+		p := &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.ref, Task: task}, Attempt: j.next, Machine: machine, Recorded: true, Sent: true}
+		j.live[task], machine.Placements[p.TaskKey] = p, p
 		j.next++
 	}
 	j.piece(0).version = 1
-	c.end([]cluster.Ended{{Placement: j.live[3], Cause: protocol.ExitDone}}, now)
+	c.end([]cluster.EndedPlacement{{Placement: j.live[3], ExitReason: protocol.ExitDone}}, now)
 	stored := map[int]records.RunRecord{0: {NextAttempt: j.next}}
 	for commits := 0; j.piece(0).dirty; commits++ {
 		if commits > 20 {
@@ -175,7 +175,7 @@
 				j.done.Add(task)
 				continue
 			}
-			j.live[task] = &cluster.Placement{Key: cluster.Key{Task: task}, Attempt: j.next, Session: 99,
+			j.live[task] = &cluster.Placement{TaskKey: cluster.TaskKey{Task: task}, Attempt: j.next, Incarnation: 99,
 				Machine: &cluster.Machine{ID: "m-123456", Zone: "north-west-10"}}
 		}
 		raw, err := protocol.Marshal(j.record(number))
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -20,7 +20,7 @@
 
 // counts tells whether a machine is one that should be heard: it has been, or there
 // are tasks on it.
-func counts(m *cluster.Machine) bool { return !m.Leaving && (m.Up || len(m.Live) > 0) }
+func counts(m *cluster.Machine) bool { return !m.Deprovisioning && (m.Up || len(m.Placements) > 0) }
 
 // presumedLost picks silent machines whose tasks need not wait for the lease:
 // giving a machine back proves that they are gone. A machine whose notice is
@@ -37,7 +37,7 @@
 		if !counts(m) {
 			continue
 		}
-		silent := now.Sub(m.LastReport)
+		silent := now.Sub(m.LastContact)
 		if !m.Up {
 			silent = now.Sub(c.takeover) // it was heard by an earlier leader at best
 		}
@@ -45,17 +45,17 @@
 		if silent > interval {
 			silentIn[m.Zone]++ // sooner, so that a cut shows before any of it counts as lost
 		}
-		if silent > unheard && len(m.Live) > 0 {
+		if silent > unheard && len(m.Placements) > 0 {
 			mute = append(mute, m)
 		}
-		if m.Shown < c.token() {
+		if m.AcknowledgedToken < c.token() {
 			continue
 		}
 		up++
 		switch {
-		case !m.NoticeEnd.IsZero() && now.After(m.NoticeEnd) && silent > unheard:
+		case !m.PreemptionAt.IsZero() && now.After(m.PreemptionAt) && silent > unheard:
 			out[m] = true
-		case m.Deaf():
+		case m.OneWayPartitioned():
 			deaf = append(deaf, m)
 		}
 	}
@@ -64,13 +64,13 @@
 		if float64(silentIn[m.Zone]) > max(1, float64(inZone[m.Zone])*tuning.ZoneOutageShare) {
 			continue
 		}
-		long := now.Sub(m.LastReport) > lost && now.Sub(c.takeover) > lost
+		long := now.Sub(m.LastContact) > lost && now.Sub(c.takeover) > lost
 		switch {
-		case m.Unanswered >= tuning.UnreachableCommands:
+		case m.UnansweredCommands >= tuning.UnreachableCommands:
 			out[m] = long || c.urgent(m)
 		case m.Addr == "": // not listed either, so there is nothing to call
 			out[m] = long && c.listed
-		case !m.InFlight:
+		case !m.CommandInFlight:
 			c.do(m, nil, lastSession(m), false, false)
 		}
 	}
@@ -88,7 +88,7 @@
 // player-facing service, or a task of a gang, whose others can do nothing
 // meanwhile and whose machines stand idle.
 func (c *Controller) urgent(m *cluster.Machine) bool {
-	for k := range m.Live {
+	for k := range m.Placements {
 		if j := c.jobs[k.Job]; j != nil && j.gang() && j.desc.Tasks > 1 {
 			return true
 		}
@@ -98,7 +98,7 @@
 
 // production tells whether the machine has player-facing services.
 func (c *Controller) production(m *cluster.Machine) bool {
-	for k := range m.Live {
+	for k := range m.Placements {
 		if j := c.jobs[k.Job]; j != nil && j.rank() == 0 {
 			return true
 		}
@@ -125,7 +125,7 @@
 			continue
 		}
 		known++
-		if m.Up && !m.Deaf() && now.Sub(m.LastOwnReport) <= span {
+		if m.Up && !m.OneWayPartitioned() && now.Sub(m.LastHeartbeat) <= span {
 			heard++
 		}
 	}
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -248,13 +248,13 @@
 func (b *snapshotter) addMachine(m *cluster.Machine, typ int) {
 	t := &b.snap.Types[typ]
 	sm := scheduler.Machine{ID: m.ID, Type: typ, Zone: m.Zone, Spot: m.Spot, Free: t.Total,
-		Ready: m.Usable(b.now, b.silence()), Empty: len(m.Live) == 0 && len(m.Outbox) == 0, IdleS: b.now.Sub(m.IdleSince).Seconds(),
-		GPUIdleS: b.now.Sub(m.GPUsIdle).Seconds()}
-	sm.Coming = !m.Up && !m.Leaving && b.now.Sub(m.Rented) < seconds(tuning.BootSlow*t.BootS)
-	if m.Up && !sm.Ready && !m.Leaving && m.NoticeEnd.IsZero() {
+		Ready: m.Schedulable(b.now, b.silence()), Empty: len(m.Placements) == 0 && len(m.Outbox) == 0, IdleS: b.now.Sub(m.IdleSince).Seconds(),
+		GPUIdleS: b.now.Sub(m.GPUIdleSince).Seconds()}
+	sm.Coming = !m.Up && !m.Deprovisioning && b.now.Sub(m.ProvisionedAt) < seconds(tuning.BootSlow*t.BootS)
+	if m.Up && !sm.Ready && !m.Deprovisioning && m.PreemptionAt.IsZero() {
 		b.unsettled++
 	}
-	if !m.Leaving {
+	if !m.Deprovisioning {
 		b.slots[t.Total.GPUs > 0]++
 		b.zones = max(b.zones, len(t.Zones))
 	}
@@ -268,7 +268,7 @@
 func (b *snapshotter) addRunning(sm *scheduler.Machine, m *cluster.Machine, t *scheduler.Type) {
 	first := len(b.running)
 	var fetching []string
-	for k, p := range m.Live {
+	for k, p := range m.Placements {
 		ji, ok := b.jobIndex[k.Job]
 		if !ok {
 			sm.Ready = false
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -134,11 +134,11 @@
 // addUnknown counts and names the tasks that no record names.
 func (c *Controller) addUnknown(st *Status) {
 	for _, m := range c.sorted {
-		if m.UnknownTasks == 0 {
+		if m.UnknownTaskCount == 0 {
 			continue
 		}
-		st.UnknownTasks += m.UnknownTasks
-		for _, t := range m.Unknown() {
+		st.UnknownTasks += m.UnknownTaskCount
+		for _, t := range m.UnknownTasks() {
 			if len(st.Unknown) < tuning.UnknownTasksShown {
 				st.Unknown = append(st.Unknown, c.describeUnknown(m, &t))
 			}
@@ -148,20 +148,20 @@
 
 // logUnknown logs the tasks of a machine that no record names.
 func (c *Controller) logUnknown(m *cluster.Machine) {
-	for _, t := range m.Unknown() {
+	for _, t := range m.UnknownTasks() {
 		u := c.describeUnknown(m, &t)
-		c.Log.Error("unknown task", "task", u.Task, "try", u.Attempt, "state", u.State, "machine", u.Machine, "session", m.Session, "job", u.Job)
+		c.Log.Error("unknown task", "task", u.Task, "try", u.Attempt, "state", u.State, "machine", u.Machine, "session", m.Incarnation, "job", u.Job)
 	}
 }
 
-func (c *Controller) describeUnknown(m *cluster.Machine, t *cluster.Reported) UnknownTask {
+func (c *Controller) describeUnknown(m *cluster.Machine, t *cluster.ReportedTask) UnknownTask {
 	u := UnknownTask{Task: t.Task, Attempt: t.Attempt, State: t.State, Machine: m.ID, Job: "not open"}
-	j := c.jobs[t.Of.Job]
+	j := c.jobs[t.Key.Job]
 	switch {
 	case j == nil:
-	case j.live[t.Of.Task] != nil:
+	case j.live[t.Key.Task] != nil:
 		u.Job = "the task is elsewhere or another try"
-	case j.done.Has(t.Of.Task):
+	case j.done.Has(t.Key.Task):
 		u.Job = "the task is done"
 	case j.cancelled:
 		u.Job = "cancelled"
@@ -186,5 +186,5 @@
 }
 
 func (c *Controller) up(m *cluster.Machine, now time.Time) bool {
-	return m.Up && now.Sub(m.LastReport) <= c.silence()
+	return m.Up && now.Sub(m.LastContact) <= c.silence()
 }
--- a/internal/leader/stop.go
+++ b/internal/leader/stop.go
@@ -8,14 +8,14 @@
 
 // stop orders a placement to end.
 func (c *Controller) stop(p *cluster.Placement, graceS float64, now time.Time) {
-	if p.Stopping && p.Grace <= graceS {
+	if p.Stopping && p.GracePeriodS <= graceS {
 		return
 	}
 	if !p.Recorded {
 		c.unplace(p, now) // its start was never sent
 		return
 	}
-	p.Stopping, p.Grace, p.StopAt = true, graceS, now
+	p.Stopping, p.GracePeriodS, p.StopOrderedAt = true, graceS, now
 	c.touched[p.Machine] = true
 	c.changed = true
 }
@@ -23,7 +23,7 @@
 // unplace takes back a placement whose start was never sent.
 func (c *Controller) unplace(p *cluster.Placement, now time.Time) {
 	c.changed = true
-	p.Machine.Drop(p, now)
+	p.Machine.RemovePlacement(p, now)
 	if j := c.jobs[p.Job]; j != nil && j.live[p.Task] == p {
 		delete(j.live, p.Task)
 		j.giveBack(p.Task)
