--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -34,7 +34,7 @@
 	Store  *kvstore.Client
 	Log    *slog.Logger
 
-	types        atomic.Pointer[[]scheduler.Type]
+	types        atomic.Pointer[[]scheduler.MachineType]
 	acknowledged acknowledgedJobs
 	openJobs     *openJobs
 	sharedReads  *sharedReads
@@ -53,9 +53,9 @@
 
 // SetTypes tells which machine types there are; before, nothing is accepted.
 func (u *Users) SetTypes(types []protocol.MachineType) {
-	out := make([]scheduler.Type, len(types))
+	out := make([]scheduler.MachineType, len(types))
 	for i, t := range types {
-		out[i] = scheduler.Type{Name: t.Name, Total: scheduler.Res{Cores: t.Cores, GPUs: t.GPUs, Mem: t.MemGB}, Zones: t.Zones}
+		out[i] = scheduler.MachineType{Name: t.Name, Capacity: scheduler.Resources{Cores: t.Cores, GPUs: t.GPUs, MemGB: t.MemGB}, Zones: t.Zones}
 	}
 	u.types.Store(&out)
 }
@@ -172,7 +172,7 @@
 	// Only types that exist are kept: a long list of others must not make the
 	// record too large for the state service.
 	job.MachineTypes = slices.DeleteFunc(job.MachineTypes, func(name string) bool {
-		return !slices.ContainsFunc(*types, func(t scheduler.Type) bool { return t.Name == name })
+		return !slices.ContainsFunc(*types, func(t scheduler.MachineType) bool { return t.Name == name })
 	})
 	slices.Sort(job.MachineTypes)
 	job.MachineTypes = slices.Compact(job.MachineTypes)
@@ -247,7 +247,7 @@
 }
 
 // runnable tells why a job can never run.
-func (u *Users) runnable(j *protocol.Job, types []scheduler.Type) error {
+func (u *Users) runnable(j *protocol.Job, types []scheduler.MachineType) error {
 	team := u.Config.Team(j.Team)
 	if team == nil {
 		return errors.New("unknown team")
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -131,7 +131,7 @@
 	}
 }
 
-func (j *job) need() scheduler.Res { return scheduler.Need(&j.desc) }
+func (j *job) need() scheduler.Resources { return scheduler.RequestOf(&j.desc) }
 
 func (j *job) rank() int {
 	return slices.Index([]string{protocol.PriorityProduction, protocol.PriorityHigh, protocol.PriorityStandard, protocol.PriorityIdle}, j.desc.Priority)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -165,7 +165,7 @@
 	lateLogged  time.Time
 	status      Status
 	gpuRank     int // see sched.Snapshot
-	gpuNeed     scheduler.Res
+	gpuNeed     scheduler.Resources
 }
 
 type offer struct {
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -213,6 +213,6 @@
 	c.addDependencies(j, now)
 	if n := j.need(); n.GPUs > 0 {
 		c.gpuRank = max(c.gpuRank, j.rank())
-		c.gpuNeed = scheduler.Res{Cores: max(c.gpuNeed.Cores, n.Cores), GPUs: max(c.gpuNeed.GPUs, n.GPUs), Mem: max(c.gpuNeed.Mem, n.Mem)}
+		c.gpuNeed = scheduler.Resources{Cores: max(c.gpuNeed.Cores, n.Cores), GPUs: max(c.gpuNeed.GPUs, n.GPUs), MemGB: max(c.gpuNeed.MemGB, n.MemGB)}
 	}
 }
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -158,12 +158,12 @@
 			j.next++
 		}
 	}
-	for _, stop := range plan.Stops {
+	for _, stop := range plan.Preemptions {
 		c.stopTasks(jobs[stop.Job], machines[stop.Machine], stop.Count, now)
 	}
-	c.rentPlanned(snap, plan.Rents, now)
+	c.rentPlanned(snap, plan.ScaleOuts, now)
 	var back []*cluster.Machine
-	for _, i := range plan.Returns {
+	for _, i := range plan.ScaleIns {
 		back = append(back, machines[i])
 	}
 	c.giveBack(back, "idle", now)
@@ -213,7 +213,7 @@
 // rentPlanned asks for the machines of a plan, with one call at a time for an offer:
 // what is asked for meanwhile goes into the next together. A claim for each small need
 // would queue at the cloud for half a minute and take the writes from the starts.
-func (c *Controller) rentPlanned(snap *scheduler.Snapshot, rents []scheduler.Rent, now time.Time) {
+func (c *Controller) rentPlanned(snap *scheduler.Snapshot, rents []scheduler.ScaleOut, now time.Time) {
 	asked := map[offer]bool{}
 	for _, cl := range c.claims {
 		if !cl.settled {
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -88,11 +88,11 @@
 	*Controller
 	now      time.Time
 	snap     *scheduler.Snapshot
-	jobs     []*job              // in the order of snap.Jobs
-	jobIndex map[string]int      // of snap.Jobs
-	teams    map[string]int      // index of snap.Teams
-	machines []*cluster.Machine  // in the order of snap.Machines; nil: asked for
-	running  []scheduler.Running // backs the machines' tasks
+	jobs     []*job                   // in the order of snap.Jobs
+	jobIndex map[string]int           // of snap.Jobs
+	teams    map[string]int           // index of snap.Teams
+	machines []*cluster.Machine       // in the order of snap.Machines; nil: asked for
+	running  []scheduler.RunningTasks // backs the machines' tasks
 	// slots are the machines that gangs gather on, with GPUs and without, and
 	// zones in how many zones they are.
 	slots map[bool]float64
@@ -104,8 +104,8 @@
 func (c *Controller) snapshot(now time.Time) (*scheduler.Snapshot, []*job, []*cluster.Machine) {
 	b := &snapshotter{Controller: c, now: now, teams: map[string]int{}, jobIndex: map[string]int{}, slots: map[bool]float64{}, zones: 1}
 	op := c.Config.Operator
-	b.snap = &scheduler.Snapshot{Rho: op.Rho, GPURank: c.gpuRank, GPUNeed: c.gpuNeed, GiveBack: op.GiveBackFactor,
-		StarvationShare: tuning.StarvationShare, StarvationShareIdle: tuning.StarvationShareIdle, Refused: map[scheduler.Offer]bool{}}
+	b.snap = &scheduler.Snapshot{Rho: op.Rho, GPUPriority: c.gpuRank, GPURequest: c.gpuNeed, IdleBootFactor: op.GiveBackFactor,
+		StarvationShare: tuning.StarvationShare, StarvationShareIdle: tuning.StarvationShareIdle, ExhaustedPools: map[scheduler.CapacityPool]bool{}}
 	b.addTypes()
 	b.addTeams()
 	b.addJobs()
@@ -116,14 +116,14 @@
 	// After a takeover nothing is rented or given back before the list and the
 	// reports are in: what runs already would be rented for again.
 	settledIn := now.Sub(c.takeover) > 2*seconds(c.Config.Deployment.Workers.ReportS)
-	b.snap.MayRent = c.listed && (settledIn || b.unsettled == 0)
-	b.snap.MayReturn = c.listed && settledIn
+	b.snap.MayScaleOut = c.listed && (settledIn || b.unsettled == 0)
+	b.snap.MayScaleIn = c.listed && settledIn
 	return b.snap, b.jobs, b.machines
 }
 
 func (b *snapshotter) addTypes() {
 	for _, t := range b.types {
-		b.snap.Types = append(b.snap.Types, scheduler.Type{Name: t.Name, Total: scheduler.Res{Cores: t.Cores, GPUs: t.GPUs, Mem: t.MemGB},
+		b.snap.Types = append(b.snap.Types, scheduler.MachineType{Name: t.Name, Capacity: scheduler.Resources{Cores: t.Cores, GPUs: t.GPUs, MemGB: t.MemGB},
 			Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, FetchGBps: t.FetchGBps, Zones: t.Zones})
 	}
 }
@@ -131,7 +131,7 @@
 func (b *snapshotter) addTeams() {
 	for i, t := range b.Config.Deployment.Teams {
 		b.teams[t.Name] = i
-		b.snap.Teams = append(b.snap.Teams, scheduler.Team{Max: scheduler.Res{Cores: t.CoresMax, GPUs: t.GPUsMax}})
+		b.snap.Teams = append(b.snap.Teams, scheduler.Team{Max: scheduler.Resources{Cores: t.CoresMax, GPUs: t.GPUsMax}})
 	}
 }
 
@@ -149,7 +149,7 @@
 		b.jobIndex[j.ref] = i
 	}
 	chained := b.chained()
-	demand := make([]scheduler.Res, len(b.snap.Teams))
+	demand := make([]scheduler.Resources, len(b.snap.Teams))
 	b.snap.Jobs = make([]scheduler.Job, 0, len(b.jobs))
 	for i, j := range b.jobs {
 		b.addJob(j, &chained[i], demand)
@@ -158,46 +158,46 @@
 
 // chained describes the jobs with those that they wait for, after priorities and
 // deadlines have been passed on along the chains.
-func (b *snapshotter) chained() []scheduler.Chained {
-	out := make([]scheduler.Chained, len(b.jobs))
+func (b *snapshotter) chained() []scheduler.ChainedJob {
+	out := make([]scheduler.ChainedJob, len(b.jobs))
 	any := false
 	for i, j := range b.jobs {
-		out[i] = scheduler.Chained{Rank: j.rank(), DueS: math.Inf(1), EstimateS: b.est.of(&j.desc)}
+		out[i] = scheduler.ChainedJob{Priority: j.rank(), DeadlineS: math.Inf(1), EstimateS: b.est.of(&j.desc)}
 		if j.desc.DeadlineS > 0 {
-			out[i].DueS = j.desc.DeadlineS - b.now.Sub(j.at).Seconds()
+			out[i].DeadlineS = j.desc.DeadlineS - b.now.Sub(j.at).Seconds()
 		}
 		if j.cancelled {
 			continue
 		}
 		for ref := range j.waitsFor {
 			if need, ok := b.jobIndex[ref]; ok {
-				out[i].Needs = append(out[i].Needs, need)
+				out[i].DependsOn = append(out[i].DependsOn, need)
 				any = true
 			}
 		}
 	}
 	if any {
-		scheduler.Inherit(out)
+		scheduler.PropagateDeadlines(out)
 	}
 	return out
 }
 
 // addJob adds a job; demand is what the jobs before it take of each team.
-func (b *snapshotter) addJob(j *job, chained *scheduler.Chained, demand []scheduler.Res) {
+func (b *snapshotter) addJob(j *job, chained *scheduler.ChainedJob, demand []scheduler.Resources) {
 	team := b.teams[j.desc.Team]
 	need := j.need()
 	left := j.desc.Tasks - j.nDone
 	guaranteed := false
 	// A job that waits for others holds no part of its team's guarantee.
 	if !j.cancelled && len(j.waitsFor) == 0 {
-		demand[team] = demand[team].Sub(need, -left)
+		demand[team] = demand[team].Minus(need, -left)
 		guaranteed = withinGuarantee(need, demand[team], b.guarantee(team))
 	}
-	sj := scheduler.Job{Ref: j.ref, Desc: &j.desc, Need: need, Rank: chained.Rank, Guaranteed: guaranteed, EstimateS: chained.EstimateS,
-		Waiting: j.waiting(), Live: len(j.live), Team: team, Resting: b.now.Before(j.restUntil), Counts: 1}
+	sj := scheduler.Job{ID: j.ref, Spec: &j.desc, Request: need, Priority: chained.Priority, Guaranteed: guaranteed, EstimateS: chained.EstimateS,
+		Waiting: j.waiting(), Running: len(j.live), Team: team, BackingOff: b.now.Before(j.restUntil), Weight: 1}
 	var onStart bool
-	if sj.DueS, onStart = b.dueIn(j, sj.EstimateS, chained.DueS, guaranteed, b.now); onStart {
-		sj.Counts = float64(j.desc.Tasks)
+	if sj.DeadlineS, onStart = b.dueIn(j, sj.EstimateS, chained.DeadlineS, guaranteed, b.now); onStart {
+		sj.Weight = float64(j.desc.Tasks)
 	}
 	if room := b.liveMost() - len(j.live); sj.Waiting > room {
 		// More would not fit into the run record, and a gang starts whole.
@@ -207,27 +207,27 @@
 		}
 	}
 	if sj.Waiting > 0 && (j.desc.Spread || j.desc.OneZone) {
-		sj.ZoneLive = map[string]int{}
+		sj.RunningByZone = map[string]int{}
 		for _, p := range j.live {
-			sj.ZoneLive[p.Machine.Zone]++
+			sj.RunningByZone[p.Machine.Zone]++
 		}
 	}
 	used := len(j.live)
 	if j.unread && b.now.Before(j.restUntil) {
 		used = left // any of them may run
 	}
-	b.snap.Teams[team].Used = b.snap.Teams[team].Used.Sub(need, -used)
+	b.snap.Teams[team].Used = b.snap.Teams[team].Used.Minus(need, -used)
 	b.snap.Jobs = append(b.snap.Jobs, sj)
 }
 
 // guarantee is what a team is guaranteed.
-func (b *snapshotter) guarantee(team int) scheduler.Res {
+func (b *snapshotter) guarantee(team int) scheduler.Resources {
 	t := b.Config.Deployment.Teams[team]
-	return scheduler.Res{Cores: t.Cores, GPUs: t.GPUs}
+	return scheduler.Resources{Cores: t.Cores, GPUs: t.GPUs}
 }
 
 // withinGuarantee tells whether a demand is within a guarantee in what a task needs.
-func withinGuarantee(need, demand, guarantee scheduler.Res) bool {
+func withinGuarantee(need, demand, guarantee scheduler.Resources) bool {
 	const tolerance = 1e-9
 	return (need.Cores <= 0 || demand.Cores <= guarantee.Cores+tolerance) &&
 		(need.GPUs <= 0 || demand.GPUs <= guarantee.GPUs+tolerance)
@@ -236,7 +236,7 @@
 func (b *snapshotter) addMachines() {
 	b.machines = make([]*cluster.Machine, 0, len(b.sorted))
 	b.snap.Machines = make([]scheduler.Machine, 0, len(b.sorted))
-	b.running = make([]scheduler.Running, 0, b.lastRunning+len(b.sorted))
+	b.running = make([]scheduler.RunningTasks, 0, b.lastRunning+len(b.sorted))
 	for _, m := range b.sorted {
 		if typ, ok := b.typeIdx[m.Type]; ok {
 			b.addMachine(m, typ)
@@ -247,15 +247,15 @@
 
 func (b *snapshotter) addMachine(m *cluster.Machine, typ int) {
 	t := &b.snap.Types[typ]
-	sm := scheduler.Machine{ID: m.ID, Type: typ, Zone: m.Zone, Spot: m.Spot, Free: t.Total,
-		Ready: m.Schedulable(b.now, b.silence()), Empty: len(m.Placements) == 0 && len(m.Outbox) == 0, IdleS: b.now.Sub(m.IdleSince).Seconds(),
+	sm := scheduler.Machine{ID: m.ID, Type: typ, Zone: m.Zone, Spot: m.Spot, Free: t.Capacity,
+		Schedulable: m.Schedulable(b.now, b.silence()), Empty: len(m.Placements) == 0 && len(m.Outbox) == 0, IdleS: b.now.Sub(m.IdleSince).Seconds(),
 		GPUIdleS: b.now.Sub(m.GPUIdleSince).Seconds()}
-	sm.Coming = !m.Up && !m.Deprovisioning && b.now.Sub(m.ProvisionedAt) < seconds(tuning.BootSlow*t.BootS)
-	if m.Up && !sm.Ready && !m.Deprovisioning && m.PreemptionAt.IsZero() {
+	sm.Booting = !m.Up && !m.Deprovisioning && b.now.Sub(m.ProvisionedAt) < seconds(tuning.BootSlow*t.BootS)
+	if m.Up && !sm.Schedulable && !m.Deprovisioning && m.PreemptionAt.IsZero() {
 		b.unsettled++
 	}
 	if !m.Deprovisioning {
-		b.slots[t.Total.GPUs > 0]++
+		b.slots[t.Capacity.GPUs > 0]++
 		b.zones = max(b.zones, len(t.Zones))
 	}
 	b.addRunning(&sm, m, t)
@@ -265,47 +265,47 @@
 }
 
 // addRunning takes what is on a machine off its room, and sums it up by jobs.
-func (b *snapshotter) addRunning(sm *scheduler.Machine, m *cluster.Machine, t *scheduler.Type) {
+func (b *snapshotter) addRunning(sm *scheduler.Machine, m *cluster.Machine, t *scheduler.MachineType) {
 	first := len(b.running)
 	var fetching []string
 	for k, p := range m.Placements {
 		ji, ok := b.jobIndex[k.Job]
 		if !ok {
-			sm.Ready = false
+			sm.Schedulable = false
 			continue
 		}
 		j := &b.snap.Jobs[ji]
-		sm.Free = sm.Free.Sub(j.Need, 1)
-		i := slices.IndexFunc(b.running[first:], func(r scheduler.Running) bool { return r.Job == ji })
+		sm.Free = sm.Free.Minus(j.Request, 1)
+		i := slices.IndexFunc(b.running[first:], func(r scheduler.RunningTasks) bool { return r.Job == ji })
 		if i < 0 {
 			i = len(b.running) - first
-			b.running = append(b.running, scheduler.Running{Job: ji})
+			b.running = append(b.running, scheduler.RunningTasks{Job: ji})
 		}
 		b.addPlacement(&b.running[first+i], p, j)
-		if (p.State == "" || p.State == protocol.TaskFetching) && !slices.Contains(fetching, j.Desc.Image) {
-			fetching = append(fetching, j.Desc.Image)
-			sm.FetchGB += max(0, j.Desc.ImageGB-t.FetchGBps*b.now.Sub(p.Since).Seconds())
+		if (p.State == "" || p.State == protocol.TaskFetching) && !slices.Contains(fetching, j.Spec.Image) {
+			fetching = append(fetching, j.Spec.Image)
+			sm.PendingFetchGB += max(0, j.Spec.ImageGB-t.FetchGBps*b.now.Sub(p.Since).Seconds())
 		}
 	}
 	sm.Tasks = b.running[first:len(b.running):len(b.running)]
 }
 
-func (b *snapshotter) addPlacement(r *scheduler.Running, p *cluster.Placement, j *scheduler.Job) {
+func (b *snapshotter) addPlacement(r *scheduler.RunningTasks, p *cluster.Placement, j *scheduler.Job) {
 	r.Count++
 	if p.Stopping {
-		r.Ending++
+		r.Stopping++
 	}
-	r.LeftS = max(r.LeftS, j.EstimateS)
+	r.RemainingS = max(r.RemainingS, j.EstimateS)
 	if p.State != protocol.TaskRunning {
 		return
 	}
 	ran := b.now.Sub(p.Since).Seconds()
-	r.LeftS = max(0, j.EstimateS-ran)
+	r.RemainingS = max(0, j.EstimateS-ran)
 	lost := ran
-	if interval := j.Desc.CheckpointIntervalS; interval > 0 {
+	if interval := j.Spec.CheckpointIntervalS; interval > 0 {
 		lost = min(lost, interval)
 	}
-	r.LostS += lost
+	r.LostWorkS += lost
 }
 
 // markOverdue marks the jobs that have waited longer than any may.
@@ -316,8 +316,8 @@
 		}
 		sj := &b.snap.Jobs[i]
 		age := b.now.Sub(j.readyAt).Seconds()
-		sj.OverdueS = max(0, age-mayWait(j, sj.EstimateS, b.slots[sj.Need.GPUs > 0], b.zones))
-		sj.TooLate = age > tuning.MaxStartWaitS
+		sj.StarvedS = max(0, age-mayWait(j, sj.EstimateS, b.slots[sj.Request.GPUs > 0], b.zones))
+		sj.MaxWaitExceeded = age > tuning.MaxStartWaitS
 	}
 }
 
@@ -330,7 +330,7 @@
 			continue
 		}
 		for range cl.Count {
-			b.snap.Machines = append(b.snap.Machines, scheduler.Machine{Type: typ, Zone: cl.Zone, Spot: cl.Spot, Free: b.snap.Types[typ].Total, Coming: true})
+			b.snap.Machines = append(b.snap.Machines, scheduler.Machine{Type: typ, Zone: cl.Zone, Spot: cl.Spot, Free: b.snap.Types[typ].Capacity, Booting: true})
 			b.machines = append(b.machines, nil)
 		}
 	}
@@ -339,7 +339,7 @@
 func (b *snapshotter) addRefused() {
 	for o, r := range b.refused {
 		if typ, ok := b.typeIdx[o.typ]; ok && b.now.Before(r.until) {
-			b.snap.Refused[scheduler.Offer{Type: typ, Zone: o.zone, Spot: o.spot}] = true
+			b.snap.ExhaustedPools[scheduler.CapacityPool{Type: typ, Zone: o.zone, Spot: o.spot}] = true
 		}
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -72,7 +72,7 @@
 func (c *Controller) summarize(s *scheduler.Snapshot, jobs []*job, plan scheduler.Plan, now time.Time) {
 	st := Status{Term: c.term.Term, CloudOK: c.cloudOK, Format: c.format, Versions: c.nodeVersions()}
 	late := map[int]bool{}
-	for _, i := range plan.Late {
+	for _, i := range plan.SlackSpent {
 		late[i] = true
 	}
 	classes := map[string]*ClassStatus{}
@@ -94,10 +94,10 @@
 		default:
 			k.Running++
 		}
-		if s.Jobs[i].DueS < 0 && s.Jobs[i].Rank > 0 || late[i] {
+		if s.Jobs[i].DeadlineS < 0 && s.Jobs[i].Priority > 0 || late[i] {
 			k.Late++
 		}
-		if s.Jobs[i].Rank == 0 && waiting > 0 && len(j.waitsFor) == 0 && now.Sub(j.readyAt) > tuning.ErrorLogInterval {
+		if s.Jobs[i].Priority == 0 && waiting > 0 && len(j.waitsFor) == 0 && now.Sub(j.readyAt) > tuning.ErrorLogInterval {
 			st.Behind = append(st.Behind, Behind{j.ref, j.desc.Class, waiting, now.Sub(j.readyAt).Seconds()})
 		}
 	}
--- a/internal/scheduler/inherit.go
+++ b/internal/scheduler/inherit.go
@@ -1,21 +1,21 @@
 package scheduler
 
-// Chained is a job with the jobs that must be done before it.
-type Chained struct {
-	Rank      int     // 0 is the highest priority
-	DueS      float64 // seconds from now until it should be complete; +Inf: no deadline
+// ChainedJob is a job with the jobs that must be done before it.
+type ChainedJob struct {
+	Priority  int     // 0 is the highest priority
+	DeadlineS float64 // seconds from now until it should be complete; +Inf: no deadline
 	EstimateS float64
-	Needs     []int // indices of the jobs that it needs
+	DependsOn []int // indices of the jobs that it needs
 }
 
-// Inherit gives each job the highest priority of all that need it, directly or
+// PropagateDeadlines gives each job the highest priority of all that need it, directly or
 // through others, and the earliest time by which it must be complete for their
 // deadlines to be kept: a deadline less the estimates on the longest path (the
 // critical path) from the job to the one that is due.
-func Inherit(jobs []Chained) {
+func PropagateDeadlines(jobs []ChainedJob) {
 	open := make([]int, len(jobs)) // jobs that need it and have not passed on yet
 	for i := range jobs {
-		for _, need := range jobs[i].Needs {
+		for _, need := range jobs[i].DependsOn {
 			open[need]++
 		}
 	}
@@ -29,10 +29,10 @@
 		last := len(ready) - 1
 		from := &jobs[ready[last]]
 		ready = ready[:last]
-		for _, need := range from.Needs {
+		for _, need := range from.DependsOn {
 			to := &jobs[need]
-			to.Rank = min(to.Rank, from.Rank)
-			to.DueS = min(to.DueS, from.DueS-from.EstimateS)
+			to.Priority = min(to.Priority, from.Priority)
+			to.DeadlineS = min(to.DeadlineS, from.DeadlineS-from.EstimateS)
 			if open[need]--; open[need] == 0 {
 				ready = append(ready, need)
 			}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -11,18 +11,18 @@
 
 // On which machines tasks are placed.
 const (
-	ready  = iota
-	cached // ready, and the image is there
-	coming // not up yet: tasks are only counted against their room
-	// stopping: room that is made by stopping lower work
-	stopping
+	targetReady   = iota
+	targetCached  // ready, and the image is there
+	targetBooting // not up yet: tasks are only counted against their room
+	// targetPreempted: room that is made by stopping lower work
+	targetPreempted
 )
 
 // candidate is a machine that has room for tasks of a job.
 type candidate struct {
-	machine, room int
-	cost          float64 // price times estimate
-	left          float64 // what decides between equal costs, the least first
+	machine, capacity int
+	cost              float64 // price times estimate
+	tieBreak          float64 // what decides between equal costs, the least first
 }
 
 // place puts up to n tasks on machines of the kind and returns how many found
@@ -31,27 +31,27 @@
 	if n == 0 {
 		return 0
 	}
-	j := &p.s.Jobs[ji]
-	sig, like := p.kind(j, kind, !gang)
-	if like && p.full[sig] {
+	j := &p.snapshot.Jobs[ji]
+	sig, like := p.taskKind(j, kind, !gang)
+	if like && p.exhaustedKinds[sig] {
 		return 0
 	}
 	candidates := p.candidates(j, zones, keepOff, kind)
 	var starts []Start
 	var placed int
-	if j.Desc.OneZone {
-		starts, placed = p.spreadInOneZone(ji, n, zones, candidates)
+	if j.Spec.OneZone {
+		starts, placed = p.distributeInOneZone(ji, n, zones, candidates)
 	} else {
-		starts, placed = p.spread(ji, n, zones, candidates, "")
+		starts, placed = p.distribute(ji, n, zones, candidates, "")
 	}
 	if like && placed < n {
-		p.full[sig] = true
+		p.exhaustedKinds[sig] = true
 	}
 	if gang && placed < n {
 		return 0
 	}
 	for _, start := range starts {
-		p.take(start, zones, kind)
+		p.addStart(start, zones, kind)
 	}
 	return placed
 }
@@ -60,14 +60,14 @@
 // first.
 func (p *planner) candidates(j *Job, zones map[string]int, keepOff bool, kind int) []candidate {
 	var out []candidate
-	for _, i := range p.open {
+	for _, i := range p.withCapacity {
 		if c, ok := p.candidate(i, j, zones, keepOff, kind); ok {
 			out = append(out, c)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b candidate) int {
 		// Equal cost: the fuller machine, so that others empty.
-		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.left, b.left))
+		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.tieBreak, b.tieBreak))
 	})
 	return out
 }
@@ -75,38 +75,38 @@
 // candidate tells whether a machine of the pool is of the kind and has room for a task
 // of a job, and at what cost.
 func (p *planner) candidate(i int, j *Job, zones map[string]int, keepOff bool, kind int) (c candidate, ok bool) {
-	m, d := &p.pool[i], j.Desc
-	if (kind == coming && !m.Coming) || (kind != coming && !m.Ready) || !p.allowed(m, d) || (kind == cached && !m.has(d.Image)) {
+	m, d := &p.pool[i], j.Spec
+	if (kind == targetBooting && !m.Booting) || (kind != targetBooting && !m.Schedulable) || !p.allowed(m, d) || (kind == targetCached && !m.hasImage(d.Image)) {
 		return c, false
 	}
-	room := p.room(m, j, keepOff)
-	if room == 0 || ZoneRoom(d, zones, m.Zone) == 0 {
+	room := p.capacityOn(m, j, keepOff)
+	if room == 0 || ZoneCapacity(d, zones, m.Zone) == 0 {
 		return c, false
 	}
-	t := &p.s.Types[m.Type]
+	t := &p.snapshot.Types[m.Type]
 	estimate := j.EstimateS
-	if !m.has(d.Image) {
+	if !m.hasImage(d.Image) {
 		// Fetches share the rate: one after another the first are there
 		// sooner, and what waits meanwhile may find a better place.
-		if kind == ready && m.FetchGB > tuning.FetchAheadS*t.FetchGBps {
+		if kind == targetReady && m.PendingFetchGB > tuning.FetchAheadS*t.FetchGBps {
 			return c, false
 		}
-		estimate += fetchS(t, d)
+		estimate += fetchTimeS(t, d)
 		if t.FetchGBps > 0 {
-			estimate += m.FetchGB / t.FetchGBps
+			estimate += m.PendingFetchGB / t.FetchGBps
 		}
 	}
-	share := 1 / float64(max(1, t.Total.Slots(j.Need)))
+	share := 1 / float64(max(1, t.Capacity.CapacityFor(j.Request)))
 	left := m.Free.Cores
-	if j.Need.GPUs > 0 {
+	if j.Request.GPUs > 0 {
 		left = m.GPUIdleS // the last used, so that others are given back
 	}
-	return candidate{i, room, t.PriceOf(m.Spot) * share * math.Max(estimate, 1), left}, true
+	return candidate{i, room, t.HourlyPrice(m.Spot) * share * math.Max(estimate, 1), left}, true
 }
 
-// spread divides up to n tasks over the candidates in their order, in one zone only
+// distribute divides up to n tasks over the candidates in their order, in one zone only
 // unless that is empty, and returns how many found room.
-func (p *planner) spread(ji, n int, zones map[string]int, candidates []candidate, only string) ([]Start, int) {
+func (p *planner) distribute(ji, n int, zones map[string]int, candidates []candidate, only string) ([]Start, int) {
 	if len(candidates) == 0 {
 		return nil, 0
 	}
@@ -121,7 +121,7 @@
 		if only != "" && zone != only {
 			continue
 		}
-		count := min(left, c.room, ZoneRoom(p.s.Jobs[ji].Desc, inZone, zone))
+		count := min(left, c.capacity, ZoneCapacity(p.snapshot.Jobs[ji].Spec, inZone, zone))
 		if count <= 0 {
 			continue
 		}
@@ -134,13 +134,13 @@
 	return starts, n - left
 }
 
-// spreadInOneZone takes the zone that takes the most tasks, and of those that take as
+// distributeInOneZone takes the zone that takes the most tasks, and of those that take as
 // many the one with the least room, so that the other keeps what a larger gang will
 // need.
-func (p *planner) spreadInOneZone(ji, n int, zones map[string]int, candidates []candidate) (best []Start, placed int) {
+func (p *planner) distributeInOneZone(ji, n int, zones map[string]int, candidates []candidate) (best []Start, placed int) {
 	room := map[string]int{}
 	for _, c := range candidates {
-		room[p.pool[c.machine].Zone] += c.room
+		room[p.pool[c.machine].Zone] += c.capacity
 	}
 	seen, bestZone := map[string]bool{}, ""
 	for _, c := range candidates {
@@ -149,7 +149,7 @@
 			continue
 		}
 		seen[zone] = true
-		starts, count := p.spread(ji, n, zones, candidates, zone)
+		starts, count := p.distribute(ji, n, zones, candidates, zone)
 		if count > placed || (count == placed && room[zone] < room[bestZone]) {
 			best, placed, bestZone = starts, count, zone
 		}
@@ -157,20 +157,20 @@
 	return best, placed
 }
 
-// take enters a start in the plan and takes its room. Of machines that are not up yet
+// addStart enters a start in the plan and takes its room. Of machines that are not up yet
 // only the room is taken.
-func (p *planner) take(start Start, zones map[string]int, kind int) {
-	j := &p.s.Jobs[start.Job]
+func (p *planner) addStart(start Start, zones map[string]int, kind int) {
+	j := &p.snapshot.Jobs[start.Job]
 	m := &p.pool[start.Machine]
-	m.Free = m.Free.Sub(j.Need, start.Count)
+	m.Free = m.Free.Minus(j.Request, start.Count)
 	zones[m.Zone] += start.Count
-	if kind == coming {
+	if kind == targetBooting {
 		return
 	}
-	if !m.has(j.Desc.Image) {
-		m.Images = append(slices.Clip(m.Images), j.Desc.Image)
-		m.FetchGB += j.Desc.ImageGB
+	if !m.hasImage(j.Spec.Image) {
+		m.Images = append(slices.Clip(m.Images), j.Spec.Image)
+		m.PendingFetchGB += j.Spec.ImageGB
 	}
-	m.Tasks = append(slices.Clip(m.Tasks), Running{Job: start.Job, Count: start.Count})
+	m.Tasks = append(slices.Clip(m.Tasks), RunningTasks{Job: start.Job, Count: start.Count})
 	p.plan.Starts = append(p.plan.Starts, start)
 }
--- a/internal/scheduler/rent.go
+++ b/internal/scheduler/rent.go
@@ -4,31 +4,31 @@
 	"math"
 )
 
-// rent asks for the cheapest offers that hold n tasks (P2), sized to them; what
+// scaleOut asks for the cheapest offers that hold n tasks (P2), sized to them; what
 // a rented machine has left over counts as coming room for the jobs behind.
 // With in, only there: the rest of a gang is to come to where it has room.
-func (p *planner) rent(ji, n int, zones map[string]int, keepOff bool, in string) {
-	j := &p.s.Jobs[ji]
-	d := j.Desc
+func (p *planner) scaleOut(ji, n int, zones map[string]int, keepOff bool, in string) {
+	j := &p.snapshot.Jobs[ji]
+	d := j.Spec
 	for n > 0 {
-		best, bestCost, bestSlots := Offer{}, math.Inf(1), 0
-		for ti := range p.s.Types {
-			t := &p.s.Types[ti]
-			if !TypeFits(t, d) || (keepOff && t.Total.GPUs > 0) {
+		best, bestCost, bestSlots := CapacityPool{}, math.Inf(1), 0
+		for ti := range p.snapshot.Types {
+			t := &p.snapshot.Types[ti]
+			if !TypeFits(t, d) || (keepOff && t.Capacity.GPUs > 0) {
 				continue
 			}
-			slots := t.Total.Slots(j.Need)
+			slots := t.Capacity.CapacityFor(j.Request)
 			for _, z := range t.Zones {
-				k := min(n, ZoneRoom(d, zones, z))
+				k := min(n, ZoneCapacity(d, zones, z))
 				if k == 0 || (in != "" && z != in) {
 					continue
 				}
 				for _, spot := range []bool{true, false} {
-					o := Offer{ti, z, spot}
-					if (spot && !d.Spot) || p.s.Refused[o] {
+					o := CapacityPool{ti, z, spot}
+					if (spot && !d.Spot) || p.snapshot.ExhaustedPools[o] {
 						continue
 					}
-					cost := t.PriceOf(spot) * math.Ceil(float64(k)/float64(slots)) / float64(k)
+					cost := t.HourlyPrice(spot) * math.Ceil(float64(k)/float64(slots)) / float64(k)
 					if cost < bestCost-eps {
 						best, bestCost, bestSlots = o, cost, slots
 					}
@@ -38,28 +38,28 @@
 		if bestSlots == 0 {
 			return
 		}
-		k := min(n, ZoneRoom(d, zones, best.Zone))
+		k := min(n, ZoneCapacity(d, zones, best.Zone))
 		count := (k + bestSlots - 1) / bestSlots
 		for left := k; left > 0; left -= bestSlots {
-			p.open = append(p.open, len(p.pool))
-			p.pool = append(p.pool, Machine{Type: best.Type, Zone: best.Zone, Spot: best.Spot, Coming: true,
-				Free: p.s.Types[best.Type].Total.Sub(j.Need, min(left, bestSlots))})
+			p.withCapacity = append(p.withCapacity, len(p.pool))
+			p.pool = append(p.pool, Machine{Type: best.Type, Zone: best.Zone, Spot: best.Spot, Booting: true,
+				Free: p.snapshot.Types[best.Type].Capacity.Minus(j.Request, min(left, bestSlots))})
 		}
 		zones[best.Zone] += k
 		n -= k
-		if j.Rank == 0 {
-			p.spare[best] += count
+		if j.Priority == 0 {
+			p.productionScaleOuts[best] += count
 		}
-		p.addRent(best, count)
+		p.addScaleOut(best, count)
 	}
 }
 
-func (p *planner) addRent(o Offer, count int) {
-	for i := range p.plan.Rents {
-		if p.plan.Rents[i].Offer == o {
-			p.plan.Rents[i].Count += count
+func (p *planner) addScaleOut(o CapacityPool, count int) {
+	for i := range p.plan.ScaleOuts {
+		if p.plan.ScaleOuts[i].CapacityPool == o {
+			p.plan.ScaleOuts[i].Count += count
 			return
 		}
 	}
-	p.plan.Rents = append(p.plan.Rents, Rent{o, count})
+	p.plan.ScaleOuts = append(p.plan.ScaleOuts, ScaleOut{o, count})
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -17,13 +17,13 @@
 // random makes a snapshot. With busy, machines carry tasks that could be
 // stopped.
 func random(rng *rand.Rand, busy bool) *Snapshot {
-	s := &Snapshot{Rho: 1, GiveBack: 2, MayRent: true, MayReturn: true, GPURank: -1, Refused: map[Offer]bool{},
-		Types: []Type{
-			{Name: "small", Total: Res{4, 0, 16}, Price: 0.2, SpotPrice: 0.06, BootS: 30, FetchGBps: 1, Zones: zones},
-			{Name: "big", Total: Res{16, 0, 64}, Price: 1, SpotPrice: 0.3, BootS: 40, FetchGBps: 1, Zones: zones},
-			{Name: "card", Total: Res{32, 4, 128}, Price: 9, SpotPrice: 3, BootS: 35, FetchGBps: 1, Zones: zones[:1]},
+	s := &Snapshot{Rho: 1, IdleBootFactor: 2, MayScaleOut: true, MayScaleIn: true, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{},
+		Types: []MachineType{
+			{Name: "small", Capacity: Resources{4, 0, 16}, Price: 0.2, SpotPrice: 0.06, BootS: 30, FetchGBps: 1, Zones: zones},
+			{Name: "big", Capacity: Resources{16, 0, 64}, Price: 1, SpotPrice: 0.3, BootS: 40, FetchGBps: 1, Zones: zones},
+			{Name: "card", Capacity: Resources{32, 4, 128}, Price: 9, SpotPrice: 3, BootS: 35, FetchGBps: 1, Zones: zones[:1]},
 		},
-		Teams: []Team{{Max: Res{Cores: 30, GPUs: 8}}, {}},
+		Teams: []Team{{Max: Resources{Cores: 30, GPUs: 8}}, {}},
 	}
 	shapes := []string{protocol.KindArray, protocol.KindArray, protocol.KindGang, protocol.KindService}
 	for i := range 1 + rng.IntN(6) {
@@ -39,31 +39,31 @@
 		if rng.IntN(5) == 0 {
 			d.Zone = zones[rng.IntN(2)]
 		}
-		j := Job{Ref: d.ID, Desc: d, Need: Need(d), Rank: rng.IntN(4), Guaranteed: rng.IntN(2) == 0, EstimateS: float64(rng.IntN(60)),
-			DueS: float64(rng.IntN(400) - 100), Waiting: rng.IntN(d.Tasks + 1), Team: rng.IntN(2), ZoneLive: map[string]int{}, Resting: rng.IntN(8) == 0}
+		j := Job{ID: d.ID, Spec: d, Request: RequestOf(d), Priority: rng.IntN(4), Guaranteed: rng.IntN(2) == 0, EstimateS: float64(rng.IntN(60)),
+			DeadlineS: float64(rng.IntN(400) - 100), Waiting: rng.IntN(d.Tasks + 1), Team: rng.IntN(2), RunningByZone: map[string]int{}, BackingOff: rng.IntN(8) == 0}
 		if d.Kind == protocol.KindGang && j.Waiting > 0 {
 			j.Waiting = d.Tasks
 		}
 		s.Jobs = append(s.Jobs, j)
 		if d.GPUs > 0 {
-			s.GPURank = max(s.GPURank, j.Rank)
-			s.GPUNeed = Res{max(s.GPUNeed.Cores, d.Cores), max(s.GPUNeed.GPUs, d.GPUs), max(s.GPUNeed.Mem, d.MemGB)}
+			s.GPUPriority = max(s.GPUPriority, j.Priority)
+			s.GPURequest = Resources{max(s.GPURequest.Cores, d.Cores), max(s.GPURequest.GPUs, d.GPUs), max(s.GPURequest.MemGB, d.MemGB)}
 		}
 	}
 	for i := range rng.IntN(9) {
 		m := Machine{ID: fmt.Sprint("m", i), Type: rng.IntN(3), Zone: zones[rng.IntN(2)], Spot: rng.IntN(3) == 0,
-			IdleS: float64(rng.IntN(90)), GPUIdleS: float64(rng.IntN(90)), Images: []string{"img0", "img1"}[:rng.IntN(2)], FetchGB: float64(rng.IntN(3)) * 2.5}
-		m.Free = s.Types[m.Type].Total
-		m.Ready = rng.IntN(4) > 0
-		m.Coming = !m.Ready && rng.IntN(2) == 0
+			IdleS: float64(rng.IntN(90)), GPUIdleS: float64(rng.IntN(90)), Images: []string{"img0", "img1"}[:rng.IntN(2)], PendingFetchGB: float64(rng.IntN(3)) * 2.5}
+		m.Free = s.Types[m.Type].Capacity
+		m.Schedulable = rng.IntN(4) > 0
+		m.Booting = !m.Schedulable && rng.IntN(2) == 0
 		for ji := range s.Jobs {
 			j := &s.Jobs[ji]
-			if busy && m.Ready && rng.IntN(2) == 0 && m.Free.Slots(j.Need) > 0 && len(j.Desc.MachineTypes) == 0 && j.Desc.Kind != protocol.KindGang {
-				m.Free = m.Free.Sub(j.Need, 1)
-				m.Tasks = append(m.Tasks, Running{Job: ji, Count: 1})
-				j.ZoneLive[m.Zone]++
-				j.Live++
-				s.Teams[j.Team].Used = s.Teams[j.Team].Used.Sub(j.Need, -1)
+			if busy && m.Schedulable && rng.IntN(2) == 0 && m.Free.CapacityFor(j.Request) > 0 && len(j.Spec.MachineTypes) == 0 && j.Spec.Kind != protocol.KindGang {
+				m.Free = m.Free.Minus(j.Request, 1)
+				m.Tasks = append(m.Tasks, RunningTasks{Job: ji, Count: 1})
+				j.RunningByZone[m.Zone]++
+				j.Running++
+				s.Teams[j.Team].Used = s.Teams[j.Team].Used.Minus(j.Request, -1)
 			}
 		}
 		m.Empty = len(m.Tasks) == 0
@@ -76,37 +76,37 @@
 // everything anew each time.
 func plain(s *Snapshot) map[string]int {
 	out := map[string]int{}
-	free := make([]Res, len(s.Machines))
+	free := make([]Resources, len(s.Machines))
 	gpuTask := make([]bool, len(s.Machines))
 	images, fetch := make([][]string, len(s.Machines)), make([]float64, len(s.Machines))
 	for i := range s.Machines {
 		free[i] = s.Machines[i].Free
-		images[i], fetch[i] = slices.Clone(s.Machines[i].Images), s.Machines[i].FetchGB
+		images[i], fetch[i] = slices.Clone(s.Machines[i].Images), s.Machines[i].PendingFetchGB
 	}
 	used := slices.Clone(s.Teams)
-	gpuWaits, below := false, s.GPURank
+	gpuWaits, below := false, s.GPUPriority
 	if below < 0 {
 		below = 2 // no work with GPUs is known: only the lowest rank
 	}
 	for _, j := range s.Jobs {
-		gpuWaits = gpuWaits || (j.Need.GPUs > 0 && j.Waiting > 0 && !j.Resting)
+		gpuWaits = gpuWaits || (j.Request.GPUs > 0 && j.Waiting > 0 && !j.BackingOff)
 	}
 	for _, ji := range Order(s) {
 		j := &s.Jobs[ji]
-		d := j.Desc
-		if j.Resting || j.Waiting == 0 {
+		d := j.Spec
+		if j.BackingOff || j.Waiting == 0 {
 			continue
 		}
 		team := &used[j.Team]
 		limit := 0
 		for u := team.Used; limit < j.Waiting; limit++ {
-			u = u.Sub(j.Need, -1)
+			u = u.Minus(j.Request, -1)
 			if (team.Max.Cores > 0 && u.Cores > team.Max.Cores) || (team.Max.GPUs > 0 && u.GPUs > team.Max.GPUs) {
 				break
 			}
 		}
 		live := map[string]int{}
-		for k, v := range j.ZoneLive {
+		for k, v := range j.RunningByZone {
 			live[k] = v
 		}
 		whole := false // count all the room of a zone, whatever is to be placed
@@ -120,26 +120,26 @@
 				best, bestCost := -1, 0.0
 				for i, m := range s.Machines {
 					t := s.Types[m.Type]
-					fits := f[i].Cores >= j.Need.Cores && f[i].GPUs >= j.Need.GPUs && f[i].Mem >= j.Need.Mem
+					fits := f[i].Cores >= j.Request.Cores && f[i].GPUs >= j.Request.GPUs && f[i].MemGB >= j.Request.MemGB
 					place := (len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, t.Name)) && (d.Zone == "" || d.Zone == m.Zone) &&
 						(only == "" || only == m.Zone) && (!m.Spot || d.Spot) && (!d.Spread || z[m.Zone] < (d.Tasks+1)/2 || (whole && live[m.Zone] < (d.Tasks+1)/2))
-					if t.Total.GPUs > 0 && d.GPUs == 0 && plainFits(s, d) {
+					if t.Capacity.GPUs > 0 && d.GPUs == 0 && plainFits(s, d) {
 						switch {
 						case d.Kind == protocol.KindService:
 							place = false
 						case gpuTask[i]:
-							r := s.GPUNeed
-							if f[i].Cores >= r.Cores && f[i].GPUs >= r.GPUs && f[i].Mem >= r.Mem {
-								fits = f[i].Cores-r.Cores >= j.Need.Cores && f[i].Mem-r.Mem >= j.Need.Mem
+							r := s.GPURequest
+							if f[i].Cores >= r.Cores && f[i].GPUs >= r.GPUs && f[i].MemGB >= r.MemGB {
+								fits = f[i].Cores-r.Cores >= j.Request.Cores && f[i].MemGB-r.MemGB >= j.Request.MemGB
 							}
 						default:
-							place = place && !gpuWaits && j.Rank > below && d.Kind != protocol.KindGang && m.GPUIdleS < s.giveBack(&m)
+							place = place && !gpuWaits && j.Priority > below && d.Kind != protocol.KindGang && m.GPUIdleS < s.idleTimeout(&m)
 						}
 					}
 					if d.OneZone && z[zones[0]]+z[zones[1]] > 0 && z[m.Zone] == 0 {
 						continue
 					}
-					if !m.Ready || !fits || !place || (cached && !slices.Contains(images[i], d.Image)) {
+					if !m.Schedulable || !fits || !place || (cached && !slices.Contains(images[i], d.Image)) {
 						continue
 					}
 					est := j.EstimateS
@@ -149,7 +149,7 @@
 						}
 						est += (d.ImageGB + fetch[i]) / t.FetchGBps
 					}
-					cost := t.PriceOf(m.Spot) / float64(t.Total.Slots(j.Need)) * max(est, 1)
+					cost := t.HourlyPrice(m.Spot) / float64(t.Capacity.CapacityFor(j.Request)) * max(est, 1)
 					tie := best >= 0 && f[i].Cores < f[best].Cores
 					if d.GPUs > 0 {
 						tie = best >= 0 && m.GPUIdleS < s.Machines[best].GPUIdleS
@@ -161,7 +161,7 @@
 				if best < 0 {
 					break
 				}
-				f[best] = f[best].Sub(j.Need, 1)
+				f[best] = f[best].Minus(j.Request, 1)
 				z[s.Machines[best].Zone]++
 				at = append(at, best)
 			}
@@ -169,7 +169,7 @@
 		}
 		// Player-facing services go where their image is, then anywhere.
 		stages := []bool{false}
-		if j.Rank == 0 && d.Kind == protocol.KindService {
+		if j.Priority == 0 && d.Kind == protocol.KindService {
 			stages = []bool{true, false}
 		}
 		for _, cached := range stages {
@@ -202,11 +202,11 @@
 					images[i] = append(images[i], d.Image)
 					fetch[i] += d.ImageGB
 				}
-				free[i] = free[i].Sub(j.Need, 1)
+				free[i] = free[i].Minus(j.Request, 1)
 				live[s.Machines[i].Zone]++
 				gpuTask[i] = gpuTask[i] || d.GPUs > 0
-				team.Used = team.Used.Sub(j.Need, -1)
-				out[j.Ref+"@"+s.Machines[i].ID]++
+				team.Used = team.Used.Minus(j.Request, -1)
+				out[j.ID+"@"+s.Machines[i].ID]++
 			}
 		}
 	}
@@ -215,7 +215,7 @@
 
 func plainFits(s *Snapshot, d *protocol.Job) bool {
 	for _, t := range s.Types {
-		if t.Total.GPUs == 0 && d.Cores <= t.Total.Cores && d.MemGB <= t.Total.Mem && (len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, t.Name)) {
+		if t.Capacity.GPUs == 0 && d.Cores <= t.Capacity.Cores && d.MemGB <= t.Capacity.MemGB && (len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, t.Name)) {
 			return true
 		}
 	}
@@ -231,7 +231,7 @@
 		s := random(rng, false)
 		got := map[string]int{}
 		for _, st := range Decide(s).Starts {
-			got[s.Jobs[st.Job].Ref+"@"+s.Machines[st.Machine].ID] += st.Count
+			got[s.Jobs[st.Job].ID+"@"+s.Machines[st.Machine].ID] += st.Count
 			placed += st.Count
 		}
 		if d := cmp.Diff(plain(s), got); d != "" {
@@ -251,7 +251,7 @@
 	for i := range 4000 {
 		s := random(rng, true)
 		p := Decide(s)
-		free := make([]Res, len(s.Machines))
+		free := make([]Resources, len(s.Machines))
 		for k := range s.Machines {
 			free[k] = s.Machines[k].Free
 		}
@@ -263,33 +263,33 @@
 			j, m := &s.Jobs[st.Job], &s.Machines[st.Machine]
 			if zone[st.Job] == nil {
 				zone[st.Job] = map[string]int{}
-				for z, n := range j.ZoneLive {
+				for z, n := range j.RunningByZone {
 					zone[st.Job][z] = n
 				}
 			}
 			zone[st.Job][m.Zone] += st.Count
-			free[st.Machine] = free[st.Machine].Sub(j.Need, st.Count)
-			used[j.Team].Used = used[j.Team].Used.Sub(j.Need, -st.Count)
+			free[st.Machine] = free[st.Machine].Minus(j.Request, st.Count)
+			used[j.Team].Used = used[j.Team].Used.Minus(j.Request, -st.Count)
 			started[st.Job] += st.Count
 			touched[st.Machine] = true
-			d := j.Desc
-			if !m.Ready || (m.Spot && !d.Spot) || (d.Zone != "" && d.Zone != m.Zone) || (d.MachineTypes != nil && !slices.Contains(d.MachineTypes, s.Types[m.Type].Name)) {
+			d := j.Spec
+			if !m.Schedulable || (m.Spot && !d.Spot) || (d.Zone != "" && d.Zone != m.Zone) || (d.MachineTypes != nil && !slices.Contains(d.MachineTypes, s.Types[m.Type].Name)) {
 				t.Fatalf("snapshot %d: job %d on machine %d", i, st.Job, st.Machine)
 			}
 		}
 		for ji, n := range started {
-			d := s.Jobs[ji].Desc
-			if n > s.Jobs[ji].Waiting || (d.Kind == protocol.KindGang && n < s.Jobs[ji].Waiting) || s.Jobs[ji].Resting {
+			d := s.Jobs[ji].Spec
+			if n > s.Jobs[ji].Waiting || (d.Kind == protocol.KindGang && n < s.Jobs[ji].Waiting) || s.Jobs[ji].BackingOff {
 				t.Fatalf("snapshot %d: job %d starts %d", i, ji, n)
 			}
 			for z, n := range zone[ji] {
-				if (d.Spread && n > (d.Tasks+1)/2 && n > s.Jobs[ji].ZoneLive[z]) || (d.OneZone && len(zone[ji]) > 1 && len(s.Jobs[ji].ZoneLive) < 2) {
+				if (d.Spread && n > (d.Tasks+1)/2 && n > s.Jobs[ji].RunningByZone[z]) || (d.OneZone && len(zone[ji]) > 1 && len(s.Jobs[ji].RunningByZone) < 2) {
 					t.Fatalf("snapshot %d: job %d in zones %v", i, ji, zone[ji])
 				}
 			}
 		}
 		for k, f := range free {
-			if f.Cores < -eps || f.GPUs < -eps || f.Mem < -eps {
+			if f.Cores < -eps || f.GPUs < -eps || f.MemGB < -eps {
 				t.Fatalf("snapshot %d: machine %d is overfull: %+v", i, k, f)
 			}
 		}
@@ -298,23 +298,23 @@
 				t.Fatalf("snapshot %d: team %d uses %+v", i, k, u)
 			}
 		}
-		for _, st := range p.Stops {
+		for _, st := range p.Preemptions {
 			stops++
 			below := false
 			for ji := range s.Jobs {
-				below = below || (s.Jobs[ji].Waiting > 0 && s.Jobs[ji].Rank < s.Jobs[st.Job].Rank)
+				below = below || (s.Jobs[ji].Waiting > 0 && s.Jobs[ji].Priority < s.Jobs[st.Job].Priority)
 			}
 			if !below {
 				t.Fatalf("snapshot %d: job %d is stopped for nothing above it", i, st.Job)
 			}
 		}
-		for _, r := range p.Rents {
+		for _, r := range p.ScaleOuts {
 			rents++
 			if r.Count < 1 || !slices.Contains(s.Types[r.Type].Zones, r.Zone) {
 				t.Fatalf("snapshot %d: rents %+v", i, r)
 			}
 		}
-		for _, k := range p.Returns {
+		for _, k := range p.ScaleIns {
 			if !s.Machines[k].Empty || touched[k] {
 				t.Fatalf("snapshot %d: returns machine %d in use", i, k)
 			}
@@ -329,10 +329,10 @@
 // zone. (On the users' bench, spread services were put together after one.)
 func TestUnknownZoneCounts(t *testing.T) {
 	d := &protocol.Job{Tasks: 4, Spread: true}
-	if n := ZoneRoom(d, map[string]int{"a": 1, "": 1}, "a"); n != 0 {
+	if n := ZoneCapacity(d, map[string]int{"a": 1, "": 1}, "a"); n != 0 {
 		t.Errorf("room for %d more where two may be already", n)
 	}
-	if n := ZoneRoom(&protocol.Job{Tasks: 4, OneZone: true}, map[string]int{"": 1}, "a"); n != 0 {
+	if n := ZoneCapacity(&protocol.Job{Tasks: 4, OneZone: true}, map[string]int{"": 1}, "a"); n != 0 {
 		t.Errorf("room for %d in one zone while another may be in use", n)
 	}
 }
@@ -341,28 +341,28 @@
 // also against smaller gangs that would be served before it; once all are there
 // it starts. Without the guard the small ones take every machine for ever.
 func TestOverdueGangGathers(t *testing.T) {
-	need := Res{4, 4, 8}
-	s := &Snapshot{Rho: 1, GiveBack: 4, StarvationShare: 0.5, GPURank: 2, GPUNeed: need, Refused: map[Offer]bool{},
-		Types: []Type{{Name: "card", Total: Res{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones}}, Teams: []Team{{}}}
+	need := Resources{4, 4, 8}
+	s := &Snapshot{Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5, GPUPriority: 2, GPURequest: need, ExhaustedPools: map[CapacityPool]bool{},
+		Types: []MachineType{{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones}}, Teams: []Team{{}}}
 	add := func(ref string, tasks int, overdue float64) {
 		d := &protocol.Job{ID: ref, Kind: protocol.KindGang, Tasks: tasks, Cores: 4, GPUs: 4, MemGB: 8, OneZone: true, Priority: protocol.PriorityStandard}
-		s.Jobs = append(s.Jobs, Job{Ref: ref, Desc: d, Need: Need(d), Rank: 2, EstimateS: 60, DueS: 100 - overdue, Waiting: tasks, OverdueS: overdue, Counts: 1})
+		s.Jobs = append(s.Jobs, Job{ID: ref, Spec: d, Request: RequestOf(d), Priority: 2, EstimateS: 60, DeadlineS: 100 - overdue, Waiting: tasks, StarvedS: overdue, Weight: 1})
 	}
 	add("big", 4, 5)
 	for i := range 8 {
 		add(fmt.Sprint("small", i), 1, 0)
 	}
 	for i := range 6 {
-		s.Machines = append(s.Machines, Machine{ID: fmt.Sprint("m", i), Zone: "a", Free: s.Types[0].Total})
+		s.Machines = append(s.Machines, Machine{ID: fmt.Sprint("m", i), Zone: "a", Free: s.Types[0].Capacity})
 	}
 	started := false
 	for round := 0; round < 6; round++ { // one machine falls free after another
-		s.Machines[round].Ready = true
+		s.Machines[round].Schedulable = true
 		for _, st := range Decide(s).Starts {
 			if st.Job == 0 {
 				started = started || round >= 3
 			} else if !started {
-				t.Fatalf("round %d: %s takes a machine that the overdue gang waits for", round, s.Jobs[st.Job].Ref)
+				t.Fatalf("round %d: %s takes a machine that the overdue gang waits for", round, s.Jobs[st.Job].ID)
 			}
 		}
 		if started {
@@ -372,8 +372,8 @@
 	if !started {
 		t.Error("the overdue gang did not start")
 	}
-	s.Jobs[0].OverdueS = 0 // the same gang, not overdue, goes behind
-	s.Machines[5].Ready, s.Jobs[0].DueS = false, -1
+	s.Jobs[0].StarvedS = 0 // the same gang, not overdue, goes behind
+	s.Machines[5].Schedulable, s.Jobs[0].DeadlineS = false, -1
 	if p := Decide(s); len(p.Starts) == 0 || p.Starts[0].Job == 0 {
 		t.Errorf("starts %v", p.Starts)
 	}
@@ -384,13 +384,13 @@
 // was taken for all it needed. So would be machines in different zones.)
 func TestGangRentsTheRest(t *testing.T) {
 	d := &protocol.Job{ID: "g", Kind: protocol.KindGang, Tasks: 3, Cores: 4, GPUs: 2, MemGB: 8, OneZone: true, Spot: true}
-	s := &Snapshot{Rho: 1, MayRent: true, Refused: map[Offer]bool{}, Teams: []Team{{}},
-		Types: []Type{{Name: "card", Total: Res{8, 4, 16}, Price: 9, SpotPrice: 3, BootS: 35, FetchGBps: 1, Zones: zones}},
-		Jobs:  []Job{{Ref: "g", Desc: d, Need: Need(d), Rank: 1, EstimateS: 60, DueS: -10, Waiting: 3}}}
+	s := &Snapshot{Rho: 1, MayScaleOut: true, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
+		Types: []MachineType{{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, SpotPrice: 3, BootS: 35, FetchGBps: 1, Zones: zones}},
+		Jobs:  []Job{{ID: "g", Spec: d, Request: RequestOf(d), Priority: 1, EstimateS: 60, DeadlineS: -10, Waiting: 3}}}
 	for _, z := range zones {
-		s.Machines = append(s.Machines, Machine{Zone: z, Ready: true, Free: s.Types[0].Total})
+		s.Machines = append(s.Machines, Machine{Zone: z, Schedulable: true, Free: s.Types[0].Capacity})
 	}
-	if r := Decide(s).Rents; len(r) != 1 || r[0].Count != 1 {
+	if r := Decide(s).ScaleOuts; len(r) != 1 || r[0].Count != 1 {
 		t.Errorf("rents %+v, not one more machine", r)
 	}
 }
@@ -402,14 +402,14 @@
 func TestLargestBegin(t *testing.T) {
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		s := &Snapshot{Rho: 1, GiveBack: 4, StarvationShare: 0.5, GPURank: 2, GPUNeed: Res{4, 4, 8}, Refused: map[Offer]bool{},
-			Types: []Type{
-				{Name: "card", Total: Res{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones},
-				{Name: "cpu", Total: Res{16, 0, 64}, Price: 1, BootS: 35, FetchGBps: 1, Zones: zones},
+		s := &Snapshot{Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5, GPUPriority: 2, GPURequest: Resources{4, 4, 8}, ExhaustedPools: map[CapacityPool]bool{},
+			Types: []MachineType{
+				{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones},
+				{Name: "cpu", Capacity: Resources{16, 0, 64}, Price: 1, BootS: 35, FetchGBps: 1, Zones: zones},
 			}, Teams: make([]Team, 10)}
 		for i := range 120 {
-			m := Machine{ID: fmt.Sprint("m", i), Type: i % 2, Zone: zones[i/2%2], Ready: true}
-			m.Free = s.Types[m.Type].Total
+			m := Machine{ID: fmt.Sprint("m", i), Type: i % 2, Zone: zones[i/2%2], Schedulable: true}
+			m.Free = s.Types[m.Type].Capacity
 			s.Machines = append(s.Machines, m)
 		}
 		type run struct{ job, machine, n, ends int }
@@ -424,7 +424,7 @@
 			for _, r := range runs {
 				if r.ends == now {
 					j, m := &s.Jobs[r.job], &s.Machines[r.machine]
-					m.Free = m.Free.Sub(j.Need, -r.n)
+					m.Free = m.Free.Minus(j.Request, -r.n)
 					for k, x := range m.Tasks {
 						if x.Job == r.job {
 							if m.Tasks[k].Count -= r.n; m.Tasks[k].Count == 0 {
@@ -433,8 +433,8 @@
 							break
 						}
 					}
-					j.Live -= r.n
-					s.Teams[j.Team].Used = s.Teams[j.Team].Used.Sub(j.Need, r.n)
+					j.Running -= r.n
+					s.Teams[j.Team].Used = s.Teams[j.Team].Used.Minus(j.Request, r.n)
 				}
 			}
 			runs = slices.DeleteFunc(runs, func(r run) bool { return r.ends == now })
@@ -448,26 +448,26 @@
 				default:
 					continue
 				}
-				j := Job{Ref: d.ID, Desc: d, Need: Need(d), Rank: 2, EstimateS: 60, Waiting: d.Tasks, Counts: 1, Team: rng.IntN(10)}
+				j := Job{ID: d.ID, Spec: d, Request: RequestOf(d), Priority: 2, EstimateS: 60, Waiting: d.Tasks, Weight: 1, Team: rng.IntN(10)}
 				s.Jobs = append(s.Jobs, j)
 				jobs = append(jobs, state{at: now, begun: -1, left: d.Tasks, lasts: 30 + rng.IntN(60)})
 			}
 			for i := range s.Jobs {
 				j := &s.Jobs[i]
 				age := float64(now - jobs[i].at)
-				j.DueS = 180 - age
-				j.OverdueS = 0
+				j.DeadlineS = 180 - age
+				j.StarvedS = 0
 				if j.Waiting > 0 {
-					j.OverdueS = max(0, age-60)
+					j.StarvedS = max(0, age-60)
 				}
 			}
 			for _, st := range Decide(s).Starts {
 				j, m := &s.Jobs[st.Job], &s.Machines[st.Machine]
-				m.Free = m.Free.Sub(j.Need, st.Count)
-				m.Tasks = append(slices.Clone(m.Tasks), Running{Job: st.Job, Count: st.Count, LeftS: 60})
+				m.Free = m.Free.Minus(j.Request, st.Count)
+				m.Tasks = append(slices.Clone(m.Tasks), RunningTasks{Job: st.Job, Count: st.Count, RemainingS: 60})
 				j.Waiting -= st.Count
-				j.Live += st.Count
-				s.Teams[j.Team].Used = s.Teams[j.Team].Used.Sub(j.Need, -st.Count)
+				j.Running += st.Count
+				s.Teams[j.Team].Used = s.Teams[j.Team].Used.Minus(j.Request, -st.Count)
 				runs = append(runs, run{st.Job, st.Machine, st.Count, now + jobs[st.Job].lasts})
 				if j.Waiting == 0 {
 					jobs[st.Job].begun = now
@@ -477,7 +477,7 @@
 		}
 		for i, j := range jobs {
 			if j.begun < 0 && j.at < 960 || j.begun-j.at > 240 {
-				t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s", seed, i, s.Jobs[i].Desc.Tasks, s.Jobs[i].Desc.Kind, s.Jobs[i].Team, j.at, j.begun)
+				t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s", seed, i, s.Jobs[i].Spec.Tasks, s.Jobs[i].Spec.Kind, s.Jobs[i].Team, j.at, j.begun)
 			}
 		}
 		for team, w := range waits {
@@ -492,21 +492,21 @@
 // Room for production is made where the lowest work runs, even if less time
 // would be lost elsewhere.
 func TestLowestIsStoppedFirst(t *testing.T) {
-	s := &Snapshot{Rho: 1, GPURank: -1, Refused: map[Offer]bool{}, Teams: []Team{{}},
-		Types: []Type{{Name: "small", Total: Res{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}}}
+	s := &Snapshot{Rho: 1, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
+		Types: []MachineType{{Name: "small", Capacity: Resources{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}}}
 	for i, rank := range []int{0, 2, 3} {
 		d := &protocol.Job{ID: fmt.Sprint(i), Kind: protocol.KindArray, Tasks: 1, Cores: 4, MemGB: 4}
-		j := Job{Ref: d.ID, Desc: d, Need: Need(d), Rank: rank, EstimateS: 60, DueS: 100}
+		j := Job{ID: d.ID, Spec: d, Request: RequestOf(d), Priority: rank, EstimateS: 60, DeadlineS: 100}
 		if rank == 0 {
 			d.Kind, j.Waiting = protocol.KindService, 1
 		} else {
-			j.Live = 1
-			s.Machines = append(s.Machines, Machine{ID: d.ID, Zone: "a", Ready: true, Free: Res{0, 0, 12},
-				Tasks: []Running{{Job: i, Count: 1, LostS: float64(rank*10 - 15)}}})
+			j.Running = 1
+			s.Machines = append(s.Machines, Machine{ID: d.ID, Zone: "a", Schedulable: true, Free: Resources{0, 0, 12},
+				Tasks: []RunningTasks{{Job: i, Count: 1, LostWorkS: float64(rank*10 - 15)}}})
 		}
 		s.Jobs = append(s.Jobs, j)
 	}
-	if st := Decide(s).Stops; len(st) != 1 || st[0].Job != 2 {
+	if st := Decide(s).Preemptions; len(st) != 1 || st[0].Job != 2 {
 		t.Errorf("stops %+v", st)
 	}
 }
@@ -514,12 +514,12 @@
 // That one job found no room on a machine busy fetching says nothing of a like
 // job whose image is there.
 func TestFullIsByImage(t *testing.T) {
-	s := &Snapshot{Rho: 1, GPURank: -1, Refused: map[Offer]bool{}, Teams: []Team{{}},
-		Types:    []Type{{Name: "small", Total: Res{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}},
-		Machines: []Machine{{Zone: "a", Ready: true, Free: Res{4, 0, 16}, Images: []string{"there"}, FetchGB: 2 * tuning.FetchAheadS}}}
+	s := &Snapshot{Rho: 1, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
+		Types:    []MachineType{{Name: "small", Capacity: Resources{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}},
+		Machines: []Machine{{Zone: "a", Schedulable: true, Free: Resources{4, 0, 16}, Images: []string{"there"}, PendingFetchGB: 2 * tuning.FetchAheadS}}}
 	for i, image := range []string{"elsewhere", "there"} {
 		d := &protocol.Job{ID: fmt.Sprint(i), Kind: protocol.KindArray, Tasks: 1, Cores: 1, MemGB: 1, Image: image, ImageGB: 2}
-		s.Jobs = append(s.Jobs, Job{Ref: d.ID, Desc: d, Need: Need(d), Rank: 2, EstimateS: 60, DueS: 500 + float64(i), Waiting: 1})
+		s.Jobs = append(s.Jobs, Job{ID: d.ID, Spec: d, Request: RequestOf(d), Priority: 2, EstimateS: 60, DeadlineS: 500 + float64(i), Waiting: 1})
 	}
 	if st := Decide(s).Starts; len(st) != 1 || st[0].Job != 1 {
 		t.Errorf("starts %+v", st)
