--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -23,7 +23,7 @@
 // Node is what the server asks about its node.
 type Node interface {
 	// Leading is the leader of this node's term, nil if it has none.
-	Leading() *leader.Controller
+	Leading() *leader.Leader
 	// Leader is who leads, as far as known.
 	Leader() (records.Term, bool)
 	// Up tells whether the node can take requests.
@@ -210,7 +210,7 @@
 	if c := s.node.Leading(); c != nil {
 		ctx, cancel := context.WithTimeout(r.Context(), tuning.HeartbeatDeadline)
 		defer cancel()
-		if h, err := c.Report(ctx, &rep); err == nil {
+		if h, err := c.Heartbeat(ctx, &rep); err == nil {
 			reply(w, http.StatusOK, h)
 			return
 		}
--- a/internal/leader/authority.go
+++ b/internal/leader/authority.go
@@ -12,9 +12,9 @@
 	"marblehaven/internal/tuning"
 )
 
-// follow learns of new jobs and cancellations. Each return also proves that all
+// watchOpenJobs learns of new jobs and cancellations. Each return also proves that all
 // told before the call began are known here.
-func (c *Controller) follow(ctx context.Context, rev uint64) {
+func (c *Leader) watchOpenJobs(ctx context.Context, rev uint64) {
 	read := time.Now()
 	for ctx.Err() == nil {
 		start := time.Now()
@@ -22,7 +22,7 @@
 		switch {
 		case err == nil:
 			rev = ev.Revision
-			c.send(eventsMsg{ev.Events, start})
+			c.post(watchResult{ev.Events, start})
 		case errors.Is(err, kvstore.ErrCompacted):
 		default:
 			clock.Sleep(ctx, tuning.ElectionRetry)
@@ -38,61 +38,61 @@
 				continue
 			}
 			read = time.Now()
-			m := eventsMsg{asOf: start}
+			m := watchResult{asOf: start}
 			for _, it := range items.Entries {
 				m.events = append(m.events, protocol.WatchEvent{Set: it.Key, Value: it.Value, Version: it.Version})
 			}
 			if err != nil {
 				rev = items.Revision
 			}
-			c.send(m)
+			c.post(m)
 		}
 	}
 }
 
 // confirmTerm proves once a second that the term is still ours.
-func (c *Controller) confirmTerm(ctx context.Context) {
+func (c *Leader) confirmTerm(ctx context.Context) {
 	for clock.Sleep(ctx, tuning.WatchHold) {
 		start := time.Now()
 		it, err := c.Store.Get(ctx, records.KeyTerm)
 		if err != nil {
 			continue
 		}
-		if it.Version != c.term.TermVersion {
+		if it.Version != c.leadership.TermVersion {
 			var t records.Term
 			if protocol.Unmarshal(it.Value, &t) == nil {
-				c.OnTerm(t.Number)
+				c.OnNewerTerm(t.Number)
 			}
 			return
 		}
-		c.send(termMsg{start})
+		c.post(termConfirmation{start})
 	}
 }
 
-// confirmed is the time up to which the state service itself has proved that.
-func (c *Controller) confirmed() time.Time {
-	if c.asOfTerm.Before(c.asOfFollow) {
-		return c.asOfTerm
+// lastConfirmation is the time up to which the state service itself has proved that.
+func (c *Leader) lastConfirmation() time.Time {
+	if c.confirmedByTerm.Before(c.confirmedByWatch) {
+		return c.confirmedByTerm
 	}
-	return c.asOfFollow
+	return c.confirmedByWatch
 }
 
-// authority is the time up to which no cancellation acknowledged to a user and no
+// lastProof is the time up to which no cancellation acknowledged to a user and no
 // newer term can be unknown here.
-func (c *Controller) authority() time.Time {
-	if at := c.confirmed(); at.After(c.asOfPeers) {
+func (c *Leader) lastProof() time.Time {
+	if at := c.lastConfirmation(); at.After(c.confirmedByPeers) {
 		return at
 	}
-	return c.asOfPeers
+	return c.confirmedByPeers
 }
 
-// extendAuthority goes on where the state service gives no proof. The jobs that
+// confirmByPeers goes on where the state service gives no proof. The jobs that
 // users were told are cancelled since then are stopped here as if their events had
 // come; once all controllers, this one included, have named theirs up to some time,
 // nothing told before it is unknown. Nor is a newer term: whoever holds one knows it
 // before it counts anybody's lease as over, and has not answered yet.
-func (c *Controller) extendAuthority(now time.Time) {
-	since := c.confirmed()
+func (c *Leader) confirmByPeers(now time.Time) {
+	since := c.lastConfirmation()
 	if now.Sub(since) < tuning.StartConfirmationAge || c.Acknowledged == nil {
 		return
 	}
@@ -102,33 +102,33 @@
 	}
 	for _, ref := range refs {
 		if j := c.jobs[ref]; j != nil && !j.cancelled {
-			j.recordBehind = true
+			j.awaitsOpenRecord = true
 			c.cancelJob(j, now)
 		}
 	}
-	if asOf.After(c.asOfPeers) {
-		c.asOfPeers = asOf
+	if asOf.After(c.confirmedByPeers) {
+		c.confirmedByPeers = asOf
 	}
 }
 
-// leaderLease is X: how long after its last proof of authority a leader may answer
+// leaseDuration is X: how long after its last proof of authority a leader may answer
 // reports, so that a machine kept alive by it still loses its tasks in time.
-func (c *Controller) leaderLease() time.Duration {
+func (c *Leader) leaseDuration() time.Duration {
 	w := c.Config.Deployment.Workers
 	return max(0, seconds(w.CancelS-w.LeaseS)-tuning.LeaderLeaseMargin)
 }
 
-func (c *Controller) leaseFrom(t time.Time) time.Time {
+func (c *Leader) agentLeaseExpiry(t time.Time) time.Time {
 	return t.Add(seconds(c.Config.Deployment.Workers.LeaseS*(1+tuning.ClockDrift)) + tuning.AgentLeaseMargin)
 }
 
-func (c *Controller) onEvents(m eventsMsg, now time.Time) {
+func (c *Leader) onWatchResult(m watchResult, now time.Time) {
 	for _, e := range m.events {
 		if e.Set != "" {
 			if _, piece := records.ParseOpenKey(e.Set); piece == records.NoSegment {
-				c.setOpen(e.Set, e.Value, e.Version, now)
+				c.applyOpenRecord(e.Set, e.Value, e.Version, now)
 			}
 		}
 	}
-	c.asOfFollow = m.asOf
+	c.confirmedByWatch = m.asOf
 }
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -18,7 +18,7 @@
 )
 
 // large is a leader with many machines, all full, and many jobs that wait.
-func large(machines, jobs int) (*Controller, time.Time) {
+func large(machines, jobs int) (*Leader, time.Time) {
 	cfg := &config.Config{Operator: config.DefaultOperator()}
 	d := &cfg.Deployment
 	d.Workers = config.Workers{ReportS: 2.5, LeaseS: 12, GangWaitS: 35, GangPeerS: 4, CancelS: 37}
@@ -30,34 +30,34 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	store := kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(log), d.State)
-	c := New(Deps{Config: cfg, Store: store, Log: log, OnTerm: func(uint64) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
+	c := New(Dependencies{Config: cfg, Store: store, Log: log, OnNewerTerm: func(uint64) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
 	c.Bind(context.Background())
 	now := time.Now()
-	c.takeover, c.asOfFollow, c.asOfTerm = now, now, now
+	c.tookOverAt, c.confirmedByWatch, c.confirmedByTerm = now, now, now
 	c.setTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
-	c.loadedTypes = true
+	c.typesLoaded = true
 	for i := range jobs {
 		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: fmt.Sprint("t", i%10),
 			Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
 		b, _ := protocol.Marshal(o)
-		c.setOpen(records.OpenKey(o.Job.ID), b, 1, now)
+		c.applyOpenRecord(records.OpenKey(o.Job.ID), b, 1, now)
 	}
 	for i := range machines {
-		m := c.machine(fmt.Sprintf("m-%06d", i), now)
+		m := c.machineByID(fmt.Sprintf("m-%06d", i), now)
 		rep := fullReport(c, i, 1)
 		for _, t := range rep.Tasks {
 			k, _ := parseTask(t.Task)
 			p := &cluster.Placement{TaskKey: k, Attempt: 1, Incarnation: 1, Machine: m, Recorded: true, Sent: true, Since: now}
 			m.Placements[k] = p
-			c.jobs[k.Job].live[k.Task] = p
+			c.jobs[k.Job].placements[k.Task] = p
 		}
-		c.onReport(rep, now)
+		c.onHeartbeat(rep, now)
 	}
 	return c, now
 }
 
-func fullReport(c *Controller, i int, seq uint64) *protocol.Heartbeat {
-	r := &protocol.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: seq, Token: c.term.Term << tuning.TermShift}
+func fullReport(c *Leader, i int, seq uint64) *protocol.Heartbeat {
+	r := &protocol.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: seq, Token: c.leadership.Term << tuning.TermShift}
 	for t := range 4 {
 		n := i*4 + t
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("req-%06d/%d", n/60, n%60), Attempt: 1, State: protocol.TaskRunning})
@@ -76,7 +76,7 @@
 			b.Fatal(err)
 		}
 		r.Sequence = uint64(2 + i)
-		protocol.Marshal(c.onReport(&r, now))
+		protocol.Marshal(c.onHeartbeat(&r, now))
 	}
 }
 
@@ -87,7 +87,7 @@
 			c, now := large(machines, 300+machines/10)
 			b.ReportAllocs()
 			for range b.N {
-				c.decide(now)
+				c.schedule(now)
 			}
 		})
 	}
@@ -99,8 +99,8 @@
 	for _, machines := range []int{1000, 2100, 4000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			c, now := large(machines, 300+machines/10)
-			c.listing, c.catalogAt, c.hintAt = true, now.Add(time.Hour), now.Add(time.Hour)
-			c.handshaking = tuning.HandshakesInFlight
+			c.listInFlight, c.catalogAt, c.nextInventorySave = true, now.Add(time.Hour), now.Add(time.Hour)
+			c.handshakesInFlight = tuning.HandshakesInFlight
 			b.ReportAllocs()
 			for range b.N {
 				c.onTick(now)
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -11,7 +11,7 @@
 )
 
 // dispatch sends what is due to a machine directly.
-func (c *Controller) dispatch(m *cluster.Machine, now time.Time) {
+func (c *Leader) dispatch(m *cluster.Machine, now time.Time) {
 	if m.CommandInFlight || !m.Up || m.Addr == "" || m.Incarnation <= m.ExpiredIncarnation {
 		return
 	}
@@ -24,13 +24,13 @@
 		}
 	}
 	// Placed before an outage or a standstill, its job may be cancelled by now.
-	mayStart := now.Sub(c.confirmed()) < tuning.StartConfirmationAge
+	mayStart := now.Sub(c.lastConfirmation()) < tuning.StartConfirmationAge
 	waiting := m.Outbox[:0]
 	for _, p := range m.Outbox {
 		switch {
 		case m.Placements[p.TaskKey] != p || p.Sent:
-		case p.Stopping || p.Incarnation != m.Incarnation || m.AcknowledgedToken < c.token():
-			c.unplace(p, now) // never sent, so it can be taken back
+		case p.Stopping || p.Incarnation != m.Incarnation || m.AcknowledgedToken < c.termToken():
+			c.withdrawPlacement(p, now) // never sent, so it can be taken back
 		case !mayStart:
 			waiting = append(waiting, p)
 		default:
@@ -41,7 +41,7 @@
 	}
 	m.Outbox = waiting
 	if len(orders) > 0 {
-		c.do(m, orders, m.Incarnation, starts, false)
+		c.sendCommands(m, orders, m.Incarnation, starts, false)
 	}
 }
 
@@ -49,7 +49,7 @@
 // these the ones with production work, then those with other work. After a
 // takeover that is the whole fleet, and one after another takes the processor's
 // time from what holds the leases.
-func (c *Controller) planHandshakes(now time.Time) {
+func (c *Leader) planHandshakes(now time.Time) {
 	type due struct {
 		m     *cluster.Machine
 		order int
@@ -61,7 +61,7 @@
 		}
 		d := due{m, 2}
 		switch {
-		case c.production(m):
+		case c.runsProduction(m):
 			d.order = 0
 		case len(m.Placements) > 0:
 			d.order = 1
@@ -72,45 +72,45 @@
 		dues = append(dues, d)
 	}
 	slices.SortStableFunc(dues, func(a, b due) int { return cmp.Compare(a.order, b.order) })
-	c.toHandshake = c.toHandshake[:0]
+	c.handshakeQueue = c.handshakeQueue[:0]
 	for _, d := range dues {
-		c.toHandshake = append(c.toHandshake, d.m)
+		c.handshakeQueue = append(c.handshakeQueue, d.m)
 	}
 	c.nextHandshakes(now)
 }
 
 // nextHandshakes begins as many handshakes as may be under way at once.
-func (c *Controller) nextHandshakes(now time.Time) {
-	for len(c.toHandshake) > 0 && c.handshaking < tuning.HandshakesInFlight {
-		m := c.toHandshake[0]
-		c.toHandshake = c.toHandshake[1:]
+func (c *Leader) nextHandshakes(now time.Time) {
+	for len(c.handshakeQueue) > 0 && c.handshakesInFlight < tuning.HandshakesInFlight {
+		m := c.handshakeQueue[0]
+		c.handshakeQueue = c.handshakeQueue[1:]
 		c.handshake(m, now)
 	}
 }
 
 // needsHandshake tells whether a machine runs and has not seen the term's token, or has said
 // nothing for a lease, after which what ran on it is gone if it is there at all.
-func (c *Controller) needsHandshake(m *cluster.Machine, now time.Time) bool {
+func (c *Leader) needsHandshake(m *cluster.Machine, now time.Time) bool {
 	return !m.CommandInFlight && !m.Deprovisioning && m.Addr != "" && !now.Before(m.NextHandshake) &&
-		(m.AcknowledgedToken < c.token() || m.Up && now.Sub(m.LastContact) > seconds(c.Config.Deployment.Workers.LeaseS))
+		(m.AcknowledgedToken < c.termToken() || m.Up && now.Sub(m.LastContact) > seconds(c.Config.Deployment.Workers.LeaseS))
 }
 
 // handshake shows the term's token to a machine that runs but has not reported yet,
 // so that a new leader need not wait for its next report. A first call with the
 // wrong tenure is refused, and the refusal names the right one. A silent machine that
 // answers after a lease has begun a new session: it cannot report, but it is there.
-func (c *Controller) handshake(m *cluster.Machine, now time.Time) {
+func (c *Leader) handshake(m *cluster.Machine, now time.Time) {
 	if !c.needsHandshake(m, now) {
 		return
 	}
 	m.NextHandshake = now.Add(tuning.HandshakeInterval)
-	c.handshaking++
-	c.do(m, nil, lastSession(m), false, true)
+	c.handshakesInFlight++
+	c.sendCommands(m, nil, lastIncarnation(m), false, true)
 }
 
-// lastSession is the latest session of a machine that is known, from its reports or
+// lastIncarnation is the latest session of a machine that is known, from its reports or
 // from the records.
-func lastSession(m *cluster.Machine) uint64 {
+func lastIncarnation(m *cluster.Machine) uint64 {
 	session := max(m.Incarnation, 1)
 	for _, p := range m.Placements {
 		session = max(session, p.Incarnation)
@@ -118,39 +118,39 @@
 	return session
 }
 
-func (c *Controller) do(m *cluster.Machine, orders []protocol.Command, session uint64, starts, handshake bool) {
+func (c *Leader) sendCommands(m *cluster.Machine, orders []protocol.Command, session uint64, starts, handshake bool) {
 	m.CommandInFlight = true
 	if orders == nil {
 		orders = []protocol.Command{}
 	}
 	req, addr := protocol.CommandRequest{Token: m.IssuedToken, Incarnation: session, Commands: orders}, m.Addr
 	go func() {
-		rep, err := c.Worker.SendCommands(c.ctx, addr, req)
-		c.send(doMsg{m, rep, starts, handshake, err})
+		rep, err := c.Agents.SendCommands(c.ctx, addr, req)
+		c.post(commandResult{m, rep, starts, handshake, err})
 	}()
 }
 
-func (c *Controller) onDo(d doMsg, now time.Time) {
-	d.m.RecordCommandOutcome(d.starts, d.err == nil)
+func (c *Leader) onCommandResult(d commandResult, now time.Time) {
+	d.machine.RecordCommandOutcome(d.starts, d.err == nil)
 	if d.handshake {
-		c.handshaking--
+		c.handshakesInFlight--
 		defer c.nextHandshakes(now)
 	}
-	c.touched[d.m] = true
+	c.pendingDispatch[d.machine] = true
 	if d.err != nil {
 		// The commands may still be executed, even minutes later.
-		c.Log.Info("direct command unanswered", "machine", d.m.ID, "err", d.err)
+		c.Log.Info("direct command unanswered", "machine", d.machine.ID, "err", d.err)
 		return
 	}
-	if d.rep.Token>>tuning.TermShift > c.term.Term {
-		c.OnTerm(d.rep.Token >> tuning.TermShift)
+	if d.status.Token>>tuning.TermShift > c.leadership.Term {
+		c.OnNewerTerm(d.status.Token >> tuning.TermShift)
 		return
 	}
-	if d.rep.Machine == d.m.ID {
-		c.observe(d.m, d.rep, now)
-		if d.m.AcknowledgedToken < c.token() {
-			d.m.NextHandshake = now // refused for its tenure, which is known now
-			c.handshake(d.m, now)
+	if d.status.Machine == d.machine.ID {
+		c.applyStatus(d.machine, d.status, now)
+		if d.machine.AcknowledgedToken < c.termToken() {
+			d.machine.NextHandshake = now // refused for its tenure, which is known now
+			c.handshake(d.machine, now)
 		}
 	}
 }
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -12,33 +12,33 @@
 	"marblehaven/internal/tuning"
 )
 
-// outcome is the final phase of a job that others depend on, from its record.
-type outcome struct {
+// dependencyOutcome is the final phase of a job that others depend on, from its record.
+type dependencyOutcome struct {
 	phase string
 	at    time.Time // when it was closed; zero: not recorded
 }
 
 // addDependencies notes what a job that has become known waits for.
-func (c *Controller) addDependencies(j *job, now time.Time) {
-	for _, ref := range j.desc.DependsOn {
-		if j.waitsFor == nil {
-			j.waitsFor = map[string]bool{}
+func (c *Leader) addDependencies(j *jobState, now time.Time) {
+	for _, ref := range j.spec.DependsOn {
+		if j.pendingDependencies == nil {
+			j.pendingDependencies = map[string]bool{}
 		}
-		j.waitsFor[ref] = true
-		c.dependents[ref] = append(c.dependents[ref], j.ref)
+		j.pendingDependencies[ref] = true
+		c.dependents[ref] = append(c.dependents[ref], j.id)
 	}
-	for _, ref := range j.desc.DependsOn {
+	for _, ref := range j.spec.DependsOn {
 		if out, known := c.outcomes[ref]; known {
-			c.settle(ref, out, now)
+			c.resolveDependency(ref, out, now)
 		} else if dependency := c.jobs[ref]; dependency != nil && dependency.cancelled {
 			c.cancelDependents(ref, now)
 		}
 	}
 }
 
-// settle draws the conclusions from the final record of a job: those that wait for
+// resolveDependency draws the conclusions from the final record of a job: those that wait for
 // it go on, or are cancelled with it. Nothing else lets a job go on.
-func (c *Controller) settle(ref string, out outcome, now time.Time) {
+func (c *Leader) resolveDependency(ref string, out dependencyOutcome, now time.Time) {
 	if len(c.outcomes) >= tuning.OutcomeCache {
 		clear(c.outcomes) // they are read again where they are needed
 	}
@@ -52,7 +52,7 @@
 		if j == nil {
 			continue
 		}
-		delete(j.waitsFor, ref)
+		delete(j.pendingDependencies, ref)
 		if out.at.After(j.readyAt) {
 			j.readyAt = out.at
 		}
@@ -63,7 +63,7 @@
 
 // cancelDependents cancels all jobs that need the one named, directly or through
 // others. None of them has begun, and none ever can.
-func (c *Controller) cancelDependents(ref string, now time.Time) {
+func (c *Leader) cancelDependents(ref string, now time.Time) {
 	work := []string{ref}
 	for len(work) > 0 {
 		names := c.dependents[work[0]]
@@ -81,9 +81,9 @@
 }
 
 // dropDependent forgets what a job that is over was waiting for.
-func (c *Controller) dropDependent(j *job) {
-	for ref := range j.waitsFor {
-		left := slices.DeleteFunc(c.dependents[ref], func(name string) bool { return name == j.ref })
+func (c *Leader) dropDependent(j *jobState) {
+	for ref := range j.pendingDependencies {
+		left := slices.DeleteFunc(c.dependents[ref], func(name string) bool { return name == j.id })
 		if len(left) == 0 {
 			delete(c.dependents, ref)
 		} else {
@@ -92,10 +92,10 @@
 	}
 }
 
-// lookUp reads the final records of dependencies that are not among the open jobs.
+// lookUpDependencies reads the final records of dependencies that are not among the open jobs.
 // One that is found neither there nor open is looked for again: its open record
 // may have been missed, and that it is not known never means that it is done.
-func (c *Controller) lookUp(now time.Time) {
+func (c *Leader) lookUpDependencies(now time.Time) {
 	if c.lookingUp || now.Before(c.lookupAt) {
 		return
 	}
@@ -110,11 +110,11 @@
 		return
 	}
 	c.lookingUp, c.lookupBegan, c.lookupAt = true, now, now.Add(tuning.DependencyLookupInterval)
-	go func() { c.send(c.readOutcomes(c.ctx, refs)) }()
+	go func() { c.post(c.readDependencyOutcomes(c.ctx, refs)) }()
 }
 
-func (c *Controller) readOutcomes(ctx context.Context, refs []string) lookupMsg {
-	m := lookupMsg{outcomes: map[string]outcome{}}
+func (c *Leader) readDependencyOutcomes(ctx context.Context, refs []string) dependencyLookup {
+	m := dependencyLookup{outcomes: map[string]dependencyOutcome{}}
 	for _, ref := range refs {
 		it, err := c.Store.Get(ctx, records.FinalKey(ref))
 		if errors.Is(err, kvstore.ErrNotFound) {
@@ -131,7 +131,7 @@
 			c.Log.Error("unreadable record of a dependency", "job", ref, "err", err)
 			continue
 		}
-		out := outcome{phase: f.Phase}
+		out := dependencyOutcome{phase: f.Phase}
 		if f.ClosedMS > 0 {
 			out.at = time.UnixMilli(f.ClosedMS)
 		}
@@ -140,12 +140,12 @@
 	return m
 }
 
-func (c *Controller) onLookup(m lookupMsg, now time.Time) {
+func (c *Leader) onDependencyLookup(m dependencyLookup, now time.Time) {
 	c.lookingUp = false
 	for _, it := range m.open {
-		c.setOpen(it.Key, it.Value, it.Version, now)
+		c.applyOpenRecord(it.Key, it.Value, it.Version, now)
 	}
 	for ref, out := range m.outcomes {
-		c.settle(ref, out, now)
+		c.resolveDependency(ref, out, now)
 	}
 }
--- a/internal/leader/duewrites.go
+++ b/internal/leader/duewrites.go
@@ -9,37 +9,37 @@
 	"marblehaven/internal/tuning"
 )
 
-// dueWrite is a job to be closed, or a piece of its run record to be written.
-type dueWrite struct {
-	job    *job
+// pendingWrite is a job to be closed, or a piece of its run record to be written.
+type pendingWrite struct {
+	job    *jobState
 	number int // ledger.NoPiece: the job is to be closed
 	order  int
 	since  time.Time
 }
 
-// dueWrites lists what is to be written of jobs. Starts wait for their records, so
+// pendingWrites lists what is to be written of jobs. Starts wait for their records, so
 // they go first; then what users wait to be told; completions of parts of a job can
 // wait, and a worker keeps them.
-func (c *Controller) dueWrites(now time.Time) []dueWrite {
-	var due []dueWrite
+func (c *Leader) pendingWrites(now time.Time) []pendingWrite {
+	var due []pendingWrite
 	for _, j := range c.jobs {
-		if j.recordBehind {
+		if j.awaitsOpenRecord {
 			continue
 		}
-		if j.over() {
-			due = append(due, dueWrite{j, records.NoSegment, writeClose, j.seenAt})
+		if j.isOver() {
+			due = append(due, pendingWrite{j, records.NoSegment, writeClosing, j.knownSince})
 			continue
 		}
-		for number := range j.pieces {
-			p := &j.pieces[number]
-			if p.dirty && (p.urgent || now.Sub(p.dirtyAt) >= tuning.CompletionDelay) {
-				due = append(due, dueWrite{j, number, j.writeOrder(p), p.dirtyAt})
+		for number := range j.segments {
+			p := &j.segments[number]
+			if p.dirty && (p.holdsStarts || now.Sub(p.dirtySince) >= tuning.CompletionDelay) {
+				due = append(due, pendingWrite{j, number, j.writeOrder(p), p.dirtySince})
 			}
 		}
 	}
-	slices.SortFunc(due, func(x, y dueWrite) int {
+	slices.SortFunc(due, func(x, y pendingWrite) int {
 		return cmp.Or(cmp.Compare(x.order, y.order), x.since.Compare(y.since),
-			cmp.Compare(x.job.ref, y.job.ref), cmp.Compare(x.number, y.number))
+			cmp.Compare(x.job.id, y.job.id), cmp.Compare(x.number, y.number))
 	})
 	return due
 }
@@ -48,35 +48,35 @@
 // of what is due. Written one by one as the budget is refilled, single changes would keep
 // out for ever what takes several, such as closing a job; and what is placed meanwhile
 // shares the write of its job. Production's starts don't wait.
-func (c *Controller) awaitsBudget(due []dueWrite, budget int) bool {
+func (c *Leader) awaitsBudget(due []pendingWrite, budget int) bool {
 	changes := 0
-	for _, cl := range c.claims {
+	for _, cl := range c.provisionRequests {
 		if !cl.recorded {
 			changes++
 		}
 	}
 	for _, d := range due {
 		switch d.order {
-		case writeProduction:
+		case writeProductionStarts:
 			return false
-		case writeLater:
+		case writeCompletions:
 		default:
-			changes += d.changes()
+			changes += d.mutations()
 		}
 	}
 	return budget < min(changes, c.Store.MaxMutations())
 }
 
-// openAndFinal is how many changes move a job from its open to its final record.
-const openAndFinal = 2
+// closeMutations is how many changes move a job from its open to its final record.
+const closeMutations = 2
 
-// changes is how many changes of a transaction the write takes.
-func (d dueWrite) changes() int {
+// mutations is how many changes of a transaction the write takes.
+func (d pendingWrite) mutations() int {
 	if d.number != records.NoSegment {
 		return 1
 	}
-	changes := openAndFinal
-	for _, p := range d.job.pieces {
+	changes := closeMutations
+	for _, p := range d.job.segments {
 		if p.version > 0 {
 			changes++
 		}
@@ -85,19 +85,19 @@
 }
 
 // addJobs adds what is due of jobs, as far as it fits.
-func (c *Controller) addJobs(b *batch, due []dueWrite, budget int, now time.Time) {
+func (c *Leader) addJobs(b *batch, due []pendingWrite, budget int, now time.Time) {
 	for _, d := range due {
-		if d.order == writeLater {
+		if d.order == writeCompletions {
 			// A part of the budget is left for starts that come next.
-			b.opsMost = min(b.opsMost, budget-c.writes.Burst()/2)
+			b.maxMutations = min(b.maxMutations, budget-c.writeLimiter.Burst()/2)
 		}
-		if !b.room(1, 0) {
+		if !b.fits(1, 0) {
 			return
 		}
 		if d.number == records.NoSegment {
 			b.close(d.job, now)
 		} else {
-			c.addPiece(b, d.job, d.number, now)
+			c.addSegment(b, d.job, d.number, now)
 		}
 	}
 }
--- a/internal/leader/duewrites_test.go
+++ b/internal/leader/duewrites_test.go
@@ -19,28 +19,28 @@
 		defer withSilentStore(t, c)()
 		over, busy := c.jobs["req-000000"], c.jobs["req-000001"]
 		dropAll(now, over, busy)
-		over.piece(0).version, busy.piece(0).version = 1, 1
-		over.nDone = over.desc.Tasks
-		c.writes.AllowN(now, c.writes.Burst())
+		over.segment(0).version, busy.segment(0).version = 1, 1
+		over.doneCount = over.spec.Tasks
+		c.writeLimiter.AllowN(now, c.writeLimiter.Burst())
 		closed := func() bool {
-			return c.inCommit != nil && slices.ContainsFunc(c.inCommit.closed, func(cl closing) bool { return cl.job == over })
+			return c.batchInFlight != nil && slices.ContainsFunc(c.batchInFlight.closed, func(cl jobClosing) bool { return cl.job == over })
 		}
-		refill := time.Duration(float64(time.Second) / float64(c.writes.Limit()))
+		refill := time.Duration(float64(time.Second) / float64(c.writeLimiter.Limit()))
 		for task := 0; !closed(); task++ {
 			if task > c.Store.MaxMutations() {
 				t.Fatalf("not closed when %d changes could have been written", task)
 			}
-			c.inCommit = nil
+			c.batchInFlight = nil
 			now = now.Add(refill)
 			c.markDirty(busy, 0, true, now)
 			c.commit(now)
 		}
-		c.inCommit = nil
-		c.writes.AllowN(now, int(c.writes.TokensAt(now)))
-		busy.desc.Priority = protocol.PriorityProduction
+		c.batchInFlight = nil
+		c.writeLimiter.AllowN(now, int(c.writeLimiter.TokensAt(now)))
+		busy.spec.Priority = protocol.PriorityProduction
 		now = now.Add(refill)
 		c.markDirty(busy, 0, true, now)
-		if c.commit(now); c.inCommit == nil || len(c.inCommit.runs) != 1 {
+		if c.commit(now); c.batchInFlight == nil || len(c.batchInFlight.segments) != 1 {
 			t.Error("a start of production waits for the budget of other writes")
 		}
 	})
--- a/internal/leader/estimate.go
+++ b/internal/leader/estimate.go
@@ -20,7 +20,7 @@
 	ratio float64
 }
 
-func (e *estimator) done(d *protocol.Job, took float64) {
+func (e *estimator) observe(d *protocol.Job, took float64) {
 	if d.EstimateS <= 0 || took <= 0 {
 		return
 	}
@@ -34,7 +34,7 @@
 	c.n++
 }
 
-func (e *estimator) of(d *protocol.Job) float64 {
+func (e *estimator) estimate(d *protocol.Job) float64 {
 	if c := e.classes[d.Class]; !e.off && c != nil && c.n >= tuning.EstimatorMin {
 		return d.EstimateS * c.ratio
 	}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -49,21 +49,21 @@
 		c, now := large(2100, 1000)
 		w := &calls{answer: make(chan struct{})}
 		defer close(w.answer)
-		c.Worker = agent.New(w, protocol.NewMalformedLog(c.Log), 5000)
-		c.term.Term++ // a leader that has seen none of them yet
+		c.Agents = agent.New(w, protocol.NewMalformedLog(c.Log), 5000)
+		c.leadership.Term++ // a leader that has seen none of them yet
 		production := map[string]bool{}
 		for i, m := range c.sorted {
 			m.Addr = m.ID + ":1"
 			if i%50 == 49 {
 				production[m.ID] = true
 				for k := range m.Placements {
-					c.jobs[k.Job].desc.Priority = protocol.PriorityProduction
+					c.jobs[k.Job].spec.Priority = protocol.PriorityProduction
 				}
 			}
 		}
 		for _, m := range c.sorted { // a job is on several machines
 			for k := range m.Placements {
-				production[m.ID] = production[m.ID] || c.jobs[k.Job].rank() == 0
+				production[m.ID] = production[m.ID] || c.jobs[k.Job].priority() == 0
 			}
 		}
 		c.planHandshakes(now)
@@ -78,7 +78,7 @@
 			}
 		}
 		// The first hang, and hold nothing up for longer than a command may take.
-		for len(c.toHandshake) > 0 || c.handshaking > 0 {
+		for len(c.handshakeQueue) > 0 || c.handshakesInFlight > 0 {
 			c.handle(<-c.inbox)
 		}
 		if n := len(w.seen()); n < 2100 {
@@ -86,8 +86,8 @@
 		}
 		c.planHandshakes(time.Now())
 		synctest.Wait()
-		if c.handshaking != tuning.HandshakesInFlight {
-			t.Errorf("%d handshakes again", c.handshaking)
+		if c.handshakesInFlight != tuning.HandshakesInFlight {
+			t.Errorf("%d handshakes again", c.handshakesInFlight)
 		}
 	})
 }
@@ -101,7 +101,7 @@
 		w := &calls{answer: make(chan struct{})}
 		c.Cloud = cloud.New("cloud:1", w, protocol.NewMalformedLog(c.Log), 1000)
 		for i := 0; i < 350; i += 10 {
-			c.giveBack(c.sorted[i:i+10], "test", now)
+			c.deprovision(c.sorted[i:i+10], "test", now)
 		}
 		synctest.Wait()
 		if n := len(w.seen()); n != 1 {
@@ -116,19 +116,19 @@
 		}
 		w.answer <- struct{}{}
 		c.handle(<-c.inbox) // failed: they are tried again after a while, with the rest
-		if len(c.returning) > 0 {
+		if len(c.deprovisionInFlight) > 0 {
 			t.Error("called again at once")
 		}
 		time.Sleep(tuning.MachineBackoff)
-		c.returnNext(time.Now())
+		c.deprovisionNext(time.Now())
 		var order []*cluster.Machine
 		for len(c.machines) > 0 {
 			synctest.Wait()
-			order = append(order, c.returning...)
-			if n := len(c.returning); n == 0 || n > tuning.DeprovisionMax {
+			order = append(order, c.deprovisionInFlight...)
+			if n := len(c.deprovisionInFlight); n == 0 || n > tuning.DeprovisionMax {
 				t.Fatalf("%d in a call", n)
 			}
-			c.onReturn(returnMsg{}, time.Now())
+			c.onDeprovisionResult(deprovisionResult{}, time.Now())
 		}
 		if slices.ContainsFunc(order[:350-len(idle)], func(m *cluster.Machine) bool { return slices.Contains(idle, m) }) {
 			t.Error("idle machines went before those with tasks")
@@ -148,12 +148,12 @@
 	for _, m := range c.machines {
 		live += len(m.Placements)
 	}
-	c.onList(listMsg{machines: []protocol.ListedMachine{{ID: "m-000007", State: protocol.MachineStarting}}}, now)
+	c.onMachineList(machineListResult{machines: []protocol.ListedMachine{{ID: "m-000007", State: protocol.MachineStarting}}}, now)
 	for _, m := range c.machines {
 		live -= len(m.Placements)
 	}
-	if len(c.machines) != 2100 || live != 0 || len(c.toReturn) > 0 || len(c.returning) > 0 {
-		t.Errorf("%d machines are left, %d tasks less, %d to be returned", len(c.machines), live, len(c.toReturn))
+	if len(c.machines) != 2100 || live != 0 || len(c.deprovisionQueue) > 0 || len(c.deprovisionInFlight) > 0 {
+		t.Errorf("%d machines are left, %d tasks less, %d to be returned", len(c.machines), live, len(c.deprovisionQueue))
 	}
 }
 
@@ -162,16 +162,16 @@
 // old: it decides nothing, gives nothing back, calls nobody and keeps its term to
 // itself until the state service has spoken.
 func TestStandingStill(t *testing.T) {
-	free := func(c *Controller) {
+	free := func(c *Leader) {
 		for _, m := range c.sorted[:50] {
 			for _, p := range m.Placements {
-				delete(c.jobs[p.Job].live, p.Task)
+				delete(c.jobs[p.Job].placements, p.Task)
 			}
 			clear(m.Placements)
 		}
-		c.listing, c.listed, c.catalogAt, c.hintAt = true, true, c.takeover.Add(time.Hour), c.takeover.Add(time.Hour)
+		c.listInFlight, c.machinesListed, c.catalogAt, c.nextInventorySave = true, true, c.tookOverAt.Add(time.Hour), c.tookOverAt.Add(time.Hour)
 	}
-	placed := func(c *Controller) (n int) {
+	placed := func(c *Leader) (n int) {
 		for _, m := range c.sorted[:50] {
 			n += len(m.Placements)
 		}
@@ -179,13 +179,13 @@
 	}
 	c, now := large(2100, 1000)
 	free(c)
-	if c.decide(now); placed(c) == 0 {
+	if c.schedule(now); placed(c) == 0 {
 		t.Fatal("nothing was to be decided")
 	}
 	c, now = large(2100, 1000)
 	free(c)
 	resigned := false
-	c.Config.Peers, c.heardMost = make([]config.Peer, 4), true
+	c.Config.Peers, c.heardMajority = make([]config.Peer, 4), true
 	c.Resign = func() { resigned = true }
 	// One start was recorded and not yet sent: its job may be cancelled by now.
 	m := c.sorted[100]
@@ -198,23 +198,23 @@
 	for _, still := range []time.Duration{4, 8, 12} {
 		later := now.Add(still * time.Second)
 		c.onTick(later)
-		c.pass(later)
+		c.runCycle(later)
 		calls := 0
 		for _, m := range c.machines {
 			if m.CommandInFlight {
 				calls++
 			}
 		}
-		if n := placed(c); n > 0 || len(c.toReturn)+len(c.returning)+calls+len(c.claims) > 0 || c.inCommit != nil || resigned {
-			t.Errorf("after %d s: %d placed, %d to be returned, %d called, resigned %v", still, n, len(c.toReturn)+len(c.returning), calls, resigned)
+		if n := placed(c); n > 0 || len(c.deprovisionQueue)+len(c.deprovisionInFlight)+calls+len(c.provisionRequests) > 0 || c.batchInFlight != nil || resigned {
+			t.Errorf("after %d s: %d placed, %d to be returned, %d called, resigned %v", still, n, len(c.deprovisionQueue)+len(c.deprovisionInFlight), calls, resigned)
 		}
 	}
 	// Once the state service has spoken the start goes out.
 	w := &calls{answer: make(chan struct{})}
 	defer close(w.answer)
-	c.Worker = agent.New(w, protocol.NewMalformedLog(c.Log), 5000)
+	c.Agents = agent.New(w, protocol.NewMalformedLog(c.Log), 5000)
 	later := now.Add(12 * time.Second)
-	c.asOfFollow, c.asOfTerm = later, later
+	c.confirmedByWatch, c.confirmedByTerm = later, later
 	if c.dispatch(m, later); !start.Sent || len(m.Outbox) > 0 {
 		t.Error("a start that waited for the state service was never sent")
 	}
@@ -226,16 +226,16 @@
 func TestLongListNamesReturnedMachine(t *testing.T) {
 	c, now := large(0, 1)
 	c.Config.Deployment.Cloud.ListLagS = 6
-	c.listing, c.catalogAt = true, now.Add(2*time.Hour)
-	c.gone["m-000007"] = now
+	c.listInFlight, c.catalogAt = true, now.Add(2*time.Hour)
+	c.removedMachines["m-000007"] = now
 	listed := []protocol.ListedMachine{{ID: "m-000007", Type: "big", State: protocol.MachineStarting}}
 	c.onTick(now.Add(time.Hour))
-	c.onList(listMsg{began: now.Add(time.Second), machines: listed}, now.Add(time.Hour))
+	c.onMachineList(machineListResult{began: now.Add(time.Second), machines: listed}, now.Add(time.Hour))
 	if c.machines["m-000007"] != nil {
 		t.Error("a list that began just after a machine was given back revived it")
 	}
-	c.onList(listMsg{began: now.Add(time.Hour)}, now.Add(time.Hour))
-	if len(c.gone) > 0 {
+	c.onMachineList(machineListResult{began: now.Add(time.Hour)}, now.Add(time.Hour))
+	if len(c.removedMachines) > 0 {
 		t.Error("a machine is remembered that no list can name")
 	}
 }
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -12,7 +12,7 @@
 
 // withSilentStore gives a leader a state service that never answers, so that a commit
 // stays under way. The returned function ends its calls.
-func withSilentStore(t *testing.T, c *Controller) (end func()) {
+func withSilentStore(t *testing.T, c *Leader) (end func()) {
 	t.Helper()
 	c.Store = kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(c.Log), c.Config.Deployment.State)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -24,11 +24,11 @@
 }
 
 // dropAll takes everything of some jobs off its machines.
-func dropAll(now time.Time, jobs ...*job) {
+func dropAll(now time.Time, jobs ...*jobState) {
 	for _, j := range jobs {
-		for _, p := range j.live {
+		for _, p := range j.placements {
 			p.Machine.RemovePlacement(p, now)
 		}
-		clear(j.live)
+		clear(j.placements)
 	}
 }
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -12,24 +12,24 @@
 	"marblehaven/internal/tuning"
 )
 
-// saveHint writes what is known of the images on the next part of the machines.
+// saveImageInventory writes what is known of the images on the next part of the machines.
 // A new leader that knew nothing of it would start services where their image
 // has to be fetched first. Losing a write does no harm.
-func (c *Controller) saveHint(now time.Time) {
-	if now.Before(c.hintAt) || len(c.sorted) == 0 || !c.writes.AllowN(now, 1) {
+func (c *Leader) saveImageInventory(now time.Time) {
+	if now.Before(c.nextInventorySave) || len(c.sorted) == 0 || !c.writeLimiter.AllowN(now, 1) {
 		return
 	}
-	c.hintAt = now.Add(tuning.ImageInventoryInterval)
-	if c.hintFrom >= len(c.sorted) {
-		c.hintFrom, c.hintPart = 0, 0
+	c.nextInventorySave = now.Add(tuning.ImageInventoryInterval)
+	if c.inventoryFrom >= len(c.sorted) {
+		c.inventoryFrom, c.inventoryPart = 0, 0
 	}
-	h, n := makeHint(c.sorted[c.hintFrom:], c.Config.Deployment.State.Smaller().ValueBytes())
-	key := fmt.Sprint(records.PrefixImages, c.hintPart)
-	c.hintFrom += n
-	c.hintPart++
+	h, n := newImageInventory(c.sorted[c.inventoryFrom:], c.Config.Deployment.State.Smaller().ValueBytes())
+	key := fmt.Sprint(records.PrefixImages, c.inventoryPart)
+	c.inventoryFrom += n
+	c.inventoryPart++
 	go func() {
 		_, err := c.Store.Commit(c.ctx, protocol.Transaction{
-			Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: c.term.TermVersion}},
+			Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: c.leadership.TermVersion}},
 			Mutations:     []protocol.Mutation{{Set: key, Value: h}},
 		})
 		if err != nil {
@@ -38,9 +38,9 @@
 	}()
 }
 
-// makeHint describes the images on the first of the machines, as many as surely fit
+// newImageInventory describes the images on the first of the machines, as many as surely fit
 // in a value of so many bytes as JSON, and returns how many these are.
-func makeHint(ms []*cluster.Machine, bytes int) (h records.ImageInventory, n int) {
+func newImageInventory(ms []*cluster.Machine, bytes int) (h records.ImageInventory, n int) {
 	h.Machines = map[string][]int{}
 	size := tuning.ImageInventoryEntryBytes
 	for n = 0; n < min(len(ms), tuning.ImageInventoryMachines); n++ {
@@ -72,8 +72,8 @@
 	})
 }
 
-// loadHints reads what an earlier leader knew; without it all goes on.
-func (c *Controller) loadHints(ctx context.Context) {
+// loadImageInventory reads what an earlier leader knew; without it all goes on.
+func (c *Leader) loadImageInventory(ctx context.Context) {
 	items, err := c.Store.ListAll(ctx, records.PrefixImages)
 	if err != nil {
 		c.Log.Debug("reading hints", "err", err)
@@ -83,31 +83,31 @@
 		var h records.ImageInventory
 		if protocol.Unmarshal(it.Value, &h) == nil && len(h.Images) == len(h.SizesGB) {
 			for id := range h.Machines {
-				c.hints[id] = &h
+				c.inheritedImages[id] = &h
 			}
 		}
 	}
 }
 
-// takeHint notes what an inherited machine has when it is first heard from.
-func (c *Controller) takeHint(m *cluster.Machine) {
-	i, known := c.typeIdx[m.Type]
-	h := c.hints[m.ID]
+// adoptImageInventory notes what an inherited machine has when it is first heard from.
+func (c *Leader) adoptImageInventory(m *cluster.Machine) {
+	i, known := c.typeIndex[m.Type]
+	h := c.inheritedImages[m.ID]
 	if !known {
 		return
 	}
-	touch := func(name string, gb float64) { m.RecordImageUse(name, gb, c.types[i].CacheGB) }
+	touch := func(name string, gb float64) { m.RecordImageUse(name, gb, c.machineTypes[i].CacheGB) }
 	if h != nil {
 		for _, k := range slices.Backward(h.Machines[m.ID]) {
 			if k >= 0 && k < len(h.Images) {
 				touch(h.Images[k], h.SizesGB[k])
 			}
 		}
-		delete(c.hints, m.ID)
+		delete(c.inheritedImages, m.ID)
 	}
 	for k, p := range m.Placements {
 		if j := c.jobs[k.Job]; j != nil && p.State != "" && p.State != protocol.TaskFetching {
-			touch(j.desc.Image, j.desc.ImageGB)
+			touch(j.spec.Image, j.spec.ImageGB)
 		}
 	}
 }
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -12,129 +12,131 @@
 	"marblehaven/internal/scheduler"
 )
 
-// job is an open job as the leader knows it.
-type job struct {
-	ref         string
-	desc        protocol.Job
-	at          time.Time // time of day of acceptance
+// jobState is an open job as the leader knows it.
+type jobState struct {
+	id          string
+	spec        protocol.Job
+	acceptedAt  time.Time // time of day of acceptance
 	cancelled   bool
 	openVersion uint64
-	pieces      []piece // of its run record, by number; see piece
+	segments    []segment // of its run record, by number; see piece
 
-	waitsFor map[string]bool // dependencies that are not known to be done
-	readyAt  time.Time       // when the last dependency was done; without any, at
+	pendingDependencies map[string]bool // dependencies that are not known to be done
+	readyAt             time.Time       // when the last dependency was done; without any, at
 
-	next    uint64 // the next unused attempt
-	done    records.TaskRanges
-	nDone   int
-	live    map[int]*cluster.Placement
-	cursor  int   // tasks from here on were never started
-	requeue []int // tasks before the cursor that wait, sorted
+	nextAttempt uint64 // the next unused attempt
+	doneTasks   records.TaskRanges
+	doneCount   int
+	placements  map[int]*cluster.Placement
+	nextTask    int   // tasks from here on were never started
+	requeued    []int // tasks before the cursor that wait, sorted
 
-	pendingDone map[int]bool // done, not yet recorded: not to be reaped
-	// recordBehind: a controller says that it is cancelled, but the record with that
+	unrecordedDone map[int]bool // done, not yet recorded: not to be reaped
+	// awaitsOpenRecord: a controller says that it is cancelled, but the record with that
 	// has not been read yet, so nothing can be written on its version.
-	recordBehind bool
-	unread       bool // its run record could not be read
-	restUntil    time.Time
-	errors       int
-	seenAt       time.Time // when the leader learnt of it
+	awaitsOpenRecord bool
+	recordUnreadable bool // its run record could not be read
+	backoffUntil     time.Time
+	failures         int
+	knownSince       time.Time // when the leader learnt of it
 }
 
-func newJob(ref string, o *records.OpenJob, version uint64, now time.Time) *job {
+func newJob(ref string, o *records.OpenJob, version uint64, now time.Time) *jobState {
 	at := time.UnixMilli(o.AcceptedMS)
-	return &job{ref: ref, desc: o.Job, at: at, readyAt: at, cancelled: o.Cancelled, openVersion: version,
-		next: 1, live: map[int]*cluster.Placement{}, pendingDone: map[int]bool{}, seenAt: now}
+	return &jobState{id: ref, spec: o.Job, acceptedAt: at, readyAt: at, cancelled: o.Cancelled, openVersion: version,
+		nextAttempt: 1, placements: map[int]*cluster.Placement{}, unrecordedDone: map[int]bool{}, knownSince: now}
 }
 
 // restore takes in the run record of an earlier leader.
-func (j *job) restore(r *records.RunRecord) {
-	j.next, j.done = max(1, r.NextAttempt), r.Done
-	j.nDone = j.done.Count()
-	for _, e := range j.done {
-		j.cursor = max(j.cursor, e[1]+1)
+func (j *jobState) restore(r *records.RunRecord) {
+	j.nextAttempt, j.doneTasks = max(1, r.NextAttempt), r.Done
+	j.doneCount = j.doneTasks.Count()
+	for _, e := range j.doneTasks {
+		j.nextTask = max(j.nextTask, e[1]+1)
 	}
 	held := map[int]bool{}
 	for _, p := range r.Placements {
-		j.cursor = max(j.cursor, p.Task+1)
+		j.nextTask = max(j.nextTask, p.Task+1)
 		held[p.Task] = true
 	}
-	for i := range j.cursor {
-		if !held[i] && !j.done.Has(i) {
-			j.requeue = append(j.requeue, i)
+	for i := range j.nextTask {
+		if !held[i] && !j.doneTasks.Has(i) {
+			j.requeued = append(j.requeued, i)
 		}
 	}
 }
 
-func (j *job) gang() bool { return j.desc.Kind == protocol.KindGang }
+func (j *jobState) isGang() bool { return j.spec.Kind == protocol.KindGang }
 
-// waiting is how many tasks may be started now. A gang starts whole: none while
+// waitingTasks is how many tasks may be started now. A gang starts whole: none while
 // anything of an earlier attempt may still be on a machine.
-func (j *job) waiting() int {
-	if j.cancelled || len(j.waitsFor) > 0 || (j.gang() && len(j.live) > 0) {
+func (j *jobState) waitingTasks() int {
+	if j.cancelled || len(j.pendingDependencies) > 0 || (j.isGang() && len(j.placements) > 0) {
 		return 0
 	}
-	return j.desc.Tasks - j.nDone - len(j.live)
+	return j.spec.Tasks - j.doneCount - len(j.placements)
 }
 
-// begun tells whether all tasks have been started once, a gang's or service's
+// fullyStarted tells whether all tasks have been started once, a gang's or service's
 // if they are on machines.
-func (j *job) begun() bool {
-	if j.desc.Kind == protocol.KindArray {
-		return j.cursor >= j.desc.Tasks
+func (j *jobState) fullyStarted() bool {
+	if j.spec.Kind == protocol.KindArray {
+		return j.nextTask >= j.spec.Tasks
 	}
-	return len(j.live) >= j.desc.Tasks
+	return len(j.placements) >= j.spec.Tasks
 }
 
 // The order in which records are written, the lowest first: production's starts,
 // what ends a job and other starts by their rank, and last what holds completions
 // only.
 const (
-	writeProduction = 0
-	writeClose      = 1
-	writeLater      = 10
+	writeProductionStarts = 0
+	writeClosing          = 1
+	writeCompletions      = 10
 )
 
-func (j *job) writeOrder(p *piece) int {
+func (j *jobState) writeOrder(p *segment) int {
 	switch {
-	case !p.urgent:
-		return writeLater
-	case j.rank() == 0:
-		return writeProduction
+	case !p.holdsStarts:
+		return writeCompletions
+	case j.priority() == 0:
+		return writeProductionStarts
 	}
-	return writeClose + j.rank()
+	return writeClosing + j.priority()
 }
 
-func (j *job) over() bool { return len(j.live) == 0 && (j.cancelled || j.nDone >= j.desc.Tasks) }
+func (j *jobState) isOver() bool {
+	return len(j.placements) == 0 && (j.cancelled || j.doneCount >= j.spec.Tasks)
+}
 
-func (j *job) take() int {
-	if len(j.requeue) > 0 {
-		n := j.requeue[0]
-		j.requeue = j.requeue[1:]
+func (j *jobState) takeTask() int {
+	if len(j.requeued) > 0 {
+		n := j.requeued[0]
+		j.requeued = j.requeued[1:]
 		return n
 	}
-	j.cursor++
-	return j.cursor - 1
+	j.nextTask++
+	return j.nextTask - 1
 }
 
-func (j *job) giveBack(n int) {
-	if i, ok := slices.BinarySearch(j.requeue, n); !ok {
-		j.requeue = slices.Insert(j.requeue, i, n)
+func (j *jobState) requeueTask(n int) {
+	if i, ok := slices.BinarySearch(j.requeued, n); !ok {
+		j.requeued = slices.Insert(j.requeued, i, n)
 	}
 }
 
-// rest lets nothing of the job start before a time. It never shortens a rest: one may
+// backOff lets nothing of the job start before a time. It never shortens a rest: one may
 // last until what a lost record named is surely over.
-func (j *job) rest(until time.Time) {
-	if until.After(j.restUntil) {
-		j.restUntil = until
+func (j *jobState) backOff(until time.Time) {
+	if until.After(j.backoffUntil) {
+		j.backoffUntil = until
 	}
 }
 
-func (j *job) need() scheduler.Resources { return scheduler.RequestOf(&j.desc) }
+func (j *jobState) request() scheduler.Resources { return scheduler.RequestOf(&j.spec) }
 
-func (j *job) rank() int {
-	return slices.Index([]string{protocol.PriorityProduction, protocol.PriorityHigh, protocol.PriorityStandard, protocol.PriorityIdle}, j.desc.Priority)
+func (j *jobState) priority() int {
+	return slices.Index([]string{protocol.PriorityProduction, protocol.PriorityHigh, protocol.PriorityStandard, protocol.PriorityIdle}, j.spec.Priority)
 }
 
 func taskName(k cluster.TaskKey) string { return k.Job + "/" + strconv.Itoa(k.Task) }
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -24,17 +24,17 @@
 	o := &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 10}}
 	j := newJob("req-1", o, 1, now)
 	j.restore(&records.RunRecord{NextAttempt: 9, Done: records.TaskRanges{{0, 1}, {4, 4}}, Placements: []records.Placement{{Task: 6, Attempt: 8}}})
-	j.live[6] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: "req-1", Task: 6}, Machine: &cluster.Machine{ID: "m"}}
+	j.placements[6] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: "req-1", Task: 6}, Machine: &cluster.Machine{ID: "m"}}
 	var got []int
-	for j.waiting() > 0 {
-		n := j.take()
-		j.live[n] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: "req-1", Task: n}, Machine: &cluster.Machine{ID: "m"}}
+	for j.waitingTasks() > 0 {
+		n := j.takeTask()
+		j.placements[n] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: "req-1", Task: n}, Machine: &cluster.Machine{ID: "m"}}
 		got = append(got, n)
 	}
 	if d := cmp.Diff([]int{2, 3, 5, 7, 8, 9}, got); d != "" {
 		t.Error(d)
 	}
-	if r := j.record(0); len(r.Placements) != 7 || r.NextAttempt != 9 || r.Done.Count() != 3 {
+	if r := j.segmentRecord(0); len(r.Placements) != 7 || r.NextAttempt != 9 || r.Done.Count() != 3 {
 		t.Errorf("recorded as %+v", r)
 	}
 }
@@ -47,7 +47,7 @@
 	c.Config.Deployment.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 1.5},
 		{Kind: "finished", Class: "c", WithinS: 500}, {Kind: "finished", Class: "other", WithinS: 1}}
 	j := c.jobs["req-000000"]
-	j.desc.DeadlineS = 100
+	j.spec.DeadlineS = 100
 	none := math.Inf(1)
 	for _, w := range []struct{ age, ready, est, inherited, due float64 }{
 		{10, 10, 20, none, 90},    // in time
@@ -59,9 +59,9 @@
 		{10, 10, 20, 15, 90},      // which cannot be kept
 		{900, 900, 20, none, -400},
 	} {
-		j.at = now.Add(-seconds(w.age))
+		j.acceptedAt = now.Add(-seconds(w.age))
 		j.readyAt = now.Add(-seconds(w.ready))
-		if due, _ := c.dueIn(j, w.est, w.inherited, false, now); math.Abs(due-w.due) > 1e-6 {
+		if due, _ := c.deadlineFor(j, w.est, w.inherited, false, now); math.Abs(due-w.due) > 1e-6 {
 			t.Errorf("%+v: due in %v", w, due)
 		}
 	}
@@ -70,12 +70,12 @@
 // A gang starts whole: nothing waits while a member may be on a machine.
 func TestGangWaitsWhole(t *testing.T) {
 	j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindGang, Tasks: 3}}, 1, time.Now())
-	if j.waiting() != 3 {
-		t.Errorf("%d wait", j.waiting())
+	if j.waitingTasks() != 3 {
+		t.Errorf("%d wait", j.waitingTasks())
 	}
-	j.live[j.take()] = &cluster.Placement{}
-	if j.waiting() != 0 {
-		t.Errorf("%d wait while one may run", j.waiting())
+	j.placements[j.takeTask()] = &cluster.Placement{}
+	if j.waitingTasks() != 0 {
+		t.Errorf("%d wait while one may run", j.waitingTasks())
 	}
 }
 
@@ -83,18 +83,18 @@
 // in between would leave nothing that shows it.
 func TestDoneIsRecordedBeforeReap(t *testing.T) {
 	now := time.Now()
-	c := &Controller{jobs: map[string]*job{}, term: election.Leadership{Term: 1}}
+	c := &Leader{jobs: map[string]*jobState{}, leadership: election.Leadership{Term: 1}}
 	j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 2}}, 1, now)
 	c.jobs["req-1"] = j
-	m := cluster.NewMachine("m-1", c.token(), now, now.Add(time.Hour))
-	m.ApplyStatus(&protocol.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, Token: c.token(), Tasks: []protocol.TaskStatus{
+	m := cluster.NewMachine("m-1", c.termToken(), now, now.Add(time.Hour))
+	m.ApplyStatus(&protocol.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, Token: c.termToken(), Tasks: []protocol.TaskStatus{
 		{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}}}, parseTask, now, now)
-	j.pendingDone[0] = true
-	if o := c.orders(m); len(o) > 0 {
+	j.unrecordedDone[0] = true
+	if o := c.reconcileCommands(m); len(o) > 0 {
 		t.Errorf("ordered %v before the completion was recorded", o)
 	}
-	delete(j.pendingDone, 0)
-	if o := c.orders(m); len(o) != 1 || o[0].Verb != protocol.VerbRelease {
+	delete(j.unrecordedDone, 0)
+	if o := c.reconcileCommands(m); len(o) != 1 || o[0].Verb != protocol.VerbRelease {
 		t.Errorf("ordered %v after it", o)
 	}
 }
@@ -106,20 +106,20 @@
 	m := c.machines["m-000000"]
 	r := fullReport(c, 0, 7)
 	r.Token, r.Tasks = m.IssuedToken, nil
-	c.onReport(r, now)
-	c.returning = []*cluster.Machine{m}
-	c.onReturn(returnMsg{}, now)
-	if c.onReport(r, now); c.machines["m-000000"] != nil {
+	c.onHeartbeat(r, now)
+	c.deprovisionInFlight = []*cluster.Machine{m}
+	c.onDeprovisionResult(deprovisionResult{}, now)
+	if c.onHeartbeat(r, now); c.machines["m-000000"] != nil {
 		t.Error("a copy revived a machine just given back")
 	}
-	clear(c.gone)
-	c.onReport(r, now)
+	clear(c.removedMachines)
+	c.onHeartbeat(r, now)
 	if m := c.machines["m-000000"]; m == nil || m.Schedulable(now, time.Minute) {
 		t.Error("a copy made a machine usable that is gone")
 	}
 	r2 := fullReport(c, 0, 8)
 	r2.Token, r2.Tasks = c.machines["m-000000"].IssuedToken, nil
-	c.onReport(r2, now)
+	c.onHeartbeat(r2, now)
 	if !c.machines["m-000000"].Schedulable(now, time.Minute) {
 		t.Error("a machine that is there, and shows it, is not usable")
 	}
@@ -132,15 +132,15 @@
 	for _, name := range []string{"a", "b", "c"} {
 		m.RecordImageUse(name, 10, 40)
 	}
-	hint, _ := makeHint(c.sorted, 32<<10)
+	hint, _ := newImageInventory(c.sorted, 32<<10)
 	raw, _ := protocol.Marshal(hint)
 	next, _ := large(0, 1)
 	var h records.ImageInventory
 	if err := protocol.Unmarshal(raw, &h); err != nil {
 		t.Fatal(err)
 	}
-	next.hints["m-000001"] = &h
-	next.onReport(&protocol.Heartbeat{Machine: "m-000001", Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: 9}, now)
+	next.inheritedImages["m-000001"] = &h
+	next.onHeartbeat(&protocol.Heartbeat{Machine: "m-000001", Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: 9}, now)
 	if d := cmp.Diff(m.Images(), next.machines["m-000001"].Images()); d != "" {
 		t.Error(d)
 	}
@@ -156,21 +156,21 @@
 		named, other := c.jobs["req-000000"], c.jobs["req-000001"]
 		dropAll(now, named, other)
 		late := now.Add(time.Minute)
-		c.Acknowledged = func(time.Time) (time.Time, []string, bool) { return late, []string{named.ref}, true }
-		c.extendAuthority(late)
-		if !named.cancelled || other.cancelled || !c.authority().Equal(late) {
-			t.Fatalf("cancelled %v and %v, authority %v", named.cancelled, other.cancelled, c.authority().Sub(now))
+		c.Acknowledged = func(time.Time) (time.Time, []string, bool) { return late, []string{named.id}, true }
+		c.confirmByPeers(late)
+		if !named.cancelled || other.cancelled || !c.lastProof().Equal(late) {
+			t.Fatalf("cancelled %v and %v, authority %v", named.cancelled, other.cancelled, c.lastProof().Sub(now))
 		}
 		c.commit(late)
-		if c.inCommit != nil {
+		if c.batchInFlight != nil {
 			t.Error("a job was closed on a version that is behind")
 		}
-		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: named.desc, Cancelled: true}
+		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: named.spec, Cancelled: true}
 		b, _ := protocol.Marshal(o)
-		c.setOpen(records.OpenKey(named.ref), b, named.openVersion+1, late)
+		c.applyOpenRecord(records.OpenKey(named.id), b, named.openVersion+1, late)
 		c.commit(late)
-		isNamed := func(cl closing) bool { return cl.job == named }
-		if c.inCommit == nil || !slices.ContainsFunc(c.inCommit.closed, isNamed) {
+		isNamed := func(cl jobClosing) bool { return cl.job == named }
+		if c.batchInFlight == nil || !slices.ContainsFunc(c.batchInFlight.closed, isNamed) {
 			t.Error("a job whose record was read is not closed")
 		}
 	})
@@ -182,22 +182,22 @@
 func TestReadingFromBeforeClosing(t *testing.T) {
 	c, now := large(0, 1)
 	j := c.jobs["req-000000"]
-	raw, _ := protocol.Marshal(records.OpenJob{AcceptedMS: now.UnixMilli(), Job: j.desc})
-	record := protocol.KeyValue{Key: records.OpenKey(j.ref), Value: raw, Version: j.openVersion}
-	reading := eventsMsg{events: []protocol.WatchEvent{{Set: record.Key, Value: raw, Version: record.Version}}, asOf: now.Add(time.Second)}
+	raw, _ := protocol.Marshal(records.OpenJob{AcceptedMS: now.UnixMilli(), Job: j.spec})
+	record := protocol.KeyValue{Key: records.OpenKey(j.id), Value: raw, Version: j.openVersion}
+	reading := watchResult{events: []protocol.WatchEvent{{Set: record.Key, Value: raw, Version: record.Version}}, asOf: now.Add(time.Second)}
 	c.lookingUp, c.lookupBegan = true, now.Add(time.Second)
-	c.onClosed(closing{j, records.FinalRecord{Phase: protocol.PhaseDone, ClosedMS: now.UnixMilli()}}, now.Add(2*time.Second))
+	c.onClosed(jobClosing{j, records.FinalRecord{Phase: protocol.PhaseDone, ClosedMS: now.UnixMilli()}}, now.Add(2*time.Second))
 	long := now.Add(2 * tuning.RereadInterval)
-	c.forgetClosed()
-	c.onEvents(reading, long)
-	c.forgetClosed()
-	c.onEvents(eventsMsg{asOf: now.Add(3 * time.Second)}, long)
-	c.forgetClosed()
-	c.onLookup(lookupMsg{open: []protocol.KeyValue{record}}, long)
+	c.pruneClosedJobs()
+	c.onWatchResult(reading, long)
+	c.pruneClosedJobs()
+	c.onWatchResult(watchResult{asOf: now.Add(3 * time.Second)}, long)
+	c.pruneClosedJobs()
+	c.onDependencyLookup(dependencyLookup{open: []protocol.KeyValue{record}}, long)
 	if len(c.jobs) > 0 {
 		t.Error("a closed job was opened again")
 	}
-	if c.forgetClosed(); len(c.closed) > 0 {
+	if c.pruneClosedJobs(); len(c.closedJobs) > 0 {
 		t.Error("a closed job is remembered though no reading can name it")
 	}
 }
@@ -208,16 +208,16 @@
 	c, now := large(1, 1)
 	j, m := c.jobs["req-000000"], c.machines["m-000000"]
 	until := now.Add(time.Hour)
-	j.unread = true
-	j.rest(until)
+	j.recordUnreadable = true
+	j.backOff(until)
 	for _, cause := range []string{protocol.ExitError, protocol.ExitUnknownTask} {
 		for _, p := range m.Placements {
-			c.end([]cluster.EndedPlacement{{Placement: p, ExitReason: cause}}, now)
+			c.endPlacements([]cluster.EndedPlacement{{Placement: p, ExitReason: cause}}, now)
 			break
 		}
 	}
-	if !j.restUntil.Equal(until) {
-		t.Errorf("a rest of an hour became one of %v", j.restUntil.Sub(now))
+	if !j.backoffUntil.Equal(until) {
+		t.Errorf("a rest of an hour became one of %v", j.backoffUntil.Sub(now))
 	}
 }
 
@@ -229,7 +229,7 @@
 	r.Tasks = append(r.Tasks, stray, protocol.TaskStatus{Task: "req-999999/0", Attempt: 1, State: protocol.TaskExited},
 		protocol.TaskStatus{Task: "nonsense", Attempt: 1, State: protocol.TaskFetching})
 	var stopped []string
-	for _, order := range c.onReport(r, now).Commands {
+	for _, order := range c.onHeartbeat(r, now).Commands {
 		if order.Verb == protocol.VerbStop {
 			stopped = append(stopped, order.Task)
 		}
@@ -237,7 +237,7 @@
 	if d := cmp.Diff([]string{stray.Task, "nonsense"}, stopped); d != "" {
 		t.Error("stopped", d)
 	}
-	c.decide(now)
+	c.schedule(now)
 	want := []UnknownTask{
 		{Task: stray.Task, Attempt: 9, State: protocol.TaskRunning, Machine: "m-000000", Job: "the task waits"},
 		{Task: "nonsense", Attempt: 1, State: protocol.TaskFetching, Machine: "m-000000", Job: "not open"},
@@ -245,9 +245,9 @@
 	if d := cmp.Diff(want, c.status.Unknown); d != "" || c.status.UnknownTasks != 2 {
 		t.Errorf("%d unknown tasks, %s", c.status.UnknownTasks, d)
 	}
-	c.onReport(fullReport(c, 0, 3), now)
-	c.summarized = time.Time{}
-	if c.decide(now); c.status.UnknownTasks != 0 {
+	c.onHeartbeat(fullReport(c, 0, 3), now)
+	c.lastSummary = time.Time{}
+	if c.schedule(now); c.status.UnknownTasks != 0 {
 		t.Errorf("%d unknown tasks after they have ended", c.status.UnknownTasks)
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -23,15 +23,15 @@
 	"marblehaven/internal/tuning"
 )
 
-// Deps is what a leader works with.
-type Deps struct {
+// Dependencies is what a leader works with.
+type Dependencies struct {
 	Config *config.Config
 	Store  *kvstore.Client
 	Cloud  *cloud.Client
-	Worker *agent.Client
+	Agents *agent.Client
 	Log    *slog.Logger
-	// OnTerm tells of a newer term seen at a worker.
-	OnTerm func(n uint64)
+	// OnNewerTerm tells of a newer term seen at a worker.
+	OnNewerTerm func(n uint64)
 	// Resign gives up the term for another node to take.
 	Resign func()
 	// Redirected is how many workers' reports the peers have sent on lately.
@@ -46,162 +46,162 @@
 var ErrNotEntitled = errors.New("not entitled to act")
 
 type (
-	reportMsg struct {
-		rep   *protocol.Heartbeat
-		reply chan *protocol.HeartbeatReply // nil answer: not entitled
+	heartbeatRequest struct {
+		heartbeat *protocol.Heartbeat
+		reply     chan *protocol.HeartbeatReply // nil answer: not entitled
 	}
-	doMsg struct {
-		m         *cluster.Machine
-		rep       *protocol.Heartbeat
+	commandResult struct {
+		machine   *cluster.Machine
+		status    *protocol.Heartbeat
 		starts    bool
 		handshake bool
 		err       error
 	}
-	commitMsg struct {
-		b        *batch
-		revision uint64
-		failed   []string
-		err      error
+	commitResult struct {
+		batch      *batch
+		revision   uint64
+		failedKeys []string
+		err        error
 	}
-	eventsMsg struct {
+	watchResult struct {
 		events []protocol.WatchEvent
 		asOf   time.Time // every cancellation told before it is in here
 	}
-	termMsg   struct{ asOf time.Time }
-	lookupMsg struct {
-		outcomes map[string]outcome
+	termConfirmation struct{ asOf time.Time }
+	dependencyLookup struct {
+		outcomes map[string]dependencyOutcome
 		open     []protocol.KeyValue
 	}
-	versionsMsg struct {
+	versionsResult struct {
 		formats   map[string]int // by controller
 		committed bool           // the whole cluster uses ledger.FormatOwn
 	}
-	listMsg struct {
+	machineListResult struct {
 		began    time.Time
 		machines []protocol.ListedMachine
 		err      error
 	}
-	catalogMsg struct {
+	catalogResult struct {
 		types []protocol.MachineType
 	}
-	rentMsg struct {
-		c     *claim
-		hosts []string
-		err   error
+	provisionResult struct {
+		request    *provisioning
+		machineIDs []string
+		err        error
 	}
-	returnMsg struct{ err error }
-	statusMsg struct{ reply chan Status }
+	deprovisionResult struct{ err error }
+	statusRequest     struct{ reply chan Status }
 )
 
-type claim struct {
+type provisioning struct {
 	records.ProvisioningRequest
-	recorded, calling, settled bool
-	hosts                      []string
-	callAt                     time.Time
-	drop                       bool // its record may go
+	recorded, calling, resolved bool
+	machineIDs                  []string
+	nextCall                    time.Time
+	obsolete                    bool // its record may go
 }
 
-// Controller is the leader of one term.
-type Controller struct {
-	Deps
-	term  election.Leadership
-	inbox chan any
-	ctx   context.Context
+// Leader is the leader of one term.
+type Leader struct {
+	Dependencies
+	leadership election.Leadership
+	inbox      chan any
+	ctx        context.Context
 
-	jobs     map[string]*job
-	machines map[string]*cluster.Machine
-	sorted   []*cluster.Machine // the same, by name
-	floor    uint64             // the first token of a machine that becomes known
-	gone     map[string]time.Time
-	closed   map[string]time.Time // jobs closed lately, see forgetClosed
-	claims   map[string]*claim
-	claimSeq int
-	types    []protocol.MachineType
-	typeIdx  map[string]int
-	refused  map[offer]*refusal
-	est      estimator
+	jobs              map[string]*jobState
+	machines          map[string]*cluster.Machine
+	sorted            []*cluster.Machine // the same, by name
+	firstToken        uint64             // the first token of a machine that becomes known
+	removedMachines   map[string]time.Time
+	closedJobs        map[string]time.Time // jobs closed lately, see forgetClosed
+	provisionRequests map[string]*provisioning
+	provisionSequence int
+	machineTypes      []protocol.MachineType
+	typeIndex         map[string]int
+	capacityBackoffs  map[capacityPool]*capacityBackoff
+	estimator         estimator
 
-	takeover    time.Time
-	fitSince    time.Time // since when reports could have been answered all the time
-	heardMost   bool      // most machines were heard at some time in this term
-	asOfFollow  time.Time
-	asOfTerm    time.Time
-	asOfPeers   time.Time // see extendAuthority
-	inCommit    *batch
-	commitAfter time.Time
-	hints       map[string]*records.ImageInventory // of an earlier leader, by machine
-	hintAt      time.Time
-	hintPart    int // the next hint's number
-	hintFrom    int // the first machine, of the sorted ones, that it describes
-	// failingSince is since when every commit has failed; zero: the last did not.
-	failingSince time.Time
-	leftovers    []leftover // pieces of closed jobs that are to be removed
-	format       int        // the version of the formats that the whole cluster uses
-	formats      map[string]int
+	tookOverAt        time.Time
+	answeringSince    time.Time // since when reports could have been answered all the time
+	heardMajority     bool      // most machines were heard at some time in this term
+	confirmedByWatch  time.Time
+	confirmedByTerm   time.Time
+	confirmedByPeers  time.Time // see extendAuthority
+	batchInFlight     *batch
+	nextCommit        time.Time
+	inheritedImages   map[string]*records.ImageInventory // of an earlier leader, by machine
+	nextInventorySave time.Time
+	inventoryPart     int // the next hint's number
+	inventoryFrom     int // the first machine, of the sorted ones, that it describes
+	// commitFailingSince is since when every commit has failed; zero: the last did not.
+	commitFailingSince time.Time
+	orphanedSegments   []orphanedSegment // pieces of closed jobs that are to be removed
+	format             int               // the version of the formats that the whole cluster uses
+	controllerFormats  map[string]int
 
-	dependents  map[string][]string // jobs that wait for the one named
-	outcomes    map[string]outcome  // final phases of jobs, as far as they were needed
-	lookingUp   bool
-	lookupBegan time.Time // of the lookup under way
-	lookupAt    time.Time // no lookup before
-	writes      *rate.Limiter
-	listed      bool
-	listing     bool
-	cloudOK     bool
-	nextList    time.Time
-	catalogAt   time.Time
-	loadedTypes bool
-	lastPass    time.Time                 // when the last pass ended
-	lastRunning int                       // entries of the last snapshot's machines, for the next one's size
-	passTook    time.Duration             // how long it took
-	changed     bool                      // something that decisions depend on has changed
-	touched     map[*cluster.Machine]bool // have something to be sent
-	toHandshake []*cluster.Machine        // see planHandshakes
-	handshaking int                       // handshakes under way
-	toReturn    []*cluster.Machine        // to be given back
-	returning   []*cluster.Machine        // in the call that is under way
-	returnAfter time.Time
-	summarized  time.Time
-	lateLogged  time.Time
-	status      Status
-	gpuRank     int // see sched.Snapshot
-	gpuNeed     scheduler.Resources
+	dependents          map[string][]string          // jobs that wait for the one named
+	outcomes            map[string]dependencyOutcome // final phases of jobs, as far as they were needed
+	lookingUp           bool
+	lookupBegan         time.Time // of the lookup under way
+	lookupAt            time.Time // no lookup before
+	writeLimiter        *rate.Limiter
+	machinesListed      bool
+	listInFlight        bool
+	cloudOK             bool
+	nextList            time.Time
+	catalogAt           time.Time
+	typesLoaded         bool
+	lastCycle           time.Time                 // when the last pass ended
+	lastRunning         int                       // entries of the last snapshot's machines, for the next one's size
+	cycleTook           time.Duration             // how long it took
+	changed             bool                      // something that decisions depend on has changed
+	pendingDispatch     map[*cluster.Machine]bool // have something to be sent
+	handshakeQueue      []*cluster.Machine        // see planHandshakes
+	handshakesInFlight  int                       // handshakes under way
+	deprovisionQueue    []*cluster.Machine        // to be given back
+	deprovisionInFlight []*cluster.Machine        // in the call that is under way
+	nextDeprovision     time.Time
+	lastSummary         time.Time
+	lateLogged          time.Time
+	status              Status
+	gpuPriority         int // see sched.Snapshot
+	gpuRequest          scheduler.Resources
 }
 
-type offer struct {
-	typ, zone string
-	spot      bool
+type capacityPool struct {
+	machineType, zone string
+	spot              bool
 }
 
-type refusal struct {
+type capacityBackoff struct {
 	until time.Time
-	pause time.Duration
+	delay time.Duration
 }
 
 // New makes the leader of a term.
-func New(d Deps, term election.Leadership) *Controller {
+func New(d Dependencies, term election.Leadership) *Leader {
 	limits := d.Config.Deployment.State.Smaller()
 	floor := term.Term << tuning.TermShift
 	wr := limits.WriteRPS * tuning.LeaderWriteShare
-	return &Controller{
-		Deps: d, term: term,
+	return &Leader{
+		Dependencies: d, leadership: term,
 		// A report that waits holds a connection, so that none is refused here:
 		// after a takeover all workers report at once.
 		inbox: make(chan any, d.Config.Deployment.Sockets(len(d.Config.Peers)).Incoming),
-		jobs:  map[string]*job{}, machines: map[string]*cluster.Machine{}, gone: map[string]time.Time{}, closed: map[string]time.Time{}, hints: map[string]*records.ImageInventory{}, touched: map[*cluster.Machine]bool{},
-		floor: floor, gpuRank: -1, claims: map[string]*claim{}, refused: map[offer]*refusal{}, typeIdx: map[string]int{},
-		est:     estimator{off: d.Config.Operator.Estimator == "user", classes: map[string]*classRuns{}},
-		writes:  rate.NewLimiter(rate.Limit(wr), max(int(wr), limits.TxnOps)),
-		format:  records.FormatWhole,
-		formats: map[string]int{}, dependents: map[string][]string{}, outcomes: map[string]outcome{},
+		jobs:  map[string]*jobState{}, machines: map[string]*cluster.Machine{}, removedMachines: map[string]time.Time{}, closedJobs: map[string]time.Time{}, inheritedImages: map[string]*records.ImageInventory{}, pendingDispatch: map[*cluster.Machine]bool{},
+		firstToken: floor, gpuPriority: -1, provisionRequests: map[string]*provisioning{}, capacityBackoffs: map[capacityPool]*capacityBackoff{}, typeIndex: map[string]int{},
+		estimator:         estimator{off: d.Config.Operator.Estimator == "user", classes: map[string]*classRuns{}},
+		writeLimiter:      rate.NewLimiter(rate.Limit(wr), max(int(wr), limits.TxnOps)),
+		format:            records.FormatWhole,
+		controllerFormats: map[string]int{}, dependents: map[string][]string{}, outcomes: map[string]dependencyOutcome{},
 	}
 }
 
-// Report answers a worker's report, or fails with ErrNotEntitled.
-func (c *Controller) Report(ctx context.Context, rep *protocol.Heartbeat) (*protocol.HeartbeatReply, error) {
+// Heartbeat answers a worker's report, or fails with ErrNotEntitled.
+func (c *Leader) Heartbeat(ctx context.Context, rep *protocol.Heartbeat) (*protocol.HeartbeatReply, error) {
 	reply := make(chan *protocol.HeartbeatReply, 1)
 	select {
-	case c.inbox <- reportMsg{rep, reply}:
+	case c.inbox <- heartbeatRequest{rep, reply}:
 	default:
 		return nil, ErrNotEntitled // overloaded: the worker tries again
 	}
@@ -219,10 +219,10 @@
 }
 
 // Status asks for a summary.
-func (c *Controller) Status(ctx context.Context) (Status, bool) {
+func (c *Leader) Status(ctx context.Context) (Status, bool) {
 	reply := make(chan Status, 1)
 	select {
-	case c.inbox <- statusMsg{reply}:
+	case c.inbox <- statusRequest{reply}:
 	case <-c.ctx.Done():
 		return Status{}, false
 	case <-ctx.Done():
@@ -238,19 +238,19 @@
 }
 
 // Bind sets the context of the term; it comes before any other call.
-func (c *Controller) Bind(ctx context.Context) { c.ctx = ctx }
+func (c *Leader) Bind(ctx context.Context) { c.ctx = ctx }
 
 // Run leads until the context given to Bind ends.
-func (c *Controller) Run() {
+func (c *Leader) Run() {
 	ctx := c.ctx
-	c.takeover = time.Now()
-	c.fitSince = c.takeover.Add(tuning.AgentRetry)
+	c.tookOverAt = time.Now()
+	c.answeringSince = c.tookOverAt.Add(tuning.AgentRetry)
 	rev, ok := c.load(ctx)
 	if !ok {
 		return
 	}
-	c.Log.Info("records read", "term", c.term.Term, "jobs", len(c.jobs), "machines", len(c.machines), "claims", len(c.claims))
-	go c.follow(ctx, rev)
+	c.Log.Info("records read", "term", c.leadership.Term, "jobs", len(c.jobs), "machines", len(c.machines), "claims", len(c.provisionRequests))
+	go c.watchOpenJobs(ctx, rev)
 	go c.confirmTerm(ctx)
 	go c.watchVersions(ctx)
 	tick := time.NewTicker(tuning.TickInterval)
@@ -279,55 +279,55 @@
 		case <-passTimer.C:
 			armed = false
 			start := time.Now()
-			c.pass(start)
-			c.lastPass = time.Now()
-			c.passTook = c.lastPass.Sub(start)
+			c.runCycle(start)
+			c.lastCycle = time.Now()
+			c.cycleTook = c.lastCycle.Sub(start)
 			continue
 		}
 		if c.changed && !armed {
 			armed = true
-			passTimer.Reset(c.passGap() - time.Since(c.lastPass))
+			passTimer.Reset(c.cycleInterval() - time.Since(c.lastCycle))
 		}
 	}
 }
 
-// passGap is the least time between two passes. It grows with what a pass
+// cycleInterval is the least time between two passes. It grows with what a pass
 // takes, so that decisions never starve the answers to workers.
-func (c *Controller) passGap() time.Duration {
-	return min(max(tuning.CycleInterval, tuning.CyclePauseFactor*c.passTook), tuning.CycleIntervalMax)
+func (c *Leader) cycleInterval() time.Duration {
+	return min(max(tuning.CycleInterval, tuning.CyclePauseFactor*c.cycleTook), tuning.CycleIntervalMax)
 }
 
-func (c *Controller) handle(m any) {
+func (c *Leader) handle(m any) {
 	now := time.Now()
 	switch m := m.(type) {
-	case reportMsg:
-		m.reply <- c.onReport(m.rep, now)
-	case doMsg:
-		c.onDo(m, now)
-	case commitMsg:
+	case heartbeatRequest:
+		m.reply <- c.onHeartbeat(m.heartbeat, now)
+	case commandResult:
+		c.onCommandResult(m, now)
+	case commitResult:
 		c.onCommit(m, now)
-	case eventsMsg:
-		c.onEvents(m, now)
-	case termMsg:
-		c.asOfTerm = m.asOf
-	case lookupMsg:
-		c.onLookup(m, now)
-	case versionsMsg:
+	case watchResult:
+		c.onWatchResult(m, now)
+	case termConfirmation:
+		c.confirmedByTerm = m.asOf
+	case dependencyLookup:
+		c.onDependencyLookup(m, now)
+	case versionsResult:
 		c.onVersions(m)
-	case listMsg:
-		c.onList(m, now)
-	case catalogMsg:
+	case machineListResult:
+		c.onMachineList(m, now)
+	case catalogResult:
 		c.onCatalog(m, now)
-	case rentMsg:
-		c.onRent(m, now)
-	case returnMsg:
-		c.onReturn(m, now)
-	case statusMsg:
+	case provisionResult:
+		c.onProvisionResult(m, now)
+	case deprovisionResult:
+		c.onDeprovisionResult(m, now)
+	case statusRequest:
 		m.reply <- c.status
 	}
 }
 
-func (c *Controller) send(m any) {
+func (c *Leader) post(m any) {
 	select {
 	case c.inbox <- m:
 	case <-c.ctx.Done():
@@ -336,14 +336,14 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (c *Controller) token() uint64 { return c.term.Term << tuning.TermShift }
+func (c *Leader) termToken() uint64 { return c.leadership.Term << tuning.TermShift }
 
-func (c *Controller) bootS(m *cluster.Machine) float64 {
-	if i, ok := c.typeIdx[m.Type]; ok {
-		return c.types[i].BootS
+func (c *Leader) bootS(m *cluster.Machine) float64 {
+	if i, ok := c.typeIndex[m.Type]; ok {
+		return c.machineTypes[i].BootS
 	}
 	worst := 0.0
-	for _, t := range c.types {
+	for _, t := range c.machineTypes {
 		worst = math.Max(worst, t.BootS)
 	}
 	return worst
--- a/internal/leader/runrecord.go
+++ b/internal/leader/runrecord.go
@@ -8,30 +8,30 @@
 	"marblehaven/internal/tuning"
 )
 
-// piece is what the leader knows of a piece of a job's run record.
-type piece struct {
-	version uint64    // 0: not written yet
-	dirty   bool      // it lags behind what must be in it
-	urgent  bool      // it holds starts
-	dirtyAt time.Time // since when
-	removed bool      // the commit under way closes the job and removes it
+// segment is what the leader knows of a piece of a job's run record.
+type segment struct {
+	version     uint64    // 0: not written yet
+	dirty       bool      // it lags behind what must be in it
+	holdsStarts bool      // it holds starts
+	dirtySince  time.Time // since when
+	removed     bool      // the commit under way closes the job and removes it
 }
 
-// piece returns a piece of the run record by its number.
-func (j *job) piece(number int) *piece {
-	for len(j.pieces) <= number {
-		j.pieces = append(j.pieces, piece{})
+// segment returns a piece of the run record by its number.
+func (j *jobState) segment(number int) *segment {
+	for len(j.segments) <= number {
+		j.segments = append(j.segments, segment{})
 	}
-	return &j.pieces[number]
+	return &j.segments[number]
 }
 
-func (j *job) written(number int) bool {
-	return number < len(j.pieces) && j.pieces[number].version > 0
+func (j *jobState) written(number int) bool {
+	return number < len(j.segments) && j.segments[number].version > 0
 }
 
 // owns tells whether a task is kept in the piece with the number. The first also
 // keeps the tasks of pieces that were not written yet (see ledger.Assemble).
-func (j *job) owns(number, task int) bool {
+func (j *jobState) owns(number, task int) bool {
 	own := records.SegmentOf(task)
 	if number != 0 {
 		return own == number
@@ -39,15 +39,15 @@
 	return own == 0 || !j.written(own)
 }
 
-// record is a piece of the run record in the present state.
-func (j *job) record(number int) records.RunRecord {
-	r := records.RunRecord{NextAttempt: j.next, Done: j.doneIn(number), Placements: []records.Placement{}}
-	for n, p := range j.live {
+// segmentRecord is a piece of the run record in the present state.
+func (j *jobState) segmentRecord(number int) records.RunRecord {
+	r := records.RunRecord{NextAttempt: j.nextAttempt, Done: j.doneInSegment(number), Placements: []records.Placement{}}
+	for n, p := range j.placements {
 		if !j.owns(number, n) {
 			continue
 		}
 		placement := records.Placement{Task: n, Attempt: p.Attempt, Machine: p.Machine.ID, Incarnation: p.Incarnation}
-		if j.desc.Spread || j.desc.OneZone {
+		if j.spec.Spread || j.spec.OneZone {
 			placement.Zone = p.Machine.Zone
 		}
 		r.Placements = append(r.Placements, placement)
@@ -56,14 +56,14 @@
 	return r
 }
 
-// doneIn is the part of the done tasks that is kept in the piece with the number.
-func (j *job) doneIn(number int) records.TaskRanges {
+// doneInSegment is the part of the done tasks that is kept in the piece with the number.
+func (j *jobState) doneInSegment(number int) records.TaskRanges {
 	if number != 0 {
 		first := number * tuning.SegmentTasks
-		return j.done.Within(first, first+tuning.SegmentTasks-1)
+		return j.doneTasks.Within(first, first+tuning.SegmentTasks-1)
 	}
 	out := records.TaskRanges{}
-	for _, e := range j.done {
+	for _, e := range j.doneTasks {
 		for low := e[0]; low <= e[1]; {
 			high := min(e[1], (records.SegmentOf(low)+1)*tuning.SegmentTasks-1)
 			if j.owns(0, low) {
@@ -75,14 +75,14 @@
 	return out
 }
 
-// divide marks the pieces that only the first one holds as yet to be written. It
+// splitSegments marks the pieces that only the first one holds as yet to be written. It
 // returns false if there are none.
-func (j *job) divide(urgent bool, now time.Time) bool {
+func (j *jobState) splitSegments(urgent bool, now time.Time) bool {
 	found := map[int]bool{}
-	for n := range j.live {
+	for n := range j.placements {
 		found[records.SegmentOf(n)] = true
 	}
-	for _, e := range j.done {
+	for _, e := range j.doneTasks {
 		for number := records.SegmentOf(e[0]); number <= records.SegmentOf(e[1]); number++ {
 			found[number] = true
 		}
@@ -90,29 +90,29 @@
 	divided := false
 	for number := range found {
 		if number > 0 && !j.written(number) {
-			j.piece(number).mark(urgent, now)
+			j.segment(number).markDirty(urgent, now)
 			divided = true
 		}
 	}
 	return divided
 }
 
-// mark notes that the piece lags behind what must be in it.
-func (p *piece) mark(urgent bool, now time.Time) {
+// markDirty notes that the piece lags behind what must be in it.
+func (p *segment) markDirty(urgent bool, now time.Time) {
 	if !p.dirty {
-		p.dirty, p.dirtyAt = true, now
+		p.dirty, p.dirtySince = true, now
 	}
-	p.urgent = p.urgent || urgent
+	p.holdsStarts = p.holdsStarts || urgent
 }
 
 // markDirty notes that the record of a task lags behind. The first piece holds the
 // whole job until the whole cluster reads pieces, and where the whole surely fits in
 // a value: each piece that changes is a write.
-func (c *Controller) markDirty(j *job, task int, urgent bool, now time.Time) {
+func (c *Leader) markDirty(j *jobState, task int, urgent bool, now time.Time) {
 	number := records.SegmentOf(task)
-	undivided := c.format < records.FormatSegmented || j.desc.Tasks*tuning.RecordEntryBytes <= c.Store.MaxValueBytes()
+	undivided := c.format < records.FormatSegmented || j.spec.Tasks*tuning.RecordEntryBytes <= c.Store.MaxValueBytes()
 	if undivided && !j.written(number) {
 		number = 0
 	}
-	j.piece(number).mark(urgent, now)
+	j.segment(number).markDirty(urgent, now)
 }
--- a/internal/leader/runrecord_test.go
+++ b/internal/leader/runrecord_test.go
@@ -44,7 +44,7 @@
 	for range 200 {
 		tasks := 1 + rng.IntN(200)
 		j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: tasks}}, 1, time.Now())
-		c := &Controller{format: records.FormatWhole}
+		c := &Leader{format: records.FormatWhole}
 		c.Store = kvstore.New("state:1", &calls{}, nil, config.State{StateLimits: config.StateLimits{ValueKB: float64(1 + rng.IntN(8))}})
 		machine := &cluster.Machine{ID: "m-000001"}
 		stored := map[int]records.RunRecord{}
@@ -62,7 +62,7 @@
 					c.format = records.FormatSegmented
 				}
 				if c.format >= records.FormatSegmented && rng.IntN(4) == 0 {
-					j.divide(false, time.Now())
+					j.splitSegments(false, time.Now())
 				}
 			}
 			whole := records.JoinSegments(stored)
@@ -74,25 +74,25 @@
 }
 
 // changeTask starts a task, completes it, or takes its placement back.
-func changeTask(j *job, task int, machine *cluster.Machine, rng *rand.Rand) {
+func changeTask(j *jobState, task int, machine *cluster.Machine, rng *rand.Rand) {
 	switch {
-	case j.done.Has(task):
-	case j.live[task] == nil:
-		j.live[task] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.ref, Task: task}, Attempt: j.next, Machine: machine}
-		j.next++
+	case j.doneTasks.Has(task):
+	case j.placements[task] == nil:
+		j.placements[task] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.id, Task: task}, Attempt: j.nextAttempt, Machine: machine}
+		j.nextAttempt++
 	case rng.IntN(2) == 0:
-		delete(j.live, task)
+		delete(j.placements, task)
 	default:
-		delete(j.live, task)
-		j.done.Add(task)
+		delete(j.placements, task)
+		j.doneTasks.Add(task)
 	}
 }
 
 // writePiece writes one of the pieces that lag behind.
-func writePiece(j *job, rng *rand.Rand, stored map[int]records.RunRecord, model []taskState, version uint64) {
+func writePiece(j *jobState, rng *rand.Rand, stored map[int]records.RunRecord, model []taskState, version uint64) {
 	var dirty []int
-	for number := range j.pieces {
-		if j.pieces[number].dirty {
+	for number := range j.segments {
+		if j.segments[number].dirty {
 			dirty = append(dirty, number)
 		}
 	}
@@ -105,16 +105,16 @@
 			continue
 		}
 		model[task] = 0
-		if p := j.live[task]; p != nil {
+		if p := j.placements[task]; p != nil {
 			model[task] = taskState(p.Attempt)
 		}
-		if j.done.Has(task) {
+		if j.doneTasks.Has(task) {
 			model[task] = completed
 		}
 	}
-	stored[number] = j.record(number)
-	p := j.piece(number)
-	p.version, p.dirty, p.urgent = version, false, false
+	stored[number] = j.segmentRecord(number)
+	p := j.segment(number)
+	p.version, p.dirty, p.holdsStarts = version, false, false
 }
 
 // A record of the whole job that is beyond the limits by now is divided, its other
@@ -127,26 +127,26 @@
 	c.Store = kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(c.Log), limits)
 	c.useFormat(records.FormatSegmented)
 	j := c.jobs["req-000000"]
-	j.desc.Tasks = 300
+	j.spec.Tasks = 300
 	machine := &cluster.Machine{ID: "m-000001", Placements: map[cluster.TaskKey]*cluster.Placement{}}
 	for task := range 300 {
-		p := &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.ref, Task: task}, Attempt: j.next, Machine: machine, Recorded: true, Sent: true}
-		j.live[task], machine.Placements[p.TaskKey] = p, p
-		j.next++
+		p := &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.id, Task: task}, Attempt: j.nextAttempt, Machine: machine, Recorded: true, Sent: true}
+		j.placements[task], machine.Placements[p.TaskKey] = p, p
+		j.nextAttempt++
 	}
-	j.piece(0).version = 1
-	c.end([]cluster.EndedPlacement{{Placement: j.live[3], ExitReason: protocol.ExitDone}}, now)
-	stored := map[int]records.RunRecord{0: {NextAttempt: j.next}}
-	for commits := 0; j.piece(0).dirty; commits++ {
+	j.segment(0).version = 1
+	c.endPlacements([]cluster.EndedPlacement{{Placement: j.placements[3], ExitReason: protocol.ExitDone}}, now)
+	stored := map[int]records.RunRecord{0: {NextAttempt: j.nextAttempt}}
+	for commits := 0; j.segment(0).dirty; commits++ {
 		if commits > 20 {
 			t.Fatal("the record is not written")
 		}
 		now = now.Add(time.Second)
-		b := &batch{opsMost: 6}
+		b := &batch{maxMutations: 6}
 		later := now.Add(time.Minute)
-		c.addJobs(b, c.dueWrites(later), 1000, later)
-		for i, w := range b.runs {
-			raw := b.txn.Mutations[i].Value.(msgpack.RawMessage)
+		c.addJobs(b, c.pendingWrites(later), 1000, later)
+		for i, w := range b.segments {
+			raw := b.transaction.Mutations[i].Value.(msgpack.RawMessage)
 			if size, err := protocol.JSONSize(raw); err != nil || size > c.Store.MaxValueBytes() {
 				t.Errorf("piece %d of %d bytes, %v", w.number, size, err)
 			}
@@ -159,8 +159,8 @@
 		}
 	}
 	whole := records.JoinSegments(stored)
-	if len(j.live) != 299 || len(whole.Placements) != 299 || whole.Done.Count() != 1 {
-		t.Errorf("%d run; recorded are %d and %v done", len(j.live), len(whole.Placements), whole.Done)
+	if len(j.placements) != 299 || len(whole.Placements) != 299 || whole.Done.Count() != 1 {
+		t.Errorf("%d run; recorded are %d and %v done", len(j.placements), len(whole.Placements), whole.Done)
 	}
 }
 
@@ -168,17 +168,17 @@
 func TestPieceFits(t *testing.T) {
 	for _, share := range []int{0, 2, 3, 1000} {
 		j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Tasks: tuning.MaxTasks, Spread: true}}, 1, time.Now())
-		j.next = 900 << tuning.TermShift
+		j.nextAttempt = 900 << tuning.TermShift
 		number := records.SegmentCount(tuning.MaxTasks) - 1
 		for task := number * tuning.SegmentTasks; task < tuning.MaxTasks; task++ {
 			if share > 0 && task%share == 0 {
-				j.done.Add(task)
+				j.doneTasks.Add(task)
 				continue
 			}
-			j.live[task] = &cluster.Placement{TaskKey: cluster.TaskKey{Task: task}, Attempt: j.next, Incarnation: 99,
+			j.placements[task] = &cluster.Placement{TaskKey: cluster.TaskKey{Task: task}, Attempt: j.nextAttempt, Incarnation: 99,
 				Machine: &cluster.Machine{ID: "m-123456", Zone: "north-west-10"}}
 		}
-		raw, err := protocol.Marshal(j.record(number))
+		raw, err := protocol.Marshal(j.segmentRecord(number))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -7,39 +7,41 @@
 	"marblehaven/internal/tuning"
 )
 
-// silence is how long a machine may be silent and still be given new work.
-func (c *Controller) silence() time.Duration {
+// schedulableSilence is how long a machine may be silent and still be given new work.
+func (c *Leader) schedulableSilence() time.Duration {
 	return seconds(c.Config.Deployment.Workers.ReportS * tuning.SchedulableHeartbeats)
 }
 
-// unheard is how long a machine may be silent before it is asked after, or counts as
+// unreachableAfter is how long a machine may be silent before it is asked after, or counts as
 // not heard.
-func (c *Controller) unheard() time.Duration {
+func (c *Leader) unreachableAfter() time.Duration {
 	return seconds(c.Config.Deployment.Workers.ReportS * tuning.MissedHeartbeats)
 }
 
-// counts tells whether a machine is one that should be heard: it has been, or there
+// expectedToReport tells whether a machine is one that should be heard: it has been, or there
 // are tasks on it.
-func counts(m *cluster.Machine) bool { return !m.Deprovisioning && (m.Up || len(m.Placements) > 0) }
+func expectedToReport(m *cluster.Machine) bool {
+	return !m.Deprovisioning && (m.Up || len(m.Placements) > 0)
+}
 
-// presumedLost picks silent machines whose tasks need not wait for the lease:
+// unreachableMachines picks silent machines whose tasks need not wait for the lease:
 // giving a machine back proves that they are gone. A machine whose notice is
 // over is one; so is one that answers no direct call either, sooner if production
 // or a gang waits for it, unless much of its zone is silent: then it is the link
 // that failed, and the work goes on there.
-func (c *Controller) presumedLost(now time.Time) map[*cluster.Machine]bool {
+func (c *Leader) unreachableMachines(now time.Time) map[*cluster.Machine]bool {
 	out := map[*cluster.Machine]bool{}
-	interval, unheard := seconds(c.Config.Deployment.Workers.ReportS), c.unheard()
+	interval, unheard := seconds(c.Config.Deployment.Workers.ReportS), c.unreachableAfter()
 	var deaf, mute []*cluster.Machine
 	up := 0
 	inZone, silentIn := map[string]int{}, map[string]int{}
 	for _, m := range c.machines {
-		if !counts(m) {
+		if !expectedToReport(m) {
 			continue
 		}
 		silent := now.Sub(m.LastContact)
 		if !m.Up {
-			silent = now.Sub(c.takeover) // it was heard by an earlier leader at best
+			silent = now.Sub(c.tookOverAt) // it was heard by an earlier leader at best
 		}
 		inZone[m.Zone]++
 		if silent > interval {
@@ -48,7 +50,7 @@
 		if silent > unheard && len(m.Placements) > 0 {
 			mute = append(mute, m)
 		}
-		if m.AcknowledgedToken < c.token() {
+		if m.AcknowledgedToken < c.termToken() {
 			continue
 		}
 		up++
@@ -64,14 +66,14 @@
 		if float64(silentIn[m.Zone]) > max(1, float64(inZone[m.Zone])*tuning.ZoneOutageShare) {
 			continue
 		}
-		long := now.Sub(m.LastContact) > lost && now.Sub(c.takeover) > lost
+		long := now.Sub(m.LastContact) > lost && now.Sub(c.tookOverAt) > lost
 		switch {
 		case m.UnansweredCommands >= tuning.UnreachableCommands:
-			out[m] = long || c.urgent(m)
+			out[m] = long || c.runsUrgentWork(m)
 		case m.Addr == "": // not listed either, so there is nothing to call
-			out[m] = long && c.listed
+			out[m] = long && c.machinesListed
 		case !m.CommandInFlight:
-			c.do(m, nil, lastSession(m), false, false)
+			c.sendCommands(m, nil, lastIncarnation(m), false, false)
 		}
 	}
 	// Machines whose reports come although nothing reaches them are as lost, but
@@ -84,44 +86,44 @@
 	return out
 }
 
-// urgent tells whether the machine has what should not wait for its lease: a
+// runsUrgentWork tells whether the machine has what should not wait for its lease: a
 // player-facing service, or a task of a gang, whose others can do nothing
 // meanwhile and whose machines stand idle.
-func (c *Controller) urgent(m *cluster.Machine) bool {
+func (c *Leader) runsUrgentWork(m *cluster.Machine) bool {
 	for k := range m.Placements {
-		if j := c.jobs[k.Job]; j != nil && j.gang() && j.desc.Tasks > 1 {
+		if j := c.jobs[k.Job]; j != nil && j.isGang() && j.spec.Tasks > 1 {
 			return true
 		}
 	}
-	return c.production(m)
+	return c.runsProduction(m)
 }
 
-// production tells whether the machine has player-facing services.
-func (c *Controller) production(m *cluster.Machine) bool {
+// runsProduction tells whether the machine has player-facing services.
+func (c *Leader) runsProduction(m *cluster.Machine) bool {
 	for k := range m.Placements {
-		if j := c.jobs[k.Job]; j != nil && j.rank() == 0 {
+		if j := c.jobs[k.Job]; j != nil && j.priority() == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// cutOff tells whether this leader hears next to nothing of the machines although
+// isolated tells whether this leader hears next to nothing of the machines although
 // the state service keeps it in its term. Their leases run out all together, while
 // another node may well hear them. It must have heard them before, or its peers
 // must hear more of them than it does: where the machines themselves are gone one
 // leader after another would leave, and none would ever learn that they are.
-func (c *Controller) cutOff(now time.Time) bool {
-	if now.Sub(c.confirmed()) > tuning.StartConfirmationAge && now.After(c.fitSince) {
-		c.fitSince = now
+func (c *Leader) isolated(now time.Time) bool {
+	if now.Sub(c.lastConfirmation()) > tuning.StartConfirmationAge && now.After(c.answeringSince) {
+		c.answeringSince = now
 	}
-	span := c.unheard()
-	if now.Sub(c.fitSince) < span {
+	span := c.unreachableAfter()
+	if now.Sub(c.answeringSince) < span {
 		return false
 	}
 	known, heard := 0, 0
 	for _, m := range c.machines {
-		if !counts(m) {
+		if !expectedToReport(m) {
 			continue
 		}
 		known++
@@ -129,7 +131,7 @@
 			heard++
 		}
 	}
-	c.heardMost = c.heardMost || 2*heard > known
+	c.heardMajority = c.heardMajority || 2*heard > known
 	return known >= tuning.IsolationMinMachines && float64(heard) < float64(known)*tuning.IsolationShare &&
-		(c.heardMost || c.Redirected() > max(heard, tuning.IsolationMinMachines))
+		(c.heardMajority || c.Redirected() > max(heard, tuning.IsolationMinMachines))
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -17,7 +17,7 @@
 	CloudOK  bool           `msgpack:"c"`
 	Classes  []ClassStatus  `msgpack:"k"`
 	Machines []MachineCount `msgpack:"m"`
-	Behind   []Behind       `msgpack:"b"`
+	Overdue  []OverdueJob   `msgpack:"b"`
 	// Format is the version of the formats that the whole cluster uses, and
 	// Versions what each controller reads.
 	Format   int           `msgpack:"f,omitempty"`
@@ -61,16 +61,16 @@
 	Other int    `msgpack:"o"`
 }
 
-// Behind is player-facing production work that waits longer than it should.
-type Behind struct {
+// OverdueJob is player-facing production work that waits longer than it should.
+type OverdueJob struct {
 	Job     string  `msgpack:"j"`
 	Class   string  `msgpack:"c"`
 	Missing int     `msgpack:"m"`
 	SinceS  float64 `msgpack:"s"`
 }
 
-func (c *Controller) summarize(s *scheduler.Snapshot, jobs []*job, plan scheduler.Plan, now time.Time) {
-	st := Status{Term: c.term.Term, CloudOK: c.cloudOK, Format: c.format, Versions: c.nodeVersions()}
+func (c *Leader) summarize(s *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan, now time.Time) {
+	st := Status{Term: c.leadership.Term, CloudOK: c.cloudOK, Format: c.format, Versions: c.nodeVersions()}
 	late := map[int]bool{}
 	for _, i := range plan.SlackSpent {
 		late[i] = true
@@ -80,16 +80,16 @@
 		if j.cancelled {
 			continue
 		}
-		k := classes[j.desc.Class]
+		k := classes[j.spec.Class]
 		if k == nil {
-			k = &ClassStatus{Class: j.desc.Class}
-			classes[j.desc.Class] = k
+			k = &ClassStatus{Class: j.spec.Class}
+			classes[j.spec.Class] = k
 		}
-		waiting := j.desc.Tasks - j.nDone - len(j.live)
+		waiting := j.spec.Tasks - j.doneCount - len(j.placements)
 		switch {
-		case len(j.waitsFor) > 0:
+		case len(j.pendingDependencies) > 0:
 			k.Blocked++
-		case waiting > 0 && len(j.live) == 0:
+		case waiting > 0 && len(j.placements) == 0:
 			k.Waiting++
 		default:
 			k.Running++
@@ -97,8 +97,8 @@
 		if s.Jobs[i].DeadlineS < 0 && s.Jobs[i].Priority > 0 || late[i] {
 			k.Late++
 		}
-		if s.Jobs[i].Priority == 0 && waiting > 0 && len(j.waitsFor) == 0 && now.Sub(j.readyAt) > tuning.ErrorLogInterval {
-			st.Behind = append(st.Behind, Behind{j.ref, j.desc.Class, waiting, now.Sub(j.readyAt).Seconds()})
+		if s.Jobs[i].Priority == 0 && waiting > 0 && len(j.pendingDependencies) == 0 && now.Sub(j.readyAt) > tuning.ErrorLogInterval {
+			st.Overdue = append(st.Overdue, OverdueJob{j.id, j.spec.Class, waiting, now.Sub(j.readyAt).Seconds()})
 		}
 	}
 	for _, k := range classes {
@@ -125,14 +125,14 @@
 	c.addUnknown(&st)
 	slices.SortFunc(st.Machines, func(a, b MachineCount) int { return cmp.Compare(a.Type, b.Type) })
 	c.status = st
-	if len(st.Behind) > 0 && now.Sub(c.lateLogged) > tuning.OverdueLogInterval {
+	if len(st.Overdue) > 0 && now.Sub(c.lateLogged) > tuning.OverdueLogInterval {
 		c.lateLogged = now
-		c.Log.Error("liaison: player-facing production work is behind", "jobs", len(st.Behind), "first", st.Behind[0].Job)
+		c.Log.Error("liaison: player-facing production work is behind", "jobs", len(st.Overdue), "first", st.Overdue[0].Job)
 	}
 }
 
 // addUnknown counts and names the tasks that no record names.
-func (c *Controller) addUnknown(st *Status) {
+func (c *Leader) addUnknown(st *Status) {
 	for _, m := range c.sorted {
 		if m.UnknownTaskCount == 0 {
 			continue
@@ -147,21 +147,21 @@
 }
 
 // logUnknown logs the tasks of a machine that no record names.
-func (c *Controller) logUnknown(m *cluster.Machine) {
+func (c *Leader) logUnknown(m *cluster.Machine) {
 	for _, t := range m.UnknownTasks() {
 		u := c.describeUnknown(m, &t)
 		c.Log.Error("unknown task", "task", u.Task, "try", u.Attempt, "state", u.State, "machine", u.Machine, "session", m.Incarnation, "job", u.Job)
 	}
 }
 
-func (c *Controller) describeUnknown(m *cluster.Machine, t *cluster.ReportedTask) UnknownTask {
+func (c *Leader) describeUnknown(m *cluster.Machine, t *cluster.ReportedTask) UnknownTask {
 	u := UnknownTask{Task: t.Task, Attempt: t.Attempt, State: t.State, Machine: m.ID, Job: "not open"}
 	j := c.jobs[t.Key.Job]
 	switch {
 	case j == nil:
-	case j.live[t.Key.Task] != nil:
+	case j.placements[t.Key.Task] != nil:
 		u.Job = "the task is elsewhere or another try"
-	case j.done.Has(t.Key.Task):
+	case j.doneTasks.Has(t.Key.Task):
 		u.Job = "the task is done"
 	case j.cancelled:
 		u.Job = "cancelled"
@@ -172,7 +172,7 @@
 }
 
 // nodeVersions lists the controllers of the settings with what they have recorded.
-func (c *Controller) nodeVersions() []NodeVersion {
+func (c *Leader) nodeVersions() []NodeVersion {
 	names := []string{c.Config.Node}
 	for _, p := range c.Config.Peers {
 		names = append(names, p.Node)
@@ -180,11 +180,11 @@
 	slices.Sort(names)
 	out := make([]NodeVersion, len(names))
 	for i, name := range names {
-		out[i] = NodeVersion{name, max(records.FormatWhole, c.formats[name])}
+		out[i] = NodeVersion{name, max(records.FormatWhole, c.controllerFormats[name])}
 	}
 	return out
 }
 
-func (c *Controller) up(m *cluster.Machine, now time.Time) bool {
-	return m.Up && now.Sub(m.LastContact) <= c.silence()
+func (c *Leader) up(m *cluster.Machine, now time.Time) bool {
+	return m.Up && now.Sub(m.LastContact) <= c.schedulableSilence()
 }
--- a/internal/leader/versions.go
+++ b/internal/leader/versions.go
@@ -15,7 +15,7 @@
 // the settings name read the formats of this program, it records that the whole
 // cluster uses them, guarded by the term. A controller never goes back to an
 // earlier version, so that holds for good.
-func (c *Controller) watchVersions(ctx context.Context) {
+func (c *Leader) watchVersions(ctx context.Context) {
 	for {
 		m, err := c.readVersions(ctx)
 		if err == nil && !m.committed && c.allRead(m.formats) {
@@ -24,7 +24,7 @@
 		if err != nil {
 			c.Log.Debug("reading the controllers' versions", "err", err)
 		} else {
-			c.send(m)
+			c.post(m)
 		}
 		if m.committed || !clock.Sleep(ctx, tuning.VersionCheckInterval) {
 			return
@@ -32,7 +32,7 @@
 	}
 }
 
-func (c *Controller) readVersions(ctx context.Context) (m versionsMsg, err error) {
+func (c *Leader) readVersions(ctx context.Context) (m versionsResult, err error) {
 	m.formats = map[string]int{}
 	page, err := c.Store.ListAll(ctx, records.PrefixNode)
 	if err != nil {
@@ -56,7 +56,7 @@
 
 // allRead tells whether every controller of the settings reads what this program
 // writes.
-func (c *Controller) allRead(formats map[string]int) bool {
+func (c *Leader) allRead(formats map[string]int) bool {
 	if formats[c.Config.Node] < records.FormatSupported {
 		return false
 	}
@@ -68,9 +68,9 @@
 	return true
 }
 
-func (c *Controller) commitFormat(ctx context.Context) bool {
+func (c *Leader) commitFormat(ctx context.Context) bool {
 	_, err := c.Store.Commit(ctx, protocol.Transaction{
-		Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: c.term.TermVersion}},
+		Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: c.leadership.TermVersion}},
 		Mutations:     []protocol.Mutation{{Set: records.KeyCluster, Value: records.FormatVersion{Format: records.FormatSupported}}},
 	})
 	if err != nil {
@@ -79,15 +79,15 @@
 	return err == nil
 }
 
-func (c *Controller) onVersions(m versionsMsg) {
-	c.formats = m.formats
+func (c *Leader) onVersions(m versionsResult) {
+	c.controllerFormats = m.formats
 	if m.committed {
 		c.useFormat(records.FormatSegmented)
 	}
 }
 
 // useFormat writes records in a version of the formats from now on.
-func (c *Controller) useFormat(format int) {
+func (c *Leader) useFormat(format int) {
 	if format <= c.format {
 		return
 	}
@@ -97,9 +97,9 @@
 	c.Log.Info("cluster version", "format", format)
 }
 
-// liveMost is how many tasks of a job may be in flight: any number once its run
+// maxPlacements is how many tasks of a job may be in flight: any number once its run
 // record is kept in pieces, otherwise what one record surely holds.
-func (c *Controller) liveMost() int {
+func (c *Leader) maxPlacements() int {
 	if c.format >= records.FormatSegmented {
 		return tuning.MaxTasks
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -40,7 +40,7 @@
 	workers *agent.Client
 	peers   *peer.Group
 	api     *api.Server
-	leading atomic.Pointer[leader.Controller]
+	leading atomic.Pointer[leader.Leader]
 	format  int // the version of the formats of records that it reads and writes
 }
 
@@ -109,9 +109,9 @@
 }
 
 func (n *node) lead(ctx context.Context, held election.Leadership) {
-	c := leader.New(leader.Deps{
-		Config: n.cfg, Store: n.store, Cloud: n.cloud, Worker: n.workers, Log: n.log,
-		OnTerm:       func(t uint64) { n.keeper.ObserveTerm(records.Term{Number: t}) },
+	c := leader.New(leader.Dependencies{
+		Config: n.cfg, Store: n.store, Cloud: n.cloud, Agents: n.workers, Log: n.log,
+		OnNewerTerm:  func(t uint64) { n.keeper.ObserveTerm(records.Term{Number: t}) },
 		Resign:       n.keeper.Resign,
 		Redirected:   n.peers.Redirected,
 		Acknowledged: n.acknowledged,
@@ -199,7 +199,7 @@
 }
 
 // Leading is the leader of this node's term, nil if it has none.
-func (n *node) Leading() *leader.Controller { return n.leading.Load() }
+func (n *node) Leading() *leader.Leader { return n.leading.Load() }
 
 // Leader is who leads, as far as known.
 func (n *node) Leader() (records.Term, bool) {
