--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -13,7 +13,7 @@
 // so the list never claims too much.
 type acknowledgedJobs struct {
 	mu    sync.Mutex
-	has   map[string]bool
+	known map[string]bool
 	jobs  []acknowledgment // in the order of their first acknowledgment
 	since time.Time        // of all first acknowledged after it none is missing
 }
@@ -26,21 +26,21 @@
 // newAcknowledged begins a list. An earlier process of this node may have told
 // users anything until just before the start.
 func newAcknowledgedJobs(start time.Time) acknowledgedJobs {
-	return acknowledgedJobs{has: map[string]bool{}, since: start}
+	return acknowledgedJobs{known: map[string]bool{}, since: start}
 }
 
 func (a *acknowledgedJobs) add(ref string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.has[ref] {
+	if a.known[ref] {
 		return // only the first acknowledgment starts cancel_s
 	}
 	if len(a.jobs) >= tuning.AcknowledgedJobs {
 		a.since = a.jobs[0].at
-		delete(a.has, a.jobs[0].ref)
+		delete(a.known, a.jobs[0].ref)
 		a.jobs = a.jobs[1:]
 	}
-	a.has[ref] = true
+	a.known[ref] = true
 	a.jobs = append(a.jobs, acknowledgment{ref, time.Now()})
 }
 
--- a/internal/api/conns_test.go
+++ b/internal/api/conns_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newConns(3)
+	c := newConnectionTable(3)
 	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), ConnState: c.track,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
 	go srv.Serve(ln)
@@ -54,7 +54,7 @@
 		}
 	}
 	c.mu.Lock()
-	n := len(c.idle)
+	n := len(c.idleSince)
 	c.mu.Unlock()
 	if n > 3 {
 		t.Errorf("%d connections are held of 3", n)
@@ -63,20 +63,20 @@
 
 // Where all are in use the new one is closed, and no count is lost.
 func TestConnectionsInUseStay(t *testing.T) {
-	c, now := newConns(1), time.Now()
+	c, now := newConnectionTable(1), time.Now()
 	a, b := net.Pipe()
-	if c.note(a, http.StateNew, now) != nil || c.note(b, http.StateNew, now) != b {
+	if c.record(a, http.StateNew, now) != nil || c.record(b, http.StateNew, now) != b {
 		t.Error("the one in use had to go, or none")
 	}
-	c.note(b, http.StateClosed, now)
-	c.note(a, http.StateIdle, now)
-	if c.note(b, http.StateNew, now) != a {
+	c.record(b, http.StateClosed, now)
+	c.record(a, http.StateIdle, now)
+	if c.record(b, http.StateNew, now) != a {
 		t.Error("the idle one stayed")
 	}
-	c.note(a, http.StateActive, now) // says the server, which does not know yet
-	c.note(a, http.StateClosed, now)
-	if len(c.idle) != 1 {
-		t.Errorf("%d connections are counted", len(c.idle))
+	c.record(a, http.StateActive, now) // says the server, which does not know yet
+	c.record(a, http.StateClosed, now)
+	if len(c.idleSince) != 1 {
+		t.Errorf("%d connections are counted", len(c.idleSince))
 	}
 }
 
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -36,12 +36,12 @@
 		}
 		// Whether all were accepted comes first: that one of them is cancelled says
 		// nothing of the others.
-		if direct && slices.ContainsFunc(jobs, found.neverAccepted) {
+		if direct && slices.ContainsFunc(jobs, lookupResult.neverAccepted) {
 			return dependencyUnknown, w.asOf, nil
 		}
 		refs = nil
 		for _, f := range jobs {
-			cancelled, err := w.take(f)
+			cancelled, err := w.visit(f)
 			switch {
 			case err != nil:
 				return dependencyOpen, w.asOf, err
@@ -52,7 +52,7 @@
 			}
 		}
 	}
-	if w.leftOut {
+	if w.incomplete {
 		return dependencyOpen, time.Time{}, nil
 	}
 	for _, ref := range w.open {
@@ -64,34 +64,34 @@
 // dependencyWalk goes through the jobs that a job needs, level by level.
 type dependencyWalk struct {
 	*Users
-	asOf    time.Time       // what is found holds for this time
-	seen    map[string]bool // jobs that were met
-	open    []string        // of them, those that are open
-	single  int             // jobs that were read one by one
-	leftOut bool            // not all that is over could be read
+	asOf        time.Time       // what is found holds for this time
+	seen        map[string]bool // jobs that were met
+	open        []string        // of them, those that are open
+	singleReads int             // jobs that were read one by one
+	incomplete  bool            // not all that is over could be read
 }
 
 // findLevel finds the jobs among those named that were not met before and that this
 // node does not know to be open. Few are read one by one, more all at once; what is not
 // open then is read one by one again, not more than tuning.DependencyReads for an
 // answer, and remembered.
-func (w *dependencyWalk) findLevel(ctx context.Context, refs []string) ([]found, error) {
+func (w *dependencyWalk) findLevel(ctx context.Context, refs []string) ([]lookupResult, error) {
 	level := w.unseen(refs)
-	listing, ok := w.openJobs.known()
+	listing, ok := w.openJobReads.latestValid()
 	out, left := w.findListed(level, listing, ok)
-	if len(left) > 0 && !ok && !w.openJobs.maySingle(len(left)) {
-		listing, err := w.openJobs.read(ctx)
+	if len(left) > 0 && !ok && !w.openJobReads.allowSingleReads(len(left)) {
+		listing, err := w.openJobReads.read(ctx)
 		if err != nil {
 			return nil, err
 		}
-		var listed []found
+		var listed []lookupResult
 		listed, left = w.findListed(left, listing, true)
 		out = append(out, listed...)
 	}
-	if most := max(0, tuning.DependencyReads-w.single); len(left) > most {
-		left, w.leftOut = left[:most], true
+	if most := max(0, tuning.DependencyReads-w.singleReads); len(left) > most {
+		left, w.incomplete = left[:most], true
 	}
-	w.single += len(left)
+	w.singleReads += len(left)
 	return append(out, w.findAll(ctx, left)...), nil
 }
 
@@ -113,14 +113,14 @@
 
 // findListed finds jobs without a request, in what is remembered of those that are over
 // and in a reading of the open ones, and returns which are left.
-func (w *dependencyWalk) findListed(refs []string, listing jobListing, reliable bool) (out []found, left []string) {
+func (w *dependencyWalk) findListed(refs []string, listing jobListing, reliable bool) (out []lookupResult, left []string) {
 	for _, ref := range refs {
 		open, listed := listing.jobs[ref]
 		switch status, over := w.finalStatus(ref); {
 		case over:
-			out = append(out, found{ref: ref, job: &known{status: status}})
+			out = append(out, lookupResult{ref: ref, job: &jobRecord{status: status}})
 		case reliable && listed:
-			out = append(out, found{ref: ref, job: &known{version: openVersion, open: open, status: openStatus(ref, &open)}})
+			out = append(out, lookupResult{ref: ref, job: &jobRecord{version: openVersion, open: open, status: openStatus(ref, &open)}})
 			if listing.asOf.Before(w.asOf) {
 				w.asOf = listing.asOf
 			}
@@ -131,8 +131,8 @@
 	return out, left
 }
 
-// take draws the conclusions from a job that was found.
-func (w *dependencyWalk) take(f found) (cancelled bool, err error) {
+// visit draws the conclusions from a job that was found.
+func (w *dependencyWalk) visit(f lookupResult) (cancelled bool, err error) {
 	switch {
 	case errors.Is(f.err, errUnreadable):
 		w.Log.Error("dependency", "err", f.err) // the job waits
@@ -160,20 +160,20 @@
 	return status
 }
 
-// found is what a job was found to be, or why it could not be read.
-type found struct {
+// lookupResult is what a job was found to be, or why it could not be read.
+type lookupResult struct {
 	ref string
-	job *known
+	job *jobRecord
 	err error
 }
 
-func (f found) isOpen() bool { return f.job != nil && f.job.version != 0 }
+func (f lookupResult) isOpen() bool { return f.job != nil && f.job.version != 0 }
 
-func (f found) neverAccepted() bool { return f.err == nil && f.job == nil }
+func (f lookupResult) neverAccepted() bool { return f.err == nil && f.job == nil }
 
 // findAll reads some jobs at the same time.
-func (u *Users) findAll(ctx context.Context, refs []string) []found {
-	out := make([]found, len(refs))
+func (u *Users) findAll(ctx context.Context, refs []string) []lookupResult {
+	out := make([]lookupResult, len(refs))
 	var wg sync.WaitGroup
 	for i, ref := range refs {
 		out[i].ref = ref
@@ -186,7 +186,7 @@
 // current reads a job as find does. If a job that it needs is cancelled, so is this
 // one, and its own record says so before its user is told: then no controller can
 // tell the user anything else, whatever it knows of the others.
-func (u *Users) current(ctx context.Context, ref string) (*known, error) {
+func (u *Users) current(ctx context.Context, ref string) (*jobRecord, error) {
 	start := time.Now()
 	k, err := u.find(ctx, ref)
 	if err != nil || k == nil || k.version == 0 || k.open.Cancelled {
@@ -215,10 +215,10 @@
 func (u *Users) confirmOpen(ref string, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.open) >= tuning.FinalCache {
-		clear(u.open)
+	if len(u.confirmedOpen) >= tuning.FinalCache {
+		clear(u.confirmedOpen)
 	}
-	u.open[ref] = at
+	u.confirmedOpen[ref] = at
 }
 
 // openAsOf returns when that was last known, if it may still be answered by: the
@@ -227,7 +227,7 @@
 func (u *Users) openAsOf(ref string) (at time.Time, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	at = u.open[ref]
+	at = u.confirmedOpen[ref]
 	return at, time.Since(at) < dependencyCheck(u.Config)
 }
 
@@ -242,5 +242,5 @@
 func (u *Users) forgetOpen(ref string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.open, ref)
+	delete(u.confirmedOpen, ref)
 }
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -14,20 +14,20 @@
 // errUnreadable: a record is there but cannot be read.
 var errUnreadable = errors.New("unreadable record")
 
-// known is a job as found in the state service.
-type known struct {
-	status  protocol.JobStatus
-	open    records.OpenJob
-	version uint64 // of the open record; 0: the job is over
-	broken  bool   // its open record cannot be read, so it cannot be rewritten
+// jobRecord is a job as found in the state service.
+type jobRecord struct {
+	status     protocol.JobStatus
+	open       records.OpenJob
+	version    uint64 // of the open record; 0: the job is over
+	unreadable bool   // its open record cannot be read, so it cannot be rewritten
 }
 
 // find reads a job; nil means that it was never accepted. The final record is
 // read after the open one, and closing moves the job in one commit, so a job
 // found at neither place was at neither when the open record was read.
-func (u *Users) find(ctx context.Context, ref string) (*known, error) {
+func (u *Users) find(ctx context.Context, ref string) (*jobRecord, error) {
 	if st, ok := u.finalStatus(ref); ok {
-		return &known{status: st}, nil
+		return &jobRecord{status: st}, nil
 	}
 	items, err := u.openRecords(ctx, ref)
 	if err != nil {
@@ -41,7 +41,7 @@
 
 // openRecords reads the records of an open job; none if it is not open.
 func (u *Users) openRecords(ctx context.Context, ref string) ([]protocol.KeyValue, error) {
-	if u.sharedReads.wanted() {
+	if u.sharedReads.enabled() {
 		return u.sharedReads.records(ctx, ref)
 	}
 	// All in one read: o/<ref>, o/<ref>/t and its further pieces sort next to each other.
@@ -67,14 +67,14 @@
 }
 
 // openJob makes of an open job's records what its user may be told.
-func (u *Users) openJob(ref string, items []protocol.KeyValue) *known {
-	k := &known{version: items[0].Version, status: protocol.JobStatus{ID: ref, Phase: protocol.PhaseQueued}}
+func (u *Users) openJob(ref string, items []protocol.KeyValue) *jobRecord {
+	k := &jobRecord{version: items[0].Version, status: protocol.JobStatus{ID: ref, Phase: protocol.PhaseQueued}}
 	if err := protocol.Unmarshal(items[0].Value, &k.open); err != nil {
 		// That the record is there says that the job was accepted. Refusing
 		// to answer would make it forgotten.
 		u.Log.Error("unreadable job record", "job", ref, "err", err)
 		k.open = records.OpenJob{Cancelled: records.MarkedCancelled(items[0].Value)}
-		k.broken = true
+		k.unreadable = true
 	}
 	pieces := map[int]records.RunRecord{}
 	for _, it := range items[1:] {
@@ -97,7 +97,7 @@
 }
 
 // finalJob reads the final record of a job; nil means that there is none.
-func (u *Users) finalJob(ctx context.Context, ref string) (*known, error) {
+func (u *Users) finalJob(ctx context.Context, ref string) (*jobRecord, error) {
 	it, err := u.Store.Get(ctx, records.FinalKey(ref))
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil, nil
@@ -118,5 +118,5 @@
 	}
 	u.finals[ref] = st
 	u.mu.Unlock()
-	return &known{status: st}, nil
+	return &jobRecord{status: st}, nil
 }
--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -15,16 +15,16 @@
 // Where many jobs wait for others, reading what they need job by job would take more
 // requests than the state service answers. It is safe for concurrent use.
 type openJobs struct {
-	store *kvstore.Client
-	lasts time.Duration // how long a reading may be relied on
+	store    *kvstore.Client
+	validFor time.Duration // how long a reading may be relied on
 	// reading is held by whoever reads; the others wait for the same reading.
 	reading chan struct{}
 
 	mu     sync.Mutex // guards the rest
 	latest jobListing
-	// single counts the jobs read one by one since the time, see maySingle.
-	single int
-	since  time.Time
+	// singleReads counts the jobs read one by one since the time, see maySingle.
+	singleReads int
+	since       time.Time
 }
 
 // jobListing is all open jobs at some time.
@@ -34,28 +34,28 @@
 }
 
 func newOpenJobs(store *kvstore.Client, lasts time.Duration) *openJobs {
-	return &openJobs{store: store, lasts: lasts, reading: make(chan struct{}, 1)}
+	return &openJobs{store: store, validFor: lasts, reading: make(chan struct{}, 1)}
 }
 
-// known returns the latest reading if it may still be relied on.
-func (o *openJobs) known() (jobListing, bool) {
+// latestValid returns the latest reading if it may still be relied on.
+func (o *openJobs) latestValid() (jobListing, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.latest, time.Since(o.latest.asOf) < o.lasts
+	return o.latest, time.Since(o.latest.asOf) < o.validFor
 }
 
-// maySingle tells whether some more jobs may be read one by one: not more than
+// allowSingleReads tells whether some more jobs may be read one by one: not more than
 // tuning.DependencyReads in the time for which a reading lasts.
-func (o *openJobs) maySingle(jobs int) bool {
+func (o *openJobs) allowSingleReads(jobs int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if time.Since(o.since) >= o.lasts {
-		o.single, o.since = 0, time.Now()
+	if time.Since(o.since) >= o.validFor {
+		o.singleReads, o.since = 0, time.Now()
 	}
-	if o.single+jobs > tuning.DependencyReads {
+	if o.singleReads+jobs > tuning.DependencyReads {
 		return false
 	}
-	o.single += jobs
+	o.singleReads += jobs
 	return true
 }
 
@@ -67,7 +67,7 @@
 	case <-ctx.Done():
 		return jobListing{}, ctx.Err()
 	}
-	if listing, ok := o.known(); ok {
+	if listing, ok := o.latestValid(); ok {
 		return listing, nil
 	}
 	listing := jobListing{asOf: time.Now(), jobs: map[string]records.OpenJob{}}
--- a/internal/api/page.go
+++ b/internal/api/page.go
@@ -16,9 +16,9 @@
 <style>body{font-family:sans-serif;margin:2em;max-width:50em}table{border-collapse:collapse}
 td,th{padding:.2em .8em;text-align:left;border-bottom:1px solid #ccc}.bad{color:#a00}</style></head><body>
 {{if not .Have}}<h1 class="bad">The leader cannot be asked just now</h1>
-{{else if .S.Behind}}<h1 class="bad">Player-facing work is behind</h1>
+{{else if .S.Overdue}}<h1 class="bad">Player-facing work is behind</h1>
 <table><tr><th>job</th><th>kind</th><th>copies missing</th><th>for</th></tr>
-{{range .S.Behind}}<tr><td>{{.Job}}</td><td>{{.Class}}</td><td>{{.Missing}}</td><td>{{printf "%.0f" .SinceS}} s</td></tr>
+{{range .S.Overdue}}<tr><td>{{.Job}}</td><td>{{.Class}}</td><td>{{.Missing}}</td><td>{{printf "%.0f" .SinceS}} s</td></tr>
 {{end}}</table>
 {{else}}<h1>All player-facing work is running</h1>{{end}}
 <p>This is {{.Name}}. {{if .Leader}}{{.Leader}} leads.{{else}}Nobody is known to lead.{{end}}
@@ -41,14 +41,14 @@
 </body></html>
 `))
 
-func (s *Server) page(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveStatusPage(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.PeerTimeout)
 	defer cancel()
 	data := struct {
 		Name, Leader  string
 		StateOK, Have bool
 		S             leader.Status
-	}{Name: s.name, StateOK: s.node.StateOK()}
+	}{Name: s.name, StateOK: s.node.StoreReachable()}
 	if t, ok := s.node.Leader(); ok {
 		data.Leader = t.Node
 	}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -22,18 +22,18 @@
 
 // Node is what the server asks about its node.
 type Node interface {
-	// Leading is the leader of this node's term, nil if it has none.
-	Leading() *leader.Leader
+	// LocalLeader is the leader of this node's term, nil if it has none.
+	LocalLeader() *leader.Leader
 	// Leader is who leads, as far as known.
 	Leader() (records.Term, bool)
-	// Up tells whether the node can take requests.
-	Up() bool
+	// Healthy tells whether the node can take requests.
+	Healthy() bool
 	// Summary is the leader's status, from whichever node.
 	Summary(ctx context.Context) (leader.Status, bool)
-	// Refused tells whether it serves others but not this node.
-	Refused() bool
-	// StateOK tells whether the state service serves this node.
-	StateOK() bool
+	// RefusedAlone tells whether it serves others but not this node.
+	RefusedAlone() bool
+	// StoreReachable tells whether the state service serves this node.
+	StoreReachable() bool
 }
 
 // Server serves the users' address.
@@ -44,18 +44,18 @@
 	peers      *peer.Group
 	log        *slog.Logger
 	slots      chan struct{}
-	conns      *conns
+	conns      *connectionTable
 	idle       time.Duration // how long a connection is kept idle
 	redirected atomic.Uint64 // reports that were sent on to another node
-	complaints *protocol.MalformedLog
+	malformed  *protocol.MalformedLog
 }
 
 // NewServer makes the server of a node.
 func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, cs *protocol.MalformedLog) *Server {
 	sockets := cfg.Deployment.Sockets(len(cfg.Peers))
 	reports := time.Duration(cfg.Deployment.Workers.ReportS * float64(time.Second))
-	return &Server{name: cfg.Node, users: users, node: node, peers: peers, log: log, complaints: cs,
-		slots: make(chan struct{}, sockets.Users), conns: newConns(sockets.Incoming),
+	return &Server{name: cfg.Node, users: users, node: node, peers: peers, log: log, malformed: cs,
+		slots: make(chan struct{}, sockets.Users), conns: newConnectionTable(sockets.Incoming),
 		idle: max(tuning.IdleMin, tuning.IdleHeartbeats*reports)}
 }
 
@@ -82,42 +82,42 @@
 	path := r.URL.Path
 	switch {
 	case path == "/hello":
-		if method(w, r, http.MethodPost) {
-			s.report(w, r)
+		if requireMethod(w, r, http.MethodPost) {
+			s.serveHeartbeat(w, r)
 		}
 	case path == "/up":
-		if method(w, r, http.MethodGet) {
-			if s.node.Up() {
+		if requireMethod(w, r, http.MethodGet) {
+			if s.node.Healthy() {
 				w.WriteHeader(http.StatusOK)
 			} else {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		}
 	case path == "/v1/jobs":
-		if method(w, r, http.MethodPost) {
+		if requireMethod(w, r, http.MethodPost) {
 			if body, ok := readBody(w, r); ok {
-				s.user(w, r, opSubmit, "", body)
+				s.serveUser(w, r, opSubmit, "", body)
 			}
 		}
 	case strings.HasPrefix(path, "/v1/jobs/"):
 		ref := strings.TrimPrefix(path, "/v1/jobs/")
 		if ref, ok := strings.CutSuffix(ref, "/withdraw"); ok {
-			if method(w, r, http.MethodPost) {
-				s.user(w, r, opWithdraw, ref, nil)
+			if requireMethod(w, r, http.MethodPost) {
+				s.serveUser(w, r, opCancel, ref, nil)
 			}
-		} else if method(w, r, http.MethodGet) {
-			s.user(w, r, opPoll, ref, nil)
+		} else if requireMethod(w, r, http.MethodGet) {
+			s.serveUser(w, r, opStatus, ref, nil)
 		}
 	case path == "/":
-		if method(w, r, http.MethodGet) {
-			s.page(w, r)
+		if requireMethod(w, r, http.MethodGet) {
+			s.serveStatusPage(w, r)
 		}
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-func method(w http.ResponseWriter, r *http.Request, want string) bool {
+func requireMethod(w http.ResponseWriter, r *http.Request, want string) bool {
 	if r.Method == want || (want == http.MethodGet && r.Method == http.MethodHead) {
 		return true
 	}
@@ -141,7 +141,7 @@
 	return nil, false
 }
 
-func reply(w http.ResponseWriter, status int, body any) {
+func writeReply(w http.ResponseWriter, status int, body any) {
 	var raw []byte
 	if body != nil {
 		if b, ok := body.([]byte); ok {
@@ -165,34 +165,34 @@
 	w.Write(raw)
 }
 
-// user answers a user's call. When more come than can be worked on they are
+// serveUser answers a user's call. When more come than can be worked on they are
 // refused early, at once and alike.
-func (s *Server) user(w http.ResponseWriter, r *http.Request, op, ref string, body []byte) {
+func (s *Server) serveUser(w http.ResponseWriter, r *http.Request, op, ref string, body []byte) {
 	select {
 	case s.slots <- struct{}{}:
 		defer func() { <-s.slots }()
 	default:
-		reply(w, http.StatusServiceUnavailable, nil)
+		writeReply(w, http.StatusServiceUnavailable, nil)
 		return
 	}
 	var a answer
-	if !s.node.Refused() {
-		a = s.users.Do(r.Context(), op, ref, body)
+	if !s.node.RefusedAlone() {
+		a = s.users.Handle(r.Context(), op, ref, body)
 	} else {
 		a = refused
 	}
 	if a.refused {
 		// The state service may refuse this node alone: a peer that it serves
 		// can answer for us.
-		if f, ok := s.peers.Forward(r.Context(), &peer.UserCall{Op: op, Ref: ref, Body: body}); ok {
-			reply(w, f.Status, f.Body)
+		if f, ok := s.peers.Forward(r.Context(), &peer.UserCall{Operation: op, JobID: ref, Body: body}); ok {
+			writeReply(w, f.Status, f.Body)
 			return
 		}
 	}
-	reply(w, a.status, a.body)
+	writeReply(w, a.status, a.body)
 }
 
-func (s *Server) report(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r)
 	if !ok {
 		return
@@ -203,18 +203,18 @@
 		err = rep.Check()
 	}
 	if err != nil {
-		s.complaints.Record(r.RemoteAddr, err)
-		reply(w, http.StatusBadRequest, nil)
+		s.malformed.Record(r.RemoteAddr, err)
+		writeReply(w, http.StatusBadRequest, nil)
 		return
 	}
-	if c := s.node.Leading(); c != nil {
+	if c := s.node.LocalLeader(); c != nil {
 		ctx, cancel := context.WithTimeout(r.Context(), tuning.HeartbeatDeadline)
 		defer cancel()
 		if h, err := c.Heartbeat(ctx, &rep); err == nil {
-			reply(w, http.StatusOK, h)
+			writeReply(w, http.StatusOK, h)
 			return
 		}
-		reply(w, http.StatusServiceUnavailable, nil)
+		writeReply(w, http.StatusServiceUnavailable, nil)
 		return
 	}
 	var to protocol.Redirect
@@ -222,7 +222,7 @@
 		to.Leader = t.Node
 	}
 	s.redirected.Add(1)
-	reply(w, http.StatusMisdirectedRequest, to)
+	writeReply(w, http.StatusMisdirectedRequest, to)
 }
 
 // Redirected counts the workers' reports that were not for this node.
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -52,8 +52,8 @@
 	s.throttled = time.Now()
 }
 
-// wanted tells whether reads are to be shared: some were throttled lately.
-func (s *sharedReads) wanted() bool {
+// enabled tells whether reads are to be shared: some were throttled lately.
+func (s *sharedReads) enabled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.throttled.IsZero() && time.Since(s.throttled) < tuning.SharedReadsFor
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -22,9 +22,9 @@
 
 // Operations of users.
 const (
-	opSubmit   = "submit"
-	opPoll     = "poll"
-	opWithdraw = "withdraw"
+	opSubmit = "submit"
+	opStatus = "poll"
+	opCancel = "withdraw"
 )
 
 // Users answers users' calls straight at the state service, whoever leads: what
@@ -34,21 +34,21 @@
 	Store  *kvstore.Client
 	Log    *slog.Logger
 
-	types        atomic.Pointer[[]scheduler.MachineType]
-	acknowledged acknowledgedJobs
-	openJobs     *openJobs
-	sharedReads  *sharedReads
-	retries      *retryBudget
-	mu           sync.Mutex // guards finals and open
-	finals       map[string]protocol.JobStatus
-	open         map[string]time.Time // see confirmOpen
+	types         atomic.Pointer[[]scheduler.MachineType]
+	acknowledged  acknowledgedJobs
+	openJobReads  *openJobs
+	sharedReads   *sharedReads
+	retries       *retryBudget
+	mu            sync.Mutex // guards finals and open
+	finals        map[string]protocol.JobStatus
+	confirmedOpen map[string]time.Time // see confirmOpen
 }
 
 // NewUsers makes the users' side of a node.
 func NewUsers(c *config.Config, store *kvstore.Client, log *slog.Logger) *Users {
 	return &Users{Config: c, Store: store, Log: log, acknowledged: newAcknowledgedJobs(time.Now()),
-		openJobs: newOpenJobs(store, dependencyCheck(c)), sharedReads: newSharedReads(store, c), retries: newRetryBudget(),
-		finals: map[string]protocol.JobStatus{}, open: map[string]time.Time{}}
+		openJobReads: newOpenJobs(store, dependencyCheck(c)), sharedReads: newSharedReads(store, c), retries: newRetryBudget(),
+		finals: map[string]protocol.JobStatus{}, confirmedOpen: map[string]time.Time{}}
 }
 
 // SetTypes tells which machine types there are; before, nothing is accepted.
@@ -80,14 +80,14 @@
 	refused = answer{status: 503, refused: true}
 )
 
-func fault(status int, err error) answer {
+func failure(status int, err error) answer {
 	return answer{status: status, body: protocol.ErrorReply{Error: err.Error()}}
 }
 
-// Do answers one call.
-func (u *Users) Do(ctx context.Context, op, ref string, body []byte) answer {
+// Handle answers one call.
+func (u *Users) Handle(ctx context.Context, op, ref string, body []byte) answer {
 	limit := tuning.UserDeadline
-	if op == opPoll {
+	if op == opStatus {
 		limit = tuning.PollDeadline
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -95,17 +95,17 @@
 	switch op {
 	case opSubmit:
 		return u.submit(ctx, body)
-	case opPoll:
-		return u.poll(ctx, ref)
-	case opWithdraw:
-		return u.withdraw(ctx, ref)
+	case opStatus:
+		return u.status(ctx, ref)
+	case opCancel:
+		return u.cancel(ctx, ref)
 	}
 	return busy
 }
 
 // UserCall answers a call that a peer passed on.
 func (u *Users) UserCall(ctx context.Context, c *peer.UserCall) *peer.UserAnswer {
-	a := u.Do(ctx, c.Op, c.Ref, c.Body)
+	a := u.Handle(ctx, c.Operation, c.JobID, c.Body)
 	out := &peer.UserAnswer{Status: a.status}
 	if a.body != nil {
 		out.Body, _ = protocol.Marshal(a.body)
@@ -113,10 +113,10 @@
 	return out
 }
 
-// settle runs one attempt after another until there is a certain answer. Being
+// retryUntilKnown runs one attempt after another until there is a certain answer. Being
 // throttled is waited out a few times, within the budget for retries; a refusal is
 // passed on at once.
-func (u *Users) settle(ctx context.Context, tries int, try func() (answer, error)) answer {
+func (u *Users) retryUntilKnown(ctx context.Context, tries int, try func() (answer, error)) answer {
 	for throttled := 0; ; {
 		a, err := try()
 		switch {
@@ -141,17 +141,17 @@
 	}
 }
 
-func (u *Users) poll(ctx context.Context, ref string) answer {
+func (u *Users) status(ctx context.Context, ref string) answer {
 	if !protocol.ValidJobID(ref) {
-		return fault(404, errors.New("no such job"))
+		return failure(404, errors.New("no such job"))
 	}
-	return u.settle(ctx, tuning.PollThrottleRetries, func() (answer, error) {
+	return u.retryUntilKnown(ctx, tuning.PollThrottleRetries, func() (answer, error) {
 		k, err := u.current(ctx, ref)
 		if err != nil {
 			return answer{}, err
 		}
 		if k == nil {
-			return fault(404, errors.New("no such job")), nil
+			return failure(404, errors.New("no such job")), nil
 		}
 		return answer{status: 200, body: k.status}, nil
 	})
@@ -160,13 +160,13 @@
 func (u *Users) submit(ctx context.Context, body []byte) answer {
 	job, err := protocol.DecodeJob(body)
 	if err != nil {
-		return fault(400, err)
+		return failure(400, err)
 	}
 	types := u.types.Load()
 	if types == nil {
 		return busy
 	}
-	if err := u.runnable(job, *types); err != nil {
+	if err := u.checkRunnable(job, *types); err != nil {
 		return u.refuse(ctx, job.ID, 422, err)
 	}
 	// Only types that exist are kept: a long list of others must not make the
@@ -177,16 +177,16 @@
 	slices.Sort(job.MachineTypes)
 	job.MachineTypes = slices.Compact(job.MachineTypes)
 	open := records.OpenJob{Job: *job, AcceptedMS: time.Now().UnixMilli()}
-	if err := u.fits(open); err != nil {
+	if err := u.checkRecordSize(open); err != nil {
 		return u.refuse(ctx, job.ID, 400, err)
 	}
-	return u.settle(ctx, tuning.UserThrottleRetries, func() (answer, error) { return u.accept(ctx, open) })
+	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (answer, error) { return u.accept(ctx, open) })
 }
 
 // refuse answers a submission that cannot be accepted. A job that was accepted
 // stays accepted, also if the catalog has changed since.
 func (u *Users) refuse(ctx context.Context, ref string, status int, reason error) answer {
-	return u.settle(ctx, tuning.UserThrottleRetries, func() (answer, error) {
+	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (answer, error) {
 		k, err := u.current(ctx, ref)
 		switch {
 		case err != nil:
@@ -194,13 +194,13 @@
 		case k != nil:
 			return answer{status: 200, body: k.status}, nil
 		}
-		return fault(status, reason), nil
+		return failure(status, reason), nil
 	})
 }
 
-// fits tells whether a job's record is within the limits that the state service
+// checkRecordSize tells whether a job's record is within the limits that the state service
 // will have, so that it can be rewritten at any time.
-func (u *Users) fits(open records.OpenJob) error {
+func (u *Users) checkRecordSize(open records.OpenJob) error {
 	open.Cancelled = true // it may become so
 	_, size, err := protocol.EncodeSized(open)
 	if err == nil && size > u.Config.Deployment.State.Smaller().ValueBytes() {
@@ -246,8 +246,8 @@
 	return answer{status: 200, body: k.status}, nil
 }
 
-// runnable tells why a job can never run.
-func (u *Users) runnable(j *protocol.Job, types []scheduler.MachineType) error {
+// checkRunnable tells why a job can never run.
+func (u *Users) checkRunnable(j *protocol.Job, types []scheduler.MachineType) error {
 	team := u.Config.Team(j.Team)
 	if team == nil {
 		return errors.New("unknown team")
@@ -263,29 +263,29 @@
 	if j.Kind == protocol.KindArray {
 		n = 1
 	}
-	if over(n*j.Cores, team.CoresMax) || over(n*j.GPUs, team.GPUsMax) {
+	if exceeds(n*j.Cores, team.CoresMax) || exceeds(n*j.GPUs, team.GPUsMax) {
 		return errors.New("the job needs more than its team's limit")
 	}
 	return nil
 }
 
-// over compares with a limit, of which 0 is none.
-func over(need, limit float64) bool { return limit > 0 && need > limit*(1+1e-9) }
+// exceeds compares with a limit, of which 0 is none.
+func exceeds(need, limit float64) bool { return limit > 0 && need > limit*(1+1e-9) }
 
-func (u *Users) withdraw(ctx context.Context, ref string) answer {
+func (u *Users) cancel(ctx context.Context, ref string) answer {
 	if !protocol.ValidJobID(ref) {
-		return fault(404, errors.New("no such job"))
+		return failure(404, errors.New("no such job"))
 	}
-	return u.settle(ctx, tuning.UserThrottleRetries, func() (answer, error) {
+	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (answer, error) {
 		k, err := u.find(ctx, ref)
 		switch {
 		case err != nil:
 			return answer{}, err
 		case k == nil:
-			return fault(404, errors.New("no such job")), nil
+			return failure(404, errors.New("no such job")), nil
 		case k.version == 0 || k.open.Cancelled:
 			return answer{status: 200, body: k.status}, nil
-		case k.broken:
+		case k.unreadable:
 			return busy, nil
 		}
 		if err := u.markCancelled(ctx, k); err != nil {
@@ -296,10 +296,10 @@
 }
 
 // markCancelled writes into a job's open record that it is cancelled.
-func (u *Users) markCancelled(ctx context.Context, k *known) error {
+func (u *Users) markCancelled(ctx context.Context, k *jobRecord) error {
 	ref := k.status.ID
 	k.open.Cancelled = true
-	if u.fits(k.open) != nil {
+	if u.checkRecordSize(k.open) != nil {
 		// Accepted under larger limits. Nothing of it starts any more, so what
 		// only says where and when it may start is not needed.
 		k.open.Job.MachineTypes, k.open.Job.DependsOn = nil, nil
--- a/internal/peer/compatible_test.go
+++ b/internal/peer/compatible_test.go
@@ -45,7 +45,7 @@
 		"statusRequest": &StatusRequest{Leader: term, Acknowledged: true},
 		"status": &Status{Leader: term, StateMS: 120, Acknowledged: []string{"req-000412"}, CompleteMS: 9000, Redirected: 3,
 			Summary: []byte{1}},
-		"userCall":   &UserCall{Op: "poll", Ref: "req-000412", Body: []byte{0x80}},
+		"userCall":   &UserCall{Operation: "poll", JobID: "req-000412", Body: []byte{0x80}},
 		"userAnswer": &UserAnswer{Status: 200, Body: []byte{0x80}},
 	} {
 		old, err := hex.DecodeString(kept[name])
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -45,9 +45,9 @@
 
 // UserCall is a user's call passed on.
 type UserCall struct {
-	Op   string `msgpack:"o"`
-	Ref  string `msgpack:"r"`
-	Body []byte `msgpack:"b"`
+	Operation string `msgpack:"o"`
+	JobID     string `msgpack:"r"`
+	Body      []byte `msgpack:"b"`
 }
 
 // UserAnswer answers it.
@@ -56,11 +56,11 @@
 	Body   []byte `msgpack:"b"`
 }
 
-// Local is what a node offers its peers.
-type Local interface {
+// LocalNode is what a node offers its peers.
+type LocalNode interface {
 	Status(r *StatusRequest) Status
-	// Leads tells whether the node leads, and so must know what others acknowledge.
-	Leads() bool
+	// IsLeader tells whether the node leads, and so must know what others acknowledge.
+	IsLeader() bool
 	ObserveTerm(t records.Term)
 	UserCall(ctx context.Context, c *UserCall) *UserAnswer
 }
@@ -76,29 +76,29 @@
 // Service describes the calls between peers.
 var Service = grpc.ServiceDesc{
 	ServiceName: service,
-	HandlerType: (*Local)(nil),
+	HandlerType: (*LocalNode)(nil),
 	Methods: []grpc.MethodDesc{
-		unary("Status", func(l Local, _ context.Context, r *StatusRequest) *Status {
+		unary("Status", func(l LocalNode, _ context.Context, r *StatusRequest) *Status {
 			l.ObserveTerm(r.Leader)
 			s := l.Status(r)
 			return &s
 		}),
-		unary("UserCall", func(l Local, ctx context.Context, c *UserCall) *UserAnswer { return l.UserCall(ctx, c) }),
+		unary("UserCall", func(l LocalNode, ctx context.Context, c *UserCall) *UserAnswer { return l.UserCall(ctx, c) }),
 	},
 }
 
-func unary[Req, Resp any](name string, f func(Local, context.Context, *Req) *Resp) grpc.MethodDesc {
+func unary[Req, Resp any](name string, f func(LocalNode, context.Context, *Req) *Resp) grpc.MethodDesc {
 	return grpc.MethodDesc{MethodName: name, Handler: func(srv any, ctx context.Context, dec func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		in := new(Req)
 		if err := dec(in); err != nil {
 			return nil, err
 		}
-		return f(srv.(Local), ctx, in), nil
+		return f(srv.(LocalNode), ctx, in), nil
 	}}
 }
 
 // Serve answers peers on the listener until ctx ends.
-func Serve(ctx context.Context, ln net.Listener, local Local) error {
+func Serve(ctx context.Context, ln net.Listener, local LocalNode) error {
 	s := grpc.NewServer(grpc.ForceServerCodec(messageCodec{}), grpc.MaxRecvMsgSize(2*tuning.MaxBody))
 	s.RegisterService(&Service, local)
 	go func() {
@@ -108,16 +108,16 @@
 	return s.Serve(ln)
 }
 
-// answer is what a peer last answered. Its status was made between the two times.
-type answer struct {
+// statusAnswer is what a peer last answered. Its status was made between the two times.
+type statusAnswer struct {
 	asked, answered time.Time
 	status          Status
 }
 
-type link struct {
+type peerLink struct {
 	name string
 	conn grpc.ClientConnInterface
-	last answer
+	last statusAnswer
 	// What Redirected was at the two latest times that lie PeerWindow apart.
 	redirected, before uint64
 	markAt             time.Time
@@ -125,10 +125,10 @@
 
 // Group is a node's view of its peers. It is safe for concurrent use.
 type Group struct {
-	local Local
+	local LocalNode
 	log   *slog.Logger
 	mu    sync.Mutex // guards the links' last answers
-	links []*link
+	links []*peerLink
 }
 
 // Dial prepares a connection to a peer; it is made when used.
@@ -142,14 +142,14 @@
 }
 
 // NewGroup makes the view of the peers over connections from dial.
-func NewGroup(peers []config.Peer, dial func(config.Peer) (grpc.ClientConnInterface, error), local Local, log *slog.Logger) (*Group, error) {
+func NewGroup(peers []config.Peer, dial func(config.Peer) (grpc.ClientConnInterface, error), local LocalNode, log *slog.Logger) (*Group, error) {
 	g := &Group{local: local, log: log}
 	for _, p := range peers {
 		conn, err := dial(p)
 		if err != nil {
 			return nil, err
 		}
-		g.links = append(g.links, &link{name: p.Node, conn: conn})
+		g.links = append(g.links, &peerLink{name: p.Node, conn: conn})
 	}
 	return g, nil
 }
@@ -161,7 +161,7 @@
 			t := time.NewTicker(tuning.PeerExchangeInterval)
 			defer t.Stop()
 			for {
-				g.ask(ctx, l, false)
+				g.exchangeStatus(ctx, l, false)
 				select {
 				case <-ctx.Done():
 					return
@@ -172,11 +172,11 @@
 	}
 }
 
-func (g *Group) ask(ctx context.Context, l *link, summary bool) (Status, bool) {
+func (g *Group) exchangeStatus(ctx context.Context, l *peerLink, summary bool) (Status, bool) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerTimeout)
 	defer cancel()
-	a := answer{asked: time.Now()}
-	req := &StatusRequest{Leader: g.local.Status(&StatusRequest{}).Leader, Summary: summary, Acknowledged: g.local.Leads()}
+	a := statusAnswer{asked: time.Now()}
+	req := &StatusRequest{Leader: g.local.Status(&StatusRequest{}).Leader, Summary: summary, Acknowledged: g.local.IsLeader()}
 	err := l.conn.Invoke(ctx, "/"+service+"/Status", req, &a.status)
 	if err != nil {
 		g.log.Debug("peer silent", "peer", l.name, "err", err)
@@ -233,8 +233,8 @@
 	return int(n)
 }
 
-// Silent tells whether there are peers and none has answered for so long.
-func (g *Group) Silent(d time.Duration) bool {
+// Unreachable tells whether there are peers and none has answered for so long.
+func (g *Group) Unreachable(d time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range g.links {
@@ -245,14 +245,14 @@
 	return len(g.links) > 0
 }
 
-// ServedAfter tells whether the state service has served some peer after the
+// StoreServedAfter tells whether the state service has served some peer after the
 // given time, and lately.
-func (g *Group) ServedAfter(t time.Time) bool {
+func (g *Group) StoreServedAfter(t time.Time) bool {
 	_, ok := g.servedAfter(t)
 	return ok
 }
 
-func (g *Group) servedAfter(t time.Time) (*link, bool) {
+func (g *Group) servedAfter(t time.Time) (*peerLink, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range g.links {
@@ -283,7 +283,7 @@
 func (g *Group) Summary(ctx context.Context, node string) []byte {
 	for _, l := range g.links {
 		if l.name == node {
-			s, _ := g.ask(ctx, l, true)
+			s, _ := g.exchangeStatus(ctx, l, true)
 			return s.Summary
 		}
 	}
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -12,19 +12,19 @@
 
 // chaos submits and cancels jobs of all shapes while nodes die, links are cut,
 // machines hang and vanish and the state service refuses one or all.
-func chaos(c *cluster, seed uint64) { chaosDuring(c, seed, func(int) bool { return true }) }
+func chaos(c *testCluster, seed uint64) { chaosDuring(c, seed, func(int) bool { return true }) }
 
 // chaosDuring is chaos with a step of the scenario's own before each of its steps;
 // it returns whether jobs may wait for others by then.
-func chaosDuring(c *cluster, seed uint64, before func(step int) bool) {
+func chaosDuring(c *testCluster, seed uint64, before func(step int) bool) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	c.net.Repeat = map[string]time.Duration{"/do": 20 * time.Second, "/hello": 40 * time.Second, "/commit": 20 * time.Second,
+	c.network.Repeat = map[string]time.Duration{"/do": 20 * time.Second, "/hello": 40 * time.Second, "/commit": 20 * time.Second,
 		"/rentals": 20 * time.Second, "/rentals/return": 20 * time.Second, "/v1/jobs": 60 * time.Second}
-	c.w.Limit("small", "a", true, 2)
-	c.w.Limit("big", "a", true, 1)
-	c.w.Limit("big", "b", false, 3)
+	c.env.Limit("small", "a", true, 2)
+	c.env.Limit("big", "a", true, 1)
+	c.env.Limit("big", "b", false, 3)
 	// Lists have several pages, as at production size.
-	c.w.State.PageMost, c.w.PageMost = 1+rng.IntN(20), 1+rng.IntN(5)
+	c.env.State.PageMost, c.env.PageMost = 1+rng.IntN(20), 1+rng.IntN(5)
 	next := 0
 	var mu sync.Mutex
 	var keep []string     // jobs that must be done in the end, unless one they need is cancelled
@@ -47,11 +47,11 @@
 		runS := float64(5 + rng.IntN(40))
 		switch rng.IntN(4) {
 		case 0:
-			j = standing(next, 1+rng.IntN(3))
+			j = serviceJob(next, 1+rng.IntN(3))
 		case 1:
-			j = gang(next, 1+rng.IntN(3))
+			j = gangJob(next, 1+rng.IntN(3))
 		default:
-			j = sweep(next, "check", 1+rng.IntN(20))
+			j = arrayJob(next, "check", 1+rng.IntN(20))
 		}
 		if rng.IntN(2) == 0 && j.Kind != protocol.KindGang {
 			j.Team = "blue"
@@ -67,7 +67,7 @@
 		after := secs(1, 60)
 		go func() {
 			// A submission that was not taken in its time is no promise.
-			if st := c.w.Submit(j, runS); st == 200 || st == 201 {
+			if st := c.env.Submit(j, runS); st == 200 || st == 201 {
 				mu.Lock()
 				if !cancel {
 					keep = append(keep, j.ID)
@@ -80,13 +80,13 @@
 			if cancel {
 				time.Sleep(after)
 				if c.ctx.Err() == nil {
-					c.w.Withdraw(j.ID)
+					c.env.Withdraw(j.ID)
 				}
 			}
 		}()
 		name := c.names[rng.IntN(len(c.names))]
 		mode := fake.Cut(1 + rng.IntN(2))
-		machines := c.w.Machines()
+		machines := c.env.Machines()
 		machine := ""
 		if len(machines) > 0 {
 			machine = machines[rng.IntN(len(machines))]
@@ -99,12 +99,12 @@
 		case 1:
 			later(secs(3, 40), c.cut(name, "state", mode))
 		case 2:
-			c.w.State.Refuse(name, true)
-			later(secs(3, 40), func() { c.w.State.Refuse(name, false) })
+			c.env.State.Refuse(name, true)
+			later(secs(3, 40), func() { c.env.State.Refuse(name, false) })
 		case 3:
 			if rng.IntN(3) == 0 {
-				c.w.State.Refuse("", true)
-				later(secs(3, 40), func() { c.w.State.Refuse("", false) })
+				c.env.State.Refuse("", true)
+				later(secs(3, 40), func() { c.env.State.Refuse("", false) })
 			}
 		case 4:
 			if machine != "" {
@@ -112,11 +112,11 @@
 			}
 		case 5:
 			if machine != "" {
-				later(secs(3, 40), c.w.Hang(machine))
+				later(secs(3, 40), c.env.Hang(machine))
 			}
 		case 6:
 			if machine != "" {
-				c.w.Kill(machine)
+				c.env.Kill(machine)
 			}
 		case 7:
 			if machine != "" {
@@ -131,7 +131,7 @@
 			}
 		case 9: // its reports arrive, answers and commands do not
 			if machine != "" {
-				later(secs(3, 40), c.net.Deafen(machine))
+				later(secs(3, 40), c.network.Deafen(machine))
 			}
 		case 10: // no state service and no peers, but workers and users
 			later(secs(3, 60), c.cut(name, "state", mode))
@@ -142,44 +142,44 @@
 			}
 		case 14: // it reaches nobody, commands reach it
 			if machine != "" {
-				later(secs(3, 40), c.net.Mute(machine))
+				later(secs(3, 40), c.network.Mute(machine))
 			}
 		case 15: // all of them, for longer than a lease
 			for _, m := range machines {
-				later(secs(13, 25), c.net.Mute(m))
+				later(secs(13, 25), c.network.Mute(m))
 			}
 		case 16: // transactions without an answer are carried out late
-			c.w.State.Late = c.lateCommits(0.15)
-			later(secs(5, 30), func() { c.w.State.Late = nil })
+			c.env.State.Late = c.lateCommits(0.15)
+			later(secs(5, 30), func() { c.env.State.Late = nil })
 		case 20, 21: // answers of transactions are lost, and some are refused when sent again
-			c.w.State.Fault = c.faultyCommits()
-			later(secs(5, 40), func() { c.w.State.Fault = nil })
+			c.env.State.Fault = c.faultyCommits()
+			later(secs(5, 40), func() { c.env.State.Fault = nil })
 		case 17: // it hangs between a command and its answer
 			if machine != "" {
-				c.w.HangInCommand(machine, secs(1, 25))
+				c.env.HangInCommand(machine, secs(1, 25))
 			}
 		case 18: // users cancel at the moment the leader is refused, and all a second later
 			if l := c.leader(); l != "" {
 				name = l
 			}
-			c.w.State.Refuse(name, true)
+			c.env.State.Refuse(name, true)
 			mu.Lock()
 			if len(keep) > 0 {
 				ref := keep[len(keep)-1]
 				keep = keep[:len(keep)-1]
-				go c.w.Withdraw(ref)
+				go c.env.Withdraw(ref)
 			}
 			mu.Unlock()
 			time.Sleep(time.Second)
-			c.w.State.Refuse("", true)
+			c.env.State.Refuse("", true)
 			later(secs(38, 60), func() {
-				c.w.State.Refuse("", false)
-				c.w.State.Refuse(name, false)
+				c.env.State.Refuse("", false)
+				c.env.State.Refuse(name, false)
 			})
 		case 19: // users' requests that lack a field or can't be met
-			bad := sweep(900000+next, "check", 1)
-			go c.w.Refused(bad, func(m map[string]any) { delete(m, "imageGb") }, 400)
-			go c.w.Refused(bad, func(m map[string]any) { m["cores"] = 17 }, 422)
+			bad := arrayJob(900000+next, "check", 1)
+			go c.env.Refused(bad, func(m map[string]any) { delete(m, "imageGb") }, 400)
+			go c.env.Refused(bad, func(m map[string]any) { m["cores"] = 17 }, 422)
 		case 12: // a node, mostly the leader, that loses all workers
 			if l := c.leader(); l != "" && rng.IntN(3) > 0 {
 				name = l
@@ -195,7 +195,7 @@
 				}
 			}
 			for _, m := range machines {
-				if c.w.Zone(m) == "a" {
+				if c.env.Zone(m) == "a" {
 					inside = append(inside, m)
 				} else {
 					outside = append(outside, m)
@@ -224,15 +224,15 @@
 		mu.Lock()
 		for _, ref := range keep {
 			if rng.IntN(8) == 0 {
-				go c.w.Poll(ref)
+				go c.env.Poll(ref)
 			}
 		}
 		mu.Unlock()
 	}
 	time.Sleep(90 * time.Second)
-	c.w.Calm() // whatever was under way is over
+	c.env.Calm() // whatever was under way is over
 	mu.Lock()
-	refs := slices.DeleteFunc(slices.Clone(keep), func(ref string) bool { return !c.w.MayFinish(ref) })
+	refs := slices.DeleteFunc(slices.Clone(keep), func(ref string) bool { return !c.env.MayFinish(ref) })
 	mu.Unlock()
 	if len(refs) == 0 {
 		c.t.Fatal("no job was accepted")
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -25,20 +25,20 @@
 	"marblehaven/internal/records"
 )
 
-// cluster is three real nodes in a stand-in world, in synthetic time.
-type cluster struct {
-	t     *testing.T
-	ctx   context.Context
-	net   *fake.Network
-	w     *fake.World
-	log   *slog.Logger
-	mu    sync.Mutex
-	nodes map[string]*node
-	stops map[string]func()
-	mends []func()
-	jobs  []string
-	names []string // of all nodes
-	dep   config.Deployment
+// testCluster is three real nodes in a stand-in world, in synthetic time.
+type testCluster struct {
+	t           *testing.T
+	ctx         context.Context
+	network     *fake.Network
+	env         *fake.World
+	log         *slog.Logger
+	mu          sync.Mutex
+	controllers map[string]*controller
+	stops       map[string]func()
+	mends       []func()
+	jobs        []string
+	names       []string // of all nodes
+	deployment  config.Deployment
 	// previous names the nodes that run the previous version of the formats.
 	previous map[string]bool
 }
@@ -51,7 +51,7 @@
 	{Name: "card", Cores: 16, GPUs: 4, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 9, SpotPrice: 3, BootS: 25, Zones: []string{"a", "b"}},
 }
 
-func deployment() config.Deployment {
+func testDeployment() config.Deployment {
 	var d config.Deployment
 	d.Count, d.Zones = 3, []string{"a", "b"}
 	d.Teams = []config.Team{{Name: "red", Cores: 16, CoresMax: 40, GPUs: 4, GPUsMax: 8}, {Name: "blue", Cores: 16, CoresMax: 40}}
@@ -63,35 +63,35 @@
 }
 
 // testLease is the lease of the workers in deployment.
-var testLease = time.Duration(deployment().Workers.LeaseS * float64(time.Second))
+var testLease = time.Duration(testDeployment().Workers.LeaseS * float64(time.Second))
 
 // run plays a scenario with three nodes and judges it by the rules.
-func run(t *testing.T, seed uint64, scenario func(c *cluster)) {
+func run(t *testing.T, seed uint64, scenario func(c *testCluster)) {
 	runWith(t, seed, nodeNames, scenario)
 }
 
-func runWith(t *testing.T, seed uint64, names []string, scenario func(c *cluster)) {
-	runIn(t, seed, names, deployment(), scenario)
+func runWith(t *testing.T, seed uint64, names []string, scenario func(c *testCluster)) {
+	runIn(t, seed, names, testDeployment(), scenario)
 }
 
-func runIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *cluster)) {
+func runIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c := &cluster{t: t, ctx: ctx, net: fake.NewNetwork(seed), nodes: map[string]*node{}, stops: map[string]func(){}, names: names, dep: dep, previous: map[string]bool{}}
+		c := &testCluster{t: t, ctx: ctx, network: fake.NewNetwork(seed), controllers: map[string]*controller{}, stops: map[string]func(){}, names: names, deployment: dep, previous: map[string]bool{}}
 		out := io.Discard
 		if os.Getenv("SCENARIO_LOG") != "" {
 			out = os.Stderr
 		}
 		c.log = slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
-		c.w = fake.NewWorld(ctx, c.net, dep, testTypes)
-		c.w.State.OnCommit = c.checkGuards
+		c.env = fake.NewWorld(ctx, c.network, dep, testTypes)
+		c.env.State.OnCommit = c.checkGuards
 		for i, name := range names {
-			c.w.AddNode(name, fmt.Sprintf("10.0.0.%d:80", i+1))
+			c.env.AddNode(name, fmt.Sprintf("10.0.0.%d:80", i+1))
 			c.boot(name)
 		}
 		time.Sleep(2 * time.Second)
 		scenario(c)
-		for _, rule := range c.w.Broken() {
+		for _, rule := range c.env.Broken() {
 			t.Error("rule broken:", rule)
 		}
 		c.mend()
@@ -106,7 +106,7 @@
 // checkGuards judges applied commits: a leader's writes are guarded by its term
 // and by the records they change, an open job's by its own version; otherwise a
 // late copy could undo what came after it.
-func (c *cluster) checkGuards(txn *protocol.Transaction) {
+func (c *testCluster) checkGuards(txn *protocol.Transaction) {
 	guarded := map[string]bool{}
 	for _, g := range txn.Preconditions {
 		guarded[g.Key] = true
@@ -134,9 +134,9 @@
 }
 
 // boot starts a node, as a new process would.
-func (c *cluster) boot(name string) {
+func (c *testCluster) boot(name string) {
 	i := slices.Index(c.names, name)
-	cfg := &config.Config{Node: name, APIAddr: fmt.Sprintf("10.0.0.%d:80", i+1), Deployment: c.dep, Operator: config.DefaultOperator()}
+	cfg := &config.Config{Node: name, APIAddr: fmt.Sprintf("10.0.0.%d:80", i+1), Deployment: c.deployment, Operator: config.DefaultOperator()}
 	cfg.Services.Cloud, cfg.Services.State = "cloud:1", "state:1"
 	for _, p := range c.names {
 		if p != name {
@@ -144,8 +144,8 @@
 		}
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	rt := c.net.From(ctx, name)
-	n, err := newNode(cfg, c.log.With("on", name), links{state: rt, cloud: rt, workers: rt,
+	rt := c.network.From(ctx, name)
+	n, err := newController(cfg, c.log.With("on", name), transports{store: rt, cloud: rt, agents: rt,
 		peer: func(p config.Peer) (grpc.ClientConnInterface, error) { return &peerConn{c, name, p.Node}, nil }})
 	if err != nil {
 		c.t.Fatal(err)
@@ -155,50 +155,50 @@
 	}
 	n.start(ctx)
 	c.mu.Lock()
-	c.nodes[name], c.stops[name] = n, cancel
+	c.controllers[name], c.stops[name] = n, cancel
 	c.mu.Unlock()
-	c.net.Listen(name, cfg.APIAddr, n.api)
+	c.network.Listen(name, cfg.APIAddr, n.api)
 }
 
 // kill ends a node without a word; what it has sent may still arrive.
-func (c *cluster) kill(name string) {
-	c.net.Listen(name, fmt.Sprintf("10.0.0.%d:80", slices.Index(c.names, name)+1), nil)
+func (c *testCluster) kill(name string) {
+	c.network.Listen(name, fmt.Sprintf("10.0.0.%d:80", slices.Index(c.names, name)+1), nil)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stops[name]()
-	delete(c.nodes, name)
+	delete(c.controllers, name)
 }
 
 // terms is the highest term that any node knows of.
-func (c *cluster) terms() (n uint64) {
+func (c *testCluster) terms() (n uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, nd := range c.nodes {
+	for _, nd := range c.controllers {
 		t, _ := nd.Leader()
 		n = max(n, t.Number)
 	}
 	return n
 }
 
-func (c *cluster) leader() string {
+func (c *testCluster) leader() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, n := range c.nodes {
-		if n.Leading() != nil {
+	for name, n := range c.controllers {
+		if n.LocalLeader() != nil {
 			return name
 		}
 	}
 	return ""
 }
 
-func (c *cluster) cut(a, b string, mode fake.Cut) func() {
-	mend := sync.OnceFunc(c.net.Cut(a, b, mode))
+func (c *testCluster) cut(a, b string, mode fake.Cut) func() {
+	mend := sync.OnceFunc(c.network.Cut(a, b, mode))
 	c.mends = append(c.mends, mend)
 	return mend
 }
 
 // isolate cuts a host off from all the others given.
-func (c *cluster) isolate(a string, mode fake.Cut, others ...string) func() {
+func (c *testCluster) isolate(a string, mode fake.Cut, others ...string) func() {
 	var mends []func()
 	for _, b := range others {
 		mends = append(mends, c.cut(a, b, mode))
@@ -211,13 +211,13 @@
 }
 
 // leaveWorkers cuts a node off from the state service and all other nodes.
-func (c *cluster) leaveWorkers(name string) func() {
+func (c *testCluster) leaveWorkers(name string) func() {
 	return c.isolate(name, fake.Hold, append(c.others(name), "state")...)
 }
 
 // peerConn carries gRPC calls between the nodes through the stand-in network.
 type peerConn struct {
-	c        *cluster
+	c        *testCluster
 	from, to string
 }
 
@@ -227,9 +227,9 @@
 		return err
 	}
 	var out []byte
-	err = p.c.net.Call(ctx, p.from, p.to, func() {
+	err = p.c.network.Call(ctx, p.from, p.to, func() {
 		p.c.mu.Lock()
-		n := p.c.nodes[p.to]
+		n := p.c.controllers[p.to]
 		p.c.mu.Unlock()
 		for _, m := range peer.Service.Methods {
 			if n != nil && strings.HasSuffix(method, "/"+m.MethodName) {
@@ -249,35 +249,35 @@
 	return nil, status.Error(codes.Unimplemented, "no streams")
 }
 
-func jobID(n int) string { return fmt.Sprintf("req-%06d", n) }
+func testJobID(n int) string { return fmt.Sprintf("req-%06d", n) }
 
-func sweep(n int, ref string, tasks int) protocol.Job {
-	return protocol.Job{ID: jobID(n), Class: ref, Team: "red", Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: tasks,
+func arrayJob(n int, ref string, tasks int) protocol.Job {
+	return protocol.Job{ID: testJobID(n), Class: ref, Team: "red", Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: tasks,
 		Cores: 2, MemGB: 4, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 20}
 }
 
-func standing(n, tasks int) protocol.Job {
-	j := sweep(n, "front", tasks)
+func serviceJob(n, tasks int) protocol.Job {
+	j := arrayJob(n, "front", tasks)
 	j.Kind, j.Priority, j.Spread, j.Spot, j.EstimateS, j.Cores = protocol.KindService, protocol.PriorityProduction, true, false, 0, 1
 	return j
 }
 
-func gang(n, tasks int) protocol.Job {
-	j := sweep(n, "train", tasks)
+func gangJob(n, tasks int) protocol.Job {
+	j := arrayJob(n, "train", tasks)
 	j.Kind, j.Priority, j.OneZone, j.GPUs, j.Cores, j.CheckpointIntervalS, j.CheckpointSaveS = protocol.KindGang, protocol.PriorityHigh, true, 2, 4, 10, 2
 	return j
 }
 
-func (c *cluster) submit(j protocol.Job, runS float64) {
+func (c *testCluster) submit(j protocol.Job, runS float64) {
 	c.t.Helper()
-	if st := c.w.Submit(j, runS); st != 200 && st != 201 {
+	if st := c.env.Submit(j, runS); st != 200 && st != 201 {
 		c.t.Fatalf("%s: submission got %d", j.ID, st)
 	}
 	c.jobs = append(c.jobs, j.ID)
 }
 
 // until waits for a condition.
-func (c *cluster) until(what string, limit time.Duration, cond func() bool) {
+func (c *testCluster) until(what string, limit time.Duration, cond func() bool) {
 	c.t.Helper()
 	for start := time.Now(); !cond(); time.Sleep(50 * time.Millisecond) {
 		if time.Since(start) > limit {
@@ -287,23 +287,23 @@
 }
 
 // untilElsewhere waits until all replicas of a service run, none of them on a machine.
-func (c *cluster) untilElsewhere(ref string, replicas int, machine string, limit time.Duration) {
+func (c *testCluster) untilElsewhere(ref string, replicas int, machine string, limit time.Duration) {
 	c.t.Helper()
 	c.until("the replica runs elsewhere", limit, func() bool {
-		on := c.w.On(ref)
+		on := c.env.On(ref)
 		return len(on) == replicas && !slices.Contains(on, machine)
 	})
 }
 
 // known checks that each accepted job gets an answer within 75 s, however the
 // others fare, as the operators' rule says.
-func (c *cluster) known(refs ...string) {
+func (c *testCluster) known(refs ...string) {
 	c.t.Helper()
 	var wg sync.WaitGroup
 	for _, ref := range refs {
 		wg.Go(func() {
 			for start := time.Now(); ; time.Sleep(5 * time.Second) {
-				if st, _ := c.w.Poll(ref); st == 200 {
+				if st, _ := c.env.Poll(ref); st == 200 {
 					return
 				}
 				if time.Since(start) > 75*time.Second {
@@ -316,12 +316,12 @@
 	wg.Wait()
 }
 
-func (c *cluster) phase(ref string) string {
-	_, st := c.w.Poll(ref)
+func (c *testCluster) phase(ref string) string {
+	_, st := c.env.Poll(ref)
 	return st.Phase
 }
 
-func (c *cluster) untilDone(limit time.Duration, refs ...string) {
+func (c *testCluster) untilDone(limit time.Duration, refs ...string) {
 	c.t.Helper()
 	for _, ref := range refs {
 		c.until(ref+" is done", limit, func() bool { time.Sleep(time.Second); return c.phase(ref) == protocol.PhaseDone })
@@ -330,17 +330,17 @@
 
 // pairs submits services of two replicas each and waits until all run; the result
 // lists the machines that they are on.
-func (c *cluster) pairs(n int) func() []string {
+func (c *testCluster) pairs(n int) func() []string {
 	c.t.Helper()
 	refs := make([]string, n)
 	for i := range refs {
-		j := standing(1+i, 2)
+		j := serviceJob(1+i, 2)
 		refs[i] = j.ID
 		c.submit(j, 0)
 	}
 	on := func() (all []string) {
 		for _, ref := range refs {
-			all = append(all, c.w.On(ref)...)
+			all = append(all, c.env.On(ref)...)
 		}
 		return all
 	}
@@ -349,7 +349,7 @@
 }
 
 // restartAll ends every controller; each is back at once.
-func (c *cluster) restartAll() {
+func (c *testCluster) restartAll() {
 	for _, n := range c.names {
 		c.kill(n)
 		c.boot(n)
--- a/internal/server/cluster_troubles_test.go
+++ b/internal/server/cluster_troubles_test.go
@@ -8,32 +8,32 @@
 )
 
 // at is the users' address of a node.
-func (c *cluster) at(name string) string { return c.w.Nodes[slices.Index(c.names, name)] }
+func (c *testCluster) at(name string) string { return c.env.Nodes[slices.Index(c.names, name)] }
 
 // others are all nodes but one.
-func (c *cluster) others(name string) []string {
+func (c *testCluster) others(name string) []string {
 	return slices.DeleteFunc(slices.Clone(c.names), func(n string) bool { return n == name })
 }
 
 // withdrawAt cancels a job at one node and checks that it is told so.
-func (c *cluster) withdrawAt(name, ref string) {
+func (c *testCluster) withdrawAt(name, ref string) {
 	c.t.Helper()
-	c.w.Asked = []string{c.at(name)}
-	if st, s := c.w.Withdraw(ref); st != 200 || s.Phase != protocol.PhaseCancelled {
+	c.env.Asked = []string{c.at(name)}
+	if st, s := c.env.Withdraw(ref); st != 200 || s.Phase != protocol.PhaseCancelled {
 		c.t.Errorf("withdrawing %s: %d %q", ref, st, s.Phase)
 	}
-	c.w.Asked = nil
+	c.env.Asked = nil
 }
 
 // untilAnotherLeads waits for a leader beside a node, which may still take itself for
 // one, and returns its name.
-func (c *cluster) untilAnotherLeads(old string, limit time.Duration) (next string) {
+func (c *testCluster) untilAnotherLeads(old string, limit time.Duration) (next string) {
 	c.t.Helper()
 	c.until("another leads", limit, func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for name, n := range c.nodes {
-			if name != old && n.Leading() != nil {
+		for name, n := range c.controllers {
+			if name != old && n.LocalLeader() != nil {
 				next = name
 			}
 		}
@@ -45,31 +45,31 @@
 // settle ends all troubles and judges what the operators' page judges then: every
 // accepted job is known, cancelled ones have nothing left, the others run and end,
 // and none is left waiting beside room.
-func (c *cluster) settle() {
+func (c *testCluster) settle() {
 	c.t.Helper()
-	c.w.State.Refuse("", false)
+	c.env.State.Refuse("", false)
 	for _, n := range c.names {
-		c.w.State.Refuse(n, false)
+		c.env.State.Refuse(n, false)
 		if !c.alive(n) {
 			c.boot(n)
 		}
 	}
-	c.w.State.Slow, c.w.State.Late, c.w.State.LoseReply, c.w.State.LoseEvent = nil, nil, nil, nil
-	c.net.Delay = nil
-	c.w.CloudDown = false
+	c.env.State.Slow, c.env.State.Late, c.env.State.LoseReply, c.env.State.LoseEvent = nil, nil, nil, nil
+	c.network.Delay = nil
+	c.env.CloudDown = false
 	c.mend()
-	c.w.Calm()
+	c.env.Calm()
 	c.known(c.jobs...)
 	for _, ref := range c.jobs {
-		j := c.w.Job(ref)
+		j := c.env.Job(ref)
 		switch {
-		case c.w.Cancelled(ref):
+		case c.env.Cancelled(ref):
 			c.until(ref+" is over", time.Minute, func() bool {
 				p := c.phase(ref)
-				return (p == protocol.PhaseCancelled || p == protocol.PhaseDone) && len(c.w.On(ref)) == 0
+				return (p == protocol.PhaseCancelled || p == protocol.PhaseDone) && len(c.env.On(ref)) == 0
 			})
 		case j.Kind == protocol.KindService:
-			c.until(ref+" runs", 3*time.Minute, func() bool { return len(c.w.On(ref)) == j.Tasks })
+			c.until(ref+" runs", 3*time.Minute, func() bool { return len(c.env.On(ref)) == j.Tasks })
 		default:
 			c.untilDone(6*time.Minute, ref)
 		}
@@ -77,28 +77,28 @@
 	time.Sleep(time.Minute)
 }
 
-func (c *cluster) alive(name string) bool {
+func (c *testCluster) alive(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.nodes[name] != nil
+	return c.controllers[name] != nil
 }
 
 // mute makes machines unable to open connections.
-func (c *cluster) mute(machines ...string) {
+func (c *testCluster) mute(machines ...string) {
 	for _, m := range machines {
-		c.mends = append(c.mends, c.net.Mute(m))
+		c.mends = append(c.mends, c.network.Mute(m))
 	}
 }
 
 // deafen makes machines hear nothing.
-func (c *cluster) deafen(machines ...string) {
+func (c *testCluster) deafen(machines ...string) {
 	for _, m := range machines {
-		c.mends = append(c.mends, c.net.Deafen(m))
+		c.mends = append(c.mends, c.network.Deafen(m))
 	}
 }
 
 // mend ends the cuts made so far.
-func (c *cluster) mend() {
+func (c *testCluster) mend() {
 	for _, mend := range c.mends {
 		mend()
 	}
@@ -106,42 +106,42 @@
 }
 
 // begin submits two services and two arrays and waits until they run.
-func (c *cluster) begin() {
+func (c *testCluster) begin() {
 	c.t.Helper()
-	c.submit(standing(1, 2), 0)
-	c.submit(standing(2, 2), 0)
-	c.submit(sweep(3, "check", 6), 60)
-	zoned := sweep(4, "check", 4)
+	c.submit(serviceJob(1, 2), 0)
+	c.submit(serviceJob(2, 2), 0)
+	c.submit(arrayJob(3, "check", 6), 60)
+	zoned := arrayJob(4, "check", 4)
 	zoned.Zone, zoned.OneZone = "a", true
 	c.submit(zoned, 60)
 	c.until("all run", 2*time.Minute, func() bool {
-		return len(c.w.On("req-000001")) == 2 && len(c.w.On("req-000002")) == 2 && len(c.w.On("req-000003")) == 6 && len(c.w.On("req-000004")) == 4
+		return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) == 2 && len(c.env.On("req-000003")) == 6 && len(c.env.On("req-000004")) == 4
 	})
 	time.Sleep(5 * time.Second)
 }
 
 // lateCommits picks a share of the commits to be carried out 2 to 12 s late.
-func (c *cluster) lateCommits(share float64) func() time.Duration {
+func (c *testCluster) lateCommits(share float64) func() time.Duration {
 	return func() time.Duration {
-		if c.w.Random() < share {
-			return time.Duration((2 + 10*c.w.Random()) * float64(time.Second))
+		if c.env.Random() < share {
+			return time.Duration((2 + 10*c.env.Random()) * float64(time.Second))
 		}
 		return 0
 	}
 }
 
 // noRoom lets the cloud rent out nothing more.
-func (c *cluster) noRoom() {
+func (c *testCluster) noRoom() {
 	for _, typ := range testTypes {
 		for _, zone := range typ.Zones {
-			c.w.Limit(typ.Name, zone, false, 0)
-			c.w.Limit(typ.Name, zone, true, 0)
+			c.env.Limit(typ.Name, zone, false, 0)
+			c.env.Limit(typ.Name, zone, true, 0)
 		}
 	}
 }
 
 // killLeader ends the leader, if there is one, and returns its name.
-func (c *cluster) killLeader() string {
+func (c *testCluster) killLeader() string {
 	l := c.leader()
 	if l != "" {
 		c.kill(l)
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -25,7 +25,7 @@
 // again, as when these have become smaller in between. After that the first that
 // changes both keys is lost on its way. The channel is closed when the first
 // transaction is refused.
-func (c *cluster) inDoubt(first, second string) (refused <-chan struct{}) {
+func (c *testCluster) inDoubt(first, second string) (refused <-chan struct{}) {
 	const ( // what has come about
 		nothing = iota
 		carriedOut
@@ -34,7 +34,7 @@
 	)
 	at := nothing
 	ch := make(chan struct{})
-	c.w.State.Fault = func(txn *protocol.Transaction) fake.Fault {
+	c.env.State.Fault = func(txn *protocol.Transaction) fake.Fault {
 		switch {
 		case at == nothing && changesAll(txn, first):
 			at = carriedOut
@@ -53,17 +53,17 @@
 }
 
 // withdrawUnheard cancels a job without the leader's hearing of it by an event.
-func (c *cluster) withdrawUnheard(ref string) protocol.JobStatus {
-	c.w.State.LoseEvent = func(key string) bool { return key == records.OpenKey(ref) }
-	_, status := c.w.Withdraw(ref)
+func (c *testCluster) withdrawUnheard(ref string) protocol.JobStatus {
+	c.env.State.LoseEvent = func(key string) bool { return key == records.OpenKey(ref) }
+	_, status := c.env.Withdraw(ref)
 	return status
 }
 
 // faultyCommits makes transactions fail in every way that leaves their outcome unknown,
 // or says nothing of an earlier try.
-func (c *cluster) faultyCommits() func(*protocol.Transaction) fake.Fault {
+func (c *testCluster) faultyCommits() func(*protocol.Transaction) fake.Fault {
 	return func(*protocol.Transaction) fake.Fault {
-		switch p := c.w.Random(); {
+		switch p := c.env.Random(); {
 		case p < 0.25:
 			return fake.AnswerLost
 		case p < 0.3:
@@ -82,43 +82,43 @@
 // be true: believing that one to be carried out it sent starts that no record names,
 // which the next leader knows nothing of.
 func TestStartsWithoutRecord(t *testing.T) {
-	runIn(t, 901, nodeNames, wide(), func(c *cluster) {
+	runIn(t, 901, nodeNames, wide(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
-		c.submit(sweep(1, "warm", 2), 300) // so that there is a machine
-		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.w.On(jobID(1))) == 2 })
-		refused := c.inDoubt(records.SegmentKey(jobID(2), 0), records.SegmentKey(jobID(3), 0))
+		c.submit(arrayJob(1, "warm", 2), 300) // so that there is a machine
+		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.env.On(testJobID(1))) == 2 })
+		refused := c.inDoubt(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
 		c.submit(array(2, 1), 30)
 		<-refused
 		c.submit(array(3, 1), 30)
 		time.Sleep(4 * time.Second)
 		c.killLeader()
-		c.untilDone(4*time.Minute, jobID(2), jobID(3))
+		c.untilDone(4*time.Minute, testJobID(2), testJobID(3))
 	})
 }
 
 // The same with a job that is cancelled before its start is recorded: it is not
 // started after its user was told.
 func TestStartsAfterCancellation(t *testing.T) {
-	runIn(t, 902, nodeNames, wide(), func(c *cluster) {
+	runIn(t, 902, nodeNames, wide(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
-		c.submit(sweep(1, "warm", 2), 300)
-		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.w.On(jobID(1))) == 2 })
-		refused := c.inDoubt(records.SegmentKey(jobID(2), 0), records.SegmentKey(jobID(3), 0))
+		c.submit(arrayJob(1, "warm", 2), 300)
+		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.env.On(testJobID(1))) == 2 })
+		refused := c.inDoubt(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
 		c.submit(array(2, 1), 30)
 		<-refused
 		c.submit(array(3, 1), 300)
 		time.Sleep(100 * time.Millisecond) // its start is about to be recorded
-		if st := c.withdrawUnheard(jobID(3)); st.Phase != protocol.PhaseCancelled {
+		if st := c.withdrawUnheard(testJobID(3)); st.Phase != protocol.PhaseCancelled {
 			t.Fatalf("a job withdrawn at its start is %s", st.Phase)
 		}
 		for range 200 {
 			time.Sleep(50 * time.Millisecond)
-			if on := c.w.On(jobID(3)); len(on) > 0 {
+			if on := c.env.On(testJobID(3)); len(on) > 0 {
 				t.Errorf("a cancelled job is started on %s", on)
 				break
 			}
 		}
-		c.untilDone(4*time.Minute, jobID(2))
+		c.untilDone(4*time.Minute, testJobID(2))
 	})
 }
 
@@ -126,20 +126,20 @@
 // leader took a job for done that its user was told is cancelled, and started the job
 // that waits for it.
 func TestClosedWithoutRecord(t *testing.T) {
-	runIn(t, 903, nodeNames, wide(), func(c *cluster) {
+	runIn(t, 903, nodeNames, wide(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
-		refused := c.inDoubt(records.FinalKey(jobID(1)), records.FinalKey(jobID(2)))
+		refused := c.inDoubt(records.FinalKey(testJobID(1)), records.FinalKey(testJobID(2)))
 		c.submit(array(1, 1), 10)
 		c.submit(array(2, 1), 10.5)
-		c.submit(after(sweep(3, "stage", 2), jobID(2)), 60)
+		c.submit(after(arrayJob(3, "stage", 2), testJobID(2)), 60)
 		<-refused // and the second job ends in a moment
-		if st := c.withdrawUnheard(jobID(2)); st.Phase != protocol.PhaseCancelled {
+		if st := c.withdrawUnheard(testJobID(2)); st.Phase != protocol.PhaseCancelled {
 			t.Fatalf("a job withdrawn at its end is %s", st.Phase)
 		}
 		time.Sleep(time.Minute)
-		if on := c.w.On(jobID(3)); len(on) > 0 {
+		if on := c.env.On(testJobID(3)); len(on) > 0 {
 			t.Errorf("a job that waits for a cancelled one is started on %s", on)
 		}
-		c.untilCancelled(10*time.Second, jobID(2), jobID(3))
+		c.untilCancelled(10*time.Second, testJobID(2), testJobID(3))
 	})
 }
--- a/internal/server/confirmed_test.go
+++ b/internal/server/confirmed_test.go
@@ -19,8 +19,8 @@
 func TestConfirmedBeforeOutage(t *testing.T) {
 	// A confirmation that the leader's follow calls do not bring it any more: they
 	// are slow, as calls now and then are, until nothing is served.
-	slowFollow := func(c *cluster) {
-		c.w.State.Slow = func(path string) time.Duration {
+	slowFollow := func(c *testCluster) {
+		c.env.State.Slow = func(path string) time.Duration {
 			if path == "/follow" {
 				return 1400 * time.Millisecond
 			}
@@ -31,61 +31,61 @@
 	for _, tc := range []struct {
 		name string
 		// before leads up to the outage, in which job 1 must be confirmed as cancelled.
-		before func(c *cluster, leader string)
+		before func(c *testCluster, leader string)
 		// during is what else happens after the outage began.
-		during func(c *cluster, leader string)
+		during func(c *testCluster, leader string)
 		// goesOn says that all controllers can name the cancelled jobs, so that
 		// the other jobs go on.
 		goesOn bool
 	}{
-		{"by the leader itself", func(c *cluster, leader string) {
+		{"by the leader itself", func(c *testCluster, leader string) {
 			slowFollow(c)
 			c.withdrawAt(leader, "req-000001")
 		}, nil, true},
-		{"by another", func(c *cluster, leader string) {
+		{"by another", func(c *testCluster, leader string) {
 			slowFollow(c)
 			c.withdrawAt(c.others(leader)[0], "req-000001")
 		}, nil, true},
-		{"read at the leader", func(c *cluster, leader string) {
+		{"read at the leader", func(c *testCluster, leader string) {
 			slowFollow(c)
 			// The one that committed it ends before it can answer.
 			other := c.others(leader)[0]
-			c.w.State.LoseReply = func() bool { return true }
-			c.w.Asked = []string{c.at(other)}
-			go c.w.Withdraw("req-000001")
+			c.env.State.LoseReply = func() bool { return true }
+			c.env.Asked = []string{c.at(other)}
+			go c.env.Withdraw("req-000001")
 			time.Sleep(30 * time.Millisecond)
-			c.w.State.LoseReply = nil
+			c.env.State.LoseReply = nil
 			c.kill(other)
-			c.w.Asked = []string{c.at(leader)}
+			c.env.Asked = []string{c.at(leader)}
 			c.until("it is called cancelled", time.Second, func() bool { return c.phase("req-000001") == protocol.PhaseCancelled })
-			c.w.Asked = nil
+			c.env.Asked = nil
 			c.boot(other)
 		}, nil, false},
-		{"by one that restarts at once", func(c *cluster, leader string) {
+		{"by one that restarts at once", func(c *testCluster, leader string) {
 			slowFollow(c)
 			other := c.others(leader)[0]
 			c.withdrawAt(other, "req-000001")
 			c.kill(other)
 			c.boot(other)
 		}, nil, false},
-		{"by one that restarts twice", func(c *cluster, leader string) {
+		{"by one that restarts twice", func(c *testCluster, leader string) {
 			slowFollow(c)
 			other := c.others(leader)[0]
 			c.withdrawAt(other, "req-000001")
 			c.kill(other)
 			time.Sleep(200 * time.Millisecond)
 			c.boot(other)
-		}, func(c *cluster, leader string) {
+		}, func(c *testCluster, leader string) {
 			other := c.others(leader)[0]
 			time.Sleep(5 * time.Second)
 			c.kill(other)
 			time.Sleep(1500 * time.Millisecond)
 			c.boot(other)
 		}, false},
-		{"by one whose answers come late", func(c *cluster, leader string) {
+		{"by one whose answers come late", func(c *testCluster, leader string) {
 			slowFollow(c)
 			other := c.others(leader)[0]
-			c.net.Delay = func(from, to string) time.Duration {
+			c.network.Delay = func(from, to string) time.Duration {
 				if from == other && to == leader {
 					return 900 * time.Millisecond
 				}
@@ -94,35 +94,35 @@
 			time.Sleep(500 * time.Millisecond) // it is asked, and answers before it confirms
 			c.withdrawAt(other, "req-000001")
 		}, nil, true},
-		{"by one that is cut off then", func(c *cluster, leader string) {
+		{"by one that is cut off then", func(c *testCluster, leader string) {
 			slowFollow(c)
 			other := c.others(leader)[0]
 			c.withdrawAt(other, "req-000001")
 			c.isolate(other, fake.Hold, c.others(other)...)
 		}, nil, false},
-		{"carried out late and read elsewhere", func(c *cluster, leader string) {
+		{"carried out late and read elsewhere", func(c *testCluster, leader string) {
 			other := c.others(leader)[0]
 			n := 0
-			c.w.State.Late = func() time.Duration {
+			c.env.State.Late = func() time.Duration {
 				if n++; n == 1 {
 					return 3 * time.Second
 				}
 				return 0
 			}
-			c.w.State.LoseEvent = func(key string) bool { return key == "o/req-000001" }
+			c.env.State.LoseEvent = func(key string) bool { return key == "o/req-000001" }
 			c.withdrawAt(other, "req-000001")
 		}, nil, true},
-		{"while the leader alone is refused", func(c *cluster, leader string) {
-			c.w.State.Refuse(leader, true)
+		{"while the leader alone is refused", func(c *testCluster, leader string) {
+			c.env.State.Refuse(leader, true)
 			c.withdrawAt(c.others(leader)[0], "req-000001")
 		}, nil, true},
-		{"while the leader alone is refused and hears no peer", func(c *cluster, leader string) {
-			c.w.State.Refuse(leader, true)
+		{"while the leader alone is refused and hears no peer", func(c *testCluster, leader string) {
+			c.env.State.Refuse(leader, true)
 			c.isolate(leader, fake.Hold, c.others(leader)...)
 			c.withdrawAt(c.others(leader)[0], "req-000001")
 		}, nil, false},
-		{"by the next leader before the outage", func(c *cluster, leader string) {
-			c.w.State.Refuse(leader, true)
+		{"by the next leader before the outage", func(c *testCluster, leader string) {
+			c.env.State.Refuse(leader, true)
 			next := c.untilAnotherLeads(leader, 10*time.Second)
 			slowFollow(c)
 			c.withdrawAt(next, "req-000001")
@@ -130,33 +130,33 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			for seed := range seeds(3) {
-				run(t, 200+seed, func(c *cluster) {
-					c.submit(standing(1, 2), 0)
-					c.submit(standing(2, 2), 0)
-					c.submit(sweep(3, "check", 6), 400)
+				run(t, 200+seed, func(c *testCluster) {
+					c.submit(serviceJob(1, 2), 0)
+					c.submit(serviceJob(2, 2), 0)
+					c.submit(arrayJob(3, "check", 6), 400)
 					c.until("all run", 2*time.Minute, func() bool {
-						return len(c.w.On("req-000001")) == 2 && len(c.w.On("req-000002")) == 2 && len(c.w.On("req-000003")) == 6
+						return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) == 2 && len(c.env.On("req-000003")) == 6
 					})
 					time.Sleep(20*time.Second + time.Duration(seed)*370*time.Millisecond)
-					keep := c.w.On("req-000002")
-					lapses := c.w.Lapses
+					keep := c.env.On("req-000002")
+					lapses := c.env.Lapses
 					leader := c.leader()
 					tc.before(c, leader)
-					c.w.State.Refuse("", true)
-					c.w.State.Slow = nil
+					c.env.State.Refuse("", true)
+					c.env.State.Slow = nil
 					if tc.during != nil {
 						tc.during(c, leader)
 					}
 					terms := c.terms()
 					time.Sleep(70 * time.Second)
-					if on := c.w.On("req-000001"); len(on) > 0 {
+					if on := c.env.On("req-000001"); len(on) > 0 {
 						t.Errorf("cancelled, still on %v", on)
 					}
-					if on := c.w.On("req-000002"); tc.goesOn && (!slices.Equal(on, keep) || c.w.Lapses > lapses) {
-						t.Errorf("%d leases ran out; the other service was on %v and is on %v", c.w.Lapses-lapses, keep, on)
+					if on := c.env.On("req-000002"); tc.goesOn && (!slices.Equal(on, keep) || c.env.Lapses > lapses) {
+						t.Errorf("%d leases ran out; the other service was on %v and is on %v", c.env.Lapses-lapses, keep, on)
 					}
-					c.w.State.Refuse(leader, false)
-					c.w.State.Refuse("", false)
+					c.env.State.Refuse(leader, false)
+					c.env.State.Refuse("", false)
 					c.mend()
 					time.Sleep(15 * time.Second)
 					// Records that are behind what the controllers say must not make
@@ -165,7 +165,7 @@
 						t.Errorf("%d terms more", n)
 					}
 					c.known(c.jobs...)
-					c.until("the other service runs", 2*time.Minute, func() bool { return len(c.w.On("req-000002")) == 2 })
+					c.until("the other service runs", 2*time.Minute, func() bool { return len(c.env.On("req-000002")) == 2 })
 				})
 			}
 		})
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -19,23 +19,23 @@
 
 // pipeline submits a chain of four stages, the third of which is a gang, one job
 // after another, and returns their ids. Numbers count from first.
-func (c *cluster) pipeline(first int) []string {
+func (c *testCluster) pipeline(first int) []string {
 	c.t.Helper()
 	small := func(i, tasks int, rank string) protocol.Job {
-		j := sweep(first+i, "stage", tasks)
+		j := arrayJob(first+i, "stage", tasks)
 		j.Priority, j.Cores, j.EstimateS = rank, 1, 8
 		return j
 	}
-	join := gang(first+3, 2)
+	join := gangJob(first+3, 2)
 	join.GPUs, join.Cores, join.Priority = 0, 2, protocol.PriorityStandard
 	last := small(4, 2, protocol.PriorityHigh)
 	last.DeadlineS = 200
 	jobs := []protocol.Job{
 		small(0, 4, protocol.PriorityIdle),
-		after(small(1, 6, protocol.PriorityIdle), jobID(first)),
-		after(small(2, 3, protocol.PriorityIdle), jobID(first)),
-		after(join, jobID(first), jobID(first+1)),
-		after(last, jobID(first+2), jobID(first+3)),
+		after(small(1, 6, protocol.PriorityIdle), testJobID(first)),
+		after(small(2, 3, protocol.PriorityIdle), testJobID(first)),
+		after(join, testJobID(first), testJobID(first+1)),
+		after(last, testJobID(first+2), testJobID(first+3)),
 	}
 	var refs []string
 	for _, j := range jobs {
@@ -46,7 +46,7 @@
 }
 
 // untilCancelled waits until the users of all jobs are told that they are cancelled.
-func (c *cluster) untilCancelled(limit time.Duration, refs ...string) {
+func (c *testCluster) untilCancelled(limit time.Duration, refs ...string) {
 	c.t.Helper()
 	for _, ref := range refs {
 		c.until(ref+" is cancelled", limit, func() bool { return c.phase(ref) == protocol.PhaseCancelled })
@@ -56,35 +56,35 @@
 // A pipeline runs in its order; cancelling one of its jobs cancels those behind it
 // and no others; what the rules say is judged by the stand-ins.
 func TestPipeline(t *testing.T) {
-	run(t, 60, func(c *cluster) {
+	run(t, 60, func(c *testCluster) {
 		whole := c.pipeline(100)
 		cut := c.pipeline(200)
 		c.untilDone(3*time.Minute, cut[0])
-		c.w.Withdraw(cut[1])
+		c.env.Withdraw(cut[1])
 		c.untilCancelled(10*time.Second, cut[1], cut[3], cut[4])
 		c.untilDone(3*time.Minute, cut[2])
 		c.untilDone(5*time.Minute, whole...)
 		// Named when that was long ago: accepted, and called cancelled at once.
-		time.Sleep(time.Duration(c.dep.Workers.CancelS) * time.Second)
-		late := after(sweep(300, "stage", 2), cut[0], cut[3])
+		time.Sleep(time.Duration(c.deployment.Workers.CancelS) * time.Second)
+		late := after(arrayJob(300, "stage", 2), cut[0], cut[3])
 		c.submit(late, 5)
 		c.untilCancelled(time.Second, late.ID)
 		// A cancellation that is answered with done stops nothing.
-		if _, st := c.w.Withdraw(whole[1]); st.Phase != protocol.PhaseDone {
+		if _, st := c.env.Withdraw(whole[1]); st.Phase != protocol.PhaseDone {
 			t.Errorf("a finished job withdrawn is %s", st.Phase)
 		}
 		// That one of the jobs named is cancelled doesn't make up for one that nobody
 		// submitted. (Found on the users' bench, just after an outage.)
-		for _, names := range [][]string{{cut[3], jobID(999)}, {jobID(99), cut[3]}, {jobID(99), whole[0], cut[1]}} {
-			c.w.Refused(sweep(302, "stage", 1), func(m map[string]any) { m["awaits"] = names }, 422)
+		for _, names := range [][]string{{cut[3], testJobID(999)}, {testJobID(99), cut[3]}, {testJobID(99), whole[0], cut[1]}} {
+			c.env.Refused(arrayJob(302, "stage", 1), func(m map[string]any) { m["awaits"] = names }, 422)
 		}
-		next := after(sweep(301, "stage", 2), whole[1], whole[4])
+		next := after(arrayJob(301, "stage", 2), whole[1], whole[4])
 		c.submit(next, 5)
 		c.untilDone(2*time.Minute, next.ID)
-		if st := c.w.Submit(late, 5); st != 200 {
+		if st := c.env.Submit(late, 5); st != 200 {
 			t.Errorf("a cancelled job submitted again gets %d", st)
 		}
-		c.until("records are cleared", time.Minute, func() bool { return len(c.w.State.Keys("o/")) == 0 })
+		c.until("records are cleared", time.Minute, func() bool { return len(c.env.State.Keys("o/")) == 0 })
 	})
 }
 
@@ -92,29 +92,29 @@
 // job itself, lists that are none, and more names than a record holds. A chain can
 // hold no cycle, since a job must be accepted before it is named.
 func TestDependenciesRefused(t *testing.T) {
-	run(t, 61, func(c *cluster) {
-		first := sweep(1, "stage", 1)
+	run(t, 61, func(c *testCluster) {
+		first := arrayJob(1, "stage", 1)
 		c.submit(first, 5)
 		many := make([]string, 40)
 		for i := range many {
-			many[i] = jobID(1000 + i)
+			many[i] = testJobID(1000 + i)
 		}
 		for _, b := range []struct {
 			awaits any
 			want   int
 		}{
-			{[]string{jobID(999)}, 422}, {[]string{first.ID, jobID(999)}, 422}, {[]string{jobID(2)}, 400}, {"req-000001", 400},
+			{[]string{testJobID(999)}, 422}, {[]string{first.ID, testJobID(999)}, 422}, {[]string{testJobID(2)}, 400}, {"req-000001", 400},
 			{[]string{"job-1"}, 400}, {[]any{1}, 400}, {[]string{""}, 400}, {map[string]int{}, 400}, {many, 400},
 		} {
-			c.w.Refused(sweep(2, "stage", 1), func(m map[string]any) { m["awaits"] = b.awaits }, b.want)
+			c.env.Refused(arrayJob(2, "stage", 1), func(m map[string]any) { m["awaits"] = b.awaits }, b.want)
 		}
-		second := after(sweep(2, "stage", 1), first.ID, first.ID)
+		second := after(arrayJob(2, "stage", 1), first.ID, first.ID)
 		c.submit(second, 5)
 		// Naming the one behind it now: it is known, so its first description stands.
-		if st := c.w.Submit(after(first, second.ID), 5); st != 200 {
+		if st := c.env.Submit(after(first, second.ID), 5); st != 200 {
 			t.Errorf("an accepted job submitted again gets %d", st)
 		}
-		none := sweep(3, "stage", 1)
+		none := arrayJob(3, "stage", 1)
 		none.DependsOn = []string{}
 		c.submit(none, 5)
 		c.untilDone(3*time.Minute, first.ID, second.ID, none.ID)
@@ -124,18 +124,18 @@
 // No controller calls a job queued that waits for a cancelled one, although there is
 // no leader to close it.
 func TestCancelledChainWithoutLeader(t *testing.T) {
-	dep := deployment()
+	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // the first job never begins beside another
-	runIn(t, 62, nodeNames, dep, func(c *cluster) {
-		refs := []string{jobID(1), jobID(2), jobID(3)}
-		c.submit(sweep(1, "stage", 2), 1000)
-		c.submit(after(sweep(2, "stage", 1), refs[0]), 5)
-		c.submit(after(sweep(3, "stage", 1), refs[1]), 5)
+	runIn(t, 62, nodeNames, dep, func(c *testCluster) {
+		refs := []string{testJobID(1), testJobID(2), testJobID(3)}
+		c.submit(arrayJob(1, "stage", 2), 1000)
+		c.submit(after(arrayJob(2, "stage", 1), refs[0]), 5)
+		c.submit(after(arrayJob(3, "stage", 1), refs[1]), 5)
 		c.leaderless()
-		c.w.Withdraw(refs[0])
+		c.env.Withdraw(refs[0])
 		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
-		for _, addr := range slices.Clone(c.w.Nodes) {
-			c.w.Asked = []string{addr}
+		for _, addr := range slices.Clone(c.env.Nodes) {
+			c.env.Asked = []string{addr}
 			for _, ref := range refs {
 				if got := c.phase(ref); got != protocol.PhaseCancelled {
 					t.Errorf("%s is %s at %s", ref, got, addr)
@@ -149,43 +149,43 @@
 }
 
 // leaderless makes all controllers take a node for the leader that is none.
-func (c *cluster) leaderless() {
+func (c *testCluster) leaderless() {
 	c.t.Helper()
-	c.w.State.Put(records.KeyTerm, records.Term{Number: 99, Node: "gone"})
-	c.w.State.Put(records.KeyLeader, records.Term{Number: 99, Node: "gone"})
+	c.env.State.Put(records.KeyTerm, records.Term{Number: 99, Node: "gone"})
+	c.env.State.Put(records.KeyLeader, records.Term{Number: 99, Node: "gone"})
 	c.until("nobody leads", time.Minute, func() bool { return c.leader() == "" })
 }
 
 // The same at the end of a chain that is far longer, and of one far wider, than what is
 // read job by job for an answer.
 func TestCancelledLongChainWithoutLeader(t *testing.T) {
-	dep := deployment()
+	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // no job begins beside the first
-	runIn(t, 65, nodeNames, dep, func(c *cluster) {
-		c.submit(sweep(1, "stage", 2), 1000)
+	runIn(t, 65, nodeNames, dep, func(c *testCluster) {
+		c.submit(arrayJob(1, "stage", 2), 1000)
 		deep, wide := 150, 3
 		for i := 2; i <= deep; i++ {
-			c.submit(after(sweep(i, "stage", 1), jobID(i-1)), 5)
+			c.submit(after(arrayJob(i, "stage", 1), testJobID(i-1)), 5)
 		}
-		before := []string{jobID(1)}
+		before := []string{testJobID(1)}
 		for level := range wide {
 			var names []string
 			for i := range 32 {
-				j := after(sweep(1000+100*level+i, "stage", 1), before...)
+				j := after(arrayJob(1000+100*level+i, "stage", 1), before...)
 				c.submit(j, 5)
 				names = append(names, j.ID)
 			}
 			before = names
 		}
-		last := after(sweep(2000, "stage", 1), before...)
+		last := after(arrayJob(2000, "stage", 1), before...)
 		c.submit(last, 5)
-		c.w.State.PageMost = 40
+		c.env.State.PageMost = 40
 		c.leaderless()
-		c.w.Withdraw(jobID(1))
+		c.env.Withdraw(testJobID(1))
 		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
-		for _, addr := range slices.Clone(c.w.Nodes) {
-			c.w.Asked = []string{addr}
-			for _, ref := range []string{jobID(deep), last.ID, jobID(deep / 2), before[5]} {
+		for _, addr := range slices.Clone(c.env.Nodes) {
+			c.env.Asked = []string{addr}
+			for _, ref := range []string{testJobID(deep), last.ID, testJobID(deep / 2), before[5]} {
 				if got := c.phase(ref); got != protocol.PhaseCancelled {
 					t.Errorf("%s is %s at %s", ref, got, addr)
 				}
@@ -200,42 +200,42 @@
 // again and again, each with all that it had read before, kept it busy for minutes, and
 // jobs were forgotten. (Found on the users' bench, at production size.)
 func TestQuestionsAtSize(t *testing.T) {
-	dep := deployment()
+	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // no job begins beside the first
-	runIn(t, 66, nodeNames, dep, func(c *cluster) {
+	runIn(t, 66, nodeNames, dep, func(c *testCluster) {
 		const jobs = 300
-		c.submit(sweep(1, "stage", 2), 1000)
+		c.submit(arrayJob(1, "stage", 2), 1000)
 		var names, refs []string
 		for i := range 12 {
-			j := after(sweep(2+i, "stage", 1), jobID(1))
+			j := after(arrayJob(2+i, "stage", 1), testJobID(1))
 			c.submit(j, 5)
 			names = append(names, j.ID)
 		}
 		for i := range jobs {
-			j := after(sweep(100+i, "stage", 1), names[i%4], names[4+i%4], names[8+i%4])
+			j := after(arrayJob(100+i, "stage", 1), names[i%4], names[4+i%4], names[8+i%4])
 			c.submit(j, 5)
 			refs = append(refs, j.ID)
 		}
-		c.w.State.LimitRequests(120)
+		c.env.State.LimitRequests(120)
 		ctx, stop := context.WithCancel(c.ctx)
 		for i, ref := range refs {
 			go func() {
 				time.Sleep(time.Duration(i) * 5 * time.Second / jobs)
 				for ctx.Err() == nil {
-					c.w.Poll(ref)
+					c.env.Poll(ref)
 					time.Sleep(5 * time.Second)
 				}
 			}()
 		}
 		time.Sleep(20 * time.Second)
-		c.w.State.Refuse("", true)
+		c.env.State.Refuse("", true)
 		time.Sleep(25 * time.Second)
-		c.w.State.Refuse("", false)
+		c.env.State.Refuse("", false)
 		c.known(refs...)
 		time.Sleep(20 * time.Second)
-		requestsBefore, throttledBefore := c.w.State.Asked()
+		requestsBefore, throttledBefore := c.env.State.Asked()
 		time.Sleep(time.Minute)
-		requests, throttled := c.w.State.Asked()
+		requests, throttled := c.env.State.Asked()
 		requests, throttled = requests-requestsBefore, throttled-throttledBefore
 		if throttled > requests/20 {
 			t.Errorf("%d of %d requests were throttled long after the outage", throttled, requests)
@@ -248,34 +248,34 @@
 // A dependency whose records can't be read leaves the job waiting: it neither starts
 // nor is forgotten nor called done.
 func TestUnreadableDependency(t *testing.T) {
-	run(t, 63, func(c *cluster) {
-		c.submit(sweep(1, "stage", 1), 5)
-		c.submit(sweep(2, "stage", 1), 5)
-		c.untilDone(2*time.Minute, jobID(1), jobID(2))
-		c.w.State.Spoil(records.FinalKey(jobID(1)))
+	run(t, 63, func(c *testCluster) {
+		c.submit(arrayJob(1, "stage", 1), 5)
+		c.submit(arrayJob(2, "stage", 1), 5)
+		c.untilDone(2*time.Minute, testJobID(1), testJobID(2))
+		c.env.State.Spoil(records.FinalKey(testJobID(1)))
 		c.restartAll() // nobody remembers it
 		c.until("a node leads", time.Minute, func() bool { return c.leader() != "" })
-		c.submit(after(sweep(3, "stage", 1), jobID(1)), 5)
-		c.submit(after(sweep(4, "stage", 1), jobID(2)), 5)
-		c.untilDone(2*time.Minute, jobID(4))
+		c.submit(after(arrayJob(3, "stage", 1), testJobID(1)), 5)
+		c.submit(after(arrayJob(4, "stage", 1), testJobID(2)), 5)
+		c.untilDone(2*time.Minute, testJobID(4))
 		for range 20 {
 			time.Sleep(5 * time.Second)
-			if status, st := c.w.Poll(jobID(3)); status != 200 || st.Phase != protocol.PhaseQueued {
+			if status, st := c.env.Poll(testJobID(3)); status != 200 || st.Phase != protocol.PhaseQueued {
 				t.Fatalf("%d %s", status, st.Phase)
 			}
 		}
-		c.w.Withdraw(jobID(3))
+		c.env.Withdraw(testJobID(3))
 	})
 }
 
 // The follow call misses that a job was submitted, but not the one that waits for it:
 // that the leader does not know the first says nothing of its being done.
 func TestDependencyMissed(t *testing.T) {
-	run(t, 64, func(c *cluster) {
-		c.w.State.LoseEvent = func(key string) bool { return key == records.OpenKey(jobID(1)) }
-		c.submit(sweep(1, "stage", 2), 40)
-		c.submit(after(sweep(2, "stage", 1), jobID(1)), 5)
-		c.untilDone(4*time.Minute, jobID(1), jobID(2))
+	run(t, 64, func(c *testCluster) {
+		c.env.State.LoseEvent = func(key string) bool { return key == records.OpenKey(testJobID(1)) }
+		c.submit(arrayJob(1, "stage", 2), 40)
+		c.submit(after(arrayJob(2, "stage", 1), testJobID(1)), 5)
+		c.untilDone(4*time.Minute, testJobID(1), testJobID(2))
 	})
 }
 
@@ -283,10 +283,10 @@
 // lost and transactions are carried out late.
 func TestChainsThroughTakeovers(t *testing.T) {
 	for seed := range seeds(3) {
-		run(t, 640+seed, func(c *cluster) {
+		run(t, 640+seed, func(c *testCluster) {
 			rng := rand.New(rand.NewPCG(seed, 9))
-			c.w.State.LoseEvent = func(string) bool { return c.w.Random() < 0.1 }
-			c.w.State.Late = c.lateCommits(0.05)
+			c.env.State.LoseEvent = func(string) bool { return c.env.Random() < 0.1 }
+			c.env.State.Late = c.lateCommits(0.05)
 			var whole []string
 			for i := range 4 {
 				refs := c.pipeline(100 * (i + 1))
@@ -296,7 +296,7 @@
 					k := rng.IntN(4)
 					go func() {
 						time.Sleep(time.Duration(rng.IntN(20)) * time.Second)
-						c.w.Withdraw(refs[k])
+						c.env.Withdraw(refs[k])
 					}()
 				}
 				time.Sleep(time.Duration(rng.IntN(5)) * time.Second)
@@ -304,7 +304,7 @@
 				time.Sleep(time.Duration(rng.IntN(3)) * time.Second)
 				c.boot(old)
 			}
-			c.w.State.LoseEvent, c.w.State.Late = nil, nil
+			c.env.State.LoseEvent, c.env.State.Late = nil, nil
 			c.untilDone(8*time.Minute, whole...)
 			c.until("nothing is open", 5*time.Minute, func() bool {
 				return !slices.ContainsFunc(c.jobs, func(ref string) bool {
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -13,7 +13,7 @@
 // atFleetSize is a deployment in which that many machines are rented, with workers that
 // report every ten seconds and the rates of a small state service.
 func atFleetSize() config.Deployment {
-	d := deployment()
+	d := testDeployment()
 	d.Teams = []config.Team{{Name: "red", Cores: 20000, CoresMax: 100000}, {Name: "blue", Cores: 20000, CoresMax: 100000}}
 	d.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 30, GangPeerS: 4, CancelS: 65}
 	d.State = config.State{StateLimits: config.StateLimits{RPS: 70, WriteRPS: 25, ValueKB: 8, TxnOps: 12}}
@@ -27,38 +27,38 @@
 // state service that is as long as a leader answers reports in it. The stand-ins judge it.
 func TestFourThousandMachines(t *testing.T) {
 	const arrays, tasks = 40, 100
-	runIn(t, 901, nodeNames, atFleetSize(), func(c *cluster) {
-		c.w.Step = 250 * time.Millisecond // steps of 4,000 machines are most of what the test takes
-		c.w.State.LimitRequests(c.dep.State.RPS)
+	runIn(t, 901, nodeNames, atFleetSize(), func(c *testCluster) {
+		c.env.Step = 250 * time.Millisecond // steps of 4,000 machines are most of what the test takes
+		c.env.State.LimitRequests(c.deployment.State.RPS)
 		for i := range arrays {
 			j := array(1+i, tasks) // a machine for each task
 			j.MachineTypes, j.Cores, j.MemGB, j.EstimateS = []string{"big"}, 16, 60, 120
 			j.DeadlineS = 180
-			j.Team = c.dep.Teams[i%2].Name
+			j.Team = c.deployment.Teams[i%2].Name
 			c.submit(j, 120)
 		}
-		c.until("all machines run", 4*time.Minute, func() bool { return len(c.w.Machines()) >= fleetSize })
+		c.until("all machines run", 4*time.Minute, func() bool { return len(c.env.Machines()) >= fleetSize })
 		var ends []func()
-		for i, m := range c.w.Machines() {
+		for i, m := range c.env.Machines() {
 			if i%10 == 0 {
-				ends = append(ends, c.w.Hang(m))
+				ends = append(ends, c.env.Hang(m))
 			}
 		}
 		c.boot(c.killLeader())
 		c.until("another node leads", time.Minute, func() bool { return c.leader() != "" })
 		time.Sleep(15 * time.Second)
-		c.w.State.Refuse("", true)
+		c.env.State.Refuse("", true)
 		time.Sleep(18 * time.Second)
-		c.w.State.Refuse("", false)
+		c.env.State.Refuse("", false)
 		for _, end := range ends {
 			end()
 		}
-		lapsed := c.w.Lapses
+		lapsed := c.env.Lapses
 		time.Sleep(time.Minute)
-		if more := c.w.Lapses - lapsed; more > 0 {
+		if more := c.env.Lapses - lapsed; more > 0 {
 			t.Errorf("%d leases ran out after the outage", more)
 		}
-		c.w.Calm()
+		c.env.Calm()
 		c.known(c.jobs...)
 		c.untilDone(10*time.Minute, c.jobs...)
 	})
--- a/internal/server/hundreds_test.go
+++ b/internal/server/hundreds_test.go
@@ -13,22 +13,22 @@
 // many of them deaf at once, the leader left with its workers only, late copies of
 // reports, and every controller back at once.
 func TestHundredsOfMachines(t *testing.T) {
-	hundreds(t, 138, func(c *cluster, up func([]string) func() bool) {
+	hundreds(t, 138, func(c *testCluster, up func([]string) func() bool) {
 		var mends []func()
-		for i, m := range c.w.Machines() {
+		for i, m := range c.env.Machines() {
 			if i%8 == 0 {
-				mends = append(mends, c.net.Deafen(m))
+				mends = append(mends, c.network.Deafen(m))
 			}
 		}
 		mends = append(mends, c.leaveWorkers(c.leader()))
-		c.w.Withdraw("req-000001")
+		c.env.Withdraw("req-000001")
 		time.Sleep(40 * time.Second)
 		for _, mend := range mends {
 			mend()
 		}
 		c.restartAll()
 		c.known(c.jobs...)
-		if on := c.w.On("req-000001"); len(on) > 0 {
+		if on := c.env.On("req-000001"); len(on) > 0 {
 			t.Errorf("cancelled, still on %v", on)
 		}
 		c.untilDone(6*time.Minute, c.jobs[20:]...)
@@ -40,13 +40,13 @@
 // held and comes late, dozens of machines die meanwhile, and as it is over every
 // controller ends: no rule is broken, and all runs again soon.
 func TestHundredsInACutZone(t *testing.T) {
-	hundreds(t, 142, func(c *cluster, up func([]string) func() bool) {
+	hundreds(t, 142, func(c *testCluster, up func([]string) func() bool) {
 		inside := map[string]bool{c.leader(): true, c.names[4]: true}
-		for _, m := range c.w.Machines() {
-			inside[m] = c.w.Zone(m) == "a"
+		for _, m := range c.env.Machines() {
+			inside[m] = c.env.Zone(m) == "a"
 		}
 		var in, out []string
-		for _, h := range slices.Concat(c.names, c.w.Machines(), []string{"state", "cloud", "users"}) {
+		for _, h := range slices.Concat(c.names, c.env.Machines(), []string{"state", "cloud", "users"}) {
 			if inside[h] {
 				in = append(in, h)
 			} else {
@@ -58,12 +58,12 @@
 			mends = append(mends, c.isolate(h, fake.Hold, out...))
 		}
 		time.Sleep(5 * time.Second)
-		for i, m := range c.w.Machines() {
+		for i, m := range c.env.Machines() {
 			if i%9 == 0 {
-				c.w.Kill(m)
+				c.env.Kill(m)
 			}
 		}
-		c.w.Withdraw("req-000001")
+		c.env.Withdraw("req-000001")
 		time.Sleep(30 * time.Second)
 		c.restartAll()
 		for _, mend := range mends {
@@ -72,7 +72,7 @@
 		c.known(c.jobs...)
 		c.untilDone(6*time.Minute, c.jobs[20:]...)
 		c.until("the other services run", time.Minute, up(c.jobs[1:20]))
-		if on := c.w.On("req-000001"); len(on) > 0 {
+		if on := c.env.On("req-000001"); len(on) > 0 {
 			t.Errorf("cancelled, still on %v", on)
 		}
 	})
@@ -80,24 +80,24 @@
 
 // hundreds plays a scenario with five controllers and hundreds of machines: twenty
 // services, given to up, and eight arrays run.
-func hundreds(t *testing.T, seed uint64, scenario func(c *cluster, up func([]string) func() bool)) {
-	dep := deployment()
+func hundreds(t *testing.T, seed uint64, scenario func(c *testCluster, up func([]string) func() bool)) {
+	dep := testDeployment()
 	dep.Teams = []config.Team{{Name: "red", Cores: 500, CoresMax: 2000, GPUs: 4, GPUsMax: 8}, {Name: "blue", Cores: 500, CoresMax: 2000}}
 	names := []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}
-	runIn(t, seed, names, dep, func(c *cluster) {
-		c.net.Repeat = map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second}
+	runIn(t, seed, names, dep, func(c *testCluster) {
+		c.network.Repeat = map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second}
 		for i := range 20 {
-			c.submit(standing(1+i, 4), 0)
+			c.submit(serviceJob(1+i, 4), 0)
 		}
 		for i := range 8 {
-			j := sweep(21+i, "check", 80)
+			j := arrayJob(21+i, "check", 80)
 			j.Team, j.EstimateS = []string{"red", "blue"}[i%2], 60
 			c.submit(j, 60)
 		}
-		c.until("hundreds run", 2*time.Minute, func() bool { return len(c.w.Machines()) >= 250 })
+		c.until("hundreds run", 2*time.Minute, func() bool { return len(c.env.Machines()) >= 250 })
 		up := func(refs []string) func() bool {
 			return func() bool {
-				return !slices.ContainsFunc(refs, func(ref string) bool { return len(c.w.On(ref)) != 4 })
+				return !slices.ContainsFunc(refs, func(ref string) bool { return len(c.env.On(ref)) != 4 })
 			}
 		}
 		c.until("all services run", time.Minute, up(c.jobs[:20]))
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -18,10 +18,10 @@
 // starts went must not lead to a second copy.
 func TestTakeoverDuringPlacement(t *testing.T) {
 	for seed := range uint64(3) {
-		run(t, 10+seed, func(c *cluster) {
+		run(t, 10+seed, func(c *testCluster) {
 			var once sync.Once
 			placed := make(chan struct{})
-			c.w.State.OnCommit = func(txn *protocol.Transaction) {
+			c.env.State.OnCommit = func(txn *protocol.Transaction) {
 				c.checkGuards(txn)
 				for _, ch := range txn.Mutations {
 					if strings.HasSuffix(ch.Set, "/t") {
@@ -29,7 +29,7 @@
 					}
 				}
 			}
-			c.submit(sweep(1, "check", 12), 40)
+			c.submit(arrayJob(1, "check", 12), 40)
 			<-placed
 			time.Sleep(time.Duration(seed) * 4 * time.Millisecond)
 			old := c.leader()
@@ -44,21 +44,21 @@
 // A job cancelled while nobody leads has no event that tells the next leader:
 // the record alone must stop its tasks. (Found on the users' bench.)
 func TestCancelledWhileNobodyLeads(t *testing.T) {
-	run(t, 30, func(c *cluster) {
-		c.submit(standing(1, 2), 0)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 })
+	run(t, 30, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
+		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 })
 		old := slices.Index(nodeNames, c.leader())
 		c.kill(nodeNames[old])
-		c.w.Asked = []string{c.w.Nodes[(old+1)%3]} // the dead one would cost a second
-		if st, s := c.w.Withdraw("req-000001"); st != 200 || s.Phase != protocol.PhaseCancelled {
+		c.env.Asked = []string{c.env.Nodes[(old+1)%3]} // the dead one would cost a second
+		if st, s := c.env.Withdraw("req-000001"); st != 200 || s.Phase != protocol.PhaseCancelled {
 			t.Fatalf("withdraw: %d %q", st, s.Phase)
 		}
 		if c.leader() != "" {
 			t.Fatal("a leader was there already")
 		}
-		c.w.Asked = nil
+		c.env.Asked = nil
 		time.Sleep(time.Minute)
-		if on := c.w.On("req-000001"); len(on) > 0 {
+		if on := c.env.On("req-000001"); len(on) > 0 {
 			t.Errorf("still on %v", on)
 		}
 	})
@@ -67,21 +67,21 @@
 // The state service refuses the leader alone: another takes over, and the old
 // one stops answering reports in time.
 func TestStateRefusesLeader(t *testing.T) {
-	run(t, 50, func(c *cluster) {
-		c.submit(standing(1, 2), 0)
-		c.submit(sweep(2, "check", 20), 20)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 && len(c.w.On("req-000002")) > 0 })
+	run(t, 50, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
+		c.submit(arrayJob(2, "check", 20), 20)
+		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) > 0 })
 		old := c.leader()
-		c.w.State.Refuse(old, true)
+		c.env.State.Refuse(old, true)
 		// Its peers cannot warn it, and the workers stay with it.
 		mend := c.isolate(old, fake.Hold, c.others(old)...)
 		c.untilAnotherLeads(old, 20*time.Second)
-		c.w.Withdraw("req-000001")
+		c.env.Withdraw("req-000001")
 		time.Sleep(50 * time.Second)
-		if on := c.w.On("req-000001"); len(on) > 0 {
+		if on := c.env.On("req-000001"); len(on) > 0 {
 			t.Errorf("cancelled, still on %v", on)
 		}
-		c.w.State.Refuse(old, false)
+		c.env.State.Refuse(old, false)
 		mend()
 		c.untilDone(4*time.Minute, "req-000002")
 	})
@@ -91,11 +91,11 @@
 // The next ones go out all the same, so the term does not change. (Found on the
 // fleets: a slow state service cost a term every eight seconds.)
 func TestSlowRenewals(t *testing.T) {
-	run(t, 141, func(c *cluster) {
-		c.submit(standing(1, 2), 0)
+	run(t, 141, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
 		old := c.terms()
 		var calls atomic.Int64
-		c.w.State.Slow = func(path string) time.Duration {
+		c.env.State.Slow = func(path string) time.Duration {
 			if strings.HasSuffix(path, "/touch") && calls.Add(1)%5 == 0 {
 				return 1450 * time.Millisecond
 			}
@@ -105,35 +105,35 @@
 		if terms := c.terms(); terms != old {
 			t.Errorf("the term changed %d times", terms-old)
 		}
-		c.submit(sweep(2, "check", 8), 10)
+		c.submit(arrayJob(2, "check", 8), 10)
 		c.untilDone(2*time.Minute, "req-000002")
 	})
 }
 
 // In a full outage the leader keeps leases alive, and loses nothing.
 func TestStateOutage(t *testing.T) {
-	run(t, 60, func(c *cluster) {
-		c.submit(standing(1, 2), 0)
-		c.submit(sweep(2, "check", 6), 60)
-		c.until("all run", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 && len(c.w.On("req-000002")) > 2 })
-		before := c.w.On("req-000001")
-		c.w.State.Refuse("", true)
+	run(t, 60, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
+		c.submit(arrayJob(2, "check", 6), 60)
+		c.until("all run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) > 2 })
+		before := c.env.On("req-000001")
+		c.env.State.Refuse("", true)
 		time.Sleep(60 * time.Second) // much longer than cancel_s - lease_s
-		if on := c.w.On("req-000001"); !slices.Equal(on, before) {
+		if on := c.env.On("req-000001"); !slices.Equal(on, before) {
 			t.Errorf("replicas were on %v, now on %v", before, on)
 		}
-		c.w.State.Refuse("", false)
+		c.env.State.Refuse("", false)
 		c.untilDone(3*time.Minute, "req-000002")
 	})
 }
 
 func TestAllControllersKilled(t *testing.T) {
-	run(t, 70, func(c *cluster) {
-		c.submit(standing(1, 2), 0)
-		c.submit(sweep(2, "check", 20), 30)
-		c.submit(gang(3, 2), 60)
-		c.until("they run", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 && len(c.w.On("req-000003")) > 0 })
-		before := c.w.On("req-000001")
+	run(t, 70, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
+		c.submit(arrayJob(2, "check", 20), 30)
+		c.submit(gangJob(3, 2), 60)
+		c.until("they run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000003")) > 0 })
+		before := c.env.On("req-000001")
 		for _, n := range nodeNames {
 			c.kill(n)
 		}
@@ -142,7 +142,7 @@
 			c.boot(n)
 		}
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
-		if on := c.w.On("req-000001"); !slices.Equal(on, before) {
+		if on := c.env.On("req-000001"); !slices.Equal(on, before) {
 			t.Errorf("replicas were on %v, now on %v", before, on)
 		}
 	})
@@ -152,19 +152,19 @@
 // neither users nor workers, sends users away instead of keeping them asking
 // it, and answers its workers no longer than X; another leads meanwhile.
 func TestLeaderWithWorkersOnly(t *testing.T) {
-	runWith(t, 133, []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, func(c *cluster) {
-		c.submit(standing(1, 4), 0)
-		c.submit(sweep(2, "check", 20), 30)
-		c.until("they run", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 4 && len(c.w.On("req-000002")) > 0 })
+	runWith(t, 133, []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, func(c *testCluster) {
+		c.submit(serviceJob(1, 4), 0)
+		c.submit(arrayJob(2, "check", 20), 30)
+		c.until("they run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 4 && len(c.env.On("req-000002")) > 0 })
 		old := c.leader()
 		mend := c.leaveWorkers(old)
-		c.w.CloudDown = true // so that only the leases can end what runs there
+		c.env.CloudDown = true // so that only the leases can end what runs there
 		time.Sleep(8 * time.Second)
-		c.w.Withdraw("req-000001")
+		c.env.Withdraw("req-000001")
 		c.mu.Lock()
-		cut := c.nodes[old]
+		cut := c.controllers[old]
 		c.mu.Unlock()
-		if cut.Up() {
+		if cut.Healthy() {
 			t.Error("users are still sent to the node that can ask nobody")
 		}
 		rec := httptest.NewRecorder()
@@ -172,7 +172,7 @@
 		if rec.Code != 503 || rec.Header().Get("Connection") != "close" || rec.Header().Get("Retry-After") == "" {
 			t.Errorf("its users get %d, %v", rec.Code, rec.Header())
 		}
-		d := deployment().Workers
+		d := testDeployment().Workers
 		time.Sleep(time.Duration((d.CancelS - d.LeaseS) * float64(time.Second)))
 		r, _ := protocol.Marshal(protocol.Heartbeat{Machine: "m-000001", Addr: "m-000001:9000", MachineType: "small", Zone: "a", Incarnation: 1, Sequence: 1 << 40})
 		rec = httptest.NewRecorder()
@@ -180,7 +180,7 @@
 		if rec.Code == 200 {
 			t.Error("it still answers reports")
 		}
-		c.w.CloudDown = false
+		c.env.CloudDown = false
 		c.known("req-000001", "req-000002")
 		mend()
 		c.untilDone(4*time.Minute, "req-000002")
@@ -192,21 +192,21 @@
 // another node while the leases last. (Found on the fleets: 0.7 of the replicas
 // were down for half a minute.) Where nobody else can lead it goes on itself.
 func TestLeaderWithoutWorkers(t *testing.T) {
-	run(t, 139, func(c *cluster) {
+	run(t, 139, func(c *testCluster) {
 		on := c.pairs(12)
 		time.Sleep(5 * time.Second)
-		before, lapses := on(), c.w.Lapses
+		before, lapses := on(), c.env.Lapses
 		old := c.leader()
-		mend := c.isolate(old, fake.Hold, c.w.Machines()...)
+		mend := c.isolate(old, fake.Hold, c.env.Machines()...)
 		time.Sleep(25 * time.Second) // twice a lease
 		if c.leader() == old {
 			t.Error("a leader without workers keeps its term")
 		}
-		if c.w.Lapses > lapses || !slices.Equal(on(), before) {
-			t.Errorf("%d leases ran out; ran on %s, now on %s", c.w.Lapses-lapses, before, on())
+		if c.env.Lapses > lapses || !slices.Equal(on(), before) {
+			t.Errorf("%d leases ran out; ran on %s, now on %s", c.env.Lapses-lapses, before, on())
 		}
 		mend()
-		c.submit(sweep(21, "check", 6), 10)
+		c.submit(arrayJob(21, "check", 6), 10)
 		c.untilDone(3*time.Minute, "req-000021")
 		// With no other node the term comes back to the one that left it.
 		for _, n := range nodeNames {
@@ -214,10 +214,10 @@
 				c.kill(n)
 			}
 		}
-		mend = c.isolate(c.leader(), fake.Hold, c.w.Machines()...)
+		mend = c.isolate(c.leader(), fake.Hold, c.env.Machines()...)
 		time.Sleep(40 * time.Second)
 		mend()
-		c.submit(sweep(22, "check", 6), 10)
+		c.submit(arrayJob(22, "check", 6), 10)
 		c.untilDone(3*time.Minute, "req-000022")
 	})
 }
@@ -226,13 +226,13 @@
 // being taken, finds its former life's grant, requests and half-taken terms,
 // some of them carried out late or twice; each term is held once.
 func TestBackAtOnce(t *testing.T) {
-	run(t, 135, func(c *cluster) {
-		c.net.Repeat = map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second}
+	run(t, 135, func(c *testCluster) {
+		c.network.Repeat = map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second}
 		n := 0
-		c.w.State.LoseReply = func() bool { n++; return n%4 == 0 }
-		c.submit(standing(1, 2), 0)
-		c.submit(sweep(2, "check", 20), 20)
-		c.submit(gang(3, 3), 30)
+		c.env.State.LoseReply = func() bool { n++; return n%4 == 0 }
+		c.submit(serviceJob(1, 2), 0)
+		c.submit(arrayJob(2, "check", 20), 20)
+		c.submit(gangJob(3, 3), 30)
 		for i := range 25 {
 			if l := c.leader(); l != "" {
 				c.kill(l)
@@ -241,9 +241,9 @@
 			}
 			time.Sleep(time.Duration(40+i*37) * time.Millisecond)
 		}
-		c.w.State.LoseReply = nil
+		c.env.State.LoseReply = nil
 		c.known("req-000001", "req-000002", "req-000003")
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
-		c.until("the service runs", time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 })
+		c.until("the service runs", time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 })
 	})
 }
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -11,16 +11,16 @@
 // Direct commands held by the network and delivered when the leader has long
 // changed its mind must be refused by the worker.
 func TestLateCommands(t *testing.T) {
-	run(t, 20, func(c *cluster) {
-		c.submit(sweep(1, "warm", 1), 5)
+	run(t, 20, func(c *testCluster) {
+		c.submit(arrayJob(1, "warm", 1), 5)
 		c.untilDone(2*time.Minute, "req-000001")
 		leader := c.leader()
-		m := c.w.Machines()[0]
+		m := c.env.Machines()[0]
 		mend := c.cut(leader, m, fake.Hold)
-		c.submit(sweep(2, "check", 12), 25)
+		c.submit(arrayJob(2, "check", 12), 25)
 		time.Sleep(9 * time.Second) // the machine is reported silent, not lost
-		c.w.Withdraw("req-000002")
-		c.submit(sweep(3, "check", 12), 25)
+		c.env.Withdraw("req-000002")
+		c.submit(arrayJob(3, "check", 12), 25)
 		time.Sleep(time.Second)
 		mend()
 		c.untilDone(4*time.Minute, "req-000003")
@@ -31,19 +31,19 @@
 // A machine that is cut off while its job is cancelled loses its tasks by its
 // lease; one that hangs may go on within it.
 func TestCutAndHangDuringCancellation(t *testing.T) {
-	run(t, 80, func(c *cluster) {
-		c.submit(standing(1, 2), 0)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 })
-		on := c.w.On("req-000001")
+	run(t, 80, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
+		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 })
+		on := c.env.On("req-000001")
 		mend := c.isolate(on[0], fake.Hold, nodeNames...)
-		resume := c.w.Hang(on[1])
-		c.w.Withdraw("req-000001")
+		resume := c.env.Hang(on[1])
+		c.env.Withdraw("req-000001")
 		time.Sleep(8 * time.Second)
 		resume()
 		time.Sleep(20 * time.Second)
 		mend()
 		time.Sleep(30 * time.Second)
-		if on := c.w.On("req-000001"); len(on) > 0 {
+		if on := c.env.On("req-000001"); len(on) > 0 {
 			t.Errorf("still on %v", on)
 		}
 	})
@@ -52,30 +52,33 @@
 // A gang that loses a member stops whole and starts whole, and one on a machine
 // with a notice is stopped in order.
 func TestGangStopAndRestart(t *testing.T) {
-	run(t, 90, func(c *cluster) {
-		c.submit(gang(1, 3), 60)
-		running := func() bool { _, st := c.w.Poll("req-000001"); return st.Running == 3 && len(c.w.On("req-000001")) >= 2 }
+	run(t, 90, func(c *testCluster) {
+		c.submit(gangJob(1, 3), 60)
+		running := func() bool {
+			_, st := c.env.Poll("req-000001")
+			return st.Running == 3 && len(c.env.On("req-000001")) >= 2
+		}
 		c.until("it runs", 3*time.Minute, running)
 		time.Sleep(15 * time.Second)
-		c.w.Kill(c.w.On("req-000001")[0])
+		c.env.Kill(c.env.On("req-000001")[0])
 		time.Sleep(30 * time.Second)
 		c.until("it runs again", 3*time.Minute, running)
-		c.w.Notice(c.w.On("req-000001")[0], 15*time.Second)
+		c.env.Notice(c.env.On("req-000001")[0], 15*time.Second)
 		c.untilDone(5*time.Minute, "req-000001")
 	})
 }
 
 // What can be saved on a machine with a notice is saved before it is taken.
 func TestNoticeSaves(t *testing.T) {
-	run(t, 95, func(c *cluster) {
-		j := sweep(1, "check", 2)
+	run(t, 95, func(c *testCluster) {
+		j := arrayJob(1, "check", 2)
 		j.CheckpointIntervalS, j.CheckpointSaveS = 10, 3
 		c.submit(j, 90)
-		c.until("it runs", time.Minute, func() bool { return len(c.w.On(j.ID)) > 0 })
+		c.until("it runs", time.Minute, func() bool { return len(c.env.On(j.ID)) > 0 })
 		time.Sleep(10 * time.Second)
-		c.w.Notice(c.w.On(j.ID)[0], 15*time.Second)
+		c.env.Notice(c.env.On(j.ID)[0], 15*time.Second)
 		time.Sleep(16 * time.Second)
-		if c.w.Saved == 0 {
+		if c.env.Saved == 0 {
 			t.Error("nothing was saved")
 		}
 		c.untilDone(4*time.Minute, j.ID)
@@ -85,21 +88,21 @@
 // A machine that falls silent alone is given back, which proves that its tasks
 // are gone, well before its lease ends; where many are silent none is.
 func TestSilentMachines(t *testing.T) {
-	run(t, 120, func(c *cluster) {
-		c.submit(standing(1, 1), 0)
-		c.submit(sweep(2, "fill", 8), 300)
-		c.until("all run", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 1 && len(c.w.On("req-000002")) >= 2 })
+	run(t, 120, func(c *testCluster) {
+		c.submit(serviceJob(1, 1), 0)
+		c.submit(arrayJob(2, "fill", 8), 300)
+		c.until("all run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 1 && len(c.env.On("req-000002")) >= 2 })
 		time.Sleep(10 * time.Second)
-		rented := c.w.Rented()
-		mend := c.isolate(c.leader(), fake.Hold, c.w.Machines()...)
+		rented := c.env.Rented()
+		mend := c.isolate(c.leader(), fake.Hold, c.env.Machines()...)
 		time.Sleep(11 * time.Second)
-		if n := len(c.w.Machines()); n < rented {
+		if n := len(c.env.Machines()); n < rented {
 			t.Errorf("%d of %d machines are left after a cut of the leader", n, rented)
 		}
 		mend()
 		time.Sleep(10 * time.Second)
-		c.w.Kill(c.w.On("req-000001")[0])
-		c.until("the replica is replaced by stopping lower work", 11*time.Second, func() bool { return len(c.w.On("req-000001")) == 1 })
+		c.env.Kill(c.env.On("req-000001")[0])
+		c.until("the replica is replaced by stopping lower work", 11*time.Second, func() bool { return len(c.env.On("req-000001")) == 1 })
 	})
 }
 
@@ -109,13 +112,13 @@
 // gone. (Found on the fleets: an eighth of the replicas were down for a minute.)
 func TestManyMachinesDie(t *testing.T) {
 	for i, with := range []bool{false, true} {
-		run(t, 111+uint64(i), func(c *cluster) {
+		run(t, 111+uint64(i), func(c *testCluster) {
 			on := c.pairs(12)
 			time.Sleep(20 * time.Second) // what was rented beyond need is up
 			for _, zone := range []string{"a", "b"} {
 				for _, m := range on() {
-					if c.w.Zone(m) == zone {
-						c.w.Kill(m)
+					if c.env.Zone(m) == zone {
+						c.env.Kill(m)
 						break
 					}
 				}
@@ -134,12 +137,12 @@
 // Two leaders, one of them late: the old one is cut off from everything but
 // its machines' zone, as a zone that is cut off keeps working inside.
 func TestCutOffZone(t *testing.T) {
-	run(t, 110, func(c *cluster) {
-		c.submit(standing(1, 2), 0)
-		c.submit(sweep(2, "check", 16), 30)
-		c.until("they run", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 && len(c.w.On("req-000002")) > 0 })
+	run(t, 110, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
+		c.submit(arrayJob(2, "check", 16), 30)
+		c.until("they run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) > 0 })
 		old := c.leader()
-		inside := c.w.On("req-000001")[0]
+		inside := c.env.On("req-000001")[0]
 		var mends []func()
 		for _, n := range nodeNames {
 			if n != old {
@@ -149,17 +152,17 @@
 		mends = append(mends, c.isolate(old, fake.Hold, "state", "cloud", "users"))
 		// With the cloud down the machine cannot be given back either: only X,
 		// after which the old leader stops answering, ends its tasks.
-		c.w.CloudDown = true
+		c.env.CloudDown = true
 		time.Sleep(10 * time.Second)
-		c.w.Withdraw("req-000001")
-		c.submit(standing(3, 2), 0)
+		c.env.Withdraw("req-000001")
+		c.submit(serviceJob(3, 2), 0)
 		time.Sleep(45 * time.Second)
-		c.w.CloudDown = false
+		c.env.CloudDown = false
 		for _, mend := range mends {
 			mend()
 		}
 		c.untilDone(4*time.Minute, "req-000002")
-		c.until("the new service runs", time.Minute, func() bool { return len(c.w.On("req-000003")) == 2 })
+		c.until("the new service runs", time.Minute, func() bool { return len(c.env.On("req-000003")) == 2 })
 	})
 }
 
@@ -168,27 +171,27 @@
 // learns that the tasks are gone. (Found by the chaos test: 95 terms, and jobs that
 // waited for ever.)
 func TestAllMachinesDie(t *testing.T) {
-	run(t, 140, func(c *cluster) {
+	run(t, 140, func(c *testCluster) {
 		for _, zone := range []string{"a", "b"} {
-			c.w.Limit("small", zone, true, 5)
-			c.w.Limit("small", zone, false, 0)
+			c.env.Limit("small", zone, true, 5)
+			c.env.Limit("small", zone, false, 0)
 		}
 		for i := range 10 {
-			j := sweep(1+i, "check", 1) // each takes a small machine whole
+			j := arrayJob(1+i, "check", 1) // each takes a small machine whole
 			j.Cores, j.MachineTypes = 4, []string{"small"}
 			c.submit(j, 60)
 		}
 		c.until("all run", 2*time.Minute, func() bool {
-			return !slices.ContainsFunc(c.jobs, func(ref string) bool { return len(c.w.On(ref)) == 0 })
+			return !slices.ContainsFunc(c.jobs, func(ref string) bool { return len(c.env.On(ref)) == 0 })
 		})
-		c.w.CloudDown = true // no return proves anything
-		for _, m := range c.w.Machines() {
-			c.w.Kill(m)
+		c.env.CloudDown = true // no return proves anything
+		for _, m := range c.env.Machines() {
+			c.env.Kill(m)
 		}
 		time.Sleep(20 * time.Second)
 		c.kill(c.leader()) // the next has never heard them
 		time.Sleep(2 * time.Minute)
-		c.w.CloudDown = false
+		c.env.CloudDown = false
 		c.untilDone(4*time.Minute, c.jobs...)
 		if terms := c.terms(); terms > 4 {
 			t.Errorf("%d terms", terms)
@@ -199,17 +202,17 @@
 // A machine whose reports arrive while nothing reaches it loses its tasks by
 // its lease, and they run elsewhere soon; nothing more is placed on it.
 func TestDeafMachine(t *testing.T) {
-	run(t, 134, func(c *cluster) {
-		c.submit(standing(1, 2), 0)
-		c.submit(sweep(2, "fill", 10), 60)
-		c.until("all run", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 && len(c.w.On("req-000002")) >= 5 })
-		deaf := c.w.On("req-000001")[0]
-		mend := c.net.Deafen(deaf)
+	run(t, 134, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
+		c.submit(arrayJob(2, "fill", 10), 60)
+		c.until("all run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) >= 5 })
+		deaf := c.env.On("req-000001")[0]
+		mend := c.network.Deafen(deaf)
 		defer mend()
 		c.untilElsewhere("req-000001", 2, deaf, testLease+30*time.Second)
 		for range 60 {
 			time.Sleep(time.Second)
-			if slices.Contains(c.w.On("req-000002"), deaf) {
+			if slices.Contains(c.env.On("req-000002"), deaf) {
 				t.Fatal("work was put on a machine that hears nothing")
 			}
 		}
@@ -220,13 +223,13 @@
 // begin anew, so that its reports look older than those of its former life. It
 // must not be taken for silent until its lease is over.
 func TestMachineBackAtOnce(t *testing.T) {
-	run(t, 136, func(c *cluster) {
-		c.submit(standing(1, 2), 0)
-		c.submit(sweep(2, "check", 6), 40)
-		c.until("all run", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 && len(c.w.On("req-000002")) >= 3 })
+	run(t, 136, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
+		c.submit(arrayJob(2, "check", 6), 40)
+		c.until("all run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) >= 3 })
 		time.Sleep(20 * time.Second)
-		c.w.Reboot(c.w.On("req-000001")[0], 300*time.Millisecond)
-		c.until("the replica runs again", 6*time.Second, func() bool { return len(c.w.On("req-000001")) == 2 })
+		c.env.Reboot(c.env.On("req-000001")[0], 300*time.Millisecond)
+		c.until("the replica runs again", 6*time.Second, func() bool { return len(c.env.On("req-000001")) == 2 })
 		c.untilDone(3*time.Minute, "req-000002")
 	})
 }
--- a/internal/server/polls_test.go
+++ b/internal/server/polls_test.go
@@ -14,10 +14,10 @@
 	longest map[string]time.Duration
 }
 
-func (g *pollGaps) watch(ctx context.Context, c *cluster, ref string) {
+func (g *pollGaps) watch(ctx context.Context, c *testCluster, ref string) {
 	answered := time.Now()
 	for ctx.Err() == nil {
-		status, _ := c.w.Poll(ref)
+		status, _ := c.env.Poll(ref)
 		g.mu.Lock()
 		g.longest[ref] = max(g.longest[ref], time.Since(answered))
 		g.mu.Unlock()
@@ -34,12 +34,12 @@
 // machines and the state service of a smaller deployment.)
 func TestQuestionsBeyondRequests(t *testing.T) {
 	const jobs = 700
-	runIn(t, 904, nodeNames, atFleetSize(), func(c *cluster) {
+	runIn(t, 904, nodeNames, atFleetSize(), func(c *testCluster) {
 		c.noRoom()
 		for i := range jobs {
-			c.submit(sweep(1+i, "check", 2), 5)
+			c.submit(arrayJob(1+i, "check", 2), 5)
 		}
-		c.w.State.LimitRequests(c.dep.State.RPS)
+		c.env.State.LimitRequests(c.deployment.State.RPS)
 		gaps := &pollGaps{longest: map[string]time.Duration{}}
 		ctx, stop := context.WithTimeout(c.ctx, 4*time.Minute)
 		defer stop()
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -21,7 +21,7 @@
 
 // load is what users submit at production size, and what they cancel.
 type load struct {
-	*cluster
+	*testCluster
 	rng       *rand.Rand
 	jobs      int
 	pipelines int
@@ -32,7 +32,7 @@
 func (l *load) arrays(count int) {
 	for range count {
 		l.jobs++
-		j := sweep(l.jobs, "check", 60+l.rng.IntN(60))
+		j := arrayJob(l.jobs, "check", 60+l.rng.IntN(60))
 		j.Team, j.EstimateS = []string{"red", "blue"}[l.jobs%2], 60
 		l.submit(j, 40)
 		l.kept = append(l.kept, j.ID)
@@ -52,7 +52,7 @@
 		go func() {
 			time.Sleep(pause)
 			if l.ctx.Err() == nil {
-				l.w.Withdraw(refs[stage])
+				l.env.Withdraw(refs[stage])
 			}
 		}()
 	}
@@ -62,8 +62,8 @@
 func (l *load) ask() {
 	go func() {
 		for l.ctx.Err() == nil {
-			ref := l.kept[int(l.w.Random()*float64(len(l.kept)))]
-			go l.w.Poll(ref)
+			ref := l.kept[int(l.env.Random()*float64(len(l.kept)))]
+			go l.env.Poll(ref)
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
@@ -71,7 +71,7 @@
 
 // some picks a share of the machines.
 func (l *load) some(share float64) []string {
-	return slices.DeleteFunc(l.w.Machines(), func(string) bool { return l.w.Random() >= share })
+	return slices.DeleteFunc(l.env.Machines(), func(string) bool { return l.env.Random() >= share })
 }
 
 // trouble begins one of the troubles that the operators expect, and returns what ends it.
@@ -80,19 +80,19 @@
 	leader := l.leader()
 	switch kind {
 	case 0: // answers are lost, transactions are throttled and refused
-		l.w.State.Fault = l.faultyCommits()
-		ends = append(ends, func() { l.w.State.Fault = nil })
+		l.env.State.Fault = l.faultyCommits()
+		ends = append(ends, func() { l.env.State.Fault = nil })
 	case 1: // transactions are carried out late
-		l.w.State.Late = l.lateCommits(0.15)
-		ends = append(ends, func() { l.w.State.Late = nil })
+		l.env.State.Late = l.lateCommits(0.15)
+		ends = append(ends, func() { l.env.State.Late = nil })
 	case 2: // the leader is refused, and then everybody, while users cancel
-		l.w.State.Refuse(leader, true)
+		l.env.State.Refuse(leader, true)
 		l.chains(2)
 		time.Sleep(time.Second)
-		l.w.State.Refuse("", true)
+		l.env.State.Refuse("", true)
 		ends = append(ends, func() {
-			l.w.State.Refuse("", false)
-			l.w.State.Refuse(leader, false)
+			l.env.State.Refuse("", false)
+			l.env.State.Refuse(leader, false)
 		})
 	case 3: // the leader keeps its workers and users only
 		if leader != "" {
@@ -100,17 +100,17 @@
 		}
 	case 4: // machines reach no controller, others hear none
 		for _, m := range l.some(0.1) {
-			ends = append(ends, l.net.Mute(m))
+			ends = append(ends, l.network.Mute(m))
 		}
 		for _, m := range l.some(0.1) {
-			ends = append(ends, l.net.Deafen(m))
+			ends = append(ends, l.network.Deafen(m))
 		}
 	case 5: // machines hang, and some die
 		for _, m := range l.some(0.05) {
-			ends = append(ends, l.w.Hang(m))
+			ends = append(ends, l.env.Hang(m))
 		}
 		for _, m := range l.some(0.05) {
-			l.w.Kill(m)
+			l.env.Kill(m)
 		}
 	case 6: // leaders end one after another, and are back at once
 		for range 3 {
@@ -134,19 +134,19 @@
 	const kinds = 7
 	for seed := range seeds(1) {
 		names, dep := productionSize()
-		runUpgradeIn(t, 810+seed, names, dep, func(c *cluster) {
-			l := &load{cluster: c, rng: rand.New(rand.NewPCG(seed, 13))}
-			c.net.Repeat = map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 20 * time.Second}
-			c.w.State.PageMost, c.w.PageMost = 40, 70
+		runUpgradeIn(t, 810+seed, names, dep, func(c *testCluster) {
+			l := &load{testCluster: c, rng: rand.New(rand.NewPCG(seed, 13))}
+			c.network.Repeat = map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 20 * time.Second}
+			c.env.State.PageMost, c.env.PageMost = 40, 70
 			l.arrays(12)
-			c.until("hundreds run", 3*time.Minute, func() bool { return len(c.w.Machines()) >= 200 })
+			c.until("hundreds run", 3*time.Minute, func() bool { return len(c.env.Machines()) >= 200 })
 			for _, name := range names {
 				c.restartAs(false, name)
 				time.Sleep(2 * time.Second)
 			}
 			c.untilUpgraded(time.Minute)
-			c.w.State.Limit(dep.State.Smaller())
-			c.w.State.LimitRequests(dep.State.RPS)
+			c.env.State.Limit(dep.State.Smaller())
+			c.env.State.LimitRequests(dep.State.RPS)
 			l.ask()
 			for range 5 {
 				l.chains(4)
@@ -162,8 +162,8 @@
 				time.Sleep(time.Duration(l.rng.IntN(10)) * time.Second)
 			}
 			time.Sleep(30 * time.Second)
-			c.w.Calm()
-			kept := slices.DeleteFunc(slices.Clone(l.kept), func(ref string) bool { return !c.w.MayFinish(ref) })
+			c.env.Calm()
+			kept := slices.DeleteFunc(slices.Clone(l.kept), func(ref string) bool { return !c.env.MayFinish(ref) })
 			c.known(kept...)
 			c.untilDone(10*time.Minute, kept...)
 			for _, ref := range l.kept {
--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -13,13 +13,13 @@
 // Submissions and withdrawals delayed beyond their answers are settled by the
 // guards of their commits, not guessed.
 func TestLateSubmitAndWithdraw(t *testing.T) {
-	run(t, 40, func(c *cluster) {
+	run(t, 40, func(c *testCluster) {
 		other := nodeNames[(slices.Index(nodeNames, c.leader())+1)%3]
 		mend := c.cut(other, "state", fake.Hold)
 		for i := range 6 { // some reach the node that is cut off
-			c.submit(sweep(1+i, "check", 2), 10)
+			c.submit(arrayJob(1+i, "check", 2), 10)
 		}
-		c.w.Withdraw("req-000001")
+		c.env.Withdraw("req-000001")
 		c.untilDone(3*time.Minute, "req-000002", "req-000003")
 		mend() // held commits arrive now
 		time.Sleep(5 * time.Second)
@@ -33,13 +33,13 @@
 // Commits whose answers are lost were applied: they are settled by reading, by
 // the leader as well as by those who serve users.
 func TestCommitOutcomeUnknown(t *testing.T) {
-	run(t, 98, func(c *cluster) {
+	run(t, 98, func(c *testCluster) {
 		n := 0
-		c.w.State.LoseReply = func() bool { n++; return n%3 == 0 }
+		c.env.State.LoseReply = func() bool { n++; return n%3 == 0 }
 		for i := range 4 {
-			c.submit(sweep(1+i, "check", 5), 15)
+			c.submit(arrayJob(1+i, "check", 5), 15)
 		}
-		c.w.Withdraw("req-000004")
+		c.env.Withdraw("req-000004")
 		c.untilDone(4*time.Minute, c.jobs[:3]...)
 	})
 }
@@ -47,23 +47,23 @@
 // A rental whose answer is lost is asked for again under the same claim, also
 // by the next leader, and rents once.
 func TestRentalOutcomeUnknown(t *testing.T) {
-	run(t, 100, func(c *cluster) {
+	run(t, 100, func(c *testCluster) {
 		lost := 0
-		c.w.LoseReply = func(path string) bool {
-			if path == "/rentals" && c.w.Calls[path] < 40 && lost < 25 {
+		c.env.LoseReply = func(path string) bool {
+			if path == "/rentals" && c.env.Calls[path] < 40 && lost < 25 {
 				lost++
 				return true
 			}
 			return false
 		}
-		c.submit(sweep(1, "check", 4), 20)
+		c.submit(arrayJob(1, "check", 4), 20)
 		time.Sleep(8 * time.Second)
 		old := c.leader()
 		c.kill(old)
 		time.Sleep(5 * time.Second)
 		c.boot(old)
 		c.untilDone(4*time.Minute, "req-000001")
-		if n := c.w.Rented(); n > 2 {
+		if n := c.env.Rented(); n > 2 {
 			t.Errorf("%d machines were rented for 4 tasks of half a machine", n)
 		}
 	})
@@ -72,14 +72,14 @@
 // A run record that cannot be read says nothing of what may run: taken for an
 // empty one, its tasks would be started a second time.
 func TestUnreadableRunRecord(t *testing.T) {
-	run(t, 130, func(c *cluster) {
-		c.submit(sweep(1, "check", 8), 40)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) >= 2 })
+	run(t, 130, func(c *testCluster) {
+		c.submit(arrayJob(1, "check", 8), 40)
+		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) >= 2 })
 		old := c.leader()
 		// A machine that the next leader does not hear goes on running its part.
-		mend := c.isolate(c.w.On("req-000001")[0], fake.Hold, c.names...)
+		mend := c.isolate(c.env.On("req-000001")[0], fake.Hold, c.names...)
 		c.kill(old)
-		c.w.State.Spoil("o/req-000001/t")
+		c.env.State.Spoil("o/req-000001/t")
 		c.boot(old)
 		time.Sleep(20 * time.Second)
 		mend()
@@ -92,11 +92,11 @@
 // also those of other jobs: it must not go on like that for ever. (Found by the
 // chaos test when its network repeated requests that had been refused.)
 func TestRecordChangedBehindLeader(t *testing.T) {
-	run(t, 137, func(c *cluster) {
-		c.submit(sweep(1, "check", 8), 30)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) >= 2 })
-		c.w.State.Spoil("o/req-000001/t")
-		c.submit(sweep(2, "check", 4), 10)
+	run(t, 137, func(c *testCluster) {
+		c.submit(arrayJob(1, "check", 8), 30)
+		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) >= 2 })
+		c.env.State.Spoil("o/req-000001/t")
+		c.submit(arrayJob(2, "check", 4), 10)
 		c.untilDone(3*time.Minute, "req-000001", "req-000002")
 	})
 }
@@ -104,9 +104,9 @@
 // A job whose own record cannot be read was accepted all the same: its user is
 // not told that nobody knows it, nor refused for ever.
 func TestUnreadableJobRecord(t *testing.T) {
-	run(t, 131, func(c *cluster) {
-		c.submit(sweep(1, "check", 2), 20)
-		c.w.State.Spoil("o/req-000001")
+	run(t, 131, func(c *testCluster) {
+		c.submit(arrayJob(1, "check", 2), 20)
+		c.env.State.Spoil("o/req-000001")
 		c.known("req-000001")
 	})
 }
@@ -114,13 +114,13 @@
 // An event that never comes must not leave an accepted job waiting, nor a
 // cancelled one running.
 func TestLostEvents(t *testing.T) {
-	run(t, 132, func(c *cluster) {
-		c.submit(standing(1, 2), 0)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 })
-		c.w.State.LoseEvent = func(key string) bool { return strings.HasPrefix(key, "o/") }
-		c.submit(sweep(2, "check", 2), 5)
-		c.w.Withdraw("req-000001")
+	run(t, 132, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
+		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 })
+		c.env.State.LoseEvent = func(key string) bool { return strings.HasPrefix(key, "o/") }
+		c.submit(arrayJob(2, "check", 2), 5)
+		c.env.Withdraw("req-000001")
 		c.untilDone(2*time.Minute, "req-000002")
-		c.until("the cancelled job is gone", 10*time.Second, func() bool { return len(c.w.On("req-000001")) == 0 })
+		c.until("the cancelled job is gone", 10*time.Second, func() bool { return len(c.env.On("req-000001")) == 0 })
 	})
 }
--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -13,27 +13,27 @@
 )
 
 func TestQuietDay(t *testing.T) {
-	run(t, 1, func(c *cluster) {
-		c.submit(standing(1, 2), 0)
-		c.submit(sweep(2, "check", 30), 15)
-		c.submit(gang(3, 3), 30)
-		c.submit(sweep(4, "check", 1), 5)
+	run(t, 1, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
+		c.submit(arrayJob(2, "check", 30), 15)
+		c.submit(gangJob(3, 3), 30)
+		c.submit(arrayJob(4, "check", 1), 5)
 		c.untilDone(6*time.Minute, c.jobs[1:]...)
-		c.until("replicas run in both zones", time.Minute, func() bool { return len(c.w.On("req-000001")) == 2 })
-		if st, s := c.w.Withdraw("req-000002"); st != 200 || s.Phase != protocol.PhaseDone {
+		c.until("replicas run in both zones", time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 })
+		if st, s := c.env.Withdraw("req-000002"); st != 200 || s.Phase != protocol.PhaseDone {
 			t.Errorf("withdrawing a finished job: %d %q", st, s.Phase)
 		}
-		if st := c.w.Submit(sweep(2, "check", 30), 15); st != 200 {
+		if st := c.env.Submit(arrayJob(2, "check", 30), 15); st != 200 {
 			t.Errorf("late repeat of a finished job: %d", st)
 		}
-		if st, _ := c.w.Poll("req-999999"); st != 404 {
+		if st, _ := c.env.Poll("req-999999"); st != 404 {
 			t.Errorf("unknown job: %d", st)
 		}
-		c.w.Withdraw("req-000001")
+		c.env.Withdraw("req-000001")
 		c.until("idle machines go back and records are cleared", 4*time.Minute, func() bool {
-			return len(c.w.Machines()) == 0 && len(c.w.State.Keys("o/")) == 0
+			return len(c.env.Machines()) == 0 && len(c.env.State.Keys("o/")) == 0
 		})
-		if n := len(c.w.State.Keys("d/")); n != 4 {
+		if n := len(c.env.State.Keys("d/")); n != 4 {
 			t.Errorf("%d final records of 4", n)
 		}
 	})
@@ -42,9 +42,9 @@
 // The users' address answers what is wrong with a call, and shows the status
 // page with player-facing work that is behind on top.
 func TestInterface(t *testing.T) {
-	run(t, 97, func(c *cluster) {
+	run(t, 97, func(c *testCluster) {
 		body := func(change func(m map[string]any)) []byte {
-			j := sweep(1, "check", 2)
+			j := arrayJob(1, "check", 2)
 			m := fake.JobMap(&j)
 			change(m)
 			b, _ := protocol.Marshal(m)
@@ -80,33 +80,33 @@
 		} {
 			r := httptest.NewRequest(tc.method, tc.path, bytes.NewReader(tc.body))
 			rec := httptest.NewRecorder()
-			c.nodes[nodeNames[0]].api.ServeHTTP(rec, r)
+			c.controllers[nodeNames[0]].api.ServeHTTP(rec, r)
 			if rec.Code != tc.want {
 				t.Errorf("%s: %d, not %d", tc.what, rec.Code, tc.want)
 			}
 		}
-		c.w.CloudDown = true
-		c.submit(standing(5, 1), 0)
+		c.env.CloudDown = true
+		c.submit(serviceJob(5, 1), 0)
 		time.Sleep(10 * time.Second)
-		for _, n := range c.nodes {
+		for _, n := range c.controllers {
 			rec := httptest.NewRecorder()
 			n.api.ServeHTTP(rec, httptest.NewRequest("GET", "/", nil))
 			if p := rec.Body.String(); !strings.Contains(p, "work is behind") || !strings.Contains(p, "req-000005") || !strings.Contains(p, c.leader()+" leads") {
 				t.Errorf("status page of %s: %s", n.cfg.Node, p)
 			}
 		}
-		c.w.CloudDown = false
+		c.env.CloudDown = false
 	})
 }
 
 // An array of thousands of tasks, hundreds at a time, keeps its records and
 // commits within the state service's limits, also over a change of leader.
 func TestLargeArray(t *testing.T) {
-	run(t, 96, func(c *cluster) {
-		j := sweep(1, "many", 3000)
+	run(t, 96, func(c *testCluster) {
+		j := arrayJob(1, "many", 3000)
 		j.Cores, j.MemGB, j.EstimateS = 0.05, 0.1, 5
 		c.submit(j, 4)
-		c.until("many run", 2*time.Minute, func() bool { _, st := c.w.Poll(j.ID); return st.Running > 200 && st.Done > 300 })
+		c.until("many run", 2*time.Minute, func() bool { _, st := c.env.Poll(j.ID); return st.Running > 200 && st.Done > 300 })
 		c.kill(c.leader())
 		c.untilDone(10*time.Minute, j.ID)
 	})
@@ -121,7 +121,7 @@
 			for i := range 3 + 2*(seed%3) {
 				names = append(names, fmt.Sprint("marble-", i))
 			}
-			runWith(t, 1000+seed, names, func(c *cluster) { chaos(c, seed) })
+			runWith(t, 1000+seed, names, func(c *testCluster) { chaos(c, seed) })
 		})
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -30,18 +30,18 @@
 	"marblehaven/internal/tuning"
 )
 
-type node struct {
-	cfg     *config.Config
-	log     *slog.Logger
-	store   *kvstore.Client
-	cloud   *cloud.Client
-	keeper  *election.Candidate
-	users   *api.Users
-	workers *agent.Client
-	peers   *peer.Group
-	api     *api.Server
-	leading atomic.Pointer[leader.Leader]
-	format  int // the version of the formats of records that it reads and writes
+type controller struct {
+	cfg          *config.Config
+	log          *slog.Logger
+	store        *kvstore.Client
+	cloud        *cloud.Client
+	candidate    *election.Candidate
+	users        *api.Users
+	agents       *agent.Client
+	peers        *peer.Group
+	api          *api.Server
+	activeLeader atomic.Pointer[leader.Leader]
+	format       int // the version of the formats of records that it reads and writes
 }
 
 // Run runs a controller until ctx ends. It only returns an error if it cannot
@@ -57,8 +57,8 @@
 	if err != nil {
 		return fmt.Errorf("field peer_bind: %w", err)
 	}
-	n, err := newNode(cfg, log, links{
-		state: transport(tuning.StateConns), cloud: transport(tuning.CloudConns), workers: workerTransport(cfg.Deployment.Sockets(len(cfg.Peers)).Commands), peer: peer.Dial,
+	n, err := newController(cfg, log, transports{
+		store: transport(tuning.StateConns), cloud: transport(tuning.CloudConns), agents: agentTransport(cfg.Deployment.Sockets(len(cfg.Peers)).Commands), peer: peer.Dial,
 	})
 	if err != nil {
 		return fmt.Errorf("field peers: %w", err)
@@ -76,19 +76,19 @@
 	return nil
 }
 
-// links are a node's ways to the other parts of the system.
-type links struct {
-	state, cloud, workers http.RoundTripper
-	peer                  func(config.Peer) (grpc.ClientConnInterface, error)
+// transports are a node's ways to the other parts of the system.
+type transports struct {
+	store, cloud, agents http.RoundTripper
+	peer                 func(config.Peer) (grpc.ClientConnInterface, error)
 }
 
-func newNode(cfg *config.Config, log *slog.Logger, l links) (*node, error) {
-	n := &node{cfg: cfg, log: log, format: records.FormatSupported}
+func newController(cfg *config.Config, log *slog.Logger, l transports) (*controller, error) {
+	n := &controller{cfg: cfg, log: log, format: records.FormatSupported}
 	cs := protocol.NewMalformedLog(log)
-	n.store = kvstore.New(cfg.Services.State, l.state, cs, cfg.Deployment.State)
+	n.store = kvstore.New(cfg.Services.State, l.store, cs, cfg.Deployment.State)
 	n.cloud = cloud.New(cfg.Services.Cloud, l.cloud, cs, cfg.Deployment.Cloud.RPS*cfg.Operator.CallBudget)
-	n.workers = agent.New(l.workers, cs, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
-	n.keeper = election.New(n.store, cfg.Node, log)
+	n.agents = agent.New(l.agents, cs, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
+	n.candidate = election.New(n.store, cfg.Node, log)
 	n.users = api.NewUsers(cfg, n.store, log)
 	var err error
 	if n.peers, err = peer.NewGroup(cfg.Peers, l.peer, n, log); err != nil {
@@ -99,26 +99,26 @@
 }
 
 // start begins everything but serving; it ends with ctx.
-func (n *node) start(ctx context.Context) {
+func (n *controller) start(ctx context.Context) {
 	n.peers.Run(ctx)
-	go n.learnTypes(ctx)
+	go n.loadMachineTypes(ctx)
 	if n.format > records.FormatWhole { // which was recorded by nobody
 		go n.recordVersion(ctx)
 	}
-	go n.keeper.Run(ctx, n.lead)
+	go n.candidate.Run(ctx, n.lead)
 }
 
-func (n *node) lead(ctx context.Context, held election.Leadership) {
+func (n *controller) lead(ctx context.Context, held election.Leadership) {
 	c := leader.New(leader.Dependencies{
-		Config: n.cfg, Store: n.store, Cloud: n.cloud, Agents: n.workers, Log: n.log,
-		OnNewerTerm:  func(t uint64) { n.keeper.ObserveTerm(records.Term{Number: t}) },
-		Resign:       n.keeper.Resign,
+		Config: n.cfg, Store: n.store, Cloud: n.cloud, Agents: n.agents, Log: n.log,
+		OnNewerTerm:  func(t uint64) { n.candidate.ObserveTerm(records.Term{Number: t}) },
+		Resign:       n.candidate.Resign,
 		Redirected:   n.peers.Redirected,
 		Acknowledged: n.acknowledged,
 	}, held)
 	c.Bind(ctx)
-	n.leading.Store(c)
-	defer n.leading.Store(nil)
+	n.activeLeader.Store(c)
+	defer n.activeLeader.Store(nil)
 	c.Run()
 }
 
@@ -131,19 +131,19 @@
 	}
 }
 
-// workerTransport keeps a connection to each worker, as far as the sockets go:
+// agentTransport keeps a connection to each worker, as far as the sockets go:
 // half of them may be idle, half in use.
-func workerTransport(sockets int) *http.Transport {
+func agentTransport(sockets int) *http.Transport {
 	t := transport(1)
 	t.MaxIdleConns = max(1, sockets/2)
 	t.IdleConnTimeout = tuning.IdleMin
 	return t
 }
 
-// learnTypes finds out once which machine types there are: from the leader's
+// loadMachineTypes finds out once which machine types there are: from the leader's
 // copy, so that the cloud's call budget is not spent by every node, or from
 // the cloud.
-func (n *node) learnTypes(ctx context.Context) {
+func (n *controller) loadMachineTypes(ctx context.Context) {
 	for !n.users.HasTypes() {
 		var types []protocol.MachineType
 		it, err := n.store.Get(ctx, records.KeyCatalog)
@@ -168,7 +168,7 @@
 // recordVersion records once which formats of records this program reads, for the
 // leader to learn when all controllers do. A controller never goes back to an
 // earlier version, so the record holds for good.
-func (n *node) recordVersion(ctx context.Context) {
+func (n *controller) recordVersion(ctx context.Context) {
 	for {
 		err := n.writeVersion(ctx)
 		if err == nil {
@@ -181,7 +181,7 @@
 	}
 }
 
-func (n *node) writeVersion(ctx context.Context) error {
+func (n *controller) writeVersion(ctx context.Context) error {
 	key := records.NodeKey(n.cfg.Node)
 	it, err := n.store.Get(ctx, key)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
@@ -198,40 +198,40 @@
 	return err
 }
 
-// Leading is the leader of this node's term, nil if it has none.
-func (n *node) Leading() *leader.Leader { return n.leading.Load() }
+// LocalLeader is the leader of this node's term, nil if it has none.
+func (n *controller) LocalLeader() *leader.Leader { return n.activeLeader.Load() }
 
 // Leader is who leads, as far as known.
-func (n *node) Leader() (records.Term, bool) {
-	t, ok := n.keeper.Leader()
+func (n *controller) Leader() (records.Term, bool) {
+	t, ok := n.candidate.Leader()
 	return t, ok && t.Node != ""
 }
 
-// StateOK tells whether the state service serves this node.
-func (n *node) StateOK() bool { return n.store.SinceServed() < tuning.StoreServedAge }
+// StoreReachable tells whether the state service serves this node.
+func (n *controller) StoreReachable() bool { return n.store.SinceServed() < tuning.StoreServedAge }
 
-// Refused tells whether the state service refuses this node while it serves
+// RefusedAlone tells whether the state service refuses this node while it serves
 // others: they were served well after this node was. At the edges of an outage
 // nodes notice at slightly different times, which must not look like this: the
 // load balancer takes a node back later each time it was removed.
-func (n *node) Refused() bool {
-	return !n.StateOK() && (n.peers.ServedAfter(time.Now().Add(tuning.RefusedAloneLag-n.store.SinceServed())) || n.alone())
+func (n *controller) RefusedAlone() bool {
+	return !n.StoreReachable() && (n.peers.StoreServedAfter(time.Now().Add(tuning.RefusedAloneLag-n.store.SinceServed())) || n.isolated())
 }
 
-// alone tells whether neither the state service nor any other controller has
+// isolated tells whether neither the state service nor any other controller has
 // been heard for a while: then it is most likely this node that is cut off, and
 // users must not be sent to it.
-func (n *node) alone() bool {
-	return n.store.SinceServed() > tuning.IsolatedAfter && n.peers.Silent(tuning.IsolatedAfter)
+func (n *controller) isolated() bool {
+	return n.store.SinceServed() > tuning.IsolatedAfter && n.peers.Unreachable(tuning.IsolatedAfter)
 }
 
-// Up is off while the state service refuses this node alone. While it serves
+// Healthy is off while the state service refuses this node alone. While it serves
 // nobody the node stays up: removing all nodes would only add to the outage.
-func (n *node) Up() bool { return n.users.HasTypes() && !n.Refused() }
+func (n *controller) Healthy() bool { return n.users.HasTypes() && !n.RefusedAlone() }
 
 // Summary is the leader's status, from whichever node.
-func (n *node) Summary(ctx context.Context) (s leader.Status, ok bool) {
-	if c := n.leading.Load(); c != nil {
+func (n *controller) Summary(ctx context.Context) (s leader.Status, ok bool) {
+	if c := n.activeLeader.Load(); c != nil {
 		return c.Status(ctx)
 	}
 	t, known := n.Leader()
@@ -245,7 +245,7 @@
 // acknowledged returns the jobs that controllers, this one included, have told
 // users are cancelled, and the time up to which none of those told after since is
 // missing; ok is false if one of them cannot tell.
-func (n *node) acknowledged(since time.Time) (asOf time.Time, refs []string, ok bool) {
+func (n *controller) acknowledged(since time.Time) (asOf time.Time, refs []string, ok bool) {
 	now := time.Now() // what this node tells users from here on is later than asOf
 	own, complete := n.users.Acknowledged()
 	if !complete.Before(since) {
@@ -259,15 +259,15 @@
 }
 
 // Status is what this node says to its peers.
-func (n *node) Status(r *peer.StatusRequest) peer.Status {
+func (n *controller) Status(r *peer.StatusRequest) peer.Status {
 	s := peer.Status{StateMS: n.store.SinceServed().Milliseconds(), Redirected: n.api.Redirected()}
-	s.Leader, _ = n.keeper.Leader()
+	s.Leader, _ = n.candidate.Leader()
 	if r.Acknowledged {
 		var since time.Time
 		s.Acknowledged, since = n.users.Acknowledged()
 		s.CompleteMS = time.Since(since).Milliseconds()
 	}
-	if c := n.leading.Load(); r.Summary && c != nil {
+	if c := n.activeLeader.Load(); r.Summary && c != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), tuning.PeerTimeout)
 		defer cancel()
 		if sum, ok := c.Status(ctx); ok {
@@ -277,17 +277,17 @@
 	return s
 }
 
-// Leads tells whether this node leads.
-func (n *node) Leads() bool { return n.leading.Load() != nil }
+// IsLeader tells whether this node leads.
+func (n *controller) IsLeader() bool { return n.activeLeader.Load() != nil }
 
 // ObserveTerm takes in a term that a peer has named.
-func (n *node) ObserveTerm(t records.Term) {
+func (n *controller) ObserveTerm(t records.Term) {
 	if t.Number > 0 {
-		n.keeper.ObserveTerm(t)
+		n.candidate.ObserveTerm(t)
 	}
 }
 
 // UserCall answers a user's call for a peer.
-func (n *node) UserCall(ctx context.Context, c *peer.UserCall) *peer.UserAnswer {
+func (n *controller) UserCall(ctx context.Context, c *peer.UserCall) *peer.UserAnswer {
 	return n.users.UserCall(ctx, c)
 }
--- a/internal/server/settings_shape_test.go
+++ b/internal/server/settings_shape_test.go
@@ -12,30 +12,30 @@
 // all capacity, a team that nobody uses, and the shortest times that are accepted: what
 // users submit runs, through an end of the leader, and what they cancel is gone in time.
 func TestSmallestSettings(t *testing.T) {
-	d := deployment()
+	d := testDeployment()
 	d.Zones = []string{"a"}
 	d.Teams = []config.Team{{Name: "red", Cores: 1e6}, {Name: "unused", Cores: 10, CoresMax: 20}}
 	d.Workers.ReportS = d.Workers.LeaseS / 3
 	d.Workers.CancelS = d.Workers.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
-	runIn(t, 902, nodeNames, d, func(c *cluster) {
+	runIn(t, 902, nodeNames, d, func(c *testCluster) {
 		for _, typ := range testTypes {
 			for _, zone := range typ.Zones {
 				for _, spot := range []bool{false, true} {
 					if spot || zone != "a" || typ.Name != "big" {
-						c.w.Limit(typ.Name, zone, spot, 0)
+						c.env.Limit(typ.Name, zone, spot, 0)
 					}
 				}
 			}
 		}
 		for i := range 4 {
-			c.submit(sweep(1+i, "check", 40), 20)
+			c.submit(arrayJob(1+i, "check", 40), 20)
 		}
-		c.until("some run", 2*time.Minute, func() bool { return len(c.w.On(jobID(4))) > 0 })
+		c.until("some run", 2*time.Minute, func() bool { return len(c.env.On(testJobID(4))) > 0 })
 		c.boot(c.killLeader())
-		c.w.Withdraw(jobID(4))
+		c.env.Withdraw(testJobID(4))
 		c.untilDone(5*time.Minute, c.jobs[:3]...)
-		if c.w.Lapses > 0 {
-			t.Errorf("%d leases ran out", c.w.Lapses)
+		if c.env.Lapses > 0 {
+			t.Errorf("%d leases ran out", c.env.Lapses)
 		}
 	})
 }
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -17,7 +17,7 @@
 // wide is a deployment in which hundreds of tasks of a job run at once, with smaller
 // limits of the state service announced.
 func wide() config.Deployment {
-	d := deployment()
+	d := testDeployment()
 	d.Teams[0].CoresMax = 400
 	value, ops, rps := 2.0, 6, 30.0
 	d.State.Next = config.NextLimits{ValueKB: &value, TxnOps: &ops, WriteRPS: &rps}
@@ -26,27 +26,27 @@
 
 // array is a large array of small tasks.
 func array(n, tasks int) protocol.Job {
-	j := sweep(n, "check", tasks)
+	j := arrayJob(n, "check", tasks)
 	j.Cores, j.MemGB = 1, 2
 	return j
 }
 
 // runUpgrade plays a scenario that begins with the previous version on all nodes.
-func runUpgrade(t *testing.T, seed uint64, scenario func(c *cluster)) {
+func runUpgrade(t *testing.T, seed uint64, scenario func(c *testCluster)) {
 	runUpgradeIn(t, seed, nodeNames, wide(), scenario)
 }
 
-func runUpgradeIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *cluster)) {
-	runIn(t, seed, names, dep, func(c *cluster) {
+func runUpgradeIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
+	runIn(t, seed, names, dep, func(c *testCluster) {
 		c.restartAs(true, names...)
-		c.w.State.OnCommit = func(txn *protocol.Transaction) {
+		c.env.State.OnCommit = func(txn *protocol.Transaction) {
 			c.checkGuards(txn)
 			c.checkFormat(txn)
 		}
-		for _, key := range c.w.State.Keys(records.PrefixNode) {
-			c.w.State.Remove(key)
+		for _, key := range c.env.State.Keys(records.PrefixNode) {
+			c.env.State.Remove(key)
 		}
-		c.w.State.Remove(records.KeyCluster)
+		c.env.State.Remove(records.KeyCluster)
 		c.restartAs(true, names...)
 		c.until("a node leads", time.Minute, func() bool { return c.leader() != "" })
 		scenario(c)
@@ -55,7 +55,7 @@
 
 // checkFormat judges that nothing is written that the previous version can't read as
 // long as it may still lead.
-func (c *cluster) checkFormat(txn *protocol.Transaction) {
+func (c *testCluster) checkFormat(txn *protocol.Transaction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, ch := range txn.Mutations {
@@ -66,7 +66,7 @@
 }
 
 // restartAs restarts nodes as the previous or the present version.
-func (c *cluster) restartAs(previous bool, names ...string) {
+func (c *testCluster) restartAs(previous bool, names ...string) {
 	for _, name := range names {
 		c.kill(name)
 		c.mu.Lock()
@@ -77,8 +77,8 @@
 }
 
 // pieces counts the pieces of run records beyond the first of each job.
-func (c *cluster) pieces() (n int) {
-	for _, key := range c.w.State.Keys(records.PrefixOpen) {
+func (c *testCluster) pieces() (n int) {
+	for _, key := range c.env.State.Keys(records.PrefixOpen) {
 		if isFurtherPiece(key) {
 			n++
 		}
@@ -87,13 +87,13 @@
 }
 
 // upgraded tells whether the cluster uses the new version of the formats.
-func (c *cluster) upgraded() bool {
+func (c *testCluster) upgraded() bool {
 	var v records.FormatVersion
-	raw := c.w.State.Value(records.KeyCluster)
+	raw := c.env.State.Value(records.KeyCluster)
 	return raw != nil && protocol.Unmarshal(raw, &v) == nil && v.Format == records.FormatSegmented
 }
 
-func (c *cluster) untilUpgraded(limit time.Duration) {
+func (c *testCluster) untilUpgraded(limit time.Duration) {
 	c.t.Helper()
 	c.until("the cluster uses the new format", limit, c.upgraded)
 }
@@ -101,10 +101,10 @@
 // Controllers are upgraded one after the other while a large array runs, whose record
 // is beyond the limits that come then. The array goes on, in pieces that fit.
 func TestUpgrade(t *testing.T) {
-	runUpgrade(t, 70, func(c *cluster) {
+	runUpgrade(t, 70, func(c *testCluster) {
 		c.submit(array(1, 340), 30)
-		c.submit(standing(2, 3), 0)
-		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.w.On(jobID(1))) > 200 })
+		c.submit(serviceJob(2, 3), 0)
+		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.env.On(testJobID(1))) > 200 })
 		for i, name := range nodeNames {
 			if c.upgraded() {
 				t.Errorf("%d of 3 are upgraded, and the cluster uses the new format", i)
@@ -113,14 +113,14 @@
 			time.Sleep(8 * time.Second)
 		}
 		c.untilUpgraded(20 * time.Second)
-		c.w.State.Limit(c.dep.State.Smaller())
+		c.env.State.Limit(c.deployment.State.Smaller())
 		c.submit(array(3, 340), 20)
 		c.until("pieces are written", 2*time.Minute, func() bool { return c.pieces() > 3 })
 		whole := c.pipeline(100)
 		c.killLeader()
-		c.untilDone(10*time.Minute, append(whole, jobID(1), jobID(3))...)
+		c.untilDone(10*time.Minute, append(whole, testJobID(1), testJobID(3))...)
 		c.until("the pieces are removed", 2*time.Minute, func() bool { return c.pieces() == 0 })
-		if n := c.w.State.Refusals[400]; n > 0 {
+		if n := c.env.State.Refusals[400]; n > 0 {
 			t.Errorf("%d writes beyond the limits", n)
 		}
 	})
@@ -130,7 +130,7 @@
 // limits become smaller afterwards, with arrays of several pieces among the jobs.
 func TestChaosUpgrade(t *testing.T) {
 	for seed := range seeds(3) {
-		runUpgrade(t, 760+seed, func(c *cluster) {
+		runUpgrade(t, 760+seed, func(c *testCluster) {
 			rng := rand.New(rand.NewPCG(seed, 11))
 			var large []string
 			left := slices.Clone(nodeNames)
@@ -138,7 +138,7 @@
 			chaosDuring(c, seed, func(step int) bool {
 				if step%20 == 5 {
 					j := array(5000+step, 60+rng.IntN(60))
-					if st := c.w.Submit(j, 10); st == 200 || st == 201 {
+					if st := c.env.Submit(j, 10); st == 200 || st == 201 {
 						large = append(large, j.ID)
 					}
 				}
@@ -148,7 +148,7 @@
 					limitAt = step + rng.IntN(10)
 				}
 				if len(left) == 0 && step == max(limitAt, 1) {
-					c.w.State.Limit(c.dep.State.Smaller())
+					c.env.State.Limit(c.deployment.State.Smaller())
 				}
 				return len(left) == 0
 			})
@@ -162,31 +162,31 @@
 // was upgraded could not record it. What runs goes on, and so does new work; no write
 // is sent again and again that can't be taken.
 func TestLimitsBeforeFormat(t *testing.T) {
-	runUpgrade(t, 71, func(c *cluster) {
-		c.w.Uneven = 0.01 // its tasks end one after the other
+	runUpgrade(t, 71, func(c *testCluster) {
+		c.env.Uneven = 0.01 // its tasks end one after the other
 		c.submit(array(1, 340), 40)
-		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.w.On(jobID(1))) > 200 })
+		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.env.On(testJobID(1))) > 200 })
 		last := nodeNames[2]
 		mend := c.cut(last, "state", fake.Hold)
 		for _, name := range nodeNames {
 			c.restartAs(false, name)
 			time.Sleep(3 * time.Second)
 		}
-		c.w.State.Limit(c.dep.State.Smaller())
+		c.env.State.Limit(c.deployment.State.Smaller())
 		c.submit(array(2, 100), 10)
-		c.submit(standing(3, 3), 0)
-		c.untilDone(8*time.Minute, jobID(1), jobID(2))
+		c.submit(serviceJob(3, 3), 0)
+		c.untilDone(8*time.Minute, testJobID(1), testJobID(2))
 		if c.upgraded() || c.pieces() > 0 {
 			t.Error("the cluster uses the new format without a node")
 		}
 		// The leader learns of the limits by the first.
-		if n := c.w.State.Refusals[400]; n != 1 {
+		if n := c.env.State.Refusals[400]; n != 1 {
 			t.Errorf("%d writes beyond the limits", n)
 		}
 		mend()
 		c.untilUpgraded(30 * time.Second)
 		c.submit(array(4, 200), 10)
-		c.untilDone(8*time.Minute, jobID(4))
+		c.untilDone(8*time.Minute, testJobID(4))
 	})
 }
 
@@ -194,12 +194,12 @@
 // run record leaves a state that the next one reads rightly.
 func TestDeathBetweenPieces(t *testing.T) {
 	for seed := range seeds(4) {
-		runIn(t, 720+seed, nodeNames, wide(), func(c *cluster) {
+		runIn(t, 720+seed, nodeNames, wide(), func(c *testCluster) {
 			c.untilUpgraded(20 * time.Second)
-			c.w.State.Limit(c.dep.State.Smaller())
+			c.env.State.Limit(c.deployment.State.Smaller())
 			var transactions, killed uint64
 			die := make(chan struct{}, 12)
-			c.w.State.OnCommit = func(txn *protocol.Transaction) {
+			c.env.State.OnCommit = func(txn *protocol.Transaction) {
 				c.checkGuards(txn)
 				further := func(ch protocol.Mutation) bool { return isFurtherPiece(ch.Set + ch.Delete) }
 				if !slices.ContainsFunc(txn.Mutations, further) {
@@ -210,7 +210,7 @@
 					die <- struct{}{}
 				}
 			}
-			c.w.State.Late = c.lateCommits(0.03)
+			c.env.State.Late = c.lateCommits(0.03)
 			go func() {
 				for {
 					select {
@@ -224,12 +224,12 @@
 					}
 				}
 			}()
-			c.w.Uneven = 0.02 // so pieces are written again and again
+			c.env.Uneven = 0.02 // so pieces are written again and again
 			c.submit(array(1, 200), 10)
 			c.submit(array(2, 150), 10)
-			c.submit(after(array(3, 70), jobID(1)), 5)
-			c.untilDone(15*time.Minute, jobID(1), jobID(2), jobID(3))
-			c.w.State.Late = nil
+			c.submit(after(array(3, 70), testJobID(1)), 5)
+			c.untilDone(15*time.Minute, testJobID(1), testJobID(2), testJobID(3))
+			c.env.State.Late = nil
 			c.until("the pieces are removed", 3*time.Minute, func() bool { return c.pieces() == 0 })
 			if killed < 3 {
 				t.Errorf("only %d leaders died", killed)
@@ -241,21 +241,21 @@
 // A piece that can't be read: nothing of the job is started before all that it may
 // have named is surely over, and then the job goes on to its end.
 func TestUnreadablePiece(t *testing.T) {
-	runIn(t, 73, nodeNames, wide(), func(c *cluster) {
+	runIn(t, 73, nodeNames, wide(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		c.submit(array(1, 120), 60)
-		c.until("all run", 4*time.Minute, func() bool { return len(c.w.On(jobID(1))) == 120 })
-		c.w.State.Spoil(records.SegmentKey(jobID(1), 2))
+		c.until("all run", 4*time.Minute, func() bool { return len(c.env.On(testJobID(1))) == 120 })
+		c.env.State.Spoil(records.SegmentKey(testJobID(1), 2))
 		c.killLeader()
-		c.known(jobID(1))
-		c.untilDone(8*time.Minute, jobID(1))
+		c.known(testJobID(1))
+		c.untilDone(8*time.Minute, testJobID(1))
 	})
 }
 
 // A version record that can't be read counts as one of the previous version.
 func TestUnreadableVersion(t *testing.T) {
-	runUpgrade(t, 74, func(c *cluster) {
-		c.w.State.Spoil(records.NodeKey(nodeNames[2]))
+	runUpgrade(t, 74, func(c *testCluster) {
+		c.env.State.Spoil(records.NodeKey(nodeNames[2]))
 		c.restartAs(false, nodeNames[0], nodeNames[1])
 		time.Sleep(20 * time.Second)
 		if c.upgraded() {
@@ -269,13 +269,13 @@
 }
 
 // untilShown waits until the status page of every node holds some texts.
-func (c *cluster) untilShown(texts ...string) {
+func (c *testCluster) untilShown(texts ...string) {
 	c.t.Helper()
 	for _, name := range c.names {
 		c.until(name+" shows "+texts[0], 20*time.Second, func() bool {
 			rec := httptest.NewRecorder()
 			c.mu.Lock()
-			n := c.nodes[name]
+			n := c.controllers[name]
 			c.mu.Unlock()
 			n.api.ServeHTTP(rec, httptest.NewRequest("GET", "/", nil))
 			return !slices.ContainsFunc(texts, func(text string) bool { return !strings.Contains(rec.Body.String(), text) })
@@ -286,18 +286,18 @@
 // Of jobs that were accepted under larger limits, those with long records too can be
 // cancelled and are closed.
 func TestCancelLargeRecord(t *testing.T) {
-	runIn(t, 75, nodeNames, wide(), func(c *cluster) {
-		j := sweep(1, strings.Repeat("c", 140), 1)
+	runIn(t, 75, nodeNames, wide(), func(c *testCluster) {
+		j := arrayJob(1, strings.Repeat("c", 140), 1)
 		for range 20 {
 			j.MachineTypes = append(j.MachineTypes, strings.Repeat("t", 140))
 		}
-		c.w.Register(j)
-		c.w.State.Put(records.OpenKey(j.ID), records.OpenJob{Job: j, AcceptedMS: time.Now().UnixMilli()})
-		c.w.State.Limit(c.dep.State.Smaller())
-		if st := c.w.Submit(j, 5); st != 200 {
+		c.env.Register(j)
+		c.env.State.Put(records.OpenKey(j.ID), records.OpenJob{Job: j, AcceptedMS: time.Now().UnixMilli()})
+		c.env.State.Limit(c.deployment.State.Smaller())
+		if st := c.env.Submit(j, 5); st != 200 {
 			t.Errorf("an accepted job submitted again gets %d", st)
 		}
-		c.w.Withdraw(j.ID)
-		c.until("it is closed", time.Minute, func() bool { return c.w.State.Value(records.FinalKey(j.ID)) != nil })
+		c.env.Withdraw(j.ID)
+		c.until("it is closed", time.Minute, func() bool { return c.env.State.Value(records.FinalKey(j.ID)) != nil })
 	})
 }
