--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -19,7 +19,7 @@
 
 // history is a world without controllers, whose history a test makes up.
 type history struct {
-	*World
+	*Environment
 	machine *machine
 }
 
@@ -27,10 +27,10 @@
 // that places the first job's task there.
 func newHistory(ctx context.Context) *history {
 	cfg := config.Deployment{Workers: config.Workers{ReportS: 2.5, LeaseS: 1000, CancelS: 37}}
-	w := NewWorld(ctx, NewNetwork(1), cfg, []protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
+	w := NewEnvironment(ctx, NewNetwork(1), cfg, []protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
 	w.Register(protocol.Job{ID: first, Kind: protocol.KindArray, Tasks: 1, Cores: 1})
 	w.Register(protocol.Job{ID: second, Kind: protocol.KindArray, Tasks: 1, Cores: 1, DependsOn: []string{first}})
-	h := &history{World: w}
+	h := &history{Environment: w}
 	w.mu.Lock()
 	id := w.newMachine("big", "a", false)
 	h.machine = w.machines[id]
@@ -41,16 +41,16 @@
 }
 
 func (h *history) record(ref, machine string) {
-	h.State.Put(records.SegmentKey(ref, 0), records.RunRecord{NextAttempt: 2, Placements: []records.Placement{{Attempt: 1, Machine: machine}}})
+	h.Store.Put(records.SegmentKey(ref, 0), records.RunRecord{NextAttempt: 2, Placements: []records.Placement{{Attempt: 1, Machine: machine}}})
 }
 
 // run makes a job's task run on the machine, as if a controller had started it.
 func (h *history) run(ref string) *task {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	running := &task{ref: ref, attempt: 1, state: protocol.TaskRunning, since: time.Now(), left: 1e6}
+	running := &task{jobID: ref, attempt: 1, state: protocol.TaskRunning, since: time.Now(), left: 1e6}
 	h.machine.tasks = append(h.machine.tasks, running)
-	h.started(h.machine, running)
+	h.checkStart(h.machine, running)
 	return running
 }
 
@@ -59,7 +59,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	u := h.jobs[ref]
-	h.judge(u, *u, protocol.JobStatus{ID: ref, Phase: phase})
+	h.checkAnswer(u, *u, protocol.JobStatus{ID: ref, Phase: phase})
 }
 
 // cancel makes a job's user cancel it and be told so.
@@ -83,9 +83,9 @@
 		{"a task runs that no record names", func(h *history) { h.record(first, "m-000009"); h.run(first) }, "orphaned: no record names"},
 		{"the record goes before the task", func(h *history) {
 			h.run(first)
-			h.State.Remove(records.SegmentKey(first, 0))
+			h.Store.Remove(records.SegmentKey(first, 0))
 		}, "orphaned: no record names"},
-		{"a record that can't be read", func(h *history) { h.run(first); h.State.Spoil(records.SegmentKey(first, 0)) }, ""},
+		{"a record that can't be read", func(h *history) { h.run(first); h.Store.Corrupt(records.SegmentKey(first, 0)) }, ""},
 		{"a job starts before the one that it waits for is done", func(h *history) {
 			h.record(second, h.machine.id)
 			h.run(second)
@@ -139,7 +139,7 @@
 				h := newHistory(ctx)
 				b.play(h)
 				time.Sleep(time.Second)
-				broken := strings.Join(h.Broken(), "\n")
+				broken := strings.Join(h.Violations(), "\n")
 				if (b.want == "" && broken != "") || !strings.Contains(broken, b.want) {
 					t.Errorf("found %q, not %q", broken, b.want)
 				}
--- a/internal/fake/dependencies.go
+++ b/internal/fake/dependencies.go
@@ -6,8 +6,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// needed lists the jobs that a job needs, directly or through others.
-func (w *World) needed(u *userJob) []*userJob {
+// dependenciesOf lists the jobs that a job needs, directly or through others.
+func (w *Environment) dependenciesOf(u *userJob) []*userJob {
 	var out []*userJob
 	seen := map[string]bool{}
 	work := u.job.DependsOn
@@ -24,7 +24,7 @@
 }
 
 // MayFinish tells whether no user has asked to cancel the job or one that it needs.
-func (w *World) MayFinish(ref string) bool {
+func (w *Environment) MayFinish(ref string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	asked, _ := w.cancelledBefore(w.jobs[ref])
@@ -36,8 +36,8 @@
 
 // mayStart tells whether all jobs that a job needs are done: one whose user was told
 // that it is cancelled never is, though all its tasks may be complete.
-func (w *World) mayStart(u *userJob) bool {
-	for _, d := range w.needed(u) {
+func (w *Environment) mayStart(u *userJob) bool {
+	for _, d := range w.dependenciesOf(u) {
 		if !d.complete() || !d.cancelTold.IsZero() {
 			return false
 		}
@@ -47,8 +47,8 @@
 
 // mustStart tells whether a job may start and nothing has cancelled it: one that it
 // needs may be cancelled after its last task is done and before that is recorded.
-func (w *World) mustStart(u *userJob) bool {
-	for _, d := range w.needed(u) {
+func (w *Environment) mustStart(u *userJob) bool {
+	for _, d := range w.dependenciesOf(u) {
 		if d.cancelAsked && !d.done {
 			return false
 		}
@@ -58,8 +58,8 @@
 
 // cancelledBefore tells whether a user has asked to cancel a job that this one
 // needs, and since when one was told that it is; zero: none was.
-func (w *World) cancelledBefore(u *userJob) (asked bool, told time.Time) {
-	for _, d := range w.needed(u) {
+func (w *Environment) cancelledBefore(u *userJob) (asked bool, told time.Time) {
+	for _, d := range w.dependenciesOf(u) {
 		asked = asked || d.cancelAsked
 		if t := d.cancelTold; !t.IsZero() && (told.IsZero() || t.Before(told)) {
 			told = t
@@ -68,8 +68,8 @@
 	return asked, told
 }
 
-// judgeDependent judges what the user of a job that needs others is told.
-func (w *World) judgeDependent(u *userJob, phase string) {
+// checkDependentAnswer judges what the user of a job that needs others is told.
+func (w *Environment) checkDependentAnswer(u *userJob, phase string) {
 	if phase != protocol.PhaseQueued && phase != protocol.PhaseRunning {
 		return
 	}
@@ -78,6 +78,6 @@
 		return
 	}
 	if d := time.Since(told); d.Seconds() > w.Cfg.Workers.CancelS {
-		w.breakRule("orphaned: %s is called %s %v after a job that it needs was cancelled", u.job.ID, phase, d)
+		w.violate("orphaned: %s is called %s %v after a job that it needs was cancelled", u.job.ID, phase, d)
 	}
 }
--- a/internal/fake/net.go
+++ b/internal/fake/net.go
@@ -33,13 +33,13 @@
 
 // Network connects hosts by name. It is safe for concurrent use.
 type Network struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	hosts    map[string]string       // address -> host
-	handlers map[string]http.Handler // address -> handler; absent: refused
-	cuts     map[[2]string]*cutState
-	deaf     map[string]*cutState // hosts that nothing reaches, though they send
-	mute     map[string]bool      // hosts that cannot open connections
+	mu              sync.Mutex
+	rng             *rand.Rand
+	hosts           map[string]string       // address -> host
+	handlers        map[string]http.Handler // address -> handler; absent: refused
+	cuts            map[[2]string]*cutState
+	inboundLost     map[string]*cutState // hosts that nothing reaches, though they send
+	outboundBlocked map[string]bool      // hosts that cannot open connections
 	// Delay is how much longer a message takes; nil: none does.
 	Delay func(from, to string) time.Duration
 	// Repeat makes the network deliver some requests twice, the second time up
@@ -50,7 +50,7 @@
 // NewNetwork makes a network without hosts.
 func NewNetwork(seed uint64) *Network {
 	return &Network{rng: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]string{},
-		handlers: map[string]http.Handler{}, cuts: map[[2]string]*cutState{}, deaf: map[string]*cutState{}, mute: map[string]bool{}}
+		handlers: map[string]http.Handler{}, cuts: map[[2]string]*cutState{}, inboundLost: map[string]*cutState{}, outboundBlocked: map[string]bool{}}
 }
 
 // Listen puts a handler at an address; nil takes it away.
@@ -88,28 +88,28 @@
 	}
 }
 
-// Deafen makes nothing reach a host until the returned function is called; what
+// DropInbound makes nothing reach a host until the returned function is called; what
 // it sends arrives.
-func (n *Network) Deafen(host string) (mend func()) {
+func (n *Network) DropInbound(host string) (mend func()) {
 	c := &cutState{Hold, make(chan struct{})}
 	n.mu.Lock()
-	n.deaf[host] = c
+	n.inboundLost[host] = c
 	n.mu.Unlock()
 	return sync.OnceFunc(func() {
 		n.mu.Lock()
-		delete(n.deaf, host)
+		delete(n.inboundLost, host)
 		n.mu.Unlock()
 		close(c.over)
 	})
 }
 
-// Mute makes a host unable to open connections until the returned function is
+// BlockOutbound makes a host unable to open connections until the returned function is
 // called; what others send to it arrives, and is answered.
-func (n *Network) Mute(host string) (mend func()) {
+func (n *Network) BlockOutbound(host string) (mend func()) {
 	set := func(on bool) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.mute[host] = on
+		n.outboundBlocked[host] = on
 	}
 	set(true)
 	return sync.OnceFunc(func() { set(false) })
@@ -127,7 +127,7 @@
 	if c := n.cuts[pair(a, b)]; c != nil {
 		return c
 	}
-	return n.deaf[b]
+	return n.inboundLost[b]
 }
 
 // travel lets one message pass from a to b: it takes its time and waits out cuts.
@@ -176,7 +176,7 @@
 	}
 	t.n.mu.Lock()
 	to, known := t.n.hosts[req.URL.Host]
-	mute := t.n.mute[t.host]
+	mute := t.n.outboundBlocked[t.host]
 	t.n.mu.Unlock()
 	switch {
 	case !known:
--- a/internal/fake/records.go
+++ b/internal/fake/records.go
@@ -9,24 +9,24 @@
 
 // records reads run records in the state service, decoding each version once.
 type recordChecker struct {
-	state  *State
-	pieces map[string]decodedPiece // by key
+	state    *Store
+	segments map[string]decodedSegment // by key
 }
 
-// decodedPiece is a version of a piece of a run record.
-type decodedPiece struct {
+// decodedSegment is a version of a piece of a run record.
+type decodedSegment struct {
 	version  uint64
 	run      records.RunRecord
 	readable bool
 }
 
-func newRecordChecker(state *State) *recordChecker {
-	return &recordChecker{state: state, pieces: map[string]decodedPiece{}}
+func newRecordChecker(state *Store) *recordChecker {
+	return &recordChecker{state: state, segments: map[string]decodedSegment{}}
 }
 
-// piece returns the piece that counts for a task: its own if that was written,
+// segment returns the piece that counts for a task: its own if that was written,
 // otherwise the first of its job.
-func (r *recordChecker) piece(ref string, task int) decodedPiece {
+func (r *recordChecker) segment(ref string, task int) decodedSegment {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
 	key := records.SegmentKey(ref, records.SegmentOf(task))
@@ -34,27 +34,27 @@
 	if !written {
 		key = records.SegmentKey(ref, 0)
 		if stored, written = r.state.keys[key]; !written {
-			return decodedPiece{readable: true} // it names nothing
+			return decodedSegment{readable: true} // it names nothing
 		}
 	}
-	if known, ok := r.pieces[key]; ok && known.version == stored.version {
+	if known, ok := r.segments[key]; ok && known.version == stored.version {
 		return known
 	}
-	piece := decodedPiece{version: stored.version}
+	piece := decodedSegment{version: stored.version}
 	piece.readable = protocol.Unmarshal(stored.value, &piece.run) == nil
-	r.pieces[key] = piece
+	r.segments[key] = piece
 	return piece
 }
 
 // mayName tells whether the records name an attempt of a task on a machine, or
 // cannot be read.
 func (r *recordChecker) mayName(t *task, machine string) bool {
-	piece := r.piece(t.ref, t.num)
+	piece := r.segment(t.jobID, t.index)
 	if !piece.readable {
 		return true
 	}
 	for _, p := range piece.run.Placements {
-		if p.Task == t.num && p.Attempt == t.attempt && p.Machine == machine {
+		if p.Task == t.index && p.Attempt == t.attempt && p.Machine == machine {
 			return true
 		}
 	}
@@ -64,7 +64,7 @@
 // checkRecorded judges that every task on a machine is in the run record of its job,
 // from before its start until it has surely ended: what no record names, the next
 // leader knows nothing of.
-func (w *World) checkRecorded() {
+func (w *Environment) checkRecorded() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range w.machines {
@@ -73,7 +73,7 @@
 				continue
 			}
 			t.unrecorded = true // told once
-			w.breakRule("orphaned: no record names %s/%d try %d (%s) on %s at %v", t.ref, t.num, t.attempt, t.state, m.id, time.Now())
+			w.violate("orphaned: no record names %s/%d try %d (%s) on %s at %v", t.jobID, t.index, t.attempt, t.state, m.id, time.Now())
 		}
 	}
 }
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -30,16 +30,16 @@
 	expires time.Time
 }
 
-// State is the state service.
-type State struct {
-	mu      sync.Mutex
-	rev     uint64
-	keys    map[string]entry
-	leases  map[uint64]*lease
-	nextID  uint64
-	log     []change
-	changed chan struct{}
-	refuse  map[string]bool // hosts that get 503; "" for all
+// Store is the state service.
+type Store struct {
+	mu       sync.Mutex
+	revision uint64
+	keys     map[string]entry
+	leases   map[uint64]*lease
+	nextID   uint64
+	log      []change
+	changed  chan struct{}
+	refuse   map[string]bool // hosts that get 503; "" for all
 	// OnCommit is told of every applied commit.
 	OnCommit func(c *protocol.Transaction)
 	// Limits of a commit; 0 is none. Breaking one is the caller's mistake.
@@ -86,14 +86,14 @@
 	ev  protocol.WatchEvent
 }
 
-// NewState makes an empty state service.
-func NewState() *State {
-	return &State{keys: map[string]entry{}, leases: map[uint64]*lease{}, changed: make(chan struct{}), refuse: map[string]bool{}, Refusals: map[int]int{}}
+// NewStore makes an empty state service.
+func NewStore() *Store {
+	return &Store{keys: map[string]entry{}, leases: map[uint64]*lease{}, changed: make(chan struct{}), refuse: map[string]bool{}, Refusals: map[int]int{}}
 }
 
 // Refuse makes the service answer 503 to a host, or to all with "". When that
 // ends, every lease has its full time again.
-func (s *State) Refuse(host string, on bool) {
+func (s *Store) Refuse(host string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if on {
@@ -109,7 +109,7 @@
 }
 
 // Limit makes the limits smaller from now on, without notice.
-func (s *State) Limit(l config.StateLimits) {
+func (s *Store) Limit(l config.StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limited = true
@@ -118,59 +118,59 @@
 }
 
 // LimitRequests sets how many requests a second are served.
-func (s *State) LimitRequests(rps float64) {
+func (s *Store) LimitRequests(rps float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests = rate.NewLimiter(rate.Limit(rps), int(rps))
 }
 
 // Asked is how many requests there were, and how many of them were throttled.
-func (s *State) Asked() (requests, throttled int) {
+func (s *Store) Asked() (requests, throttled int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.asked, s.throttled
 }
 
 // Put stores a record, as an earlier process would have.
-func (s *State) Put(key string, value any) {
+func (s *Store) Put(key string, value any) {
 	raw, err := protocol.Marshal(value)
 	if err != nil {
 		panic(err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rev++
-	s.put(key, entry{value: raw, version: s.rev})
+	s.revision++
+	s.put(key, entry{value: raw, version: s.revision})
 	s.wake()
 }
 
 // Remove takes a record away.
-func (s *State) Remove(key string) {
+func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rev++
+	s.revision++
 	s.del(key)
 	s.wake()
 }
 
-// Spoil makes the value of a key unreadable for whoever expects a record there.
-func (s *State) Spoil(key string) {
+// Corrupt makes the value of a key unreadable for whoever expects a record there.
+func (s *Store) Corrupt(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rev++
-	s.put(key, entry{value: msgpack.RawMessage{0xa3, 'b', 'a', 'd'}, version: s.rev})
+	s.revision++
+	s.put(key, entry{value: msgpack.RawMessage{0xa3, 'b', 'a', 'd'}, version: s.revision})
 	s.wake()
 }
 
 // Value is the value under a key; nil if there is none.
-func (s *State) Value(key string) []byte {
+func (s *Store) Value(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.keys[key].value
 }
 
 // Keys lists the keys with a prefix.
-func (s *State) Keys(prefix string) []string {
+func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
@@ -183,25 +183,25 @@
 	return out
 }
 
-func (s *State) put(key string, e entry) {
+func (s *Store) put(key string, e entry) {
 	s.keys[key] = e
 	s.log = append(s.log, change{key, protocol.WatchEvent{Set: key, Value: e.value, Version: e.version}})
 }
 
-func (s *State) del(key string) {
+func (s *Store) del(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
-		s.log = append(s.log, change{key, protocol.WatchEvent{Delete: key, Version: s.rev}})
+		s.log = append(s.log, change{key, protocol.WatchEvent{Delete: key, Version: s.revision}})
 	}
 }
 
-func (s *State) wake() {
+func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // expire ends leases that are over; nothing expires while nobody is served.
-func (s *State) expire() {
+func (s *Store) expire() {
 	if s.refuse[""] {
 		return
 	}
@@ -212,11 +212,11 @@
 	}
 }
 
-func (s *State) end(id uint64) {
+func (s *Store) end(id uint64) {
 	delete(s.leases, id)
 	for k, e := range s.keys {
 		if e.lease == id {
-			s.rev++
+			s.revision++
 			s.del(k)
 		}
 	}
@@ -239,7 +239,7 @@
 }
 
 // ServeHTTP answers as PROTOCOL says.
-func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.Slow != nil {
 		time.Sleep(s.Slow(r.URL.Path))
 	}
@@ -268,7 +268,7 @@
 			}
 		}
 		slices.Sort(keys)
-		page := protocol.KeyValuePage{Revision: s.rev, Entries: []protocol.KeyValue{}}
+		page := protocol.KeyValuePage{Revision: s.revision, Entries: []protocol.KeyValue{}}
 		for _, k := range keys {
 			if len(page.Entries) == s.pageSize(most) {
 				page.More = true
@@ -282,7 +282,7 @@
 		if e, ok := s.keys[k]; ok {
 			answer(w, 200, protocol.KeyValue{Key: k, Value: e.value, Version: e.version})
 		} else {
-			answer(w, 404, epoch{s.rev})
+			answer(w, 404, epoch{s.revision})
 		}
 	case path == "/commit":
 		if s.Late != nil {
@@ -329,7 +329,7 @@
 		until := time.NewTimer(time.Duration(hold) * time.Millisecond)
 		defer until.Stop()
 		for over := false; ; {
-			out := protocol.WatchReply{Revision: s.rev, Events: []protocol.WatchEvent{}}
+			out := protocol.WatchReply{Revision: s.revision, Events: []protocol.WatchEvent{}}
 			for _, c := range s.log {
 				if c.ev.Version > after && strings.HasPrefix(c.key, q.Get("prefix")) && (s.LoseEvent == nil || !s.LoseEvent(c.key)) {
 					out.Events = append(out.Events, c.ev)
@@ -359,7 +359,7 @@
 	}
 }
 
-func (s *State) watchLease(id uint64, life time.Duration) {
+func (s *Store) watchLease(id uint64, life time.Duration) {
 	for {
 		time.Sleep(life / 10)
 		s.mu.Lock()
@@ -373,7 +373,7 @@
 }
 
 // pageSize is how many keys a page has if so many are asked for.
-func (s *State) pageSize(most int) int {
+func (s *Store) pageSize(most int) int {
 	const protocol = 1000
 	if s.PageMost > 0 {
 		return min(most, s.PageMost)
@@ -417,7 +417,7 @@
 	return out
 }
 
-func (s *State) commit(w http.ResponseWriter, body []byte) {
+func (s *Store) commit(w http.ResponseWriter, body []byte) {
 	var c transaction
 	if err := protocol.Unmarshal(body, &c); err != nil {
 		answer(w, 400, protocol.ErrorReply{Error: err.Error()})
@@ -479,16 +479,16 @@
 		}
 	}
 	if len(failed) > 0 {
-		answer(w, 409, protocol.TransactionReply{FailedKeys: failed, Revision: s.rev})
+		answer(w, 409, protocol.TransactionReply{FailedKeys: failed, Revision: s.revision})
 		return
 	}
 	if len(c.Changes) > 0 {
-		s.rev++
+		s.revision++
 		for _, ch := range c.Changes {
 			if ch.Delete != "" {
 				s.del(ch.Delete)
 			} else {
-				s.put(ch.Set, entry{slices.Clone(ch.Value), s.rev, ch.Lease})
+				s.put(ch.Set, entry{slices.Clone(ch.Value), s.revision, ch.Lease})
 			}
 		}
 		s.wake()
@@ -500,5 +500,5 @@
 		answer(w, 502, nil)
 		return
 	}
-	answer(w, 200, protocol.TransactionReply{Revision: s.rev})
+	answer(w, 200, protocol.TransactionReply{Revision: s.revision})
 }
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -16,37 +16,37 @@
 	"marblehaven/internal/protocol"
 )
 
-// World is the cloud, its workers and the users, with the checker that judges
+// Environment is the cloud, its workers and the users, with the checker that judges
 // what they see. One mutex guards it all.
-type World struct {
-	Net   *Network
-	State *State
-	Cfg   config.Deployment
-	Nodes []string // addresses of the users' side of the nodes
-	Asked []string // those that users ask; nil: all
-
-	life      context.Context
-	mu        sync.Mutex
-	types     map[string]protocol.MachineType
-	capacity  map[string]int // per type, zone and kind; absent: plenty
-	machines  map[string]*machine
-	claims    map[string][]string
-	nextID    int
-	jobs      map[string]*userJob
-	broken    []string
-	Calls     map[string]int         // calls of the cloud, by path
-	LoseReply func(path string) bool // answers of the cloud that get lost
-	CloudDown bool                   // it answers 503 "trouble"
-	PageMost  int                    // machines in a page of the list at most; 0: as many as asked for
-	Saved     int                    // tasks that were stopped and saved
-	Lapses    int                    // leases that ran out with tasks
-	Uneven    float64                // how much longer each task of an array runs than the one before
-	OnDone    func(ref string)       // told when the last task of an array has completed
-	Step      time.Duration          // between two looks of a machine at what it runs
-	LateStart time.Duration          // the longest time from a confirmed cancellation to a start
-	calm      bool                   // all troubles are over
-	addrNode  map[string]string      // node name -> address
-	records   *recordChecker
+type Environment struct {
+	Network *Network
+	Store   *Store
+	Cfg     config.Deployment
+	Nodes   []string // addresses of the users' side of the nodes
+	Asked   []string // those that users ask; nil: all
+
+	life          context.Context
+	mu            sync.Mutex
+	types         map[string]protocol.MachineType
+	capacity      map[string]int // per type, zone and kind; absent: plenty
+	machines      map[string]*machine
+	provisioned   map[string][]string
+	nextID        int
+	jobs          map[string]*userJob
+	violations    []string
+	Calls         map[string]int         // calls of the cloud, by path
+	LoseReply     func(path string) bool // answers of the cloud that get lost
+	CloudDown     bool                   // it answers 503 "trouble"
+	PageMost      int                    // machines in a page of the list at most; 0: as many as asked for
+	Saved         int                    // tasks that were stopped and saved
+	LeaseExpiries int                    // leases that ran out with tasks
+	Uneven        float64                // how much longer each task of an array runs than the one before
+	OnDone        func(ref string)       // told when the last task of an array has completed
+	Step          time.Duration          // between two looks of a machine at what it runs
+	LateStart     time.Duration          // the longest time from a confirmed cancellation to a start
+	troublesOver  bool                   // all troubles are over
+	addrNode      map[string]string      // node name -> address
+	records       *recordChecker
 }
 
 // userJob is a job as its user knows it.
@@ -67,17 +67,17 @@
 // may take longer steps.
 const usualStep = 50 * time.Millisecond
 
-// NewWorld makes a world on a network. Its life ends with ctx.
-func NewWorld(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *World {
-	w := &World{Net: net, State: NewState(), Cfg: cfg, life: ctx, types: map[string]protocol.MachineType{},
-		capacity: map[string]int{}, machines: map[string]*machine{}, claims: map[string][]string{},
+// NewEnvironment makes a world on a network. Its life ends with ctx.
+func NewEnvironment(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *Environment {
+	w := &Environment{Network: net, Store: NewStore(), Cfg: cfg, life: ctx, types: map[string]protocol.MachineType{},
+		capacity: map[string]int{}, machines: map[string]*machine{}, provisioned: map[string][]string{},
 		jobs: map[string]*userJob{}, Step: usualStep, Calls: map[string]int{}, addrNode: map[string]string{}}
 	for _, t := range types {
 		w.types[t.Name] = t
 	}
-	w.records = newRecordChecker(w.State)
-	w.State.MaxOps, w.State.MaxValue = cfg.State.TxnOps, int(cfg.State.ValueKB*1024)
-	net.Listen("state", "state:1", w.State)
+	w.records = newRecordChecker(w.Store)
+	w.Store.MaxOps, w.Store.MaxValue = cfg.State.TxnOps, int(cfg.State.ValueKB*1024)
+	net.Listen("state", "state:1", w.Store)
 	net.Listen("cloud", "cloud:1", http.HandlerFunc(w.cloud))
 	go func() {
 		for ctx.Err() == nil {
@@ -91,7 +91,7 @@
 }
 
 // AddNode tells users and workers of a node.
-func (w *World) AddNode(name, addr string) {
+func (w *Environment) AddNode(name, addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Nodes = append(w.Nodes, addr)
@@ -99,23 +99,23 @@
 }
 
 // Limit sets how many machines of a type, zone and kind there are.
-func (w *World) Limit(typ, zone string, spot bool, n int) {
+func (w *Environment) Limit(typ, zone string, spot bool, n int) {
 	w.capacity[fmt.Sprint(typ, zone, spot)] = n
 }
 
-// Broken lists the rules broken so far.
-func (w *World) Broken() []string {
+// Violations lists the rules broken so far.
+func (w *Environment) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.broken)
+	return slices.Clone(w.violations)
 }
 
-func (w *World) breakRule(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+func (w *Environment) violate(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 // Machines lists the machines that are up.
-func (w *World) Machines() []string {
+func (w *Environment) Machines() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
@@ -128,21 +128,21 @@
 	return out
 }
 
-// Rented is how many machines were ever rented.
-func (w *World) Rented() int {
+// MachinesProvisioned is how many machines were ever rented.
+func (w *Environment) MachinesProvisioned() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.nextID
 }
 
-// On lists the machines on which tasks of a job are, with or without image.
-func (w *World) On(ref string) []string {
+// MachinesOf lists the machines on which tasks of a job are, with or without image.
+func (w *Environment) MachinesOf(ref string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
 	for id, m := range w.machines {
 		for _, t := range m.tasks {
-			if t.ref == ref && t.state != protocol.TaskExited {
+			if t.jobID == ref && t.state != protocol.TaskExited {
 				out = append(out, id)
 			}
 		}
@@ -152,24 +152,24 @@
 }
 
 // Cancelled tells whether a job's user asked to cancel it.
-func (w *World) Cancelled(ref string) bool {
+func (w *Environment) Cancelled(ref string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.jobs[ref].cancelAsked
 }
 
 // Job is a job as its user submitted it.
-func (w *World) Job(ref string) protocol.Job {
+func (w *Environment) Job(ref string) protocol.Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.jobs[ref].job
 }
 
 // Random is between 0 and 1, by the network's seed.
-func (w *World) Random() float64 { return w.Net.float() }
+func (w *Environment) Random() float64 { return w.Network.float() }
 
 // Zone is a machine's zone.
-func (w *World) Zone(id string) string {
+func (w *Environment) Zone(id string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if m := w.machines[id]; m != nil {
@@ -179,23 +179,23 @@
 }
 
 // Kill takes a machine away without a word.
-func (w *World) Kill(id string) {
+func (w *Environment) Kill(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.remove(id)
 }
 
-func (w *World) remove(id string) {
+func (w *Environment) remove(id string) {
 	if m := w.machines[id]; m != nil {
 		m.end()
 		delete(w.machines, id)
-		w.Net.Listen(id, m.addr, nil)
+		w.Network.Listen(id, m.addr, nil)
 		w.gangsChanged()
 	}
 }
 
-// Notice announces that a machine will be taken.
-func (w *World) Notice(id string, in time.Duration) {
+// NoticePreemption announces that a machine will be taken.
+func (w *Environment) NoticePreemption(id string, in time.Duration) {
 	w.mu.Lock()
 	m := w.machines[id]
 	m.notice = time.Now().Add(in)
@@ -207,7 +207,7 @@
 	}()
 }
 
-func (w *World) cloud(rw http.ResponseWriter, r *http.Request) {
+func (w *Environment) cloud(rw http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -223,7 +223,7 @@
 	answer(rw, status, v)
 }
 
-func (w *World) cloudCall(r *http.Request, body []byte) (int, any) {
+func (w *Environment) cloudCall(r *http.Request, body []byte) (int, any) {
 	switch {
 	case r.URL.Path == "/catalog":
 		var c protocol.Catalog
@@ -237,13 +237,13 @@
 		if protocol.Unmarshal(body, &req) != nil || req.Count < 1 || req.Count > 50 {
 			return 400, nil
 		}
-		if hosts, ok := w.claims[req.RequestID]; ok {
+		if hosts, ok := w.provisioned[req.RequestID]; ok {
 			return 200, protocol.MachineIDs{IDs: hosts}
 		}
 		n := req.Count
 		if limit, ok := w.capacity[fmt.Sprint(req.Type, req.Zone, req.Spot)]; ok {
 			for _, m := range w.machines {
-				if m.typ.Name == req.Type && m.zone == req.Zone && m.spot == req.Spot {
+				if m.machineType.Name == req.Type && m.zone == req.Zone && m.spot == req.Spot {
 					limit--
 				}
 			}
@@ -256,7 +256,7 @@
 		for range n {
 			hosts = append(hosts, w.newMachine(req.Type, req.Zone, req.Spot))
 		}
-		w.claims[req.RequestID] = hosts
+		w.provisioned[req.RequestID] = hosts
 		return 200, protocol.MachineIDs{IDs: hosts}
 	case r.URL.Path == "/rentals/return":
 		var h protocol.MachineIDs
@@ -275,7 +275,7 @@
 				if m.up {
 					phase = "running"
 				}
-				list.Machines = append(list.Machines, protocol.ListedMachine{ID: id, Addr: m.addr, Type: m.typ.Name,
+				list.Machines = append(list.Machines, protocol.ListedMachine{ID: id, Addr: m.addr, Type: m.machineType.Name,
 					Zone: m.zone, Spot: m.spot, State: phase, AgeS: age})
 			}
 		}
@@ -287,7 +287,7 @@
 }
 
 // cutPage leaves the page of a list that was asked for.
-func (w *World) cutPage(list *protocol.MachineList, query url.Values) {
+func (w *Environment) cutPage(list *protocol.MachineList, query url.Values) {
 	after := query.Get("after")
 	list.Machines = slices.DeleteFunc(list.Machines, func(m protocol.ListedMachine) bool { return m.ID <= after })
 	most, err := strconv.Atoi(query.Get("most"))
@@ -304,7 +304,7 @@
 
 // Register makes a job one whose user has submitted it, and was told that it is
 // accepted.
-func (w *World) Register(job protocol.Job) {
+func (w *Environment) Register(job protocol.Job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.jobs[job.ID] = &userJob{job: job, submitted: true, accepted: true, finished: map[int]bool{}}
@@ -312,7 +312,7 @@
 
 // Submit registers a job (users upload its description) and submits it until
 // it gets an answer that is not retried. It returns the status.
-func (w *World) Submit(job protocol.Job, runS float64) int {
+func (w *Environment) Submit(job protocol.Job, runS float64) int {
 	w.mu.Lock()
 	if w.jobs[job.ID] == nil {
 		w.jobs[job.ID] = &userJob{job: job, runS: runS, finished: map[int]bool{}}
@@ -326,9 +326,9 @@
 	defer w.mu.Unlock()
 	if status == 200 || status == 201 {
 		u.accepted = true
-		w.judge(u, before, st)
+		w.checkAnswer(u, before, st)
 	} else if before.accepted && (status == 400 || status == 422) {
-		w.breakRule("forgotten: %s submitted again gets %d", job.ID, status)
+		w.violate("forgotten: %s submitted again gets %d", job.ID, status)
 	}
 	return status
 }
@@ -355,7 +355,7 @@
 }
 
 // Poll asks once for a job's state.
-func (w *World) Poll(ref string) (int, protocol.JobStatus) {
+func (w *Environment) Poll(ref string) (int, protocol.JobStatus) {
 	w.mu.Lock()
 	u := w.jobs[ref]
 	var before userJob // what the user had been told when it asked
@@ -369,28 +369,28 @@
 	u = w.jobs[ref]
 	switch {
 	case status == 200 && (u == nil || !u.submitted):
-		w.breakRule("invented: %s", ref)
+		w.violate("invented: %s", ref)
 	case status == 404 && before.accepted:
-		w.breakRule("forgotten: %s gets 404", ref)
+		w.violate("forgotten: %s gets 404", ref)
 	case status == 200:
-		w.judge(u, before, st)
+		w.checkAnswer(u, before, st)
 	}
 	return status, st
 }
 
-// judge takes in what a user is told, who knew before what it asked with.
-func (w *World) judge(u *userJob, before userJob, st protocol.JobStatus) {
+// checkAnswer takes in what a user is told, who knew before what it asked with.
+func (w *Environment) checkAnswer(u *userJob, before userJob, st protocol.JobStatus) {
 	switch {
 	case before.done && st.Phase != protocol.PhaseDone, !before.cancelled.IsZero() && st.Phase != protocol.PhaseCancelled:
-		w.breakRule("went_back: %s is called %s", u.job.ID, st.Phase)
+		w.violate("went_back: %s is called %s", u.job.ID, st.Phase)
 	case st.Phase == protocol.PhaseCancelled && !u.cancelAsked:
 		if asked, _ := w.cancelledBefore(u); !asked {
-			w.breakRule("went_back: %s is called cancelled, its user did not ask", u.job.ID)
+			w.violate("went_back: %s is called cancelled, its user did not ask", u.job.ID)
 		}
 	case st.Phase == protocol.PhaseDone && len(u.finished) < u.job.Tasks:
-		w.breakRule("not_done: %s is called done", u.job.ID)
+		w.violate("not_done: %s is called done", u.job.ID)
 	}
-	w.judgeDependent(u, st.Phase)
+	w.checkDependentAnswer(u, st.Phase)
 	if st.Phase == protocol.PhaseDone {
 		u.done = true
 	}
@@ -402,8 +402,8 @@
 	}
 }
 
-// Withdraw cancels a job, repeating the request until it is answered.
-func (w *World) Withdraw(ref string) (int, protocol.JobStatus) {
+// Cancel cancels a job, repeating the request until it is answered.
+func (w *Environment) Cancel(ref string) (int, protocol.JobStatus) {
 	w.mu.Lock()
 	u := w.jobs[ref]
 	u.cancelAsked = true
@@ -413,24 +413,24 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if status == 200 {
-		w.judge(u, before, st)
+		w.checkAnswer(u, before, st)
 	}
 	return status, st
 }
 
 // ask makes a call to some node, again and again until it is answered or the
 // time is over.
-func (w *World) ask(method, path string, in any, each, total time.Duration) (int, protocol.JobStatus) {
+func (w *Environment) ask(method, path string, in any, each, total time.Duration) (int, protocol.JobStatus) {
 	start := time.Now()
 	for {
 		nodes := w.Nodes
 		if w.Asked != nil {
 			nodes = w.Asked
 		}
-		addr := nodes[int(w.Net.float()*float64(len(nodes)))]
+		addr := nodes[int(w.Network.float()*float64(len(nodes)))]
 		ctx, cancel := context.WithTimeout(w.life, each)
 		var st protocol.JobStatus
-		status, err := protocol.Call(ctx, &http.Client{Transport: w.Net.From(w.life, "users")}, method, "http://"+addr+path, in,
+		status, err := protocol.Call(ctx, &http.Client{Transport: w.Network.From(w.life, "users")}, method, "http://"+addr+path, in,
 			map[int]any{200: &st, 201: &st})
 		cancel()
 		if err == nil && status != 429 && status < 500 {
@@ -443,9 +443,9 @@
 	}
 }
 
-// started judges a task that begins to be on a machine.
-func (w *World) started(m *machine, t *task) {
-	u := w.jobs[t.ref]
+// checkStart judges a task that begins to be on a machine.
+func (w *Environment) checkStart(m *machine, t *task) {
+	u := w.jobs[t.jobID]
 	d := &u.job
 	zones := map[string]int{}
 	var cores, gpus float64
@@ -454,13 +454,13 @@
 			if !x.onMachine() || x == t {
 				continue
 			}
-			if x.ref == t.ref && x.num == t.num {
-				w.breakRule("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v", t.ref, t.num, x.attempt, o.id, x.since, t.attempt, m.id, o.hung, o.up, o.session, time.Now())
+			if x.jobID == t.jobID && x.index == t.index {
+				w.violate("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v", t.jobID, t.index, x.attempt, o.id, x.since, t.attempt, m.id, o.hung, o.up, o.incarnation, time.Now())
 			}
-			if x.ref == t.ref {
+			if x.jobID == t.jobID {
 				zones[o.zone]++
 			}
-			if y := w.jobs[x.ref]; y.job.Team == d.Team {
+			if y := w.jobs[x.jobID]; y.job.Team == d.Team {
 				cores += y.job.Cores
 				gpus += y.job.GPUs
 			}
@@ -468,55 +468,55 @@
 	}
 	for _, team := range w.Cfg.Teams {
 		if team.Name == d.Team && ((team.CoresMax > 0 && cores+d.Cores > team.CoresMax+1e-6) || (team.GPUsMax > 0 && gpus+d.GPUs > team.GPUsMax+1e-6)) {
-			w.breakRule("quota: %s with %s/%d on %s: %v of %v cores, %v of %v cards at %v", d.Team, t.ref, t.num, m.id, cores+d.Cores, team.CoresMax, gpus+d.GPUs, team.GPUsMax, time.Now())
+			w.violate("quota: %s with %s/%d on %s: %v of %v cores, %v of %v cards at %v", d.Team, t.jobID, t.index, m.id, cores+d.Cores, team.CoresMax, gpus+d.GPUs, team.GPUsMax, time.Now())
 		}
 	}
 	zones[m.zone]++
 	switch {
-	case len(d.MachineTypes) > 0 && !slices.Contains(d.MachineTypes, m.typ.Name), d.Zone != "" && d.Zone != m.zone, m.spot && !d.Spot,
+	case len(d.MachineTypes) > 0 && !slices.Contains(d.MachineTypes, m.machineType.Name), d.Zone != "" && d.Zone != m.zone, m.spot && !d.Spot,
 		d.OneZone && len(zones) > 1, d.Spread && zones[m.zone] > (d.Tasks+1)/2:
-		w.breakRule("wrong_place: %s/%d on %s", t.ref, t.num, m.id)
+		w.violate("wrong_place: %s/%d on %s", t.jobID, t.index, m.id)
 	}
 	if !u.accepted && !u.submitted {
-		w.breakRule("invented: %s runs", t.ref)
+		w.violate("invented: %s runs", t.jobID)
 	}
 	if !w.mayStart(u) {
-		w.breakRule("too_early: %s/%d on %s at %v", t.ref, t.num, m.id, time.Now())
+		w.violate("too_early: %s/%d on %s at %v", t.jobID, t.index, m.id, time.Now())
 	}
 	if !u.cancelled.IsZero() {
 		w.LateStart = max(w.LateStart, time.Since(u.cancelled))
 	}
-	w.overdue(m, t)
+	w.checkCancelledTask(m, t)
 }
 
-// overdue judges a task on a machine whose job is cancelled, by its own user or with
+// checkCancelledTask judges a task on a machine whose job is cancelled, by its own user or with
 // one that it needs.
-func (w *World) overdue(m *machine, t *task) {
-	u := w.jobs[t.ref]
+func (w *Environment) checkCancelledTask(m *machine, t *task) {
+	u := w.jobs[t.jobID]
 	since := u.cancelled
 	if _, told := w.cancelledBefore(u); since.IsZero() || (!told.IsZero() && told.Before(since)) {
 		since = told
 	}
 	if !since.IsZero() && time.Since(since).Seconds() > w.Cfg.Workers.CancelS && t.onMachine() {
-		w.breakRule("ran_cancelled: %s/%d on %s", t.ref, t.num, m.id)
+		w.violate("ran_cancelled: %s/%d on %s", t.jobID, t.index, m.id)
 	}
 }
 
-func (w *World) checkCancelled() {
+func (w *Environment) checkCancelled() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range w.machines {
 		for _, t := range m.tasks {
-			w.overdue(m, t)
+			w.checkCancelledTask(m, t)
 		}
 	}
 }
 
-// Calm says that all troubles are over: from now on no job may be left waiting.
-func (w *World) Calm() {
+// EndTroubles says that all troubles are over: from now on no job may be left waiting.
+func (w *Environment) EndTroubles() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.calm = true
+	w.troublesOver = true
 }
 
 // waitsAtMost is how long a job may wait beside a machine that fits and has room,
@@ -525,10 +525,10 @@
 
 // checkWaiting judges the jobs that wait although there is room. Gangs, for which
 // much must be free at once, are not among them.
-func (w *World) checkWaiting() {
+func (w *Environment) checkWaiting() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.calm {
+	if !w.troublesOver {
 		return
 	}
 	for _, u := range w.jobs {
@@ -540,14 +540,14 @@
 			u.besideRoom = time.Now()
 		}
 		if d := time.Since(u.besideRoom); d > waitsAtMost {
-			w.breakRule("left waiting: %s beside room for %v", u.job.ID, d)
+			w.violate("left waiting: %s beside room for %v", u.job.ID, d)
 			u.besideRoom = time.Now()
 		}
 	}
 }
 
 // roomFor tells whether a task of a job waits while a machine could take it.
-func (w *World) roomFor(u *userJob) bool {
+func (w *Environment) roomFor(u *userJob) bool {
 	d := &u.job
 	on, zones := 0, map[string]int{}
 	var cores, gpus float64
@@ -556,11 +556,11 @@
 			if t.state == protocol.TaskExited {
 				continue
 			}
-			y := &w.jobs[t.ref].job
+			y := &w.jobs[t.jobID].job
 			if y.Team == d.Team {
 				cores, gpus = cores+y.Cores, gpus+y.GPUs
 			}
-			if t.ref == d.ID {
+			if t.jobID == d.ID {
 				on++
 				zones[m.zone]++
 			}
@@ -576,14 +576,14 @@
 	}
 	for _, m := range w.machines {
 		if !m.up || m.hung || !m.notice.IsZero() || (m.spot && !d.Spot) || (d.Zone != "" && d.Zone != m.zone) ||
-			(len(d.MachineTypes) > 0 && !slices.Contains(d.MachineTypes, m.typ.Name)) ||
+			(len(d.MachineTypes) > 0 && !slices.Contains(d.MachineTypes, m.machineType.Name)) ||
 			(d.OneZone && len(zones) > 0 && zones[m.zone] == 0) || (d.Spread && zones[m.zone]+1 > (d.Tasks+1)/2) {
 			continue
 		}
-		free := m.typ
+		free := m.machineType
 		for _, t := range m.tasks {
 			if t.state != protocol.TaskExited {
-				y := &w.jobs[t.ref].job
+				y := &w.jobs[t.jobID].job
 				free.Cores, free.GPUs, free.MemGB = free.Cores-y.Cores, free.GPUs-y.GPUs, free.MemGB-y.MemGB
 			}
 		}
@@ -596,7 +596,7 @@
 
 // Refused submits a job that must not be accepted, and judges the answer: change
 // makes it so, and want is the status that PROTOCOL names.
-func (w *World) Refused(job protocol.Job, change func(m map[string]any), want int) {
+func (w *Environment) Refused(job protocol.Job, change func(m map[string]any), want int) {
 	m := JobMap(&job)
 	change(m)
 	status, _ := w.ask(http.MethodPost, "/v1/jobs", m, 5*time.Second, 60*time.Second)
@@ -604,7 +604,7 @@
 	if answered && status != want {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.breakRule("accepted: a job that cannot be, %v, gets %d instead of %d", m, status, want)
+		w.violate("accepted: a job that cannot be, %v, gets %d instead of %d", m, status, want)
 	}
 }
 
--- a/internal/kvstore/apply_test.go
+++ b/internal/kvstore/apply_test.go
@@ -27,7 +27,7 @@
 type writer struct {
 	t        *testing.T
 	rng      *rand.Rand
-	state    *fake.State
+	state    *fake.Store
 	client   *kvstore.Client
 	versions map[string]uint64 // as the writer believes
 	outcome  map[int]error     // what the writer was told of each transaction
@@ -37,7 +37,7 @@
 }
 
 func newWriter(t *testing.T, seed uint64) *writer {
-	w := &writer{t: t, rng: rand.New(rand.NewPCG(seed, 3)), state: fake.NewState(),
+	w := &writer{t: t, rng: rand.New(rand.NewPCG(seed, 3)), state: fake.NewStore(),
 		versions: map[string]uint64{}, executed: map[int]int{}, outcome: map[int]error{}}
 	network := fake.NewNetwork(seed)
 	network.Listen("state", "state:1", w.state)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -57,7 +57,7 @@
 func (leader) Status(*StatusRequest) Status                    { return Status{} }
 func (leader) ObserveTerm(records.Term)                        {}
 func (leader) UserCall(context.Context, *UserCall) *UserAnswer { return nil }
-func (leader) IsLeader() bool                                     { return true }
+func (leader) IsLeader() bool                                  { return true }
 
 // What Acknowledged vouches for is compared with all that the peers told: nothing
 // told up to its time may be missing, however late answers come, however often a
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -24,7 +24,7 @@
 	c.env.Limit("big", "a", true, 1)
 	c.env.Limit("big", "b", false, 3)
 	// Lists have several pages, as at production size.
-	c.env.State.PageMost, c.env.PageMost = 1+rng.IntN(20), 1+rng.IntN(5)
+	c.env.Store.PageMost, c.env.PageMost = 1+rng.IntN(20), 1+rng.IntN(5)
 	next := 0
 	var mu sync.Mutex
 	var keep []string     // jobs that must be done in the end, unless one they need is cancelled
@@ -80,7 +80,7 @@
 			if cancel {
 				time.Sleep(after)
 				if c.ctx.Err() == nil {
-					c.env.Withdraw(j.ID)
+					c.env.Cancel(j.ID)
 				}
 			}
 		}()
@@ -99,12 +99,12 @@
 		case 1:
 			later(secs(3, 40), c.cut(name, "state", mode))
 		case 2:
-			c.env.State.Refuse(name, true)
-			later(secs(3, 40), func() { c.env.State.Refuse(name, false) })
+			c.env.Store.Refuse(name, true)
+			later(secs(3, 40), func() { c.env.Store.Refuse(name, false) })
 		case 3:
 			if rng.IntN(3) == 0 {
-				c.env.State.Refuse("", true)
-				later(secs(3, 40), func() { c.env.State.Refuse("", false) })
+				c.env.Store.Refuse("", true)
+				later(secs(3, 40), func() { c.env.Store.Refuse("", false) })
 			}
 		case 4:
 			if machine != "" {
@@ -131,7 +131,7 @@
 			}
 		case 9: // its reports arrive, answers and commands do not
 			if machine != "" {
-				later(secs(3, 40), c.network.Deafen(machine))
+				later(secs(3, 40), c.network.DropInbound(machine))
 			}
 		case 10: // no state service and no peers, but workers and users
 			later(secs(3, 60), c.cut(name, "state", mode))
@@ -142,18 +142,18 @@
 			}
 		case 14: // it reaches nobody, commands reach it
 			if machine != "" {
-				later(secs(3, 40), c.network.Mute(machine))
+				later(secs(3, 40), c.network.BlockOutbound(machine))
 			}
 		case 15: // all of them, for longer than a lease
 			for _, m := range machines {
-				later(secs(13, 25), c.network.Mute(m))
+				later(secs(13, 25), c.network.BlockOutbound(m))
 			}
 		case 16: // transactions without an answer are carried out late
-			c.env.State.Late = c.lateCommits(0.15)
-			later(secs(5, 30), func() { c.env.State.Late = nil })
+			c.env.Store.Late = c.lateCommits(0.15)
+			later(secs(5, 30), func() { c.env.Store.Late = nil })
 		case 20, 21: // answers of transactions are lost, and some are refused when sent again
-			c.env.State.Fault = c.faultyCommits()
-			later(secs(5, 40), func() { c.env.State.Fault = nil })
+			c.env.Store.Fault = c.faultyCommits()
+			later(secs(5, 40), func() { c.env.Store.Fault = nil })
 		case 17: // it hangs between a command and its answer
 			if machine != "" {
 				c.env.HangInCommand(machine, secs(1, 25))
@@ -162,19 +162,19 @@
 			if l := c.leader(); l != "" {
 				name = l
 			}
-			c.env.State.Refuse(name, true)
+			c.env.Store.Refuse(name, true)
 			mu.Lock()
 			if len(keep) > 0 {
 				ref := keep[len(keep)-1]
 				keep = keep[:len(keep)-1]
-				go c.env.Withdraw(ref)
+				go c.env.Cancel(ref)
 			}
 			mu.Unlock()
 			time.Sleep(time.Second)
-			c.env.State.Refuse("", true)
+			c.env.Store.Refuse("", true)
 			later(secs(38, 60), func() {
-				c.env.State.Refuse("", false)
-				c.env.State.Refuse(name, false)
+				c.env.Store.Refuse("", false)
+				c.env.Store.Refuse(name, false)
 			})
 		case 19: // users' requests that lack a field or can't be met
 			bad := arrayJob(900000+next, "check", 1)
@@ -230,7 +230,7 @@
 		mu.Unlock()
 	}
 	time.Sleep(90 * time.Second)
-	c.env.Calm() // whatever was under way is over
+	c.env.EndTroubles() // whatever was under way is over
 	mu.Lock()
 	refs := slices.DeleteFunc(slices.Clone(keep), func(ref string) bool { return !c.env.MayFinish(ref) })
 	mu.Unlock()
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -30,7 +30,7 @@
 	t           *testing.T
 	ctx         context.Context
 	network     *fake.Network
-	env         *fake.World
+	env         *fake.Environment
 	log         *slog.Logger
 	mu          sync.Mutex
 	controllers map[string]*controller
@@ -83,15 +83,15 @@
 			out = os.Stderr
 		}
 		c.log = slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
-		c.env = fake.NewWorld(ctx, c.network, dep, testTypes)
-		c.env.State.OnCommit = c.checkGuards
+		c.env = fake.NewEnvironment(ctx, c.network, dep, testTypes)
+		c.env.Store.OnCommit = c.checkGuards
 		for i, name := range names {
 			c.env.AddNode(name, fmt.Sprintf("10.0.0.%d:80", i+1))
 			c.boot(name)
 		}
 		time.Sleep(2 * time.Second)
 		scenario(c)
-		for _, rule := range c.env.Broken() {
+		for _, rule := range c.env.Violations() {
 			t.Error("rule broken:", rule)
 		}
 		c.mend()
@@ -290,7 +290,7 @@
 func (c *testCluster) untilElsewhere(ref string, replicas int, machine string, limit time.Duration) {
 	c.t.Helper()
 	c.until("the replica runs elsewhere", limit, func() bool {
-		on := c.env.On(ref)
+		on := c.env.MachinesOf(ref)
 		return len(on) == replicas && !slices.Contains(on, machine)
 	})
 }
@@ -340,7 +340,7 @@
 	}
 	on := func() (all []string) {
 		for _, ref := range refs {
-			all = append(all, c.env.On(ref)...)
+			all = append(all, c.env.MachinesOf(ref)...)
 		}
 		return all
 	}
--- a/internal/server/cluster_troubles_test.go
+++ b/internal/server/cluster_troubles_test.go
@@ -19,7 +19,7 @@
 func (c *testCluster) withdrawAt(name, ref string) {
 	c.t.Helper()
 	c.env.Asked = []string{c.at(name)}
-	if st, s := c.env.Withdraw(ref); st != 200 || s.Phase != protocol.PhaseCancelled {
+	if st, s := c.env.Cancel(ref); st != 200 || s.Phase != protocol.PhaseCancelled {
 		c.t.Errorf("withdrawing %s: %d %q", ref, st, s.Phase)
 	}
 	c.env.Asked = nil
@@ -47,18 +47,18 @@
 // and none is left waiting beside room.
 func (c *testCluster) settle() {
 	c.t.Helper()
-	c.env.State.Refuse("", false)
+	c.env.Store.Refuse("", false)
 	for _, n := range c.names {
-		c.env.State.Refuse(n, false)
+		c.env.Store.Refuse(n, false)
 		if !c.alive(n) {
 			c.boot(n)
 		}
 	}
-	c.env.State.Slow, c.env.State.Late, c.env.State.LoseReply, c.env.State.LoseEvent = nil, nil, nil, nil
+	c.env.Store.Slow, c.env.Store.Late, c.env.Store.LoseReply, c.env.Store.LoseEvent = nil, nil, nil, nil
 	c.network.Delay = nil
 	c.env.CloudDown = false
 	c.mend()
-	c.env.Calm()
+	c.env.EndTroubles()
 	c.known(c.jobs...)
 	for _, ref := range c.jobs {
 		j := c.env.Job(ref)
@@ -66,10 +66,10 @@
 		case c.env.Cancelled(ref):
 			c.until(ref+" is over", time.Minute, func() bool {
 				p := c.phase(ref)
-				return (p == protocol.PhaseCancelled || p == protocol.PhaseDone) && len(c.env.On(ref)) == 0
+				return (p == protocol.PhaseCancelled || p == protocol.PhaseDone) && len(c.env.MachinesOf(ref)) == 0
 			})
 		case j.Kind == protocol.KindService:
-			c.until(ref+" runs", 3*time.Minute, func() bool { return len(c.env.On(ref)) == j.Tasks })
+			c.until(ref+" runs", 3*time.Minute, func() bool { return len(c.env.MachinesOf(ref)) == j.Tasks })
 		default:
 			c.untilDone(6*time.Minute, ref)
 		}
@@ -86,14 +86,14 @@
 // mute makes machines unable to open connections.
 func (c *testCluster) mute(machines ...string) {
 	for _, m := range machines {
-		c.mends = append(c.mends, c.network.Mute(m))
+		c.mends = append(c.mends, c.network.BlockOutbound(m))
 	}
 }
 
 // deafen makes machines hear nothing.
 func (c *testCluster) deafen(machines ...string) {
 	for _, m := range machines {
-		c.mends = append(c.mends, c.network.Deafen(m))
+		c.mends = append(c.mends, c.network.DropInbound(m))
 	}
 }
 
@@ -115,7 +115,7 @@
 	zoned.Zone, zoned.OneZone = "a", true
 	c.submit(zoned, 60)
 	c.until("all run", 2*time.Minute, func() bool {
-		return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) == 2 && len(c.env.On("req-000003")) == 6 && len(c.env.On("req-000004")) == 4
+		return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) == 2 && len(c.env.MachinesOf("req-000003")) == 6 && len(c.env.MachinesOf("req-000004")) == 4
 	})
 	time.Sleep(5 * time.Second)
 }
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -34,7 +34,7 @@
 	)
 	at := nothing
 	ch := make(chan struct{})
-	c.env.State.Fault = func(txn *protocol.Transaction) fake.Fault {
+	c.env.Store.Fault = func(txn *protocol.Transaction) fake.Fault {
 		switch {
 		case at == nothing && changesAll(txn, first):
 			at = carriedOut
@@ -54,8 +54,8 @@
 
 // withdrawUnheard cancels a job without the leader's hearing of it by an event.
 func (c *testCluster) withdrawUnheard(ref string) protocol.JobStatus {
-	c.env.State.LoseEvent = func(key string) bool { return key == records.OpenKey(ref) }
-	_, status := c.env.Withdraw(ref)
+	c.env.Store.LoseEvent = func(key string) bool { return key == records.OpenKey(ref) }
+	_, status := c.env.Cancel(ref)
 	return status
 }
 
@@ -85,7 +85,7 @@
 	runIn(t, 901, nodeNames, wide(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		c.submit(arrayJob(1, "warm", 2), 300) // so that there is a machine
-		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.env.On(testJobID(1))) == 2 })
+		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 2 })
 		refused := c.inDoubt(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
 		c.submit(array(2, 1), 30)
 		<-refused
@@ -102,7 +102,7 @@
 	runIn(t, 902, nodeNames, wide(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		c.submit(arrayJob(1, "warm", 2), 300)
-		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.env.On(testJobID(1))) == 2 })
+		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 2 })
 		refused := c.inDoubt(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
 		c.submit(array(2, 1), 30)
 		<-refused
@@ -113,7 +113,7 @@
 		}
 		for range 200 {
 			time.Sleep(50 * time.Millisecond)
-			if on := c.env.On(testJobID(3)); len(on) > 0 {
+			if on := c.env.MachinesOf(testJobID(3)); len(on) > 0 {
 				t.Errorf("a cancelled job is started on %s", on)
 				break
 			}
@@ -137,7 +137,7 @@
 			t.Fatalf("a job withdrawn at its end is %s", st.Phase)
 		}
 		time.Sleep(time.Minute)
-		if on := c.env.On(testJobID(3)); len(on) > 0 {
+		if on := c.env.MachinesOf(testJobID(3)); len(on) > 0 {
 			t.Errorf("a job that waits for a cancelled one is started on %s", on)
 		}
 		c.untilCancelled(10*time.Second, testJobID(2), testJobID(3))
--- a/internal/server/compound_test.go
+++ b/internal/server/compound_test.go
@@ -25,7 +25,7 @@
 			c.begin()
 			c.mute(c.env.Machines()...)
 			time.Sleep(time.Duration(seed) * 3 * time.Second)
-			go c.env.Withdraw("req-000001")
+			go c.env.Cancel("req-000001")
 			c.submit(arrayJob(5, "check", 4), 20)
 			if seed == 1 {
 				c.killLeader()
@@ -57,30 +57,30 @@
 			}
 			time.Sleep(testLease - time.Second + time.Duration(seed)*4*time.Second)
 			c.boot(c.names[seed])
-			go c.env.Withdraw("req-000001")
+			go c.env.Cancel("req-000001")
 			time.Sleep(8 * time.Second)
 		}},
 		{"slow answers, then the leader alone is refused, then all, while users cancel and ask", func(c *testCluster, seed uint64) {
 			c.begin()
-			c.env.State.Slow = func(string) time.Duration { return time.Duration(200+seed*500) * time.Millisecond }
+			c.env.Store.Slow = func(string) time.Duration { return time.Duration(200+seed*500) * time.Millisecond }
 			for range 3 {
-				go c.env.Withdraw("req-000001")
-				go c.env.Withdraw("req-000003")
+				go c.env.Cancel("req-000001")
+				go c.env.Cancel("req-000003")
 				go c.env.Poll("req-000002")
 				time.Sleep(700 * time.Millisecond)
 			}
-			c.env.State.Refuse(c.leader(), true)
-			go c.env.Withdraw("req-000004")
+			c.env.Store.Refuse(c.leader(), true)
+			go c.env.Cancel("req-000004")
 			time.Sleep(time.Second)
-			c.env.State.Refuse("", true)
+			c.env.Store.Refuse("", true)
 			time.Sleep(50 * time.Second)
 		}},
 		{"a team at its limit, machines that can't be asked, a cancellation and a new leader", func(c *testCluster, seed uint64) {
 			c.submit(arrayJob(1, "check", 12), 90)
 			c.submit(arrayJob(2, "check", 8), 90)
 			c.submit(arrayJob(3, "check", 10), 20) // waits for the limit
-			c.until("the limit is reached", 2*time.Minute, func() bool { return len(c.env.On("req-000001"))+len(c.env.On("req-000002")) == 20 })
-			on := slices.Compact(c.env.On("req-000001"))
+			c.until("the limit is reached", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001"))+len(c.env.MachinesOf("req-000002")) == 20 })
+			on := slices.Compact(c.env.MachinesOf("req-000001"))
 			c.env.CloudDown = true
 			switch seed {
 			case 0:
@@ -91,7 +91,7 @@
 				c.mends = append(c.mends, c.env.Hang(on[0]))
 			}
 			c.killLeader()
-			go c.env.Withdraw("req-000001")
+			go c.env.Cancel("req-000001")
 			time.Sleep(testLease + 5*time.Second)
 			c.mend()
 			time.Sleep(20 * time.Second)
@@ -104,9 +104,9 @@
 					time.Sleep(time.Duration(i) * 200 * time.Millisecond)
 					c.boot(l)
 				}
-				c.env.State.Refuse("", i >= 4 && i < 8)
+				c.env.Store.Refuse("", i >= 4 && i < 8)
 				if i == 3 {
-					go c.env.Withdraw("req-000001")
+					go c.env.Cancel("req-000001")
 				}
 				time.Sleep(time.Duration(5+3*int(seed)) * time.Second)
 			}
@@ -125,19 +125,19 @@
 			}
 			c.submit(serviceJob(7, 2), 0)
 			time.Sleep(30 * time.Second)
-			go c.env.Withdraw("req-000002")
+			go c.env.Cancel("req-000002")
 			c.killLeader()
 			time.Sleep(30 * time.Second)
 		}},
 		{"the leader ends while machines with long tasks can't be reached or hear nothing", func(c *testCluster, seed uint64) {
 			c.begin()
-			on := c.env.On("req-000003")
+			on := c.env.MachinesOf("req-000003")
 			c.isolate(on[0], fake.Hold, c.names...)
-			c.deafen(c.env.On("req-000002")[0])
-			c.mute(c.env.On("req-000004")[0])
+			c.deafen(c.env.MachinesOf("req-000002")[0])
+			c.mute(c.env.MachinesOf("req-000004")[0])
 			time.Sleep(time.Duration(seed) * 2 * time.Second)
 			old := c.killLeader()
-			go c.env.Withdraw("req-000001")
+			go c.env.Cancel("req-000001")
 			time.Sleep(4 * time.Second)
 			c.boot(old)
 			time.Sleep(testLease + time.Duration(seed)*8*time.Second)
@@ -152,8 +152,8 @@
 			c.submit(arrayJob(5, "check", 8), 20)
 			c.submit(gangJob(6, 2), 20)
 			time.Sleep(time.Duration(1+seed) * time.Second)
-			go c.env.Withdraw("req-000001")
-			go c.env.Withdraw("req-000003")
+			go c.env.Cancel("req-000001")
+			go c.env.Cancel("req-000003")
 			if seed == 2 {
 				c.killLeader()
 			}
@@ -164,7 +164,9 @@
 			c.submit(arrayJob(1, "check", 2), 15)
 			c.submit(arrayJob(2, "check", 3), 12)
 			c.submit(arrayJob(3, "check", 3), 14)
-			c.until("they run", time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000003")) == 3 })
+			c.until("they run", time.Minute, func() bool {
+				return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000003")) == 3
+			})
 			time.Sleep(time.Duration(13+seed) * time.Second) // the first have ended or are about to
 			for range 3 {
 				old := c.killLeader()
@@ -174,14 +176,14 @@
 				}
 				time.Sleep(8 * time.Second)
 			}
-			go c.env.Withdraw("req-000003")
+			go c.env.Cancel("req-000003")
 		}},
 		{"a cancellation, a question and a repeat meet the end of the last task", func(c *testCluster, seed uint64) {
 			c.env.OnDone = func(ref string) {
 				n := int(ref[len(ref)-1] - '0')
 				time.Sleep(time.Duration(c.env.Random()*float64(seed+1)*700) * time.Millisecond)
 				if n%2 == 0 {
-					go c.env.Withdraw(ref)
+					go c.env.Cancel(ref)
 				}
 				go c.env.Poll(ref)
 				go c.env.Submit(c.env.Job(ref), 1)
@@ -201,7 +203,7 @@
 			c.boot(first)
 			c.until("one leads", 10*time.Second, func() bool { return c.leader() != "" })
 			second := c.killLeader()
-			go c.env.Withdraw("req-000001")
+			go c.env.Cancel("req-000001")
 			time.Sleep(300 * time.Millisecond)
 			c.boot(second)
 			time.Sleep(time.Duration(seed) * time.Second)
@@ -214,12 +216,12 @@
 		}},
 		{"transactions without an answer are carried out late", func(c *testCluster, seed uint64) {
 			c.begin()
-			c.env.State.Late = c.lateCommits(0.2)
+			c.env.Store.Late = c.lateCommits(0.2)
 			for i := range 6 {
 				c.submit(arrayJob(5+i, "check", 3), 8)
 			}
-			go c.env.Withdraw("req-000001")
-			go c.env.Withdraw("req-000005")
+			go c.env.Cancel("req-000001")
+			go c.env.Cancel("req-000005")
 			time.Sleep(20 * time.Second)
 			old := c.killLeader()
 			time.Sleep(time.Duration(seed) * 700 * time.Millisecond)
@@ -234,7 +236,7 @@
 			c.submit(arrayJob(2, "check", 8), 50) // leaves room behind
 			c.untilDone(2*time.Minute, "req-000002")
 			c.env.CloudDown = true // no return proves anything, so only the leases can
-			for _, m := range slices.Compact(c.env.On("req-000001"))[:2] {
+			for _, m := range slices.Compact(c.env.MachinesOf("req-000001"))[:2] {
 				c.env.Kill(m)
 			}
 			if seed == 1 {
@@ -242,7 +244,7 @@
 				return
 			}
 			// A copy that counted as a sign of life would renew a dead machine's lease.
-			c.until("what the dead machines had runs elsewhere", testLease+4*time.Second, func() bool { return len(c.env.On("req-000001")) == 8 })
+			c.until("what the dead machines had runs elsewhere", testLease+4*time.Second, func() bool { return len(c.env.MachinesOf("req-000001")) == 8 })
 		}},
 		{"reports are held until a new leader has acted", func(c *testCluster, seed uint64) {
 			c.begin()
@@ -261,7 +263,7 @@
 				}
 				time.Sleep(9 * time.Second)
 			}
-			go c.env.Withdraw("req-000003")
+			go c.env.Cancel("req-000003")
 			time.Sleep(10 * time.Second)
 		}},
 	} {
@@ -288,14 +290,14 @@
 		c.noRoom()
 		c.env.Limit("small", "a", true, 2)
 		c.submit(arrayJob(1, "check", 4), 100)
-		c.until("all run", time.Minute, func() bool { return len(c.env.On("req-000001")) == 4 })
+		c.until("all run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 4 })
 		time.Sleep(3 * time.Second)
 		c.env.CloudDown = true // no return, no rental
-		c.env.Kill(c.env.On("req-000001")[0])
+		c.env.Kill(c.env.MachinesOf("req-000001")[0])
 		time.Sleep(20 * time.Second) // its lease is over
 		var r records.RunRecord
-		if err := protocol.Unmarshal(c.env.State.Value("o/req-000001/t"), &r); err != nil || len(r.Placements) != 2 || len(c.env.On("req-000001")) != 2 {
-			t.Errorf("%d run, recorded as running: %v (%v)", len(c.env.On("req-000001")), r.Placements, err)
+		if err := protocol.Unmarshal(c.env.Store.Value("o/req-000001/t"), &r); err != nil || len(r.Placements) != 2 || len(c.env.MachinesOf("req-000001")) != 2 {
+			t.Errorf("%d run, recorded as running: %v (%v)", len(c.env.MachinesOf("req-000001")), r.Placements, err)
 		}
 		c.settle()
 	})
--- a/internal/server/confirmed_test.go
+++ b/internal/server/confirmed_test.go
@@ -20,7 +20,7 @@
 	// A confirmation that the leader's follow calls do not bring it any more: they
 	// are slow, as calls now and then are, until nothing is served.
 	slowFollow := func(c *testCluster) {
-		c.env.State.Slow = func(path string) time.Duration {
+		c.env.Store.Slow = func(path string) time.Duration {
 			if path == "/follow" {
 				return 1400 * time.Millisecond
 			}
@@ -50,11 +50,11 @@
 			slowFollow(c)
 			// The one that committed it ends before it can answer.
 			other := c.others(leader)[0]
-			c.env.State.LoseReply = func() bool { return true }
+			c.env.Store.LoseReply = func() bool { return true }
 			c.env.Asked = []string{c.at(other)}
-			go c.env.Withdraw("req-000001")
+			go c.env.Cancel("req-000001")
 			time.Sleep(30 * time.Millisecond)
-			c.env.State.LoseReply = nil
+			c.env.Store.LoseReply = nil
 			c.kill(other)
 			c.env.Asked = []string{c.at(leader)}
 			c.until("it is called cancelled", time.Second, func() bool { return c.phase("req-000001") == protocol.PhaseCancelled })
@@ -103,26 +103,26 @@
 		{"carried out late and read elsewhere", func(c *testCluster, leader string) {
 			other := c.others(leader)[0]
 			n := 0
-			c.env.State.Late = func() time.Duration {
+			c.env.Store.Late = func() time.Duration {
 				if n++; n == 1 {
 					return 3 * time.Second
 				}
 				return 0
 			}
-			c.env.State.LoseEvent = func(key string) bool { return key == "o/req-000001" }
+			c.env.Store.LoseEvent = func(key string) bool { return key == "o/req-000001" }
 			c.withdrawAt(other, "req-000001")
 		}, nil, true},
 		{"while the leader alone is refused", func(c *testCluster, leader string) {
-			c.env.State.Refuse(leader, true)
+			c.env.Store.Refuse(leader, true)
 			c.withdrawAt(c.others(leader)[0], "req-000001")
 		}, nil, true},
 		{"while the leader alone is refused and hears no peer", func(c *testCluster, leader string) {
-			c.env.State.Refuse(leader, true)
+			c.env.Store.Refuse(leader, true)
 			c.isolate(leader, fake.Hold, c.others(leader)...)
 			c.withdrawAt(c.others(leader)[0], "req-000001")
 		}, nil, false},
 		{"by the next leader before the outage", func(c *testCluster, leader string) {
-			c.env.State.Refuse(leader, true)
+			c.env.Store.Refuse(leader, true)
 			next := c.untilAnotherLeads(leader, 10*time.Second)
 			slowFollow(c)
 			c.withdrawAt(next, "req-000001")
@@ -135,28 +135,28 @@
 					c.submit(serviceJob(2, 2), 0)
 					c.submit(arrayJob(3, "check", 6), 400)
 					c.until("all run", 2*time.Minute, func() bool {
-						return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) == 2 && len(c.env.On("req-000003")) == 6
+						return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) == 2 && len(c.env.MachinesOf("req-000003")) == 6
 					})
 					time.Sleep(20*time.Second + time.Duration(seed)*370*time.Millisecond)
-					keep := c.env.On("req-000002")
-					lapses := c.env.Lapses
+					keep := c.env.MachinesOf("req-000002")
+					lapses := c.env.LeaseExpiries
 					leader := c.leader()
 					tc.before(c, leader)
-					c.env.State.Refuse("", true)
-					c.env.State.Slow = nil
+					c.env.Store.Refuse("", true)
+					c.env.Store.Slow = nil
 					if tc.during != nil {
 						tc.during(c, leader)
 					}
 					terms := c.terms()
 					time.Sleep(70 * time.Second)
-					if on := c.env.On("req-000001"); len(on) > 0 {
+					if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 						t.Errorf("cancelled, still on %v", on)
 					}
-					if on := c.env.On("req-000002"); tc.goesOn && (!slices.Equal(on, keep) || c.env.Lapses > lapses) {
-						t.Errorf("%d leases ran out; the other service was on %v and is on %v", c.env.Lapses-lapses, keep, on)
+					if on := c.env.MachinesOf("req-000002"); tc.goesOn && (!slices.Equal(on, keep) || c.env.LeaseExpiries > lapses) {
+						t.Errorf("%d leases ran out; the other service was on %v and is on %v", c.env.LeaseExpiries-lapses, keep, on)
 					}
-					c.env.State.Refuse(leader, false)
-					c.env.State.Refuse("", false)
+					c.env.Store.Refuse(leader, false)
+					c.env.Store.Refuse("", false)
 					c.mend()
 					time.Sleep(15 * time.Second)
 					// Records that are behind what the controllers say must not make
@@ -165,7 +165,7 @@
 						t.Errorf("%d terms more", n)
 					}
 					c.known(c.jobs...)
-					c.until("the other service runs", 2*time.Minute, func() bool { return len(c.env.On("req-000002")) == 2 })
+					c.until("the other service runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000002")) == 2 })
 				})
 			}
 		})
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -60,7 +60,7 @@
 		whole := c.pipeline(100)
 		cut := c.pipeline(200)
 		c.untilDone(3*time.Minute, cut[0])
-		c.env.Withdraw(cut[1])
+		c.env.Cancel(cut[1])
 		c.untilCancelled(10*time.Second, cut[1], cut[3], cut[4])
 		c.untilDone(3*time.Minute, cut[2])
 		c.untilDone(5*time.Minute, whole...)
@@ -70,7 +70,7 @@
 		c.submit(late, 5)
 		c.untilCancelled(time.Second, late.ID)
 		// A cancellation that is answered with done stops nothing.
-		if _, st := c.env.Withdraw(whole[1]); st.Phase != protocol.PhaseDone {
+		if _, st := c.env.Cancel(whole[1]); st.Phase != protocol.PhaseDone {
 			t.Errorf("a finished job withdrawn is %s", st.Phase)
 		}
 		// That one of the jobs named is cancelled doesn't make up for one that nobody
@@ -84,7 +84,7 @@
 		if st := c.env.Submit(late, 5); st != 200 {
 			t.Errorf("a cancelled job submitted again gets %d", st)
 		}
-		c.until("records are cleared", time.Minute, func() bool { return len(c.env.State.Keys("o/")) == 0 })
+		c.until("records are cleared", time.Minute, func() bool { return len(c.env.Store.Keys("o/")) == 0 })
 	})
 }
 
@@ -132,7 +132,7 @@
 		c.submit(after(arrayJob(2, "stage", 1), refs[0]), 5)
 		c.submit(after(arrayJob(3, "stage", 1), refs[1]), 5)
 		c.leaderless()
-		c.env.Withdraw(refs[0])
+		c.env.Cancel(refs[0])
 		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
 		for _, addr := range slices.Clone(c.env.Nodes) {
 			c.env.Asked = []string{addr}
@@ -151,8 +151,8 @@
 // leaderless makes all controllers take a node for the leader that is none.
 func (c *testCluster) leaderless() {
 	c.t.Helper()
-	c.env.State.Put(records.KeyTerm, records.Term{Number: 99, Node: "gone"})
-	c.env.State.Put(records.KeyLeader, records.Term{Number: 99, Node: "gone"})
+	c.env.Store.Put(records.KeyTerm, records.Term{Number: 99, Node: "gone"})
+	c.env.Store.Put(records.KeyLeader, records.Term{Number: 99, Node: "gone"})
 	c.until("nobody leads", time.Minute, func() bool { return c.leader() == "" })
 }
 
@@ -179,9 +179,9 @@
 		}
 		last := after(arrayJob(2000, "stage", 1), before...)
 		c.submit(last, 5)
-		c.env.State.PageMost = 40
+		c.env.Store.PageMost = 40
 		c.leaderless()
-		c.env.Withdraw(testJobID(1))
+		c.env.Cancel(testJobID(1))
 		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
 		for _, addr := range slices.Clone(c.env.Nodes) {
 			c.env.Asked = []string{addr}
@@ -216,7 +216,7 @@
 			c.submit(j, 5)
 			refs = append(refs, j.ID)
 		}
-		c.env.State.LimitRequests(120)
+		c.env.Store.LimitRequests(120)
 		ctx, stop := context.WithCancel(c.ctx)
 		for i, ref := range refs {
 			go func() {
@@ -228,14 +228,14 @@
 			}()
 		}
 		time.Sleep(20 * time.Second)
-		c.env.State.Refuse("", true)
+		c.env.Store.Refuse("", true)
 		time.Sleep(25 * time.Second)
-		c.env.State.Refuse("", false)
+		c.env.Store.Refuse("", false)
 		c.known(refs...)
 		time.Sleep(20 * time.Second)
-		requestsBefore, throttledBefore := c.env.State.Asked()
+		requestsBefore, throttledBefore := c.env.Store.Asked()
 		time.Sleep(time.Minute)
-		requests, throttled := c.env.State.Asked()
+		requests, throttled := c.env.Store.Asked()
 		requests, throttled = requests-requestsBefore, throttled-throttledBefore
 		if throttled > requests/20 {
 			t.Errorf("%d of %d requests were throttled long after the outage", throttled, requests)
@@ -252,7 +252,7 @@
 		c.submit(arrayJob(1, "stage", 1), 5)
 		c.submit(arrayJob(2, "stage", 1), 5)
 		c.untilDone(2*time.Minute, testJobID(1), testJobID(2))
-		c.env.State.Spoil(records.FinalKey(testJobID(1)))
+		c.env.Store.Corrupt(records.FinalKey(testJobID(1)))
 		c.restartAll() // nobody remembers it
 		c.until("a node leads", time.Minute, func() bool { return c.leader() != "" })
 		c.submit(after(arrayJob(3, "stage", 1), testJobID(1)), 5)
@@ -264,7 +264,7 @@
 				t.Fatalf("%d %s", status, st.Phase)
 			}
 		}
-		c.env.Withdraw(testJobID(3))
+		c.env.Cancel(testJobID(3))
 	})
 }
 
@@ -272,7 +272,7 @@
 // that the leader does not know the first says nothing of its being done.
 func TestDependencyMissed(t *testing.T) {
 	run(t, 64, func(c *testCluster) {
-		c.env.State.LoseEvent = func(key string) bool { return key == records.OpenKey(testJobID(1)) }
+		c.env.Store.LoseEvent = func(key string) bool { return key == records.OpenKey(testJobID(1)) }
 		c.submit(arrayJob(1, "stage", 2), 40)
 		c.submit(after(arrayJob(2, "stage", 1), testJobID(1)), 5)
 		c.untilDone(4*time.Minute, testJobID(1), testJobID(2))
@@ -285,8 +285,8 @@
 	for seed := range seeds(3) {
 		run(t, 640+seed, func(c *testCluster) {
 			rng := rand.New(rand.NewPCG(seed, 9))
-			c.env.State.LoseEvent = func(string) bool { return c.env.Random() < 0.1 }
-			c.env.State.Late = c.lateCommits(0.05)
+			c.env.Store.LoseEvent = func(string) bool { return c.env.Random() < 0.1 }
+			c.env.Store.Late = c.lateCommits(0.05)
 			var whole []string
 			for i := range 4 {
 				refs := c.pipeline(100 * (i + 1))
@@ -296,7 +296,7 @@
 					k := rng.IntN(4)
 					go func() {
 						time.Sleep(time.Duration(rng.IntN(20)) * time.Second)
-						c.env.Withdraw(refs[k])
+						c.env.Cancel(refs[k])
 					}()
 				}
 				time.Sleep(time.Duration(rng.IntN(5)) * time.Second)
@@ -304,7 +304,7 @@
 				time.Sleep(time.Duration(rng.IntN(3)) * time.Second)
 				c.boot(old)
 			}
-			c.env.State.LoseEvent, c.env.State.Late = nil, nil
+			c.env.Store.LoseEvent, c.env.Store.Late = nil, nil
 			c.untilDone(8*time.Minute, whole...)
 			c.until("nothing is open", 5*time.Minute, func() bool {
 				return !slices.ContainsFunc(c.jobs, func(ref string) bool {
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -29,7 +29,7 @@
 	const arrays, tasks = 40, 100
 	runIn(t, 901, nodeNames, atFleetSize(), func(c *testCluster) {
 		c.env.Step = 250 * time.Millisecond // steps of 4,000 machines are most of what the test takes
-		c.env.State.LimitRequests(c.deployment.State.RPS)
+		c.env.Store.LimitRequests(c.deployment.State.RPS)
 		for i := range arrays {
 			j := array(1+i, tasks) // a machine for each task
 			j.MachineTypes, j.Cores, j.MemGB, j.EstimateS = []string{"big"}, 16, 60, 120
@@ -47,18 +47,18 @@
 		c.boot(c.killLeader())
 		c.until("another node leads", time.Minute, func() bool { return c.leader() != "" })
 		time.Sleep(15 * time.Second)
-		c.env.State.Refuse("", true)
+		c.env.Store.Refuse("", true)
 		time.Sleep(18 * time.Second)
-		c.env.State.Refuse("", false)
+		c.env.Store.Refuse("", false)
 		for _, end := range ends {
 			end()
 		}
-		lapsed := c.env.Lapses
+		lapsed := c.env.LeaseExpiries
 		time.Sleep(time.Minute)
-		if more := c.env.Lapses - lapsed; more > 0 {
+		if more := c.env.LeaseExpiries - lapsed; more > 0 {
 			t.Errorf("%d leases ran out after the outage", more)
 		}
-		c.env.Calm()
+		c.env.EndTroubles()
 		c.known(c.jobs...)
 		c.untilDone(10*time.Minute, c.jobs...)
 	})
--- a/internal/server/hundreds_test.go
+++ b/internal/server/hundreds_test.go
@@ -17,18 +17,18 @@
 		var mends []func()
 		for i, m := range c.env.Machines() {
 			if i%8 == 0 {
-				mends = append(mends, c.network.Deafen(m))
+				mends = append(mends, c.network.DropInbound(m))
 			}
 		}
 		mends = append(mends, c.leaveWorkers(c.leader()))
-		c.env.Withdraw("req-000001")
+		c.env.Cancel("req-000001")
 		time.Sleep(40 * time.Second)
 		for _, mend := range mends {
 			mend()
 		}
 		c.restartAll()
 		c.known(c.jobs...)
-		if on := c.env.On("req-000001"); len(on) > 0 {
+		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 			t.Errorf("cancelled, still on %v", on)
 		}
 		c.untilDone(6*time.Minute, c.jobs[20:]...)
@@ -63,7 +63,7 @@
 				c.env.Kill(m)
 			}
 		}
-		c.env.Withdraw("req-000001")
+		c.env.Cancel("req-000001")
 		time.Sleep(30 * time.Second)
 		c.restartAll()
 		for _, mend := range mends {
@@ -72,7 +72,7 @@
 		c.known(c.jobs...)
 		c.untilDone(6*time.Minute, c.jobs[20:]...)
 		c.until("the other services run", time.Minute, up(c.jobs[1:20]))
-		if on := c.env.On("req-000001"); len(on) > 0 {
+		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 			t.Errorf("cancelled, still on %v", on)
 		}
 	})
@@ -97,7 +97,7 @@
 		c.until("hundreds run", 2*time.Minute, func() bool { return len(c.env.Machines()) >= 250 })
 		up := func(refs []string) func() bool {
 			return func() bool {
-				return !slices.ContainsFunc(refs, func(ref string) bool { return len(c.env.On(ref)) != 4 })
+				return !slices.ContainsFunc(refs, func(ref string) bool { return len(c.env.MachinesOf(ref)) != 4 })
 			}
 		}
 		c.until("all services run", time.Minute, up(c.jobs[:20]))
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -21,7 +21,7 @@
 		run(t, 10+seed, func(c *testCluster) {
 			var once sync.Once
 			placed := make(chan struct{})
-			c.env.State.OnCommit = func(txn *protocol.Transaction) {
+			c.env.Store.OnCommit = func(txn *protocol.Transaction) {
 				c.checkGuards(txn)
 				for _, ch := range txn.Mutations {
 					if strings.HasSuffix(ch.Set, "/t") {
@@ -46,11 +46,11 @@
 func TestCancelledWhileNobodyLeads(t *testing.T) {
 	run(t, 30, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 })
+		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 		old := slices.Index(nodeNames, c.leader())
 		c.kill(nodeNames[old])
 		c.env.Asked = []string{c.env.Nodes[(old+1)%3]} // the dead one would cost a second
-		if st, s := c.env.Withdraw("req-000001"); st != 200 || s.Phase != protocol.PhaseCancelled {
+		if st, s := c.env.Cancel("req-000001"); st != 200 || s.Phase != protocol.PhaseCancelled {
 			t.Fatalf("withdraw: %d %q", st, s.Phase)
 		}
 		if c.leader() != "" {
@@ -58,7 +58,7 @@
 		}
 		c.env.Asked = nil
 		time.Sleep(time.Minute)
-		if on := c.env.On("req-000001"); len(on) > 0 {
+		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 			t.Errorf("still on %v", on)
 		}
 	})
@@ -70,18 +70,20 @@
 	run(t, 50, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 20), 20)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) > 0 })
+		c.until("it runs", 2*time.Minute, func() bool {
+			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) > 0
+		})
 		old := c.leader()
-		c.env.State.Refuse(old, true)
+		c.env.Store.Refuse(old, true)
 		// Its peers cannot warn it, and the workers stay with it.
 		mend := c.isolate(old, fake.Hold, c.others(old)...)
 		c.untilAnotherLeads(old, 20*time.Second)
-		c.env.Withdraw("req-000001")
+		c.env.Cancel("req-000001")
 		time.Sleep(50 * time.Second)
-		if on := c.env.On("req-000001"); len(on) > 0 {
+		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 			t.Errorf("cancelled, still on %v", on)
 		}
-		c.env.State.Refuse(old, false)
+		c.env.Store.Refuse(old, false)
 		mend()
 		c.untilDone(4*time.Minute, "req-000002")
 	})
@@ -95,7 +97,7 @@
 		c.submit(serviceJob(1, 2), 0)
 		old := c.terms()
 		var calls atomic.Int64
-		c.env.State.Slow = func(path string) time.Duration {
+		c.env.Store.Slow = func(path string) time.Duration {
 			if strings.HasSuffix(path, "/touch") && calls.Add(1)%5 == 0 {
 				return 1450 * time.Millisecond
 			}
@@ -115,14 +117,16 @@
 	run(t, 60, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 6), 60)
-		c.until("all run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) > 2 })
-		before := c.env.On("req-000001")
-		c.env.State.Refuse("", true)
+		c.until("all run", 2*time.Minute, func() bool {
+			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) > 2
+		})
+		before := c.env.MachinesOf("req-000001")
+		c.env.Store.Refuse("", true)
 		time.Sleep(60 * time.Second) // much longer than cancel_s - lease_s
-		if on := c.env.On("req-000001"); !slices.Equal(on, before) {
+		if on := c.env.MachinesOf("req-000001"); !slices.Equal(on, before) {
 			t.Errorf("replicas were on %v, now on %v", before, on)
 		}
-		c.env.State.Refuse("", false)
+		c.env.Store.Refuse("", false)
 		c.untilDone(3*time.Minute, "req-000002")
 	})
 }
@@ -132,8 +136,10 @@
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 20), 30)
 		c.submit(gangJob(3, 2), 60)
-		c.until("they run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000003")) > 0 })
-		before := c.env.On("req-000001")
+		c.until("they run", 2*time.Minute, func() bool {
+			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000003")) > 0
+		})
+		before := c.env.MachinesOf("req-000001")
 		for _, n := range nodeNames {
 			c.kill(n)
 		}
@@ -142,7 +148,7 @@
 			c.boot(n)
 		}
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
-		if on := c.env.On("req-000001"); !slices.Equal(on, before) {
+		if on := c.env.MachinesOf("req-000001"); !slices.Equal(on, before) {
 			t.Errorf("replicas were on %v, now on %v", before, on)
 		}
 	})
@@ -155,12 +161,14 @@
 	runWith(t, 133, []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, func(c *testCluster) {
 		c.submit(serviceJob(1, 4), 0)
 		c.submit(arrayJob(2, "check", 20), 30)
-		c.until("they run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 4 && len(c.env.On("req-000002")) > 0 })
+		c.until("they run", 2*time.Minute, func() bool {
+			return len(c.env.MachinesOf("req-000001")) == 4 && len(c.env.MachinesOf("req-000002")) > 0
+		})
 		old := c.leader()
 		mend := c.leaveWorkers(old)
 		c.env.CloudDown = true // so that only the leases can end what runs there
 		time.Sleep(8 * time.Second)
-		c.env.Withdraw("req-000001")
+		c.env.Cancel("req-000001")
 		c.mu.Lock()
 		cut := c.controllers[old]
 		c.mu.Unlock()
@@ -195,15 +203,15 @@
 	run(t, 139, func(c *testCluster) {
 		on := c.pairs(12)
 		time.Sleep(5 * time.Second)
-		before, lapses := on(), c.env.Lapses
+		before, lapses := on(), c.env.LeaseExpiries
 		old := c.leader()
 		mend := c.isolate(old, fake.Hold, c.env.Machines()...)
 		time.Sleep(25 * time.Second) // twice a lease
 		if c.leader() == old {
 			t.Error("a leader without workers keeps its term")
 		}
-		if c.env.Lapses > lapses || !slices.Equal(on(), before) {
-			t.Errorf("%d leases ran out; ran on %s, now on %s", c.env.Lapses-lapses, before, on())
+		if c.env.LeaseExpiries > lapses || !slices.Equal(on(), before) {
+			t.Errorf("%d leases ran out; ran on %s, now on %s", c.env.LeaseExpiries-lapses, before, on())
 		}
 		mend()
 		c.submit(arrayJob(21, "check", 6), 10)
@@ -229,7 +237,7 @@
 	run(t, 135, func(c *testCluster) {
 		c.network.Repeat = map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second}
 		n := 0
-		c.env.State.LoseReply = func() bool { n++; return n%4 == 0 }
+		c.env.Store.LoseReply = func() bool { n++; return n%4 == 0 }
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 20), 20)
 		c.submit(gangJob(3, 3), 30)
@@ -241,9 +249,9 @@
 			}
 			time.Sleep(time.Duration(40+i*37) * time.Millisecond)
 		}
-		c.env.State.LoseReply = nil
+		c.env.Store.LoseReply = nil
 		c.known("req-000001", "req-000002", "req-000003")
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
-		c.until("the service runs", time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 })
+		c.until("the service runs", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 	})
 }
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -19,7 +19,7 @@
 		mend := c.cut(leader, m, fake.Hold)
 		c.submit(arrayJob(2, "check", 12), 25)
 		time.Sleep(9 * time.Second) // the machine is reported silent, not lost
-		c.env.Withdraw("req-000002")
+		c.env.Cancel("req-000002")
 		c.submit(arrayJob(3, "check", 12), 25)
 		time.Sleep(time.Second)
 		mend()
@@ -33,17 +33,17 @@
 func TestCutAndHangDuringCancellation(t *testing.T) {
 	run(t, 80, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 })
-		on := c.env.On("req-000001")
+		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
+		on := c.env.MachinesOf("req-000001")
 		mend := c.isolate(on[0], fake.Hold, nodeNames...)
 		resume := c.env.Hang(on[1])
-		c.env.Withdraw("req-000001")
+		c.env.Cancel("req-000001")
 		time.Sleep(8 * time.Second)
 		resume()
 		time.Sleep(20 * time.Second)
 		mend()
 		time.Sleep(30 * time.Second)
-		if on := c.env.On("req-000001"); len(on) > 0 {
+		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 			t.Errorf("still on %v", on)
 		}
 	})
@@ -56,14 +56,14 @@
 		c.submit(gangJob(1, 3), 60)
 		running := func() bool {
 			_, st := c.env.Poll("req-000001")
-			return st.Running == 3 && len(c.env.On("req-000001")) >= 2
+			return st.Running == 3 && len(c.env.MachinesOf("req-000001")) >= 2
 		}
 		c.until("it runs", 3*time.Minute, running)
 		time.Sleep(15 * time.Second)
-		c.env.Kill(c.env.On("req-000001")[0])
+		c.env.Kill(c.env.MachinesOf("req-000001")[0])
 		time.Sleep(30 * time.Second)
 		c.until("it runs again", 3*time.Minute, running)
-		c.env.Notice(c.env.On("req-000001")[0], 15*time.Second)
+		c.env.NoticePreemption(c.env.MachinesOf("req-000001")[0], 15*time.Second)
 		c.untilDone(5*time.Minute, "req-000001")
 	})
 }
@@ -74,9 +74,9 @@
 		j := arrayJob(1, "check", 2)
 		j.CheckpointIntervalS, j.CheckpointSaveS = 10, 3
 		c.submit(j, 90)
-		c.until("it runs", time.Minute, func() bool { return len(c.env.On(j.ID)) > 0 })
+		c.until("it runs", time.Minute, func() bool { return len(c.env.MachinesOf(j.ID)) > 0 })
 		time.Sleep(10 * time.Second)
-		c.env.Notice(c.env.On(j.ID)[0], 15*time.Second)
+		c.env.NoticePreemption(c.env.MachinesOf(j.ID)[0], 15*time.Second)
 		time.Sleep(16 * time.Second)
 		if c.env.Saved == 0 {
 			t.Error("nothing was saved")
@@ -91,9 +91,11 @@
 	run(t, 120, func(c *testCluster) {
 		c.submit(serviceJob(1, 1), 0)
 		c.submit(arrayJob(2, "fill", 8), 300)
-		c.until("all run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 1 && len(c.env.On("req-000002")) >= 2 })
+		c.until("all run", 2*time.Minute, func() bool {
+			return len(c.env.MachinesOf("req-000001")) == 1 && len(c.env.MachinesOf("req-000002")) >= 2
+		})
 		time.Sleep(10 * time.Second)
-		rented := c.env.Rented()
+		rented := c.env.MachinesProvisioned()
 		mend := c.isolate(c.leader(), fake.Hold, c.env.Machines()...)
 		time.Sleep(11 * time.Second)
 		if n := len(c.env.Machines()); n < rented {
@@ -101,8 +103,8 @@
 		}
 		mend()
 		time.Sleep(10 * time.Second)
-		c.env.Kill(c.env.On("req-000001")[0])
-		c.until("the replica is replaced by stopping lower work", 11*time.Second, func() bool { return len(c.env.On("req-000001")) == 1 })
+		c.env.Kill(c.env.MachinesOf("req-000001")[0])
+		c.until("the replica is replaced by stopping lower work", 11*time.Second, func() bool { return len(c.env.MachinesOf("req-000001")) == 1 })
 	})
 }
 
@@ -140,9 +142,11 @@
 	run(t, 110, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 16), 30)
-		c.until("they run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) > 0 })
+		c.until("they run", 2*time.Minute, func() bool {
+			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) > 0
+		})
 		old := c.leader()
-		inside := c.env.On("req-000001")[0]
+		inside := c.env.MachinesOf("req-000001")[0]
 		var mends []func()
 		for _, n := range nodeNames {
 			if n != old {
@@ -154,7 +158,7 @@
 		// after which the old leader stops answering, ends its tasks.
 		c.env.CloudDown = true
 		time.Sleep(10 * time.Second)
-		c.env.Withdraw("req-000001")
+		c.env.Cancel("req-000001")
 		c.submit(serviceJob(3, 2), 0)
 		time.Sleep(45 * time.Second)
 		c.env.CloudDown = false
@@ -162,7 +166,7 @@
 			mend()
 		}
 		c.untilDone(4*time.Minute, "req-000002")
-		c.until("the new service runs", time.Minute, func() bool { return len(c.env.On("req-000003")) == 2 })
+		c.until("the new service runs", time.Minute, func() bool { return len(c.env.MachinesOf("req-000003")) == 2 })
 	})
 }
 
@@ -182,7 +186,7 @@
 			c.submit(j, 60)
 		}
 		c.until("all run", 2*time.Minute, func() bool {
-			return !slices.ContainsFunc(c.jobs, func(ref string) bool { return len(c.env.On(ref)) == 0 })
+			return !slices.ContainsFunc(c.jobs, func(ref string) bool { return len(c.env.MachinesOf(ref)) == 0 })
 		})
 		c.env.CloudDown = true // no return proves anything
 		for _, m := range c.env.Machines() {
@@ -205,14 +209,16 @@
 	run(t, 134, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "fill", 10), 60)
-		c.until("all run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) >= 5 })
-		deaf := c.env.On("req-000001")[0]
-		mend := c.network.Deafen(deaf)
+		c.until("all run", 2*time.Minute, func() bool {
+			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) >= 5
+		})
+		deaf := c.env.MachinesOf("req-000001")[0]
+		mend := c.network.DropInbound(deaf)
 		defer mend()
 		c.untilElsewhere("req-000001", 2, deaf, testLease+30*time.Second)
 		for range 60 {
 			time.Sleep(time.Second)
-			if slices.Contains(c.env.On("req-000002"), deaf) {
+			if slices.Contains(c.env.MachinesOf("req-000002"), deaf) {
 				t.Fatal("work was put on a machine that hears nothing")
 			}
 		}
@@ -226,10 +232,12 @@
 	run(t, 136, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 6), 40)
-		c.until("all run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) >= 3 })
+		c.until("all run", 2*time.Minute, func() bool {
+			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) >= 3
+		})
 		time.Sleep(20 * time.Second)
-		c.env.Reboot(c.env.On("req-000001")[0], 300*time.Millisecond)
-		c.until("the replica runs again", 6*time.Second, func() bool { return len(c.env.On("req-000001")) == 2 })
+		c.env.Reboot(c.env.MachinesOf("req-000001")[0], 300*time.Millisecond)
+		c.until("the replica runs again", 6*time.Second, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 		c.untilDone(3*time.Minute, "req-000002")
 	})
 }
--- a/internal/server/mute_test.go
+++ b/internal/server/mute_test.go
@@ -16,18 +16,20 @@
 		c.env.Limit("small", "b", false, 3)
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "fill", 400), 3)
-		c.until("all run", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) >= 5 })
-		mute := c.env.On("req-000001")[0]
+		c.until("all run", 2*time.Minute, func() bool {
+			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) >= 5
+		})
+		mute := c.env.MachinesOf("req-000001")[0]
 		c.mute(mute)
 		// It answers commands, but after some report intervals gets nothing more.
 		time.Sleep(10500 * time.Millisecond)
-		if slices.Contains(c.env.On("req-000002"), mute) {
+		if slices.Contains(c.env.MachinesOf("req-000002"), mute) {
 			t.Error("work is still put on a machine that has fallen silent")
 		}
 		c.untilElsewhere("req-000001", 2, mute, testLease+10*time.Second)
 		for range 60 {
 			time.Sleep(time.Second)
-			if slices.Contains(c.env.On("req-000002"), mute) || slices.Contains(c.env.On("req-000001"), mute) {
+			if slices.Contains(c.env.MachinesOf("req-000002"), mute) || slices.Contains(c.env.MachinesOf("req-000001"), mute) {
 				t.Fatal("work was put on a machine that cannot say that it lives")
 			}
 		}
@@ -44,7 +46,7 @@
 			c.begin()
 			time.Sleep(25 * time.Second) // what was rented beyond need is up
 			c.noRoom()
-			machines, lapses, terms := c.env.Machines(), c.env.Lapses, c.terms()
+			machines, lapses, terms := c.env.Machines(), c.env.LeaseExpiries, c.terms()
 			c.mute(machines...)
 			time.Sleep(20 * time.Second)
 			if seed%2 == 1 {
@@ -56,7 +58,7 @@
 			}
 			// Each loses what it had, and nothing is put there to be lost again, but by a
 			// new leader, which cannot know before some report intervals are over.
-			if n := c.env.Lapses - lapses; n > len(machines)*int(1+seed%2) {
+			if n := c.env.LeaseExpiries - lapses; n > len(machines)*int(1+seed%2) {
 				t.Errorf("%d leases of %d machines ran out with tasks", n, len(machines))
 			}
 			// One leader may leave the term to another, which can do no better.
@@ -64,7 +66,9 @@
 				t.Errorf("%d terms", n)
 			}
 			c.mend()
-			c.until("the services run", 15*time.Second, func() bool { return len(c.env.On("req-000001")) == 2 && len(c.env.On("req-000002")) == 2 })
+			c.until("the services run", 15*time.Second, func() bool {
+				return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) == 2
+			})
 			c.settle()
 		})
 	}
--- a/internal/server/polls_test.go
+++ b/internal/server/polls_test.go
@@ -39,7 +39,7 @@
 		for i := range jobs {
 			c.submit(arrayJob(1+i, "check", 2), 5)
 		}
-		c.env.State.LimitRequests(c.deployment.State.RPS)
+		c.env.Store.LimitRequests(c.deployment.State.RPS)
 		gaps := &pollGaps{longest: map[string]time.Duration{}}
 		ctx, stop := context.WithTimeout(c.ctx, 4*time.Minute)
 		defer stop()
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -52,7 +52,7 @@
 		go func() {
 			time.Sleep(pause)
 			if l.ctx.Err() == nil {
-				l.env.Withdraw(refs[stage])
+				l.env.Cancel(refs[stage])
 			}
 		}()
 	}
@@ -80,19 +80,19 @@
 	leader := l.leader()
 	switch kind {
 	case 0: // answers are lost, transactions are throttled and refused
-		l.env.State.Fault = l.faultyCommits()
-		ends = append(ends, func() { l.env.State.Fault = nil })
+		l.env.Store.Fault = l.faultyCommits()
+		ends = append(ends, func() { l.env.Store.Fault = nil })
 	case 1: // transactions are carried out late
-		l.env.State.Late = l.lateCommits(0.15)
-		ends = append(ends, func() { l.env.State.Late = nil })
+		l.env.Store.Late = l.lateCommits(0.15)
+		ends = append(ends, func() { l.env.Store.Late = nil })
 	case 2: // the leader is refused, and then everybody, while users cancel
-		l.env.State.Refuse(leader, true)
+		l.env.Store.Refuse(leader, true)
 		l.chains(2)
 		time.Sleep(time.Second)
-		l.env.State.Refuse("", true)
+		l.env.Store.Refuse("", true)
 		ends = append(ends, func() {
-			l.env.State.Refuse("", false)
-			l.env.State.Refuse(leader, false)
+			l.env.Store.Refuse("", false)
+			l.env.Store.Refuse(leader, false)
 		})
 	case 3: // the leader keeps its workers and users only
 		if leader != "" {
@@ -100,10 +100,10 @@
 		}
 	case 4: // machines reach no controller, others hear none
 		for _, m := range l.some(0.1) {
-			ends = append(ends, l.network.Mute(m))
+			ends = append(ends, l.network.BlockOutbound(m))
 		}
 		for _, m := range l.some(0.1) {
-			ends = append(ends, l.network.Deafen(m))
+			ends = append(ends, l.network.DropInbound(m))
 		}
 	case 5: // machines hang, and some die
 		for _, m := range l.some(0.05) {
@@ -137,7 +137,7 @@
 		runUpgradeIn(t, 810+seed, names, dep, func(c *testCluster) {
 			l := &load{testCluster: c, rng: rand.New(rand.NewPCG(seed, 13))}
 			c.network.Repeat = map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 20 * time.Second}
-			c.env.State.PageMost, c.env.PageMost = 40, 70
+			c.env.Store.PageMost, c.env.PageMost = 40, 70
 			l.arrays(12)
 			c.until("hundreds run", 3*time.Minute, func() bool { return len(c.env.Machines()) >= 200 })
 			for _, name := range names {
@@ -145,8 +145,8 @@
 				time.Sleep(2 * time.Second)
 			}
 			c.untilUpgraded(time.Minute)
-			c.env.State.Limit(dep.State.Smaller())
-			c.env.State.LimitRequests(dep.State.RPS)
+			c.env.Store.Limit(dep.State.Smaller())
+			c.env.Store.LimitRequests(dep.State.RPS)
 			l.ask()
 			for range 5 {
 				l.chains(4)
@@ -162,7 +162,7 @@
 				time.Sleep(time.Duration(l.rng.IntN(10)) * time.Second)
 			}
 			time.Sleep(30 * time.Second)
-			c.env.Calm()
+			c.env.EndTroubles()
 			kept := slices.DeleteFunc(slices.Clone(l.kept), func(ref string) bool { return !c.env.MayFinish(ref) })
 			c.known(kept...)
 			c.untilDone(10*time.Minute, kept...)
--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -19,7 +19,7 @@
 		for i := range 6 { // some reach the node that is cut off
 			c.submit(arrayJob(1+i, "check", 2), 10)
 		}
-		c.env.Withdraw("req-000001")
+		c.env.Cancel("req-000001")
 		c.untilDone(3*time.Minute, "req-000002", "req-000003")
 		mend() // held commits arrive now
 		time.Sleep(5 * time.Second)
@@ -35,11 +35,11 @@
 func TestCommitOutcomeUnknown(t *testing.T) {
 	run(t, 98, func(c *testCluster) {
 		n := 0
-		c.env.State.LoseReply = func() bool { n++; return n%3 == 0 }
+		c.env.Store.LoseReply = func() bool { n++; return n%3 == 0 }
 		for i := range 4 {
 			c.submit(arrayJob(1+i, "check", 5), 15)
 		}
-		c.env.Withdraw("req-000004")
+		c.env.Cancel("req-000004")
 		c.untilDone(4*time.Minute, c.jobs[:3]...)
 	})
 }
@@ -63,7 +63,7 @@
 		time.Sleep(5 * time.Second)
 		c.boot(old)
 		c.untilDone(4*time.Minute, "req-000001")
-		if n := c.env.Rented(); n > 2 {
+		if n := c.env.MachinesProvisioned(); n > 2 {
 			t.Errorf("%d machines were rented for 4 tasks of half a machine", n)
 		}
 	})
@@ -74,12 +74,12 @@
 func TestUnreadableRunRecord(t *testing.T) {
 	run(t, 130, func(c *testCluster) {
 		c.submit(arrayJob(1, "check", 8), 40)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) >= 2 })
+		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) >= 2 })
 		old := c.leader()
 		// A machine that the next leader does not hear goes on running its part.
-		mend := c.isolate(c.env.On("req-000001")[0], fake.Hold, c.names...)
+		mend := c.isolate(c.env.MachinesOf("req-000001")[0], fake.Hold, c.names...)
 		c.kill(old)
-		c.env.State.Spoil("o/req-000001/t")
+		c.env.Store.Corrupt("o/req-000001/t")
 		c.boot(old)
 		time.Sleep(20 * time.Second)
 		mend()
@@ -94,8 +94,8 @@
 func TestRecordChangedBehindLeader(t *testing.T) {
 	run(t, 137, func(c *testCluster) {
 		c.submit(arrayJob(1, "check", 8), 30)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) >= 2 })
-		c.env.State.Spoil("o/req-000001/t")
+		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) >= 2 })
+		c.env.Store.Corrupt("o/req-000001/t")
 		c.submit(arrayJob(2, "check", 4), 10)
 		c.untilDone(3*time.Minute, "req-000001", "req-000002")
 	})
@@ -106,7 +106,7 @@
 func TestUnreadableJobRecord(t *testing.T) {
 	run(t, 131, func(c *testCluster) {
 		c.submit(arrayJob(1, "check", 2), 20)
-		c.env.State.Spoil("o/req-000001")
+		c.env.Store.Corrupt("o/req-000001")
 		c.known("req-000001")
 	})
 }
@@ -116,11 +116,11 @@
 func TestLostEvents(t *testing.T) {
 	run(t, 132, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 })
-		c.env.State.LoseEvent = func(key string) bool { return strings.HasPrefix(key, "o/") }
+		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
+		c.env.Store.LoseEvent = func(key string) bool { return strings.HasPrefix(key, "o/") }
 		c.submit(arrayJob(2, "check", 2), 5)
-		c.env.Withdraw("req-000001")
+		c.env.Cancel("req-000001")
 		c.untilDone(2*time.Minute, "req-000002")
-		c.until("the cancelled job is gone", 10*time.Second, func() bool { return len(c.env.On("req-000001")) == 0 })
+		c.until("the cancelled job is gone", 10*time.Second, func() bool { return len(c.env.MachinesOf("req-000001")) == 0 })
 	})
 }
--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -19,8 +19,8 @@
 		c.submit(gangJob(3, 3), 30)
 		c.submit(arrayJob(4, "check", 1), 5)
 		c.untilDone(6*time.Minute, c.jobs[1:]...)
-		c.until("replicas run in both zones", time.Minute, func() bool { return len(c.env.On("req-000001")) == 2 })
-		if st, s := c.env.Withdraw("req-000002"); st != 200 || s.Phase != protocol.PhaseDone {
+		c.until("replicas run in both zones", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
+		if st, s := c.env.Cancel("req-000002"); st != 200 || s.Phase != protocol.PhaseDone {
 			t.Errorf("withdrawing a finished job: %d %q", st, s.Phase)
 		}
 		if st := c.env.Submit(arrayJob(2, "check", 30), 15); st != 200 {
@@ -29,11 +29,11 @@
 		if st, _ := c.env.Poll("req-999999"); st != 404 {
 			t.Errorf("unknown job: %d", st)
 		}
-		c.env.Withdraw("req-000001")
+		c.env.Cancel("req-000001")
 		c.until("idle machines go back and records are cleared", 4*time.Minute, func() bool {
-			return len(c.env.Machines()) == 0 && len(c.env.State.Keys("o/")) == 0
+			return len(c.env.Machines()) == 0 && len(c.env.Store.Keys("o/")) == 0
 		})
-		if n := len(c.env.State.Keys("d/")); n != 4 {
+		if n := len(c.env.Store.Keys("d/")); n != 4 {
 			t.Errorf("%d final records of 4", n)
 		}
 	})
--- a/internal/server/settings_shape_test.go
+++ b/internal/server/settings_shape_test.go
@@ -30,12 +30,12 @@
 		for i := range 4 {
 			c.submit(arrayJob(1+i, "check", 40), 20)
 		}
-		c.until("some run", 2*time.Minute, func() bool { return len(c.env.On(testJobID(4))) > 0 })
+		c.until("some run", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(4))) > 0 })
 		c.boot(c.killLeader())
-		c.env.Withdraw(testJobID(4))
+		c.env.Cancel(testJobID(4))
 		c.untilDone(5*time.Minute, c.jobs[:3]...)
-		if c.env.Lapses > 0 {
-			t.Errorf("%d leases ran out", c.env.Lapses)
+		if c.env.LeaseExpiries > 0 {
+			t.Errorf("%d leases ran out", c.env.LeaseExpiries)
 		}
 	})
 }
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -39,14 +39,14 @@
 func runUpgradeIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
 	runIn(t, seed, names, dep, func(c *testCluster) {
 		c.restartAs(true, names...)
-		c.env.State.OnCommit = func(txn *protocol.Transaction) {
+		c.env.Store.OnCommit = func(txn *protocol.Transaction) {
 			c.checkGuards(txn)
 			c.checkFormat(txn)
 		}
-		for _, key := range c.env.State.Keys(records.PrefixNode) {
-			c.env.State.Remove(key)
+		for _, key := range c.env.Store.Keys(records.PrefixNode) {
+			c.env.Store.Remove(key)
 		}
-		c.env.State.Remove(records.KeyCluster)
+		c.env.Store.Remove(records.KeyCluster)
 		c.restartAs(true, names...)
 		c.until("a node leads", time.Minute, func() bool { return c.leader() != "" })
 		scenario(c)
@@ -78,7 +78,7 @@
 
 // pieces counts the pieces of run records beyond the first of each job.
 func (c *testCluster) pieces() (n int) {
-	for _, key := range c.env.State.Keys(records.PrefixOpen) {
+	for _, key := range c.env.Store.Keys(records.PrefixOpen) {
 		if isFurtherPiece(key) {
 			n++
 		}
@@ -89,7 +89,7 @@
 // upgraded tells whether the cluster uses the new version of the formats.
 func (c *testCluster) upgraded() bool {
 	var v records.FormatVersion
-	raw := c.env.State.Value(records.KeyCluster)
+	raw := c.env.Store.Value(records.KeyCluster)
 	return raw != nil && protocol.Unmarshal(raw, &v) == nil && v.Format == records.FormatSegmented
 }
 
@@ -104,7 +104,7 @@
 	runUpgrade(t, 70, func(c *testCluster) {
 		c.submit(array(1, 340), 30)
 		c.submit(serviceJob(2, 3), 0)
-		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.env.On(testJobID(1))) > 200 })
+		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) > 200 })
 		for i, name := range nodeNames {
 			if c.upgraded() {
 				t.Errorf("%d of 3 are upgraded, and the cluster uses the new format", i)
@@ -113,14 +113,14 @@
 			time.Sleep(8 * time.Second)
 		}
 		c.untilUpgraded(20 * time.Second)
-		c.env.State.Limit(c.deployment.State.Smaller())
+		c.env.Store.Limit(c.deployment.State.Smaller())
 		c.submit(array(3, 340), 20)
 		c.until("pieces are written", 2*time.Minute, func() bool { return c.pieces() > 3 })
 		whole := c.pipeline(100)
 		c.killLeader()
 		c.untilDone(10*time.Minute, append(whole, testJobID(1), testJobID(3))...)
 		c.until("the pieces are removed", 2*time.Minute, func() bool { return c.pieces() == 0 })
-		if n := c.env.State.Refusals[400]; n > 0 {
+		if n := c.env.Store.Refusals[400]; n > 0 {
 			t.Errorf("%d writes beyond the limits", n)
 		}
 	})
@@ -148,7 +148,7 @@
 					limitAt = step + rng.IntN(10)
 				}
 				if len(left) == 0 && step == max(limitAt, 1) {
-					c.env.State.Limit(c.deployment.State.Smaller())
+					c.env.Store.Limit(c.deployment.State.Smaller())
 				}
 				return len(left) == 0
 			})
@@ -165,14 +165,14 @@
 	runUpgrade(t, 71, func(c *testCluster) {
 		c.env.Uneven = 0.01 // its tasks end one after the other
 		c.submit(array(1, 340), 40)
-		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.env.On(testJobID(1))) > 200 })
+		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) > 200 })
 		last := nodeNames[2]
 		mend := c.cut(last, "state", fake.Hold)
 		for _, name := range nodeNames {
 			c.restartAs(false, name)
 			time.Sleep(3 * time.Second)
 		}
-		c.env.State.Limit(c.deployment.State.Smaller())
+		c.env.Store.Limit(c.deployment.State.Smaller())
 		c.submit(array(2, 100), 10)
 		c.submit(serviceJob(3, 3), 0)
 		c.untilDone(8*time.Minute, testJobID(1), testJobID(2))
@@ -180,7 +180,7 @@
 			t.Error("the cluster uses the new format without a node")
 		}
 		// The leader learns of the limits by the first.
-		if n := c.env.State.Refusals[400]; n != 1 {
+		if n := c.env.Store.Refusals[400]; n != 1 {
 			t.Errorf("%d writes beyond the limits", n)
 		}
 		mend()
@@ -196,10 +196,10 @@
 	for seed := range seeds(4) {
 		runIn(t, 720+seed, nodeNames, wide(), func(c *testCluster) {
 			c.untilUpgraded(20 * time.Second)
-			c.env.State.Limit(c.deployment.State.Smaller())
+			c.env.Store.Limit(c.deployment.State.Smaller())
 			var transactions, killed uint64
 			die := make(chan struct{}, 12)
-			c.env.State.OnCommit = func(txn *protocol.Transaction) {
+			c.env.Store.OnCommit = func(txn *protocol.Transaction) {
 				c.checkGuards(txn)
 				further := func(ch protocol.Mutation) bool { return isFurtherPiece(ch.Set + ch.Delete) }
 				if !slices.ContainsFunc(txn.Mutations, further) {
@@ -210,7 +210,7 @@
 					die <- struct{}{}
 				}
 			}
-			c.env.State.Late = c.lateCommits(0.03)
+			c.env.Store.Late = c.lateCommits(0.03)
 			go func() {
 				for {
 					select {
@@ -229,7 +229,7 @@
 			c.submit(array(2, 150), 10)
 			c.submit(after(array(3, 70), testJobID(1)), 5)
 			c.untilDone(15*time.Minute, testJobID(1), testJobID(2), testJobID(3))
-			c.env.State.Late = nil
+			c.env.Store.Late = nil
 			c.until("the pieces are removed", 3*time.Minute, func() bool { return c.pieces() == 0 })
 			if killed < 3 {
 				t.Errorf("only %d leaders died", killed)
@@ -244,8 +244,8 @@
 	runIn(t, 73, nodeNames, wide(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		c.submit(array(1, 120), 60)
-		c.until("all run", 4*time.Minute, func() bool { return len(c.env.On(testJobID(1))) == 120 })
-		c.env.State.Spoil(records.SegmentKey(testJobID(1), 2))
+		c.until("all run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 120 })
+		c.env.Store.Corrupt(records.SegmentKey(testJobID(1), 2))
 		c.killLeader()
 		c.known(testJobID(1))
 		c.untilDone(8*time.Minute, testJobID(1))
@@ -255,7 +255,7 @@
 // A version record that can't be read counts as one of the previous version.
 func TestUnreadableVersion(t *testing.T) {
 	runUpgrade(t, 74, func(c *testCluster) {
-		c.env.State.Spoil(records.NodeKey(nodeNames[2]))
+		c.env.Store.Corrupt(records.NodeKey(nodeNames[2]))
 		c.restartAs(false, nodeNames[0], nodeNames[1])
 		time.Sleep(20 * time.Second)
 		if c.upgraded() {
@@ -292,12 +292,12 @@
 			j.MachineTypes = append(j.MachineTypes, strings.Repeat("t", 140))
 		}
 		c.env.Register(j)
-		c.env.State.Put(records.OpenKey(j.ID), records.OpenJob{Job: j, AcceptedMS: time.Now().UnixMilli()})
-		c.env.State.Limit(c.deployment.State.Smaller())
+		c.env.Store.Put(records.OpenKey(j.ID), records.OpenJob{Job: j, AcceptedMS: time.Now().UnixMilli()})
+		c.env.Store.Limit(c.deployment.State.Smaller())
 		if st := c.env.Submit(j, 5); st != 200 {
 			t.Errorf("an accepted job submitted again gets %d", st)
 		}
-		c.env.Withdraw(j.ID)
-		c.until("it is closed", time.Minute, func() bool { return c.env.State.Value(records.FinalKey(j.ID)) != nil })
+		c.env.Cancel(j.ID)
+		c.until("it is closed", time.Minute, func() bool { return c.env.Store.Value(records.FinalKey(j.ID)) != nil })
 	})
 }
