--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -35,13 +35,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommandTimeout)
 	defer cancel()
-	rep := new(protocol.Heartbeat)
-	status, err := c.caller.Call(ctx, http.MethodPost, "http://"+addr+"/do", req, map[int]any{200: rep, 409: rep})
+	heartbeat := new(protocol.Heartbeat)
+	status, err := c.caller.Call(ctx, http.MethodPost, "http://"+addr+"/do", req, map[int]any{200: heartbeat, 409: heartbeat})
 	if err == nil && status != 200 && status != 409 {
 		err = fmt.Errorf("worker answered %d", status)
 	}
 	if err == nil {
-		err = rep.Check()
+		err = heartbeat.Check()
 	}
-	return rep, err
+	return heartbeat, err
 }
--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -29,10 +29,10 @@
 	return acknowledgedJobs{known: map[string]bool{}, since: start}
 }
 
-func (a *acknowledgedJobs) add(ref string) {
+func (a *acknowledgedJobs) add(jobID string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.known[ref] {
+	if a.known[jobID] {
 		return // only the first acknowledgment starts cancel_s
 	}
 	if len(a.jobs) >= tuning.AcknowledgedJobs {
@@ -40,16 +40,16 @@
 		delete(a.known, a.jobs[0].ref)
 		a.jobs = a.jobs[1:]
 	}
-	a.known[ref] = true
-	a.jobs = append(a.jobs, acknowledgment{ref, time.Now()})
+	a.known[jobID] = true
+	a.jobs = append(a.jobs, acknowledgment{jobID, time.Now()})
 }
 
-func (a *acknowledgedJobs) list() (refs []string, since time.Time) {
+func (a *acknowledgedJobs) list() (jobIDs []string, since time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	refs = make([]string, len(a.jobs))
+	jobIDs = make([]string, len(a.jobs))
 	for i, k := range a.jobs {
-		refs[i] = k.ref
+		jobIDs[i] = k.ref
 	}
-	return refs, a.since
+	return jobIDs, a.since
 }
--- a/internal/api/acknowledged_test.go
+++ b/internal/api/acknowledged_test.go
@@ -21,20 +21,20 @@
 		dropped := false
 		for range 4 * tuning.AcknowledgedJobs {
 			time.Sleep(time.Duration(1+rng.IntN(50)) * time.Millisecond)
-			ref := fmt.Sprint("req-", rng.IntN(2*tuning.AcknowledgedJobs))
-			if _, ok := first[ref]; !ok {
-				first[ref] = time.Now()
+			jobID := fmt.Sprint("req-", rng.IntN(2*tuning.AcknowledgedJobs))
+			if _, ok := first[jobID]; !ok {
+				first[jobID] = time.Now()
 			}
-			a.add(ref)
+			a.add(jobID)
 		}
-		refs, since := a.list()
-		if len(refs) > tuning.AcknowledgedJobs {
-			t.Errorf("%d jobs are remembered", len(refs))
+		jobIDs, since := a.list()
+		if len(jobIDs) > tuning.AcknowledgedJobs {
+			t.Errorf("%d jobs are remembered", len(jobIDs))
 		}
-		for ref, at := range first {
-			switch has := slices.Contains(refs, ref); {
+		for jobID, at := range first {
+			switch has := slices.Contains(jobIDs, jobID); {
 			case !has && at.After(since):
-				t.Errorf("%s, told %v after the list begins, is missing", ref, at.Sub(since))
+				t.Errorf("%s, told %v after the list begins, is missing", jobID, at.Sub(since))
 			case !has:
 				dropped = true
 			}
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -27,10 +27,10 @@
 // what was read here shortly before is not read again. That one is cancelled is never
 // undone, so it holds for good. The time is zero if not all could be looked at: what is
 // left out is read for the next answer, and the leader knows all open jobs.
-func (u *Users) dependencies(ctx context.Context, refs []string) (state dependencyState, asOf time.Time, err error) {
+func (u *Users) dependencies(ctx context.Context, jobIDs []string) (state dependencyState, asOf time.Time, err error) {
 	w := &dependencyWalk{Users: u, asOf: time.Now(), seen: map[string]bool{}}
-	for direct := true; len(refs) > 0; direct = false {
-		jobs, err := w.findLevel(ctx, refs)
+	for direct := true; len(jobIDs) > 0; direct = false {
+		jobs, err := w.findLevel(ctx, jobIDs)
 		if err != nil {
 			return dependencyOpen, w.asOf, err
 		}
@@ -39,7 +39,7 @@
 		if direct && slices.ContainsFunc(jobs, lookupResult.neverAccepted) {
 			return dependencyUnknown, w.asOf, nil
 		}
-		refs = nil
+		jobIDs = nil
 		for _, f := range jobs {
 			cancelled, err := w.visit(f)
 			switch {
@@ -48,15 +48,15 @@
 			case cancelled:
 				return dependencyCancelled, w.asOf, nil
 			case f.isOpen():
-				refs = append(refs, f.job.open.Job.DependsOn...)
+				jobIDs = append(jobIDs, f.job.open.Job.DependsOn...)
 			}
 		}
 	}
 	if w.incomplete {
 		return dependencyOpen, time.Time{}, nil
 	}
-	for _, ref := range w.open {
-		u.confirmOpen(ref, w.asOf)
+	for _, jobID := range w.open {
+		u.confirmOpen(jobID, w.asOf)
 	}
 	return dependencyOpen, w.asOf, nil
 }
@@ -75,8 +75,8 @@
 // node does not know to be open. Few are read one by one, more all at once; what is not
 // open then is read one by one again, not more than tuning.DependencyReads for an
 // answer, and remembered.
-func (w *dependencyWalk) findLevel(ctx context.Context, refs []string) ([]lookupResult, error) {
-	level := w.unseen(refs)
+func (w *dependencyWalk) findLevel(ctx context.Context, jobIDs []string) ([]lookupResult, error) {
+	level := w.unseen(jobIDs)
 	listing, ok := w.openJobReads.latestValid()
 	out, left := w.findListed(level, listing, ok)
 	if len(left) > 0 && !ok && !w.openJobReads.allowSingleReads(len(left)) {
@@ -96,14 +96,14 @@
 }
 
 // unseen picks the jobs that were not met before and that are not known to be open.
-func (w *dependencyWalk) unseen(refs []string) (out []string) {
-	for _, ref := range refs {
-		if w.seen[ref] {
+func (w *dependencyWalk) unseen(jobIDs []string) (out []string) {
+	for _, jobID := range jobIDs {
+		if w.seen[jobID] {
 			continue
 		}
-		w.seen[ref] = true
-		if at, ok := w.openAsOf(ref); !ok {
-			out = append(out, ref)
+		w.seen[jobID] = true
+		if at, ok := w.openAsOf(jobID); !ok {
+			out = append(out, jobID)
 		} else if at.Before(w.asOf) {
 			w.asOf = at
 		}
@@ -113,19 +113,19 @@
 
 // findListed finds jobs without a request, in what is remembered of those that are over
 // and in a reading of the open ones, and returns which are left.
-func (w *dependencyWalk) findListed(refs []string, listing jobListing, reliable bool) (out []lookupResult, left []string) {
-	for _, ref := range refs {
-		open, listed := listing.jobs[ref]
-		switch status, over := w.finalStatus(ref); {
+func (w *dependencyWalk) findListed(jobIDs []string, listing jobListing, reliable bool) (out []lookupResult, left []string) {
+	for _, jobID := range jobIDs {
+		open, listed := listing.jobs[jobID]
+		switch status, over := w.finalStatus(jobID); {
 		case over:
-			out = append(out, lookupResult{ref: ref, job: &jobRecord{status: status}})
+			out = append(out, lookupResult{ref: jobID, job: &jobRecord{status: status}})
 		case reliable && listed:
-			out = append(out, lookupResult{ref: ref, job: &jobRecord{version: openVersion, open: open, status: openStatus(ref, &open)}})
+			out = append(out, lookupResult{ref: jobID, job: &jobRecord{version: openVersion, open: open, status: openStatus(jobID, &open)}})
 			if listing.asOf.Before(w.asOf) {
 				w.asOf = listing.asOf
 			}
 		default:
-			left = append(left, ref)
+			left = append(left, jobID)
 		}
 	}
 	return out, left
@@ -152,8 +152,8 @@
 const openVersion = 1
 
 // openStatus is the phase of an open job, as far as its own record says.
-func openStatus(ref string, open *records.OpenJob) protocol.JobStatus {
-	status := protocol.JobStatus{ID: ref, Phase: protocol.PhaseQueued}
+func openStatus(jobID string, open *records.OpenJob) protocol.JobStatus {
+	status := protocol.JobStatus{ID: jobID, Phase: protocol.PhaseQueued}
 	if open.Cancelled {
 		status.Phase = protocol.PhaseCancelled
 	}
@@ -172,12 +172,12 @@
 func (f lookupResult) neverAccepted() bool { return f.err == nil && f.job == nil }
 
 // findAll reads some jobs at the same time.
-func (u *Users) findAll(ctx context.Context, refs []string) []lookupResult {
-	out := make([]lookupResult, len(refs))
+func (u *Users) findAll(ctx context.Context, jobIDs []string) []lookupResult {
+	out := make([]lookupResult, len(jobIDs))
 	var wg sync.WaitGroup
-	for i, ref := range refs {
-		out[i].ref = ref
-		wg.Go(func() { out[i].job, out[i].err = u.find(ctx, ref) })
+	for i, jobID := range jobIDs {
+		out[i].ref = jobID
+		wg.Go(func() { out[i].job, out[i].err = u.find(ctx, jobID) })
 	}
 	wg.Wait()
 	return out
@@ -186,48 +186,48 @@
 // current reads a job as find does. If a job that it needs is cancelled, so is this
 // one, and its own record says so before its user is told: then no controller can
 // tell the user anything else, whatever it knows of the others.
-func (u *Users) current(ctx context.Context, ref string) (*jobRecord, error) {
+func (u *Users) current(ctx context.Context, jobID string) (*jobRecord, error) {
 	start := time.Now()
-	k, err := u.find(ctx, ref)
-	if err != nil || k == nil || k.version == 0 || k.open.Cancelled {
-		return k, err
+	record, err := u.find(ctx, jobID)
+	if err != nil || record == nil || record.version == 0 || record.open.Cancelled {
+		return record, err
 	}
-	if len(k.open.Job.DependsOn) == 0 {
-		u.confirmOpen(ref, start)
-		return k, nil
+	if len(record.open.Job.DependsOn) == 0 {
+		u.confirmOpen(jobID, start)
+		return record, nil
 	}
-	if _, ok := u.openAsOf(ref); ok {
-		return k, nil
+	if _, ok := u.openAsOf(jobID); ok {
+		return record, nil
 	}
-	state, asOf, err := u.dependencies(ctx, k.open.Job.DependsOn)
+	state, asOf, err := u.dependencies(ctx, record.open.Job.DependsOn)
 	if err != nil {
 		return nil, err
 	}
 	if state == dependencyCancelled {
-		return k, u.markCancelled(ctx, k)
+		return record, u.markCancelled(ctx, record)
 	}
-	u.confirmOpen(ref, asOf)
-	return k, nil
+	u.confirmOpen(jobID, asOf)
+	return record, nil
 }
 
 // confirmOpen remembers that at some time a job was accepted, and neither it nor any
 // that it needs was cancelled.
-func (u *Users) confirmOpen(ref string, at time.Time) {
+func (u *Users) confirmOpen(jobID string, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.confirmedOpen) >= tuning.FinalCache {
 		clear(u.confirmedOpen)
 	}
-	u.confirmedOpen[ref] = at
+	u.confirmedOpen[jobID] = at
 }
 
 // openAsOf returns when that was last known, if it may still be answered by: the
 // leader closes a job soon after one that it needs is cancelled, and only if it cannot
 // must others find out within cancel_s.
-func (u *Users) openAsOf(ref string) (at time.Time, ok bool) {
+func (u *Users) openAsOf(jobID string) (at time.Time, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	at = u.confirmedOpen[ref]
+	at = u.confirmedOpen[jobID]
 	return at, time.Since(at) < dependencyCheck(u.Config)
 }
 
@@ -239,8 +239,8 @@
 
 // forgetOpen forgets that a job was open: its user is about to be told that it is
 // cancelled.
-func (u *Users) forgetOpen(ref string) {
+func (u *Users) forgetOpen(jobID string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.confirmedOpen, ref)
+	delete(u.confirmedOpen, jobID)
 }
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -25,80 +25,80 @@
 // find reads a job; nil means that it was never accepted. The final record is
 // read after the open one, and closing moves the job in one commit, so a job
 // found at neither place was at neither when the open record was read.
-func (u *Users) find(ctx context.Context, ref string) (*jobRecord, error) {
-	if st, ok := u.finalStatus(ref); ok {
+func (u *Users) find(ctx context.Context, jobID string) (*jobRecord, error) {
+	if st, ok := u.finalStatus(jobID); ok {
 		return &jobRecord{status: st}, nil
 	}
-	items, err := u.openRecords(ctx, ref)
+	entries, err := u.openRecords(ctx, jobID)
 	if err != nil {
 		return nil, err
 	}
-	if len(items) > 0 {
-		return u.openJob(ref, items), nil
+	if len(entries) > 0 {
+		return u.openJob(jobID, entries), nil
 	}
-	return u.finalJob(ctx, ref)
+	return u.finalJob(ctx, jobID)
 }
 
 // openRecords reads the records of an open job; none if it is not open.
-func (u *Users) openRecords(ctx context.Context, ref string) ([]protocol.KeyValue, error) {
+func (u *Users) openRecords(ctx context.Context, jobID string) ([]protocol.KeyValue, error) {
 	if u.sharedReads.enabled() {
-		return u.sharedReads.records(ctx, ref)
+		return u.sharedReads.records(ctx, jobID)
 	}
 	// All in one read: o/<ref>, o/<ref>/t and its further pieces sort next to each other.
-	page, err := u.Store.List(ctx, records.OpenKey(ref), "", 1+tuning.SegmentsRead)
+	page, err := u.Store.List(ctx, records.OpenKey(jobID), "", 1+tuning.SegmentsRead)
 	if errors.Is(err, kvstore.ErrThrottled) {
 		u.sharedReads.noteThrottled()
 	}
 	if err != nil {
 		return nil, err
 	}
-	if len(page.Entries) == 0 || page.Entries[0].Key != records.OpenKey(ref) {
+	if len(page.Entries) == 0 || page.Entries[0].Key != records.OpenKey(jobID) {
 		return nil, nil
 	}
 	return page.Entries, nil
 }
 
 // finalStatus returns the remembered status of a job that is over.
-func (u *Users) finalStatus(ref string) (protocol.JobStatus, bool) {
+func (u *Users) finalStatus(jobID string) (protocol.JobStatus, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	status, ok := u.finals[ref]
+	status, ok := u.finals[jobID]
 	return status, ok
 }
 
 // openJob makes of an open job's records what its user may be told.
-func (u *Users) openJob(ref string, items []protocol.KeyValue) *jobRecord {
-	k := &jobRecord{version: items[0].Version, status: protocol.JobStatus{ID: ref, Phase: protocol.PhaseQueued}}
-	if err := protocol.Unmarshal(items[0].Value, &k.open); err != nil {
+func (u *Users) openJob(jobID string, entries []protocol.KeyValue) *jobRecord {
+	record := &jobRecord{version: entries[0].Version, status: protocol.JobStatus{ID: jobID, Phase: protocol.PhaseQueued}}
+	if err := protocol.Unmarshal(entries[0].Value, &record.open); err != nil {
 		// That the record is there says that the job was accepted. Refusing
 		// to answer would make it forgotten.
-		u.Log.Error("unreadable job record", "job", ref, "err", err)
-		k.open = records.OpenJob{Cancelled: records.MarkedCancelled(items[0].Value)}
-		k.unreadable = true
+		u.Log.Error("unreadable job record", "job", jobID, "err", err)
+		record.open = records.OpenJob{Cancelled: records.MarkedCancelled(entries[0].Value)}
+		record.unreadable = true
 	}
 	pieces := map[int]records.RunRecord{}
-	for _, it := range items[1:] {
-		of, number := records.ParseOpenKey(it.Key)
+	for _, entry := range entries[1:] {
+		of, number := records.ParseOpenKey(entry.Key)
 		var r records.RunRecord
-		if of == ref && number != records.NoSegment && protocol.Unmarshal(it.Value, &r) == nil {
+		if of == jobID && number != records.NoSegment && protocol.Unmarshal(entry.Value, &r) == nil {
 			pieces[number] = r
 		}
 	}
 	run := records.JoinSegments(pieces)
-	k.status.Done, k.status.Running = run.Done.Count(), len(run.Placements)
-	if k.status.Running > 0 {
-		k.status.Phase = protocol.PhaseRunning
+	record.status.Done, record.status.Running = run.Done.Count(), len(run.Placements)
+	if record.status.Running > 0 {
+		record.status.Phase = protocol.PhaseRunning
 	}
-	if k.open.Cancelled {
-		k.status.Phase = protocol.PhaseCancelled
-		u.acknowledged.add(ref)
+	if record.open.Cancelled {
+		record.status.Phase = protocol.PhaseCancelled
+		u.acknowledged.add(jobID)
 	}
-	return k
+	return record
 }
 
 // finalJob reads the final record of a job; nil means that there is none.
-func (u *Users) finalJob(ctx context.Context, ref string) (*jobRecord, error) {
-	it, err := u.Store.Get(ctx, records.FinalKey(ref))
+func (u *Users) finalJob(ctx context.Context, jobID string) (*jobRecord, error) {
+	entry, err := u.Store.Get(ctx, records.FinalKey(jobID))
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil, nil
 	}
@@ -106,17 +106,17 @@
 		return nil, err
 	}
 	var f records.FinalRecord
-	if err := protocol.Unmarshal(it.Value, &f); err != nil {
-		return nil, fmt.Errorf("%w of %s: %w", errUnreadable, ref, err)
+	if err := protocol.Unmarshal(entry.Value, &f); err != nil {
+		return nil, fmt.Errorf("%w of %s: %w", errUnreadable, jobID, err)
 	}
 	// Nothing of a job with a final record can run, so to say that it is cancelled
 	// is no acknowledgment that a leader would have to know of.
-	st := protocol.JobStatus{ID: ref, Phase: f.Phase, Done: f.TasksDone}
+	st := protocol.JobStatus{ID: jobID, Phase: f.Phase, Done: f.TasksDone}
 	u.mu.Lock()
 	if len(u.finals) >= tuning.FinalCache {
 		clear(u.finals)
 	}
-	u.finals[ref] = st
+	u.finals[jobID] = st
 	u.mu.Unlock()
 	return &jobRecord{status: st}, nil
 }
--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -71,12 +71,12 @@
 		return listing, nil
 	}
 	listing := jobListing{asOf: time.Now(), jobs: map[string]records.OpenJob{}}
-	items, err := o.store.ListAll(ctx, records.PrefixOpen)
+	page, err := o.store.ListAll(ctx, records.PrefixOpen)
 	if err != nil {
 		return jobListing{}, err
 	}
-	for _, item := range items.Entries {
-		ref, piece := records.ParseOpenKey(item.Key)
+	for _, item := range page.Entries {
+		jobID, piece := records.ParseOpenKey(item.Key)
 		if piece != records.NoSegment {
 			continue
 		}
@@ -84,7 +84,7 @@
 		if err := protocol.Unmarshal(item.Value, &open); err != nil {
 			open = records.OpenJob{Cancelled: records.MarkedCancelled(item.Value)}
 		}
-		listing.jobs[ref] = open
+		listing.jobs[jobID] = open
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -100,13 +100,13 @@
 			}
 		}
 	case strings.HasPrefix(path, "/v1/jobs/"):
-		ref := strings.TrimPrefix(path, "/v1/jobs/")
-		if ref, ok := strings.CutSuffix(ref, "/withdraw"); ok {
+		jobID := strings.TrimPrefix(path, "/v1/jobs/")
+		if jobID, ok := strings.CutSuffix(jobID, "/withdraw"); ok {
 			if requireMethod(w, r, http.MethodPost) {
-				s.serveUser(w, r, opCancel, ref, nil)
+				s.serveUser(w, r, opCancel, jobID, nil)
 			}
 		} else if requireMethod(w, r, http.MethodGet) {
-			s.serveUser(w, r, opStatus, ref, nil)
+			s.serveUser(w, r, opStatus, jobID, nil)
 		}
 	case path == "/":
 		if requireMethod(w, r, http.MethodGet) {
@@ -167,7 +167,7 @@
 
 // serveUser answers a user's call. When more come than can be worked on they are
 // refused early, at once and alike.
-func (s *Server) serveUser(w http.ResponseWriter, r *http.Request, op, ref string, body []byte) {
+func (s *Server) serveUser(w http.ResponseWriter, r *http.Request, op, jobID string, body []byte) {
 	select {
 	case s.slots <- struct{}{}:
 		defer func() { <-s.slots }()
@@ -177,14 +177,14 @@
 	}
 	var a answer
 	if !s.node.RefusedAlone() {
-		a = s.users.Handle(r.Context(), op, ref, body)
+		a = s.users.Handle(r.Context(), op, jobID, body)
 	} else {
 		a = refused
 	}
 	if a.refused {
 		// The state service may refuse this node alone: a peer that it serves
 		// can answer for us.
-		if f, ok := s.peers.Forward(r.Context(), &peer.UserCall{Operation: op, JobID: ref, Body: body}); ok {
+		if f, ok := s.peers.Forward(r.Context(), &peer.UserCall{Operation: op, JobID: jobID, Body: body}); ok {
 			writeReply(w, f.Status, f.Body)
 			return
 		}
@@ -197,10 +197,10 @@
 	if !ok {
 		return
 	}
-	var rep protocol.Heartbeat
-	err := protocol.Unmarshal(body, &rep)
+	var heartbeat protocol.Heartbeat
+	err := protocol.Unmarshal(body, &heartbeat)
 	if err == nil {
-		err = rep.Check()
+		err = heartbeat.Check()
 	}
 	if err != nil {
 		s.malformed.Record(r.RemoteAddr, err)
@@ -210,7 +210,7 @@
 	if c := s.node.LocalLeader(); c != nil {
 		ctx, cancel := context.WithTimeout(r.Context(), tuning.HeartbeatDeadline)
 		defer cancel()
-		if h, err := c.Heartbeat(ctx, &rep); err == nil {
+		if h, err := c.Heartbeat(ctx, &heartbeat); err == nil {
 			writeReply(w, http.StatusOK, h)
 			return
 		}
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -61,7 +61,7 @@
 
 // records returns the records of an open job, as a reading that begins after the call
 // finds them; none if it is not open.
-func (s *sharedReads) records(ctx context.Context, ref string) ([]protocol.KeyValue, error) {
+func (s *sharedReads) records(ctx context.Context, jobID string) ([]protocol.KeyValue, error) {
 	r := s.join()
 	select {
 	case <-r.done:
@@ -71,7 +71,7 @@
 	if r.err != nil {
 		return nil, r.err
 	}
-	return recordsOf(r.items, ref), nil
+	return recordsOf(r.items, jobID), nil
 }
 
 // join returns the next reading that begins.
@@ -112,26 +112,26 @@
 
 // pause is how long after the beginning of a reading that found some records the next
 // may begin.
-func (s *sharedReads) pause(items []protocol.KeyValue) time.Duration {
+func (s *sharedReads) pause(entries []protocol.KeyValue) time.Duration {
 	bytes := 0
-	for _, it := range items {
-		bytes += len(it.Value)
+	for _, entry := range entries {
+		bytes += len(entry.Value)
 	}
-	pages := float64(1 + max(len(items)/tuning.StatePage, bytes/tuning.StatePageBytes))
+	pages := float64(1 + max(len(entries)/tuning.StatePage, bytes/tuning.StatePageBytes))
 	return min(tuning.SharedReadsPause, time.Duration(pages/s.rate*float64(time.Second)))
 }
 
 // recordsOf picks the records of a job among those of all open jobs, in the order of
 // their keys.
-func recordsOf(items []protocol.KeyValue, ref string) []protocol.KeyValue {
-	key := records.OpenKey(ref)
-	first, found := slices.BinarySearchFunc(items, key, func(it protocol.KeyValue, key string) int { return strings.Compare(it.Key, key) })
+func recordsOf(entries []protocol.KeyValue, jobID string) []protocol.KeyValue {
+	key := records.OpenKey(jobID)
+	first, found := slices.BinarySearchFunc(entries, key, func(entry protocol.KeyValue, key string) int { return strings.Compare(entry.Key, key) })
 	if !found {
 		return nil
 	}
 	end := first + 1
-	for end < len(items) && end-first <= tuning.SegmentsRead && strings.HasPrefix(items[end].Key, key+"/") {
+	for end < len(entries) && end-first <= tuning.SegmentsRead && strings.HasPrefix(entries[end].Key, key+"/") {
 		end++
 	}
-	return items[first:end]
+	return entries[first:end]
 }
--- a/internal/api/sharedreads_test.go
+++ b/internal/api/sharedreads_test.go
@@ -11,14 +11,14 @@
 // Of the records of all open jobs each job gets its own: its open record and the pieces of
 // its run record, none of another whose name begins the same, and nothing if it is not open.
 func TestRecordsOf(t *testing.T) {
-	var items []protocol.KeyValue
+	var entries []protocol.KeyValue
 	for _, key := range []string{
 		records.OpenKey("req-1"), records.SegmentKey("req-1", 0), records.SegmentKey("req-1", 3),
 		records.OpenKey("req-10"), records.SegmentKey("req-10", 0), records.SegmentKey("req-11", 0), records.OpenKey("req-2"),
 	} {
-		items = append(items, protocol.KeyValue{Key: key})
+		entries = append(entries, protocol.KeyValue{Key: key})
 	}
-	for ref, want := range map[string][]string{
+	for jobID, want := range map[string][]string{
 		"req-1":  {"o/req-1", "o/req-1/t", "o/req-1/t/3"},
 		"req-10": {"o/req-10", "o/req-10/t"},
 		"req-11": nil, // closed: what is left of its run record counts for nobody
@@ -26,11 +26,11 @@
 		"req-3":  nil,
 	} {
 		var got []string
-		for _, it := range recordsOf(items, ref) {
-			got = append(got, it.Key)
+		for _, entry := range recordsOf(entries, jobID) {
+			got = append(got, entry.Key)
 		}
 		if !slices.Equal(got, want) {
-			t.Errorf("records of %s: %v instead of %v", ref, got, want)
+			t.Errorf("records of %s: %v instead of %v", jobID, got, want)
 		}
 	}
 }
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -65,7 +65,7 @@
 
 // Acknowledged names the jobs that users were told are cancelled, and since when
 // none is missing.
-func (u *Users) Acknowledged() (refs []string, since time.Time) { return u.acknowledged.list() }
+func (u *Users) Acknowledged() (jobIDs []string, since time.Time) { return u.acknowledged.list() }
 
 // answer is a user's answer; body is nil where only the status matters.
 type answer struct {
@@ -85,7 +85,7 @@
 }
 
 // Handle answers one call.
-func (u *Users) Handle(ctx context.Context, op, ref string, body []byte) answer {
+func (u *Users) Handle(ctx context.Context, op, jobID string, body []byte) answer {
 	limit := tuning.UserDeadline
 	if op == opStatus {
 		limit = tuning.PollDeadline
@@ -96,9 +96,9 @@
 	case opSubmit:
 		return u.submit(ctx, body)
 	case opStatus:
-		return u.status(ctx, ref)
+		return u.status(ctx, jobID)
 	case opCancel:
-		return u.cancel(ctx, ref)
+		return u.cancel(ctx, jobID)
 	}
 	return busy
 }
@@ -141,19 +141,19 @@
 	}
 }
 
-func (u *Users) status(ctx context.Context, ref string) answer {
-	if !protocol.ValidJobID(ref) {
+func (u *Users) status(ctx context.Context, jobID string) answer {
+	if !protocol.ValidJobID(jobID) {
 		return failure(404, errors.New("no such job"))
 	}
 	return u.retryUntilKnown(ctx, tuning.PollThrottleRetries, func() (answer, error) {
-		k, err := u.current(ctx, ref)
+		record, err := u.current(ctx, jobID)
 		if err != nil {
 			return answer{}, err
 		}
-		if k == nil {
+		if record == nil {
 			return failure(404, errors.New("no such job")), nil
 		}
-		return answer{status: 200, body: k.status}, nil
+		return answer{status: 200, body: record.status}, nil
 	})
 }
 
@@ -185,14 +185,14 @@
 
 // refuse answers a submission that cannot be accepted. A job that was accepted
 // stays accepted, also if the catalog has changed since.
-func (u *Users) refuse(ctx context.Context, ref string, status int, reason error) answer {
+func (u *Users) refuse(ctx context.Context, jobID string, status int, reason error) answer {
 	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (answer, error) {
-		k, err := u.current(ctx, ref)
+		record, err := u.current(ctx, jobID)
 		switch {
 		case err != nil:
 			return answer{}, err
-		case k != nil:
-			return answer{status: 200, body: k.status}, nil
+		case record != nil:
+			return answer{status: 200, body: record.status}, nil
 		}
 		return failure(status, reason), nil
 	})
@@ -211,59 +211,59 @@
 
 // accept writes the record of a job, unless the job is known already.
 func (u *Users) accept(ctx context.Context, open records.OpenJob) (answer, error) {
-	ref := open.Job.ID
+	jobID := open.Job.ID
 	state, asOf, err := u.dependencies(ctx, open.Job.DependsOn)
 	switch {
 	case err != nil:
 		return answer{}, err
 	case state == dependencyUnknown:
-		return u.refuse(ctx, ref, 422, errors.New("field awaits names a job that was never accepted")), nil
+		return u.refuse(ctx, jobID, 422, errors.New("field awaits names a job that was never accepted")), nil
 	}
 	open.Cancelled = state == dependencyCancelled
 	_, err = u.Store.Commit(ctx, protocol.Transaction{
-		Preconditions: []protocol.Precondition{{Key: records.OpenKey(ref)}, {Key: records.FinalKey(ref)}},
-		Mutations:     []protocol.Mutation{{Set: records.OpenKey(ref), Value: open}},
+		Preconditions: []protocol.Precondition{{Key: records.OpenKey(jobID)}, {Key: records.FinalKey(jobID)}},
+		Mutations:     []protocol.Mutation{{Set: records.OpenKey(jobID), Value: open}},
 	})
 	if err == nil {
 		phase := protocol.PhaseQueued
 		if open.Cancelled {
 			phase = protocol.PhaseCancelled
 		} else {
-			u.confirmOpen(ref, asOf)
+			u.confirmOpen(jobID, asOf)
 		}
-		return answer{status: 201, body: protocol.JobStatus{ID: ref, Phase: phase}}, nil
+		return answer{status: 201, body: protocol.JobStatus{ID: jobID, Phase: phase}}, nil
 	}
 	if !errors.Is(err, kvstore.ErrConflict) {
 		return answer{}, err
 	}
-	k, err := u.current(ctx, ref)
+	record, err := u.current(ctx, jobID)
 	if err != nil {
 		return answer{}, err
 	}
-	if k == nil {
+	if record == nil {
 		return answer{}, kvstore.ErrOutcomeUnknown // guards failed, yet nothing is there: look again
 	}
-	return answer{status: 200, body: k.status}, nil
+	return answer{status: 200, body: record.status}, nil
 }
 
 // checkRunnable tells why a job can never run.
-func (u *Users) checkRunnable(j *protocol.Job, types []scheduler.MachineType) error {
-	team := u.Config.Team(j.Team)
+func (u *Users) checkRunnable(job *protocol.Job, types []scheduler.MachineType) error {
+	team := u.Config.Team(job.Team)
 	if team == nil {
 		return errors.New("unknown team")
 	}
 	fits := false
 	for i := range types {
-		fits = fits || scheduler.TypeFits(&types[i], j)
+		fits = fits || scheduler.TypeFits(&types[i], job)
 	}
 	if !fits {
 		return errors.New("a task fits no allowed machine type")
 	}
-	n := float64(j.Tasks)
-	if j.Kind == protocol.KindArray {
+	n := float64(job.Tasks)
+	if job.Kind == protocol.KindArray {
 		n = 1
 	}
-	if exceeds(n*j.Cores, team.CoresMax) || exceeds(n*j.GPUs, team.GPUsMax) {
+	if exceeds(n*job.Cores, team.CoresMax) || exceeds(n*job.GPUs, team.GPUsMax) {
 		return errors.New("the job needs more than its team's limit")
 	}
 	return nil
@@ -272,41 +272,41 @@
 // exceeds compares with a limit, of which 0 is none.
 func exceeds(need, limit float64) bool { return limit > 0 && need > limit*(1+1e-9) }
 
-func (u *Users) cancel(ctx context.Context, ref string) answer {
-	if !protocol.ValidJobID(ref) {
+func (u *Users) cancel(ctx context.Context, jobID string) answer {
+	if !protocol.ValidJobID(jobID) {
 		return failure(404, errors.New("no such job"))
 	}
 	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (answer, error) {
-		k, err := u.find(ctx, ref)
+		record, err := u.find(ctx, jobID)
 		switch {
 		case err != nil:
 			return answer{}, err
-		case k == nil:
+		case record == nil:
 			return failure(404, errors.New("no such job")), nil
-		case k.version == 0 || k.open.Cancelled:
-			return answer{status: 200, body: k.status}, nil
-		case k.unreadable:
+		case record.version == 0 || record.open.Cancelled:
+			return answer{status: 200, body: record.status}, nil
+		case record.unreadable:
 			return busy, nil
 		}
-		if err := u.markCancelled(ctx, k); err != nil {
+		if err := u.markCancelled(ctx, record); err != nil {
 			return answer{}, err
 		}
-		return answer{status: 200, body: k.status}, nil
+		return answer{status: 200, body: record.status}, nil
 	})
 }
 
 // markCancelled writes into a job's open record that it is cancelled.
-func (u *Users) markCancelled(ctx context.Context, k *jobRecord) error {
-	ref := k.status.ID
-	k.open.Cancelled = true
-	if u.checkRecordSize(k.open) != nil {
+func (u *Users) markCancelled(ctx context.Context, record *jobRecord) error {
+	jobID := record.status.ID
+	record.open.Cancelled = true
+	if u.checkRecordSize(record.open) != nil {
 		// Accepted under larger limits. Nothing of it starts any more, so what
 		// only says where and when it may start is not needed.
-		k.open.Job.MachineTypes, k.open.Job.DependsOn = nil, nil
+		record.open.Job.MachineTypes, record.open.Job.DependsOn = nil, nil
 	}
 	_, err := u.Store.Commit(ctx, protocol.Transaction{
-		Preconditions: []protocol.Precondition{{Key: records.OpenKey(ref), Version: k.version}},
-		Mutations:     []protocol.Mutation{{Set: records.OpenKey(ref), Value: k.open}},
+		Preconditions: []protocol.Precondition{{Key: records.OpenKey(jobID), Version: record.version}},
+		Mutations:     []protocol.Mutation{{Set: records.OpenKey(jobID), Value: record.open}},
 	})
 	if errors.Is(err, kvstore.ErrConflict) {
 		return kvstore.ErrOutcomeUnknown // it changed meanwhile: look again
@@ -314,8 +314,8 @@
 	if err != nil {
 		return err
 	}
-	u.acknowledged.add(ref)
-	u.forgetOpen(ref)
-	k.status.Phase = protocol.PhaseCancelled
+	u.acknowledged.add(jobID)
+	u.forgetOpen(jobID)
+	record.status.Phase = protocol.PhaseCancelled
 	return nil
 }
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -115,19 +115,19 @@
 // One that is not is a late copy, which proves nothing, or comes from a worker
 // that began anew, counting from the start. A worker has one report under way at
 // a time, so between reports that came by themselves there is no other reason.
-func (m *Machine) AcceptHeartbeat(r *protocol.Heartbeat) bool {
-	at := heartbeatID{r.Incarnation, r.Sequence}
+func (m *Machine) AcceptHeartbeat(heartbeat *protocol.Heartbeat) bool {
+	at := heartbeatID{heartbeat.Incarnation, heartbeat.Sequence}
 	if !m.lastAccepted.before(at) {
 		return false
 	}
 	// A worker that hears us shows a higher token soon after it was answered.
-	if m.answeredToken > r.Token && m.lastAcceptedToken == r.Token {
+	if m.answeredToken > heartbeat.Token && m.lastAcceptedToken == heartbeat.Token {
 		m.unacknowledged++
 	} else {
 		m.unacknowledged = 0
 	}
-	m.lastAccepted, m.lastAcceptedToken = at, r.Token
-	if r.Token >= m.probeToken {
+	m.lastAccepted, m.lastAcceptedToken = at, heartbeat.Token
+	if heartbeat.Token >= m.probeToken {
 		m.probeToken = 0 // the worker we know has seen it, so it proves nothing more
 	}
 	return true
@@ -147,16 +147,16 @@
 // only a worker that is there and counts from the start can show it in a report
 // that looks old. It returns true if that is proved: then all that its former
 // life ran is gone, and its counters count from here.
-func (m *Machine) DetectRestart(r *protocol.Heartbeat) bool {
+func (m *Machine) DetectRestart(heartbeat *protocol.Heartbeat) bool {
 	switch {
 	case m.probeToken == 0:
 		m.IssuedToken++
 		m.probeToken = m.IssuedToken
 		return false
-	case r.Token < m.probeToken:
+	case heartbeat.Token < m.probeToken:
 		return false
 	}
-	m.Incarnation, m.Sequence, m.ExpiredIncarnation, m.lastAccepted, m.probeToken = 0, 0, 0, heartbeatID{r.Incarnation, r.Sequence}, 0
+	m.Incarnation, m.Sequence, m.ExpiredIncarnation, m.lastAccepted, m.probeToken = 0, 0, 0, heartbeatID{heartbeat.Incarnation, heartbeat.Sequence}, 0
 	m.restarted = true
 	return true
 }
@@ -167,10 +167,10 @@
 }
 
 // RecordStart notes that a placement's start is about to be sent.
-func (m *Machine) RecordStart(p *Placement) {
+func (m *Machine) RecordStart(placement *Placement) {
 	m.statusMatches = false
-	p.Sent, p.StartToken = true, m.IssuedToken
-	m.startTokens[attemptKey{p.TaskKey, p.Attempt}] = m.IssuedToken
+	placement.Sent, placement.StartToken = true, m.IssuedToken
+	m.startTokens[attemptKey{placement.TaskKey, placement.Attempt}] = m.IssuedToken
 }
 
 // MayRelease tells whether an ended attempt may be forgotten by the worker: not
@@ -207,37 +207,37 @@
 // A placement ends on one of these proofs only: the worker lists its attempt as exited;
 // a later session, or a new life; or its absence, once no start of it can arrive any
 // more.
-func (m *Machine) ApplyStatus(r *protocol.Heartbeat, parse func(string) (TaskKey, bool), now, leaseEnd time.Time) (ended []EndedPlacement, fresh bool) {
-	if r.Incarnation < m.Incarnation || (r.Incarnation == m.Incarnation && r.Sequence <= m.Sequence) || r.Incarnation <= m.ExpiredIncarnation {
+func (m *Machine) ApplyStatus(heartbeat *protocol.Heartbeat, parse func(string) (TaskKey, bool), now, leaseEnd time.Time) (ended []EndedPlacement, fresh bool) {
+	if heartbeat.Incarnation < m.Incarnation || (heartbeat.Incarnation == m.Incarnation && heartbeat.Sequence <= m.Sequence) || heartbeat.Incarnation <= m.ExpiredIncarnation {
 		return nil, false
 	}
-	newSession := r.Incarnation > m.Incarnation
+	newSession := heartbeat.Incarnation > m.Incarnation
 	known := m.Incarnation > 0
-	if r.Token >= m.probeToken {
+	if heartbeat.Token >= m.probeToken {
 		m.probeToken = 0
 	}
-	same := !newSession && m.statusMatches && r.Token == m.AcknowledgedToken && m.sameTasks(r.Tasks)
-	m.applyHeader(r, now)
+	same := !newSession && m.statusMatches && heartbeat.Token == m.AcknowledgedToken && m.sameTasks(heartbeat.Tasks)
+	m.applyHeader(heartbeat, now)
 	if same {
 		return nil, true // most reports: hundreds a second at a large site
 	}
 	if newSession {
-		ended = m.beginIncarnation(r.Incarnation, known, leaseEnd)
+		ended = m.beginIncarnation(heartbeat.Incarnation, known, leaseEnd)
 	}
-	shown := m.indexTasks(r, parse)
+	shown := m.indexTasks(heartbeat, parse)
 	ended = append(ended, m.endedPlacements(shown, now)...)
 	m.pruneStartTokens()
 	return ended, true
 }
 
 // applyHeader takes in what a report says of the machine itself.
-func (m *Machine) applyHeader(r *protocol.Heartbeat, now time.Time) {
-	m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.MachineType, r.Zone, r.Spot
-	m.Incarnation, m.Sequence, m.Up, m.LastContact, m.UnansweredCommands = r.Incarnation, r.Sequence, true, now, 0
-	m.AcknowledgedToken = max(m.AcknowledgedToken, r.Token)
+func (m *Machine) applyHeader(heartbeat *protocol.Heartbeat, now time.Time) {
+	m.Addr, m.Type, m.Zone, m.Spot = heartbeat.Addr, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot
+	m.Incarnation, m.Sequence, m.Up, m.LastContact, m.UnansweredCommands = heartbeat.Incarnation, heartbeat.Sequence, true, now, 0
+	m.AcknowledgedToken = max(m.AcknowledgedToken, heartbeat.Token)
 	m.PreemptionAt = time.Time{}
-	if r.PreemptionNoticeS != nil {
-		m.PreemptionAt = now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
+	if heartbeat.PreemptionNoticeS != nil {
+		m.PreemptionAt = now.Add(time.Duration(*heartbeat.PreemptionNoticeS * float64(time.Second)))
 	}
 }
 
@@ -246,9 +246,9 @@
 // whatever its count: the token that it shows was not sent before, and commands of the
 // former life carry lower ones. known tells whether there was a session before.
 func (m *Machine) beginIncarnation(session uint64, known bool, leaseEnd time.Time) (ended []EndedPlacement) {
-	for _, p := range m.Placements {
-		if p.Incarnation < session || (m.restarted && p.Incarnation > session) {
-			ended = append(ended, EndedPlacement{Placement: p})
+	for _, placement := range m.Placements {
+		if placement.Incarnation < session || (m.restarted && placement.Incarnation > session) {
+			ended = append(ended, EndedPlacement{Placement: placement})
 		}
 	}
 	// A session that ends takes the tasks, not the images, but a new life may
@@ -273,16 +273,16 @@
 }
 
 // indexTasks takes in the tasks that a report lists and returns those that are known.
-func (m *Machine) indexTasks(r *protocol.Heartbeat, parse func(string) (TaskKey, bool)) map[TaskKey]*protocol.TaskStatus {
-	m.ReportedTasks = make([]ReportedTask, len(r.Tasks))
+func (m *Machine) indexTasks(heartbeat *protocol.Heartbeat, parse func(string) (TaskKey, bool)) map[TaskKey]*protocol.TaskStatus {
+	m.ReportedTasks = make([]ReportedTask, len(heartbeat.Tasks))
 	m.UnknownTaskCount = 0
-	shown := make(map[TaskKey]*protocol.TaskStatus, len(r.Tasks))
-	for i := range r.Tasks {
-		key, ok := parse(r.Tasks[i].Task)
-		m.ReportedTasks[i] = ReportedTask{r.Tasks[i], key, ok}
+	shown := make(map[TaskKey]*protocol.TaskStatus, len(heartbeat.Tasks))
+	for i := range heartbeat.Tasks {
+		key, ok := parse(heartbeat.Tasks[i].Task)
+		m.ReportedTasks[i] = ReportedTask{heartbeat.Tasks[i], key, ok}
 		if m.isRecorded(&m.ReportedTasks[i]) {
-			shown[key] = &r.Tasks[i]
-		} else if r.Tasks[i].State != protocol.TaskExited {
+			shown[key] = &heartbeat.Tasks[i]
+		} else if heartbeat.Tasks[i].State != protocol.TaskExited {
 			m.UnknownTaskCount++
 		}
 	}
@@ -293,8 +293,8 @@
 // placements of its session.
 func (m *Machine) endedPlacements(shown map[TaskKey]*protocol.TaskStatus, now time.Time) (ended []EndedPlacement) {
 	m.statusMatches = true
-	for key, p := range m.Placements {
-		if p.Incarnation != m.Incarnation {
+	for key, placement := range m.Placements {
+		if placement.Incarnation != m.Incarnation {
 			continue
 		}
 		t := shown[key]
@@ -302,15 +302,15 @@
 		case t != nil && t.State == protocol.TaskExited:
 			// The worker ignores a repeated start as long as it lists the
 			// attempt, so the placement is over although a start may be late.
-			ended = append(ended, EndedPlacement{Placement: p, ExitReason: t.ExitReason, Checkpointed: t.Checkpointed})
+			ended = append(ended, EndedPlacement{Placement: placement, ExitReason: t.ExitReason, Checkpointed: t.Checkpointed})
 		case t != nil:
-			p.Sent = true
-			if p.State != t.State {
-				p.State, p.Since = t.State, now
+			placement.Sent = true
+			if placement.State != t.State {
+				placement.State, placement.Since = t.State, now
 			}
-		case p.Sent && !m.CommandInFlight && m.AcknowledgedToken > p.StartToken:
+		case placement.Sent && !m.CommandInFlight && m.AcknowledgedToken > placement.StartToken:
 			// Absent: proof only once no start of it can arrive any more.
-			ended = append(ended, EndedPlacement{Placement: p})
+			ended = append(ended, EndedPlacement{Placement: placement})
 		default:
 			m.statusMatches = false // its absence may come to prove something
 		}
@@ -330,8 +330,8 @@
 
 // isRecorded tells whether a reported task is one that the records place here.
 func (m *Machine) isRecorded(t *ReportedTask) bool {
-	p := m.Placements[t.Key]
-	return t.Parsed && p != nil && p.Attempt == t.Attempt && p.Incarnation == m.Incarnation
+	placement := m.Placements[t.Key]
+	return t.Parsed && placement != nil && placement.Attempt == t.Attempt && placement.Incarnation == m.Incarnation
 }
 
 // UnknownTasks lists the tasks in the newest report that still run and that no record
@@ -354,19 +354,19 @@
 	if !now.After(m.LeaseExpiry) {
 		return nil
 	}
-	for _, p := range m.Placements {
-		ended = append(ended, EndedPlacement{Placement: p})
-		m.ExpiredIncarnation = max(m.ExpiredIncarnation, p.Incarnation)
+	for _, placement := range m.Placements {
+		ended = append(ended, EndedPlacement{Placement: placement})
+		m.ExpiredIncarnation = max(m.ExpiredIncarnation, placement.Incarnation)
 	}
 	m.ExpiredIncarnation = max(m.ExpiredIncarnation, m.Incarnation)
 	return ended
 }
 
 // RemovePlacement forgets a placement that is over.
-func (m *Machine) RemovePlacement(p *Placement, now time.Time) {
-	if m.Placements[p.TaskKey] == p {
+func (m *Machine) RemovePlacement(placement *Placement, now time.Time) {
+	if m.Placements[placement.TaskKey] == placement {
 		m.statusMatches = false
-		delete(m.Placements, p.TaskKey)
+		delete(m.Placements, placement.TaskKey)
 		if len(m.Placements) == 0 {
 			m.IdleSince = now
 		}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -75,11 +75,11 @@
 
 // term reads the term under a key, and the key's version: 0 if it does not exist.
 func (k *Candidate) readTerm(ctx context.Context, key string) (t records.Term, version uint64, err error) {
-	it, err := k.store.Get(ctx, key)
+	entry, err := k.store.Get(ctx, key)
 	if err == nil {
-		err = protocol.Unmarshal(it.Value, &t)
+		err = protocol.Unmarshal(entry.Value, &t)
 	}
-	return t, it.Version, err
+	return t, entry.Version, err
 }
 
 // stepDown frees the leader key and leaves the next term to the other nodes,
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -20,7 +20,7 @@
 // history is a world without controllers, whose history a test makes up.
 type history struct {
 	*Environment
-	machine *machine
+	machine *machineAgent
 }
 
 // newHistory has two jobs of a task each, accepted, a machine that is up, and a record
@@ -40,34 +40,34 @@
 	return h
 }
 
-func (h *history) record(ref, machine string) {
-	h.Store.Put(records.SegmentKey(ref, 0), records.RunRecord{NextAttempt: 2, Placements: []records.Placement{{Attempt: 1, Machine: machine}}})
+func (h *history) record(jobID, machine string) {
+	h.Store.Put(records.SegmentKey(jobID, 0), records.RunRecord{NextAttempt: 2, Placements: []records.Placement{{Attempt: 1, Machine: machine}}})
 }
 
 // run makes a job's task run on the machine, as if a controller had started it.
-func (h *history) run(ref string) *task {
+func (h *history) run(jobID string) *agentTask {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	running := &task{jobID: ref, attempt: 1, state: protocol.TaskRunning, since: time.Now(), left: 1e6}
+	running := &agentTask{jobID: jobID, attempt: 1, state: protocol.TaskRunning, since: time.Now(), left: 1e6}
 	h.machine.tasks = append(h.machine.tasks, running)
 	h.checkStart(h.machine, running)
 	return running
 }
 
 // tell judges that a job's user is told a phase.
-func (h *history) tell(ref, phase string) {
+func (h *history) tell(jobID, phase string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	u := h.jobs[ref]
-	h.checkAnswer(u, *u, protocol.JobStatus{ID: ref, Phase: phase})
+	job := h.jobs[jobID]
+	h.checkAnswer(job, *job, protocol.JobStatus{ID: jobID, Phase: phase})
 }
 
 // cancel makes a job's user cancel it and be told so.
-func (h *history) cancel(ref string) {
+func (h *history) cancel(jobID string) {
 	h.mu.Lock()
-	h.jobs[ref].cancelAsked = true
+	h.jobs[jobID].cancelAsked = true
 	h.mu.Unlock()
-	h.tell(ref, protocol.PhaseCancelled)
+	h.tell(jobID, protocol.PhaseCancelled)
 }
 
 // The checker finds each broken rule in a history that breaks it, and none in the one
--- a/internal/fake/dependencies.go
+++ b/internal/fake/dependencies.go
@@ -7,15 +7,15 @@
 )
 
 // dependenciesOf lists the jobs that a job needs, directly or through others.
-func (w *Environment) dependenciesOf(u *userJob) []*userJob {
+func (w *Environment) dependenciesOf(job *userJob) []*userJob {
 	var out []*userJob
 	seen := map[string]bool{}
-	work := u.job.DependsOn
+	work := job.job.DependsOn
 	for len(work) > 0 {
-		ref := work[0]
+		jobID := work[0]
 		work = work[1:]
-		if d := w.jobs[ref]; d != nil && !seen[ref] {
-			seen[ref] = true
+		if d := w.jobs[jobID]; d != nil && !seen[jobID] {
+			seen[jobID] = true
 			out = append(out, d)
 			work = append(work, d.job.DependsOn...)
 		}
@@ -24,11 +24,11 @@
 }
 
 // MayFinish tells whether no user has asked to cancel the job or one that it needs.
-func (w *Environment) MayFinish(ref string) bool {
+func (w *Environment) MayFinish(jobID string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	asked, _ := w.cancelledBefore(w.jobs[ref])
-	return !asked && !w.jobs[ref].cancelAsked
+	asked, _ := w.cancelledBefore(w.jobs[jobID])
+	return !asked && !w.jobs[jobID].cancelAsked
 }
 
 // complete tells whether all tasks of a job are done.
@@ -36,8 +36,8 @@
 
 // mayStart tells whether all jobs that a job needs are done: one whose user was told
 // that it is cancelled never is, though all its tasks may be complete.
-func (w *Environment) mayStart(u *userJob) bool {
-	for _, d := range w.dependenciesOf(u) {
+func (w *Environment) mayStart(job *userJob) bool {
+	for _, d := range w.dependenciesOf(job) {
 		if !d.complete() || !d.cancelTold.IsZero() {
 			return false
 		}
@@ -47,19 +47,19 @@
 
 // mustStart tells whether a job may start and nothing has cancelled it: one that it
 // needs may be cancelled after its last task is done and before that is recorded.
-func (w *Environment) mustStart(u *userJob) bool {
-	for _, d := range w.dependenciesOf(u) {
+func (w *Environment) mustStart(job *userJob) bool {
+	for _, d := range w.dependenciesOf(job) {
 		if d.cancelAsked && !d.done {
 			return false
 		}
 	}
-	return !u.cancelAsked && w.mayStart(u)
+	return !job.cancelAsked && w.mayStart(job)
 }
 
 // cancelledBefore tells whether a user has asked to cancel a job that this one
 // needs, and since when one was told that it is; zero: none was.
-func (w *Environment) cancelledBefore(u *userJob) (asked bool, told time.Time) {
-	for _, d := range w.dependenciesOf(u) {
+func (w *Environment) cancelledBefore(job *userJob) (asked bool, told time.Time) {
+	for _, d := range w.dependenciesOf(job) {
 		asked = asked || d.cancelAsked
 		if t := d.cancelTold; !t.IsZero() && (told.IsZero() || t.Before(told)) {
 			told = t
@@ -69,15 +69,15 @@
 }
 
 // checkDependentAnswer judges what the user of a job that needs others is told.
-func (w *Environment) checkDependentAnswer(u *userJob, phase string) {
+func (w *Environment) checkDependentAnswer(job *userJob, phase string) {
 	if phase != protocol.PhaseQueued && phase != protocol.PhaseRunning {
 		return
 	}
-	_, told := w.cancelledBefore(u)
+	_, told := w.cancelledBefore(job)
 	if told.IsZero() {
 		return
 	}
 	if d := time.Since(told); d.Seconds() > w.Cfg.Workers.CancelS {
-		w.violate("orphaned: %s is called %s %v after a job that it needs was cancelled", u.job.ID, phase, d)
+		w.violate("orphaned: %s is called %s %v after a job that it needs was cancelled", job.job.ID, phase, d)
 	}
 }
--- a/internal/fake/records.go
+++ b/internal/fake/records.go
@@ -26,13 +26,13 @@
 
 // segment returns the piece that counts for a task: its own if that was written,
 // otherwise the first of its job.
-func (r *recordChecker) segment(ref string, task int) decodedSegment {
+func (r *recordChecker) segment(jobID string, task int) decodedSegment {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
-	key := records.SegmentKey(ref, records.SegmentOf(task))
+	key := records.SegmentKey(jobID, records.SegmentOf(task))
 	stored, written := r.state.keys[key]
 	if !written {
-		key = records.SegmentKey(ref, 0)
+		key = records.SegmentKey(jobID, 0)
 		if stored, written = r.state.keys[key]; !written {
 			return decodedSegment{readable: true} // it names nothing
 		}
@@ -48,13 +48,13 @@
 
 // mayName tells whether the records name an attempt of a task on a machine, or
 // cannot be read.
-func (r *recordChecker) mayName(t *task, machine string) bool {
-	piece := r.segment(t.jobID, t.index)
+func (r *recordChecker) mayName(task *agentTask, machine string) bool {
+	piece := r.segment(task.jobID, task.index)
 	if !piece.readable {
 		return true
 	}
 	for _, p := range piece.run.Placements {
-		if p.Task == t.index && p.Attempt == t.attempt && p.Machine == machine {
+		if p.Task == task.index && p.Attempt == task.attempt && p.Machine == machine {
 			return true
 		}
 	}
@@ -67,13 +67,13 @@
 func (w *Environment) checkRecorded() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, m := range w.machines {
-		for _, t := range m.tasks {
-			if t.state == protocol.TaskExited || t.unrecorded || w.records.mayName(t, m.id) {
+	for _, machine := range w.machines {
+		for _, task := range machine.tasks {
+			if task.state == protocol.TaskExited || task.unrecorded || w.records.mayName(task, machine.id) {
 				continue
 			}
-			t.unrecorded = true // told once
-			w.violate("orphaned: no record names %s/%d try %d (%s) on %s at %v", t.jobID, t.index, t.attempt, t.state, m.id, time.Now())
+			task.unrecorded = true // told once
+			w.violate("orphaned: no record names %s/%d try %d (%s) on %s at %v", task.jobID, task.index, task.attempt, task.state, machine.id, time.Now())
 		}
 	}
 }
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -19,13 +19,13 @@
 	"marblehaven/internal/protocol"
 )
 
-type entry struct {
+type storeEntry struct {
 	value   msgpack.RawMessage
 	version uint64
 	lease   uint64
 }
 
-type lease struct {
+type storeLease struct {
 	life    time.Duration
 	expires time.Time
 }
@@ -34,10 +34,10 @@
 type Store struct {
 	mu       sync.Mutex
 	revision uint64
-	keys     map[string]entry
-	leases   map[uint64]*lease
+	keys     map[string]storeEntry
+	leases   map[uint64]*storeLease
 	nextID   uint64
-	log      []change
+	log      []storeChange
 	changed  chan struct{}
 	refuse   map[string]bool // hosts that get 503; "" for all
 	// OnCommit is told of every applied commit.
@@ -81,14 +81,14 @@
 	Throttled         // it is refused with 429
 )
 
-type change struct {
+type storeChange struct {
 	key string
 	ev  protocol.WatchEvent
 }
 
 // NewStore makes an empty state service.
 func NewStore() *Store {
-	return &Store{keys: map[string]entry{}, leases: map[uint64]*lease{}, changed: make(chan struct{}), refuse: map[string]bool{}, Refusals: map[int]int{}}
+	return &Store{keys: map[string]storeEntry{}, leases: map[uint64]*storeLease{}, changed: make(chan struct{}), refuse: map[string]bool{}, Refusals: map[int]int{}}
 }
 
 // Refuse makes the service answer 503 to a host, or to all with "". When that
@@ -140,7 +140,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.put(key, entry{value: raw, version: s.revision})
+	s.put(key, storeEntry{value: raw, version: s.revision})
 	s.wake()
 }
 
@@ -158,7 +158,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.put(key, entry{value: msgpack.RawMessage{0xa3, 'b', 'a', 'd'}, version: s.revision})
+	s.put(key, storeEntry{value: msgpack.RawMessage{0xa3, 'b', 'a', 'd'}, version: s.revision})
 	s.wake()
 }
 
@@ -183,15 +183,15 @@
 	return out
 }
 
-func (s *Store) put(key string, e entry) {
+func (s *Store) put(key string, e storeEntry) {
 	s.keys[key] = e
-	s.log = append(s.log, change{key, protocol.WatchEvent{Set: key, Value: e.value, Version: e.version}})
+	s.log = append(s.log, storeChange{key, protocol.WatchEvent{Set: key, Value: e.value, Version: e.version}})
 }
 
 func (s *Store) del(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
-		s.log = append(s.log, change{key, protocol.WatchEvent{Delete: key, Version: s.revision}})
+		s.log = append(s.log, storeChange{key, protocol.WatchEvent{Delete: key, Version: s.revision}})
 	}
 }
 
@@ -305,7 +305,7 @@
 		}
 		s.nextID++
 		life := time.Duration(g.TTLMS) * time.Millisecond
-		s.leases[s.nextID] = &lease{life, time.Now().Add(life)}
+		s.leases[s.nextID] = &storeLease{life, time.Now().Add(life)}
 		id := s.nextID
 		go s.watchLease(id, life)
 		answer(w, 200, protocol.Lease{ID: id})
@@ -397,8 +397,8 @@
 	return len(b)
 }
 
-// transaction is a commit as it arrives.
-type transaction struct {
+// storeTransaction is a commit as it arrives.
+type storeTransaction struct {
 	Guards  []protocol.Precondition `msgpack:"guards"`
 	Changes []struct {
 		Set    string             `msgpack:"set"`
@@ -409,7 +409,7 @@
 }
 
 // keys is the transaction without its values.
-func (t *transaction) keys() *protocol.Transaction {
+func (t *storeTransaction) keys() *protocol.Transaction {
 	out := &protocol.Transaction{Preconditions: t.Guards}
 	for _, ch := range t.Changes {
 		out.Mutations = append(out.Mutations, protocol.Mutation{Set: ch.Set, Delete: ch.Delete})
@@ -418,7 +418,7 @@
 }
 
 func (s *Store) commit(w http.ResponseWriter, body []byte) {
-	var c transaction
+	var c storeTransaction
 	if err := protocol.Unmarshal(body, &c); err != nil {
 		answer(w, 400, protocol.ErrorReply{Error: err.Error()})
 		return
@@ -440,8 +440,8 @@
 	}
 	const aroundKey = 60 // field names, brackets and a version
 	size, broken := 0, ""
-	for _, g := range c.Guards {
-		size += len(g.Key) + aroundKey
+	for _, precondition := range c.Guards {
+		size += len(precondition.Key) + aroundKey
 	}
 	if s.MaxOps > 0 && (len(c.Changes) > s.MaxOps || len(c.Guards) > 4*s.MaxOps) {
 		broken = fmt.Sprintf("commit of %d changes, %d guards", len(c.Changes), len(c.Guards))
@@ -473,9 +473,9 @@
 		return
 	}
 	failed := []string{}
-	for _, g := range c.Guards {
-		if s.keys[g.Key].version != g.Version {
-			failed = append(failed, g.Key)
+	for _, precondition := range c.Guards {
+		if s.keys[precondition.Key].version != precondition.Version {
+			failed = append(failed, precondition.Key)
 		}
 	}
 	if len(failed) > 0 {
@@ -488,7 +488,7 @@
 			if ch.Delete != "" {
 				s.del(ch.Delete)
 			} else {
-				s.put(ch.Set, entry{slices.Clone(ch.Value), s.revision, ch.Lease})
+				s.put(ch.Set, storeEntry{slices.Clone(ch.Value), s.revision, ch.Lease})
 			}
 		}
 		s.wake()
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -10,7 +10,7 @@
 	"marblehaven/internal/protocol"
 )
 
-type task struct {
+type agentTask struct {
 	jobID        string
 	index        int
 	attempt      uint64
@@ -23,11 +23,11 @@
 	unrecorded bool
 }
 
-func (t *task) onMachine() bool {
+func (t *agentTask) onMachine() bool {
 	return t.state != protocol.TaskExited && t.state != protocol.TaskFetching
 }
 
-type machine struct {
+type machineAgent struct {
 	env              *Environment
 	id               string
 	addr             string
@@ -44,7 +44,7 @@
 	token            uint64
 	incarnationStart time.Time // of the session
 	leaseRenewed     time.Time // when the last answered report was sent
-	tasks            []*task
+	tasks            []*agentTask
 	images           map[string]bool
 	changed          bool
 	node             int
@@ -54,9 +54,9 @@
 func (w *Environment) newMachine(typ, zone string, spot bool) string {
 	id := fmt.Sprintf("m-%06d", w.nextID)
 	w.nextID++
-	m := &machine{env: w, id: id, addr: id + ":9000", machineType: w.types[typ], zone: zone, spot: spot, rented: time.Now(), images: map[string]bool{}}
-	w.machines[id] = m
-	go m.run()
+	machine := &machineAgent{env: w, id: id, addr: id + ":9000", machineType: w.types[typ], zone: zone, spot: spot, rented: time.Now(), images: map[string]bool{}}
+	w.machines[id] = machine
+	go machine.run()
 	return id
 }
 
@@ -64,17 +64,17 @@
 // it; it is back after the given time.
 func (w *Environment) Reboot(id string, after time.Duration) {
 	w.mu.Lock()
-	m := w.machines[id]
-	m.tasks, m.images, m.hung = nil, map[string]bool{}, true
-	m.incarnation, m.sequence, m.token = 1, 0, 0
+	machine := w.machines[id]
+	machine.tasks, machine.images, machine.hung = nil, map[string]bool{}, true
+	machine.incarnation, machine.sequence, machine.token = 1, 0, 0
 	w.gangsChanged()
 	w.mu.Unlock()
 	go func() {
 		time.Sleep(after)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		m.incarnation, m.sequence, m.token, m.incarnationStart, m.leaseRenewed = 1, 0, 0, time.Now(), time.Time{}
-		m.hung, m.changed = false, true
+		machine.incarnation, machine.sequence, machine.token, machine.incarnationStart, machine.leaseRenewed = 1, 0, 0, time.Now(), time.Time{}
+		machine.hung, machine.changed = false, true
 	}()
 }
 
@@ -83,12 +83,12 @@
 func (w *Environment) Hang(id string) func() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	m := w.machines[id]
-	m.hung = true
+	machine := w.machines[id]
+	machine.hung = true
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		m.hung = false
+		machine.hung = false
 	}
 }
 
@@ -97,15 +97,15 @@
 func (w *Environment) HangInCommand(id string, length time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if m := w.machines[id]; m != nil {
-		m.hangs = length
+	if machine := w.machines[id]; machine != nil {
+		machine.hangs = length
 	}
 }
 
-func (m *machine) end()        { m.removed = true }
-func (m *machine) changedNow() { m.changed = true }
+func (m *machineAgent) end()        { m.removed = true }
+func (m *machineAgent) changedNow() { m.changed = true }
 
-func (m *machine) run() {
+func (m *machineAgent) run() {
 	time.Sleep(time.Duration(m.machineType.BootS * float64(time.Second)))
 	m.env.mu.Lock()
 	if m.removed {
@@ -132,7 +132,7 @@
 }
 
 // expire ends the session if its lease is over.
-func (m *machine) expire() {
+func (m *machineAgent) expire() {
 	from := m.incarnationStart
 	if m.leaseRenewed.After(from) {
 		from = m.leaseRenewed
@@ -147,57 +147,59 @@
 }
 
 // step lets tasks go on.
-func (m *machine) step(dt float64) {
-	for _, t := range m.tasks {
-		u := m.env.jobs[t.jobID]
-		age := time.Since(t.since).Seconds()
-		switch t.state {
+func (m *machineAgent) step(dt float64) {
+	for _, task := range m.tasks {
+		job := m.env.jobs[task.jobID]
+		age := time.Since(task.since).Seconds()
+		switch task.state {
 		case protocol.TaskFetching:
-			if m.images[u.job.Image] || age >= u.job.ImageGB/m.machineType.FetchGBps {
-				m.images[u.job.Image] = true
+			if m.images[job.job.Image] || age >= job.job.ImageGB/m.machineType.FetchGBps {
+				m.images[job.job.Image] = true
 				switch {
-				case u.finished[t.index]:
-					m.exit(t, protocol.ExitDone)
-				case u.job.Kind == protocol.KindGang:
-					m.enter(t, protocol.TaskWaiting)
+				case job.finished[task.index]:
+					m.exit(task, protocol.ExitDone)
+				case job.job.Kind == protocol.KindGang:
+					m.enter(task, protocol.TaskWaiting)
 				default:
-					t.left = u.runS * (1 + m.env.Uneven*float64(t.index))
-					m.enter(t, protocol.TaskRunning)
+					task.left = job.runS * (1 + m.env.Uneven*float64(task.index))
+					m.enter(task, protocol.TaskRunning)
 				}
-				m.env.checkStart(m, t)
+				m.env.checkStart(m, task)
 				m.env.gangsChanged()
 			}
 		case protocol.TaskWaiting:
 			if age > m.env.Cfg.Workers.GangWaitS {
-				m.exit(t, "incomplete")
+				m.exit(task, "incomplete")
 			}
 		case protocol.TaskRunning:
-			if u.job.Kind == protocol.KindService {
+			if job.job.Kind == protocol.KindService {
 				continue
 			}
-			if t.left -= dt; t.left <= 0 {
-				u.finished[t.index] = true
-				m.exit(t, protocol.ExitDone)
-				if m.env.OnDone != nil && len(u.finished) == u.job.Tasks {
-					go m.env.OnDone(t.jobID)
+			if task.left -= dt; task.left <= 0 {
+				job.finished[task.index] = true
+				m.exit(task, protocol.ExitDone)
+				if m.env.OnDone != nil && len(job.finished) == job.job.Tasks {
+					go m.env.OnDone(task.jobID)
 				}
 			}
 		case protocol.TaskSaving:
-			if age >= u.job.CheckpointSaveS {
-				t.checkpointed = true
+			if age >= job.job.CheckpointSaveS {
+				task.checkpointed = true
 				m.env.Saved++
-				m.exit(t, protocol.ExitStopped)
+				m.exit(task, protocol.ExitStopped)
 			}
 		}
 	}
 }
 
-func (m *machine) enter(t *task, state string) { t.state, t.since, m.changed = state, time.Now(), true }
+func (m *machineAgent) enter(task *agentTask, state string) {
+	task.state, task.since, m.changed = state, time.Now(), true
+}
 
-func (m *machine) exit(t *task, cause string) {
-	t.exitReason = cause
-	m.enter(t, protocol.TaskExited)
-	if m.env.jobs[t.jobID].job.Kind == protocol.KindGang {
+func (m *machineAgent) exit(task *agentTask, cause string) {
+	task.exitReason = cause
+	m.enter(task, protocol.TaskExited)
+	if m.env.jobs[task.jobID].job.Kind == protocol.KindGang {
 		m.env.gangsChanged()
 	}
 }
@@ -209,44 +211,44 @@
 		ref     string
 		attempt uint64
 	}
-	waiting, running := map[gang][]*task{}, map[gang][]*task{}
-	for _, m := range w.machines {
-		for _, t := range m.tasks {
-			g := gang{t.jobID, t.attempt}
+	waiting, running := map[gang][]*agentTask{}, map[gang][]*agentTask{}
+	for _, machine := range w.machines {
+		for _, task := range machine.tasks {
+			g := gang{task.jobID, task.attempt}
 			switch {
-			case w.jobs[t.jobID].job.Kind != protocol.KindGang:
-			case t.state == protocol.TaskWaiting:
-				waiting[g] = append(waiting[g], t)
-			case t.state == protocol.TaskRunning, t.state == protocol.TaskSaving, t.checkpointed:
-				running[g] = append(running[g], t)
+			case w.jobs[task.jobID].job.Kind != protocol.KindGang:
+			case task.state == protocol.TaskWaiting:
+				waiting[g] = append(waiting[g], task)
+			case task.state == protocol.TaskRunning, task.state == protocol.TaskSaving, task.checkpointed:
+				running[g] = append(running[g], task)
 			}
 		}
 	}
 	for g, ts := range waiting {
-		if u := w.jobs[g.ref]; len(ts) == u.job.Tasks {
-			for _, t := range ts {
-				t.state, t.since, t.left = protocol.TaskRunning, time.Now(), u.runS
+		if job := w.jobs[g.ref]; len(ts) == job.job.Tasks {
+			for _, task := range ts {
+				task.state, task.since, task.left = protocol.TaskRunning, time.Now(), job.runS
 			}
 		}
 	}
 	for g, ts := range running {
-		u := w.jobs[g.ref]
-		if len(ts) == u.job.Tasks {
+		job := w.jobs[g.ref]
+		if len(ts) == job.job.Tasks {
 			continue
 		}
-		for _, t := range ts {
-			if t.state != protocol.TaskRunning {
+		for _, task := range ts {
+			if task.state != protocol.TaskRunning {
 				continue
 			}
-			t.state, t.since, t.exitReason = protocol.TaskExited, time.Now(), "peers"
-			if len(u.finished) > 0 { // they complete together
-				u.finished[t.index], t.exitReason = true, protocol.ExitDone
+			task.state, task.since, task.exitReason = protocol.TaskExited, time.Now(), "peers"
+			if len(job.finished) > 0 { // they complete together
+				job.finished[task.index], task.exitReason = true, protocol.ExitDone
 			}
 		}
 	}
 }
 
-func (m *machine) heartbeat() protocol.Heartbeat {
+func (m *machineAgent) heartbeat() protocol.Heartbeat {
 	m.sequence++
 	r := protocol.Heartbeat{Machine: m.id, Addr: m.addr, MachineType: m.machineType.Name, Zone: m.zone, Spot: m.spot, Incarnation: m.incarnation,
 		Sequence: m.sequence, Token: m.token, Tasks: []protocol.TaskStatus{}}
@@ -254,15 +256,15 @@
 		left := time.Until(m.notice).Seconds()
 		r.PreemptionNoticeS = &left
 	}
-	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("%s/%d", t.jobID, t.index), Attempt: t.attempt,
-			State: t.state, ExitReason: t.exitReason, Checkpointed: t.checkpointed})
+	for _, task := range m.tasks {
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("%s/%d", task.jobID, task.index), Attempt: task.attempt,
+			State: task.state, ExitReason: task.exitReason, Checkpointed: task.checkpointed})
 	}
 	return r
 }
 
 // sendHeartbeats is the loop of reports.
-func (m *machine) sendHeartbeats() {
+func (m *machineAgent) sendHeartbeats() {
 	hc := &http.Client{Transport: m.env.Network.From(m.env.life, m.id)}
 	last := time.Now().Add(-time.Hour)
 	for {
@@ -322,41 +324,41 @@
 	}
 }
 
-func (m *machine) setToken(t uint64) {
+func (m *machineAgent) setToken(t uint64) {
 	if t > m.token {
 		m.token, m.changed = t, true
 	}
 }
 
-func (m *machine) find(ref string, num int) *task {
-	for _, t := range m.tasks {
-		if t.jobID == ref && t.index == num {
-			return t
+func (m *machineAgent) find(jobID string, num int) *agentTask {
+	for _, task := range m.tasks {
+		if task.jobID == jobID && task.index == num {
+			return task
 		}
 	}
 	return nil
 }
 
-func (m *machine) execute(orders []protocol.Command) {
+func (m *machineAgent) execute(orders []protocol.Command) {
 	for _, o := range orders {
-		ref, num := parseTask(o.Task)
-		var same *task
-		for _, t := range m.tasks {
-			if t.jobID == ref && t.index == num && t.attempt == o.Attempt {
-				same = t
+		jobID, num := parseTask(o.Task)
+		var same *agentTask
+		for _, task := range m.tasks {
+			if task.jobID == jobID && task.index == num && task.attempt == o.Attempt {
+				same = task
 			}
 		}
 		switch o.Verb {
 		case protocol.VerbStart:
 			if same == nil {
-				m.start(ref, num, o.Attempt)
+				m.start(jobID, num, o.Attempt)
 			}
 		case protocol.VerbStop:
 			if same == nil || same.state == protocol.TaskExited {
 				continue
 			}
-			u := m.env.jobs[ref]
-			saves := same.state == protocol.TaskRunning && u.job.CheckpointIntervalS > 0 && o.GracePeriodS >= u.job.CheckpointSaveS
+			job := m.env.jobs[jobID]
+			saves := same.state == protocol.TaskRunning && job.job.CheckpointIntervalS > 0 && o.GracePeriodS >= job.job.CheckpointSaveS
 			switch {
 			case saves:
 				m.enter(same, protocol.TaskSaving)
@@ -364,8 +366,8 @@
 				m.exit(same, protocol.ExitStopped)
 			}
 		case protocol.VerbRelease:
-			for i, t := range m.tasks {
-				if t == same && t.state == protocol.TaskExited {
+			for i, task := range m.tasks {
+				if task == same && task.state == protocol.TaskExited {
 					m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
 					m.changed = true
 					break
@@ -375,36 +377,36 @@
 	}
 }
 
-func (m *machine) start(ref string, num int, attempt uint64) {
-	t := &task{jobID: ref, index: num, attempt: attempt, state: protocol.TaskExited, since: time.Now()}
+func (m *machineAgent) start(jobID string, num int, attempt uint64) {
+	task := &agentTask{jobID: jobID, index: num, attempt: attempt, state: protocol.TaskExited, since: time.Now()}
 	m.changed = true
-	u := m.env.jobs[ref]
-	if u == nil {
-		t.exitReason = protocol.ExitUnknownTask
-		m.tasks = append(m.tasks, t)
+	job := m.env.jobs[jobID]
+	if job == nil {
+		task.exitReason = protocol.ExitUnknownTask
+		m.tasks = append(m.tasks, task)
 		return
 	}
 	cores, gpus, mem := m.machineType.Cores, m.machineType.GPUs, m.machineType.MemGB
 	for _, o := range m.tasks {
 		if o.state != protocol.TaskExited {
-			d := &m.env.jobs[o.jobID].job
-			cores, gpus, mem = cores-d.Cores, gpus-d.GPUs, mem-d.MemGB
+			spec := &m.env.jobs[o.jobID].job
+			cores, gpus, mem = cores-spec.Cores, gpus-spec.GPUs, mem-spec.MemGB
 		}
 	}
-	other := m.find(ref, num)
+	other := m.find(jobID, num)
 	switch {
 	case other != nil && other.state != protocol.TaskExited:
-		t.exitReason = protocol.ExitDuplicate
-	case u.job.Cores > cores+1e-6 || u.job.GPUs > gpus+1e-6 || u.job.MemGB > mem+1e-6:
-		t.exitReason = protocol.ExitNoCapacity
+		task.exitReason = protocol.ExitDuplicate
+	case job.job.Cores > cores+1e-6 || job.job.GPUs > gpus+1e-6 || job.job.MemGB > mem+1e-6:
+		task.exitReason = protocol.ExitNoCapacity
 	default:
-		t.state = protocol.TaskFetching
+		task.state = protocol.TaskFetching
 	}
-	m.tasks = append(m.tasks, t)
+	m.tasks = append(m.tasks, task)
 }
 
 // serve answers direct commands. A hanging machine answers when it goes on.
-func (m *machine) serve(rw http.ResponseWriter, r *http.Request) {
+func (m *machineAgent) serve(rw http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -29,7 +29,7 @@
 	mu            sync.Mutex
 	types         map[string]protocol.MachineType
 	capacity      map[string]int // per type, zone and kind; absent: plenty
-	machines      map[string]*machine
+	machines      map[string]*machineAgent
 	provisioned   map[string][]string
 	nextID        int
 	jobs          map[string]*userJob
@@ -41,7 +41,7 @@
 	Saved         int                    // tasks that were stopped and saved
 	LeaseExpiries int                    // leases that ran out with tasks
 	Uneven        float64                // how much longer each task of an array runs than the one before
-	OnDone        func(ref string)       // told when the last task of an array has completed
+	OnDone        func(jobID string)     // told when the last task of an array has completed
 	Step          time.Duration          // between two looks of a machine at what it runs
 	LateStart     time.Duration          // the longest time from a confirmed cancellation to a start
 	troublesOver  bool                   // all troubles are over
@@ -70,7 +70,7 @@
 // NewEnvironment makes a world on a network. Its life ends with ctx.
 func NewEnvironment(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *Environment {
 	w := &Environment{Network: net, Store: NewStore(), Cfg: cfg, life: ctx, types: map[string]protocol.MachineType{},
-		capacity: map[string]int{}, machines: map[string]*machine{}, provisioned: map[string][]string{},
+		capacity: map[string]int{}, machines: map[string]*machineAgent{}, provisioned: map[string][]string{},
 		jobs: map[string]*userJob{}, Step: usualStep, Calls: map[string]int{}, addrNode: map[string]string{}}
 	for _, t := range types {
 		w.types[t.Name] = t
@@ -119,8 +119,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
-	for id, m := range w.machines {
-		if m.up {
+	for id, machine := range w.machines {
+		if machine.up {
 			out = append(out, id)
 		}
 	}
@@ -136,13 +136,13 @@
 }
 
 // MachinesOf lists the machines on which tasks of a job are, with or without image.
-func (w *Environment) MachinesOf(ref string) []string {
+func (w *Environment) MachinesOf(jobID string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
-	for id, m := range w.machines {
-		for _, t := range m.tasks {
-			if t.jobID == ref && t.state != protocol.TaskExited {
+	for id, machine := range w.machines {
+		for _, task := range machine.tasks {
+			if task.jobID == jobID && task.state != protocol.TaskExited {
 				out = append(out, id)
 			}
 		}
@@ -152,17 +152,17 @@
 }
 
 // Cancelled tells whether a job's user asked to cancel it.
-func (w *Environment) Cancelled(ref string) bool {
+func (w *Environment) Cancelled(jobID string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.jobs[ref].cancelAsked
+	return w.jobs[jobID].cancelAsked
 }
 
 // Job is a job as its user submitted it.
-func (w *Environment) Job(ref string) protocol.Job {
+func (w *Environment) Job(jobID string) protocol.Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.jobs[ref].job
+	return w.jobs[jobID].job
 }
 
 // Random is between 0 and 1, by the network's seed.
@@ -172,8 +172,8 @@
 func (w *Environment) Zone(id string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if m := w.machines[id]; m != nil {
-		return m.zone
+	if machine := w.machines[id]; machine != nil {
+		return machine.zone
 	}
 	return ""
 }
@@ -186,10 +186,10 @@
 }
 
 func (w *Environment) remove(id string) {
-	if m := w.machines[id]; m != nil {
-		m.end()
+	if machine := w.machines[id]; machine != nil {
+		machine.end()
 		delete(w.machines, id)
-		w.Network.Listen(id, m.addr, nil)
+		w.Network.Listen(id, machine.addr, nil)
 		w.gangsChanged()
 	}
 }
@@ -197,9 +197,9 @@
 // NoticePreemption announces that a machine will be taken.
 func (w *Environment) NoticePreemption(id string, in time.Duration) {
 	w.mu.Lock()
-	m := w.machines[id]
-	m.notice = time.Now().Add(in)
-	m.changedNow()
+	machine := w.machines[id]
+	machine.notice = time.Now().Add(in)
+	machine.changedNow()
 	w.mu.Unlock()
 	go func() {
 		time.Sleep(in)
@@ -242,8 +242,8 @@
 		}
 		n := req.Count
 		if limit, ok := w.capacity[fmt.Sprint(req.Type, req.Zone, req.Spot)]; ok {
-			for _, m := range w.machines {
-				if m.machineType.Name == req.Type && m.zone == req.Zone && m.spot == req.Spot {
+			for _, machine := range w.machines {
+				if machine.machineType.Name == req.Type && machine.zone == req.Zone && machine.spot == req.Spot {
 					limit--
 				}
 			}
@@ -269,14 +269,14 @@
 		return 200, nil
 	case r.URL.Path == "/rentals":
 		list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
-		for id, m := range w.machines {
-			if age := time.Since(m.rented).Seconds(); age > w.Cfg.Cloud.ListLagS {
+		for id, machine := range w.machines {
+			if age := time.Since(machine.rented).Seconds(); age > w.Cfg.Cloud.ListLagS {
 				phase := protocol.MachineStarting
-				if m.up {
+				if machine.up {
 					phase = "running"
 				}
-				list.Machines = append(list.Machines, protocol.ListedMachine{ID: id, Addr: m.addr, Type: m.machineType.Name,
-					Zone: m.zone, Spot: m.spot, State: phase, AgeS: age})
+				list.Machines = append(list.Machines, protocol.ListedMachine{ID: id, Addr: machine.addr, Type: machine.machineType.Name,
+					Zone: machine.zone, Spot: machine.spot, State: phase, AgeS: age})
 			}
 		}
 		slices.SortFunc(list.Machines, func(a, b protocol.ListedMachine) int { return strings.Compare(a.ID, b.ID) })
@@ -334,86 +334,86 @@
 }
 
 // JobMap spells a job as users do; only what has a value where null is allowed.
-func JobMap(j *protocol.Job) map[string]any {
-	m := map[string]any{"ref": j.ID, "workload": j.Class, "owner": j.Team, "shape": j.Kind, "rank": j.Priority,
-		"pieces": j.Tasks, "cores": j.Cores, "cards": j.GPUs, "memGb": j.MemGB, "bundle": j.Image,
-		"imageGb": j.ImageGB, "samePlace": j.OneZone, "spread": j.Spread, "loaners": j.Spot,
-		"guessS": j.EstimateS, "snapshotS": j.CheckpointIntervalS, "flushS": j.CheckpointSaveS, "quarry": nil, "unheardOf": []int{1}}
-	if j.MachineTypes != nil {
-		m["flavors"] = j.MachineTypes
+func JobMap(job *protocol.Job) map[string]any {
+	m := map[string]any{"ref": job.ID, "workload": job.Class, "owner": job.Team, "shape": job.Kind, "rank": job.Priority,
+		"pieces": job.Tasks, "cores": job.Cores, "cards": job.GPUs, "memGb": job.MemGB, "bundle": job.Image,
+		"imageGb": job.ImageGB, "samePlace": job.OneZone, "spread": job.Spread, "loaners": job.Spot,
+		"guessS": job.EstimateS, "snapshotS": job.CheckpointIntervalS, "flushS": job.CheckpointSaveS, "quarry": nil, "unheardOf": []int{1}}
+	if job.MachineTypes != nil {
+		m["flavors"] = job.MachineTypes
 	}
-	if j.Zone != "" {
-		m["quarry"] = j.Zone
+	if job.Zone != "" {
+		m["quarry"] = job.Zone
 	}
-	if j.DeadlineS > 0 {
-		m["dueS"] = j.DeadlineS
+	if job.DeadlineS > 0 {
+		m["dueS"] = job.DeadlineS
 	}
-	if j.DependsOn != nil {
-		m["awaits"] = j.DependsOn
+	if job.DependsOn != nil {
+		m["awaits"] = job.DependsOn
 	}
 	return m
 }
 
 // Poll asks once for a job's state.
-func (w *Environment) Poll(ref string) (int, protocol.JobStatus) {
+func (w *Environment) Poll(jobID string) (int, protocol.JobStatus) {
 	w.mu.Lock()
-	u := w.jobs[ref]
+	job := w.jobs[jobID]
 	var before userJob // what the user had been told when it asked
-	if u != nil {
-		before = *u
+	if job != nil {
+		before = *job
 	}
 	w.mu.Unlock()
-	status, st := w.ask(http.MethodGet, "/v1/jobs/"+ref, nil, 2*time.Second, 0)
+	status, st := w.ask(http.MethodGet, "/v1/jobs/"+jobID, nil, 2*time.Second, 0)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	u = w.jobs[ref]
+	job = w.jobs[jobID]
 	switch {
-	case status == 200 && (u == nil || !u.submitted):
-		w.violate("invented: %s", ref)
+	case status == 200 && (job == nil || !job.submitted):
+		w.violate("invented: %s", jobID)
 	case status == 404 && before.accepted:
-		w.violate("forgotten: %s gets 404", ref)
+		w.violate("forgotten: %s gets 404", jobID)
 	case status == 200:
-		w.checkAnswer(u, before, st)
+		w.checkAnswer(job, before, st)
 	}
 	return status, st
 }
 
 // checkAnswer takes in what a user is told, who knew before what it asked with.
-func (w *Environment) checkAnswer(u *userJob, before userJob, st protocol.JobStatus) {
+func (w *Environment) checkAnswer(job *userJob, before userJob, st protocol.JobStatus) {
 	switch {
 	case before.done && st.Phase != protocol.PhaseDone, !before.cancelled.IsZero() && st.Phase != protocol.PhaseCancelled:
-		w.violate("went_back: %s is called %s", u.job.ID, st.Phase)
-	case st.Phase == protocol.PhaseCancelled && !u.cancelAsked:
-		if asked, _ := w.cancelledBefore(u); !asked {
-			w.violate("went_back: %s is called cancelled, its user did not ask", u.job.ID)
+		w.violate("went_back: %s is called %s", job.job.ID, st.Phase)
+	case st.Phase == protocol.PhaseCancelled && !job.cancelAsked:
+		if asked, _ := w.cancelledBefore(job); !asked {
+			w.violate("went_back: %s is called cancelled, its user did not ask", job.job.ID)
 		}
-	case st.Phase == protocol.PhaseDone && len(u.finished) < u.job.Tasks:
-		w.violate("not_done: %s is called done", u.job.ID)
+	case st.Phase == protocol.PhaseDone && len(job.finished) < job.job.Tasks:
+		w.violate("not_done: %s is called done", job.job.ID)
 	}
-	w.checkDependentAnswer(u, st.Phase)
+	w.checkDependentAnswer(job, st.Phase)
 	if st.Phase == protocol.PhaseDone {
-		u.done = true
+		job.done = true
 	}
-	if st.Phase == protocol.PhaseCancelled && u.cancelled.IsZero() {
-		u.cancelled = time.Now()
+	if st.Phase == protocol.PhaseCancelled && job.cancelled.IsZero() {
+		job.cancelled = time.Now()
 	}
-	if st.Phase == protocol.PhaseCancelled && u.cancelAsked && u.cancelTold.IsZero() {
-		u.cancelTold = time.Now()
+	if st.Phase == protocol.PhaseCancelled && job.cancelAsked && job.cancelTold.IsZero() {
+		job.cancelTold = time.Now()
 	}
 }
 
 // Cancel cancels a job, repeating the request until it is answered.
-func (w *Environment) Cancel(ref string) (int, protocol.JobStatus) {
+func (w *Environment) Cancel(jobID string) (int, protocol.JobStatus) {
 	w.mu.Lock()
-	u := w.jobs[ref]
-	u.cancelAsked = true
-	before := *u
+	job := w.jobs[jobID]
+	job.cancelAsked = true
+	before := *job
 	w.mu.Unlock()
-	status, st := w.ask(http.MethodPost, "/v1/jobs/"+ref+"/withdraw", nil, 5*time.Second, 120*time.Second)
+	status, st := w.ask(http.MethodPost, "/v1/jobs/"+jobID+"/withdraw", nil, 5*time.Second, 120*time.Second)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if status == 200 {
-		w.checkAnswer(u, before, st)
+		w.checkAnswer(job, before, st)
 	}
 	return status, st
 }
@@ -444,70 +444,70 @@
 }
 
 // checkStart judges a task that begins to be on a machine.
-func (w *Environment) checkStart(m *machine, t *task) {
-	u := w.jobs[t.jobID]
-	d := &u.job
+func (w *Environment) checkStart(machine *machineAgent, task *agentTask) {
+	job := w.jobs[task.jobID]
+	spec := &job.job
 	zones := map[string]int{}
 	var cores, gpus float64
 	for _, o := range w.machines {
 		for _, x := range o.tasks {
-			if !x.onMachine() || x == t {
+			if !x.onMachine() || x == task {
 				continue
 			}
-			if x.jobID == t.jobID && x.index == t.index {
-				w.violate("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v", t.jobID, t.index, x.attempt, o.id, x.since, t.attempt, m.id, o.hung, o.up, o.incarnation, time.Now())
+			if x.jobID == task.jobID && x.index == task.index {
+				w.violate("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v", task.jobID, task.index, x.attempt, o.id, x.since, task.attempt, machine.id, o.hung, o.up, o.incarnation, time.Now())
 			}
-			if x.jobID == t.jobID {
+			if x.jobID == task.jobID {
 				zones[o.zone]++
 			}
-			if y := w.jobs[x.jobID]; y.job.Team == d.Team {
+			if y := w.jobs[x.jobID]; y.job.Team == spec.Team {
 				cores += y.job.Cores
 				gpus += y.job.GPUs
 			}
 		}
 	}
 	for _, team := range w.Cfg.Teams {
-		if team.Name == d.Team && ((team.CoresMax > 0 && cores+d.Cores > team.CoresMax+1e-6) || (team.GPUsMax > 0 && gpus+d.GPUs > team.GPUsMax+1e-6)) {
-			w.violate("quota: %s with %s/%d on %s: %v of %v cores, %v of %v cards at %v", d.Team, t.jobID, t.index, m.id, cores+d.Cores, team.CoresMax, gpus+d.GPUs, team.GPUsMax, time.Now())
+		if team.Name == spec.Team && ((team.CoresMax > 0 && cores+spec.Cores > team.CoresMax+1e-6) || (team.GPUsMax > 0 && gpus+spec.GPUs > team.GPUsMax+1e-6)) {
+			w.violate("quota: %s with %s/%d on %s: %v of %v cores, %v of %v cards at %v", spec.Team, task.jobID, task.index, machine.id, cores+spec.Cores, team.CoresMax, gpus+spec.GPUs, team.GPUsMax, time.Now())
 		}
 	}
-	zones[m.zone]++
+	zones[machine.zone]++
 	switch {
-	case len(d.MachineTypes) > 0 && !slices.Contains(d.MachineTypes, m.machineType.Name), d.Zone != "" && d.Zone != m.zone, m.spot && !d.Spot,
-		d.OneZone && len(zones) > 1, d.Spread && zones[m.zone] > (d.Tasks+1)/2:
-		w.violate("wrong_place: %s/%d on %s", t.jobID, t.index, m.id)
+	case len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, machine.machineType.Name), spec.Zone != "" && spec.Zone != machine.zone, machine.spot && !spec.Spot,
+		spec.OneZone && len(zones) > 1, spec.Spread && zones[machine.zone] > (spec.Tasks+1)/2:
+		w.violate("wrong_place: %s/%d on %s", task.jobID, task.index, machine.id)
 	}
-	if !u.accepted && !u.submitted {
-		w.violate("invented: %s runs", t.jobID)
+	if !job.accepted && !job.submitted {
+		w.violate("invented: %s runs", task.jobID)
 	}
-	if !w.mayStart(u) {
-		w.violate("too_early: %s/%d on %s at %v", t.jobID, t.index, m.id, time.Now())
+	if !w.mayStart(job) {
+		w.violate("too_early: %s/%d on %s at %v", task.jobID, task.index, machine.id, time.Now())
 	}
-	if !u.cancelled.IsZero() {
-		w.LateStart = max(w.LateStart, time.Since(u.cancelled))
+	if !job.cancelled.IsZero() {
+		w.LateStart = max(w.LateStart, time.Since(job.cancelled))
 	}
-	w.checkCancelledTask(m, t)
+	w.checkCancelledTask(machine, task)
 }
 
 // checkCancelledTask judges a task on a machine whose job is cancelled, by its own user or with
 // one that it needs.
-func (w *Environment) checkCancelledTask(m *machine, t *task) {
-	u := w.jobs[t.jobID]
-	since := u.cancelled
-	if _, told := w.cancelledBefore(u); since.IsZero() || (!told.IsZero() && told.Before(since)) {
+func (w *Environment) checkCancelledTask(machine *machineAgent, task *agentTask) {
+	job := w.jobs[task.jobID]
+	since := job.cancelled
+	if _, told := w.cancelledBefore(job); since.IsZero() || (!told.IsZero() && told.Before(since)) {
 		since = told
 	}
-	if !since.IsZero() && time.Since(since).Seconds() > w.Cfg.Workers.CancelS && t.onMachine() {
-		w.violate("ran_cancelled: %s/%d on %s", t.jobID, t.index, m.id)
+	if !since.IsZero() && time.Since(since).Seconds() > w.Cfg.Workers.CancelS && task.onMachine() {
+		w.violate("ran_cancelled: %s/%d on %s", task.jobID, task.index, machine.id)
 	}
 }
 
 func (w *Environment) checkCancelled() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, m := range w.machines {
-		for _, t := range m.tasks {
-			w.checkCancelledTask(m, t)
+	for _, machine := range w.machines {
+		for _, task := range machine.tasks {
+			w.checkCancelledTask(machine, task)
 		}
 	}
 }
@@ -531,63 +531,63 @@
 	if !w.troublesOver {
 		return
 	}
-	for _, u := range w.jobs {
-		if !u.accepted || u.job.Kind == protocol.KindGang || !w.mustStart(u) || !w.roomFor(u) {
-			u.besideRoom = time.Time{}
+	for _, job := range w.jobs {
+		if !job.accepted || job.job.Kind == protocol.KindGang || !w.mustStart(job) || !w.roomFor(job) {
+			job.besideRoom = time.Time{}
 			continue
 		}
-		if u.besideRoom.IsZero() {
-			u.besideRoom = time.Now()
+		if job.besideRoom.IsZero() {
+			job.besideRoom = time.Now()
 		}
-		if d := time.Since(u.besideRoom); d > waitsAtMost {
-			w.violate("left waiting: %s beside room for %v", u.job.ID, d)
-			u.besideRoom = time.Now()
+		if d := time.Since(job.besideRoom); d > waitsAtMost {
+			w.violate("left waiting: %s beside room for %v", job.job.ID, d)
+			job.besideRoom = time.Now()
 		}
 	}
 }
 
 // roomFor tells whether a task of a job waits while a machine could take it.
-func (w *Environment) roomFor(u *userJob) bool {
-	d := &u.job
+func (w *Environment) roomFor(job *userJob) bool {
+	spec := &job.job
 	on, zones := 0, map[string]int{}
 	var cores, gpus float64
-	for _, m := range w.machines {
-		for _, t := range m.tasks {
-			if t.state == protocol.TaskExited {
+	for _, machine := range w.machines {
+		for _, task := range machine.tasks {
+			if task.state == protocol.TaskExited {
 				continue
 			}
-			y := &w.jobs[t.jobID].job
-			if y.Team == d.Team {
+			y := &w.jobs[task.jobID].job
+			if y.Team == spec.Team {
 				cores, gpus = cores+y.Cores, gpus+y.GPUs
 			}
-			if t.jobID == d.ID {
+			if task.jobID == spec.ID {
 				on++
-				zones[m.zone]++
+				zones[machine.zone]++
 			}
 		}
 	}
-	if on+len(u.finished) >= d.Tasks {
+	if on+len(job.finished) >= spec.Tasks {
 		return false
 	}
 	for _, team := range w.Cfg.Teams {
-		if team.Name == d.Team && ((team.CoresMax > 0 && cores+d.Cores > team.CoresMax+1e-6) || (team.GPUsMax > 0 && gpus+d.GPUs > team.GPUsMax+1e-6)) {
+		if team.Name == spec.Team && ((team.CoresMax > 0 && cores+spec.Cores > team.CoresMax+1e-6) || (team.GPUsMax > 0 && gpus+spec.GPUs > team.GPUsMax+1e-6)) {
 			return false
 		}
 	}
-	for _, m := range w.machines {
-		if !m.up || m.hung || !m.notice.IsZero() || (m.spot && !d.Spot) || (d.Zone != "" && d.Zone != m.zone) ||
-			(len(d.MachineTypes) > 0 && !slices.Contains(d.MachineTypes, m.machineType.Name)) ||
-			(d.OneZone && len(zones) > 0 && zones[m.zone] == 0) || (d.Spread && zones[m.zone]+1 > (d.Tasks+1)/2) {
+	for _, machine := range w.machines {
+		if !machine.up || machine.hung || !machine.notice.IsZero() || (machine.spot && !spec.Spot) || (spec.Zone != "" && spec.Zone != machine.zone) ||
+			(len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, machine.machineType.Name)) ||
+			(spec.OneZone && len(zones) > 0 && zones[machine.zone] == 0) || (spec.Spread && zones[machine.zone]+1 > (spec.Tasks+1)/2) {
 			continue
 		}
-		free := m.machineType
-		for _, t := range m.tasks {
-			if t.state != protocol.TaskExited {
-				y := &w.jobs[t.jobID].job
+		free := machine.machineType
+		for _, task := range machine.tasks {
+			if task.state != protocol.TaskExited {
+				y := &w.jobs[task.jobID].job
 				free.Cores, free.GPUs, free.MemGB = free.Cores-y.Cores, free.GPUs-y.GPUs, free.MemGB-y.MemGB
 			}
 		}
-		if d.Cores <= free.Cores+1e-6 && d.GPUs <= free.GPUs+1e-6 && d.MemGB <= free.MemGB+1e-6 {
+		if spec.Cores <= free.Cores+1e-6 && spec.GPUs <= free.GPUs+1e-6 && spec.MemGB <= free.MemGB+1e-6 {
 			return true
 		}
 	}
@@ -609,7 +609,7 @@
 }
 
 func parseTask(s string) (string, int) {
-	ref, num, _ := strings.Cut(s, "/")
+	jobID, num, _ := strings.Cut(s, "/")
 	n, _ := strconv.Atoi(num)
-	return ref, n
+	return jobID, n
 }
--- a/internal/kvstore/apply_test.go
+++ b/internal/kvstore/apply_test.go
@@ -68,11 +68,11 @@
 func (w *writer) newTerm() {
 	w.state.Put(fence, w.number)
 	w.versions = map[string]uint64{}
-	items, err := w.client.ListAll(w.t.Context(), "")
+	page, err := w.client.ListAll(w.t.Context(), "")
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	for _, item := range items.Entries {
+	for _, item := range page.Entries {
 		w.versions[item.Key] = item.Version
 	}
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -91,17 +91,17 @@
 
 // Get reads a key.
 func (c *Client) Get(ctx context.Context, key string) (protocol.KeyValue, error) {
-	var it protocol.KeyValue
-	status, err := c.call(ctx, tuning.StateTimeout, http.MethodGet, "/keys/"+key, nil, map[int]any{200: &it})
+	var entry protocol.KeyValue
+	status, err := c.call(ctx, tuning.StateTimeout, http.MethodGet, "/keys/"+key, nil, map[int]any{200: &entry})
 	switch {
 	case err != nil:
-		return it, err
+		return entry, err
 	case status == 404:
-		return it, ErrNotFound
-	case status != 200 || it.Version == 0:
-		return it, unexpected(status)
+		return entry, ErrNotFound
+	case status != 200 || entry.Version == 0:
+		return entry, unexpected(status)
 	}
-	return it, nil
+	return entry, nil
 }
 
 // List reads one page of the keys with a prefix.
--- a/internal/leader/authority.go
+++ b/internal/leader/authority.go
@@ -32,18 +32,18 @@
 		// accepted job waiting for ever, or a cancelled one running.
 		if err != nil || time.Since(read) > tuning.RereadInterval {
 			start := time.Now()
-			items, lerr := c.Store.ListAll(ctx, records.PrefixOpen)
+			page, lerr := c.Store.ListAll(ctx, records.PrefixOpen)
 			if lerr != nil {
 				clock.Sleep(ctx, tuning.ElectionRetry)
 				continue
 			}
 			read = time.Now()
 			m := watchResult{asOf: start}
-			for _, it := range items.Entries {
-				m.events = append(m.events, protocol.WatchEvent{Set: it.Key, Value: it.Value, Version: it.Version})
+			for _, entry := range page.Entries {
+				m.events = append(m.events, protocol.WatchEvent{Set: entry.Key, Value: entry.Value, Version: entry.Version})
 			}
 			if err != nil {
-				rev = items.Revision
+				rev = page.Revision
 			}
 			c.post(m)
 		}
@@ -54,13 +54,13 @@
 func (c *Leader) confirmTerm(ctx context.Context) {
 	for clock.Sleep(ctx, tuning.WatchHold) {
 		start := time.Now()
-		it, err := c.Store.Get(ctx, records.KeyTerm)
+		entry, err := c.Store.Get(ctx, records.KeyTerm)
 		if err != nil {
 			continue
 		}
-		if it.Version != c.leadership.TermVersion {
+		if entry.Version != c.leadership.TermVersion {
 			var t records.Term
-			if protocol.Unmarshal(it.Value, &t) == nil {
+			if protocol.Unmarshal(entry.Value, &t) == nil {
 				c.OnNewerTerm(t.Number)
 			}
 			return
@@ -96,14 +96,14 @@
 	if now.Sub(since) < tuning.StartConfirmationAge || c.Acknowledged == nil {
 		return
 	}
-	asOf, refs, ok := c.Acknowledged(since)
+	asOf, jobIDs, ok := c.Acknowledged(since)
 	if !ok {
 		return
 	}
-	for _, ref := range refs {
-		if j := c.jobs[ref]; j != nil && !j.cancelled {
-			j.awaitsOpenRecord = true
-			c.cancelJob(j, now)
+	for _, jobID := range jobIDs {
+		if job := c.jobs[jobID]; job != nil && !job.cancelled {
+			job.awaitsOpenRecord = true
+			c.cancelJob(job, now)
 		}
 	}
 	if asOf.After(c.confirmedByPeers) {
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -43,26 +43,26 @@
 		c.applyOpenRecord(records.OpenKey(o.Job.ID), b, 1, now)
 	}
 	for i := range machines {
-		m := c.machineByID(fmt.Sprintf("m-%06d", i), now)
-		rep := fullReport(c, i, 1)
-		for _, t := range rep.Tasks {
+		machine := c.machineByID(fmt.Sprintf("m-%06d", i), now)
+		heartbeat := fullReport(c, i, 1)
+		for _, t := range heartbeat.Tasks {
 			k, _ := parseTask(t.Task)
-			p := &cluster.Placement{TaskKey: k, Attempt: 1, Incarnation: 1, Machine: m, Recorded: true, Sent: true, Since: now}
-			m.Placements[k] = p
-			c.jobs[k.Job].placements[k.Task] = p
+			placement := &cluster.Placement{TaskKey: k, Attempt: 1, Incarnation: 1, Machine: machine, Recorded: true, Sent: true, Since: now}
+			machine.Placements[k] = placement
+			c.jobs[k.Job].placements[k.Task] = placement
 		}
-		c.onHeartbeat(rep, now)
+		c.onHeartbeat(heartbeat, now)
 	}
 	return c, now
 }
 
 func fullReport(c *Leader, i int, seq uint64) *protocol.Heartbeat {
-	r := &protocol.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: seq, Token: c.leadership.Term << tuning.TermShift}
+	heartbeat := &protocol.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: seq, Token: c.leadership.Term << tuning.TermShift}
 	for t := range 4 {
 		n := i*4 + t
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("req-%06d/%d", n/60, n%60), Attempt: 1, State: protocol.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("req-%06d/%d", n/60, n%60), Attempt: 1, State: protocol.TaskRunning})
 	}
-	return r
+	return heartbeat
 }
 
 // A report that says nothing new, at the size of the grown deployments.
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -11,37 +11,37 @@
 )
 
 // dispatch sends what is due to a machine directly.
-func (c *Leader) dispatch(m *cluster.Machine, now time.Time) {
-	if m.CommandInFlight || !m.Up || m.Addr == "" || m.Incarnation <= m.ExpiredIncarnation {
+func (c *Leader) dispatch(machine *cluster.Machine, now time.Time) {
+	if machine.CommandInFlight || !machine.Up || machine.Addr == "" || machine.Incarnation <= machine.ExpiredIncarnation {
 		return
 	}
 	var orders []protocol.Command
 	starts := false
-	for _, p := range m.Placements {
-		if p.Stopping && p.Sent && now.Sub(p.StopOrderedAt) < tuning.TickInterval {
-			orders = append(orders, protocol.Command{Verb: protocol.VerbStop, Task: taskName(p.TaskKey), Attempt: p.Attempt, GracePeriodS: p.GracePeriodS})
-			p.StopOrderedAt = now.Add(-tuning.TickInterval) // the reports carry repeats
+	for _, placement := range machine.Placements {
+		if placement.Stopping && placement.Sent && now.Sub(placement.StopOrderedAt) < tuning.TickInterval {
+			orders = append(orders, protocol.Command{Verb: protocol.VerbStop, Task: taskName(placement.TaskKey), Attempt: placement.Attempt, GracePeriodS: placement.GracePeriodS})
+			placement.StopOrderedAt = now.Add(-tuning.TickInterval) // the reports carry repeats
 		}
 	}
 	// Placed before an outage or a standstill, its job may be cancelled by now.
 	mayStart := now.Sub(c.lastConfirmation()) < tuning.StartConfirmationAge
-	waiting := m.Outbox[:0]
-	for _, p := range m.Outbox {
+	waiting := machine.Outbox[:0]
+	for _, placement := range machine.Outbox {
 		switch {
-		case m.Placements[p.TaskKey] != p || p.Sent:
-		case p.Stopping || p.Incarnation != m.Incarnation || m.AcknowledgedToken < c.termToken():
-			c.withdrawPlacement(p, now) // never sent, so it can be taken back
+		case machine.Placements[placement.TaskKey] != placement || placement.Sent:
+		case placement.Stopping || placement.Incarnation != machine.Incarnation || machine.AcknowledgedToken < c.termToken():
+			c.withdrawPlacement(placement, now) // never sent, so it can be taken back
 		case !mayStart:
-			waiting = append(waiting, p)
+			waiting = append(waiting, placement)
 		default:
-			m.RecordStart(p)
+			machine.RecordStart(placement)
 			starts = true
-			orders = append(orders, protocol.Command{Verb: protocol.VerbStart, Task: taskName(p.TaskKey), Attempt: p.Attempt})
+			orders = append(orders, protocol.Command{Verb: protocol.VerbStart, Task: taskName(placement.TaskKey), Attempt: placement.Attempt})
 		}
 	}
-	m.Outbox = waiting
+	machine.Outbox = waiting
 	if len(orders) > 0 {
-		c.sendCommands(m, orders, m.Incarnation, starts, false)
+		c.sendCommands(machine, orders, machine.Incarnation, starts, false)
 	}
 }
 
@@ -55,18 +55,18 @@
 		order int
 	}
 	var dues []due
-	for _, m := range c.sorted {
-		if !c.needsHandshake(m, now) {
+	for _, machine := range c.sorted {
+		if !c.needsHandshake(machine, now) {
 			continue
 		}
-		d := due{m, 2}
+		d := due{machine, 2}
 		switch {
-		case c.runsProduction(m):
+		case c.runsProduction(machine):
 			d.order = 0
-		case len(m.Placements) > 0:
+		case len(machine.Placements) > 0:
 			d.order = 1
 		}
-		if !m.NextHandshake.IsZero() {
+		if !machine.NextHandshake.IsZero() {
 			d.order += 3
 		}
 		dues = append(dues, d)
@@ -82,51 +82,51 @@
 // nextHandshakes begins as many handshakes as may be under way at once.
 func (c *Leader) nextHandshakes(now time.Time) {
 	for len(c.handshakeQueue) > 0 && c.handshakesInFlight < tuning.HandshakesInFlight {
-		m := c.handshakeQueue[0]
+		machine := c.handshakeQueue[0]
 		c.handshakeQueue = c.handshakeQueue[1:]
-		c.handshake(m, now)
+		c.handshake(machine, now)
 	}
 }
 
 // needsHandshake tells whether a machine runs and has not seen the term's token, or has said
 // nothing for a lease, after which what ran on it is gone if it is there at all.
-func (c *Leader) needsHandshake(m *cluster.Machine, now time.Time) bool {
-	return !m.CommandInFlight && !m.Deprovisioning && m.Addr != "" && !now.Before(m.NextHandshake) &&
-		(m.AcknowledgedToken < c.termToken() || m.Up && now.Sub(m.LastContact) > seconds(c.Config.Deployment.Workers.LeaseS))
+func (c *Leader) needsHandshake(machine *cluster.Machine, now time.Time) bool {
+	return !machine.CommandInFlight && !machine.Deprovisioning && machine.Addr != "" && !now.Before(machine.NextHandshake) &&
+		(machine.AcknowledgedToken < c.termToken() || machine.Up && now.Sub(machine.LastContact) > seconds(c.Config.Deployment.Workers.LeaseS))
 }
 
 // handshake shows the term's token to a machine that runs but has not reported yet,
 // so that a new leader need not wait for its next report. A first call with the
 // wrong tenure is refused, and the refusal names the right one. A silent machine that
 // answers after a lease has begun a new session: it cannot report, but it is there.
-func (c *Leader) handshake(m *cluster.Machine, now time.Time) {
-	if !c.needsHandshake(m, now) {
+func (c *Leader) handshake(machine *cluster.Machine, now time.Time) {
+	if !c.needsHandshake(machine, now) {
 		return
 	}
-	m.NextHandshake = now.Add(tuning.HandshakeInterval)
+	machine.NextHandshake = now.Add(tuning.HandshakeInterval)
 	c.handshakesInFlight++
-	c.sendCommands(m, nil, lastIncarnation(m), false, true)
+	c.sendCommands(machine, nil, lastIncarnation(machine), false, true)
 }
 
 // lastIncarnation is the latest session of a machine that is known, from its reports or
 // from the records.
-func lastIncarnation(m *cluster.Machine) uint64 {
-	session := max(m.Incarnation, 1)
-	for _, p := range m.Placements {
-		session = max(session, p.Incarnation)
+func lastIncarnation(machine *cluster.Machine) uint64 {
+	session := max(machine.Incarnation, 1)
+	for _, placement := range machine.Placements {
+		session = max(session, placement.Incarnation)
 	}
 	return session
 }
 
-func (c *Leader) sendCommands(m *cluster.Machine, orders []protocol.Command, session uint64, starts, handshake bool) {
-	m.CommandInFlight = true
+func (c *Leader) sendCommands(machine *cluster.Machine, orders []protocol.Command, session uint64, starts, handshake bool) {
+	machine.CommandInFlight = true
 	if orders == nil {
 		orders = []protocol.Command{}
 	}
-	req, addr := protocol.CommandRequest{Token: m.IssuedToken, Incarnation: session, Commands: orders}, m.Addr
+	req, addr := protocol.CommandRequest{Token: machine.IssuedToken, Incarnation: session, Commands: orders}, machine.Addr
 	go func() {
-		rep, err := c.Agents.SendCommands(c.ctx, addr, req)
-		c.post(commandResult{m, rep, starts, handshake, err})
+		heartbeat, err := c.Agents.SendCommands(c.ctx, addr, req)
+		c.post(commandResult{machine, heartbeat, starts, handshake, err})
 	}()
 }
 
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -12,8 +12,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// batch is one commit under way and what it means once applied.
-type batch struct {
+// commitBatch is one commit under way and what it means once applied.
+type commitBatch struct {
 	transaction  protocol.Transaction
 	segments     []segmentWrite
 	closed       []jobClosing
@@ -45,20 +45,20 @@
 }
 
 // fits tells whether some more changes of so many bytes as JSON fit.
-func (b *batch) fits(changes, bytes int) bool {
+func (b *commitBatch) fits(changes, bytes int) bool {
 	return len(b.transaction.Mutations)+changes <= b.maxMutations && b.bytes+bytes <= tuning.CommitBytes
 }
 
-func (b *batch) precondition(key string, version uint64) {
+func (b *commitBatch) precondition(key string, version uint64) {
 	b.transaction.Preconditions = append(b.transaction.Preconditions, protocol.Precondition{Key: key, Version: version})
 }
 
-func (b *batch) put(key string, value any, bytes int) {
+func (b *commitBatch) put(key string, value any, bytes int) {
 	b.transaction.Mutations = append(b.transaction.Mutations, protocol.Mutation{Set: key, Value: value})
 	b.bytes += bytes
 }
 
-func (b *batch) remove(key string) {
+func (b *commitBatch) remove(key string) {
 	b.transaction.Mutations = append(b.transaction.Mutations, protocol.Mutation{Delete: key})
 	b.bytes += smallRecordBytes
 }
@@ -80,48 +80,48 @@
 	if c.awaitsBudget(due, budget) {
 		return
 	}
-	b := &batch{maxMutations: min(c.Store.MaxMutations(), budget)}
-	b.precondition(records.KeyTerm, c.leadership.TermVersion)
-	c.addProvisioning(b)
-	c.addJobs(b, due, budget, now)
-	c.addObsoleteProvisioning(b)
-	c.addOrphanedSegments(b)
-	changes := len(b.transaction.Mutations)
+	batch := &commitBatch{maxMutations: min(c.Store.MaxMutations(), budget)}
+	batch.precondition(records.KeyTerm, c.leadership.TermVersion)
+	c.addProvisioning(batch)
+	c.addJobs(batch, due, budget, now)
+	c.addObsoleteProvisioning(batch)
+	c.addOrphanedSegments(batch)
+	changes := len(batch.transaction.Mutations)
 	if changes == 0 {
 		return
 	}
 	c.writeLimiter.AllowN(now, min(changes, c.writeLimiter.Burst()))
-	c.batchInFlight = b
-	go c.runCommit(b)
+	c.batchInFlight = batch
+	go c.runCommit(batch)
 }
 
-func (c *Leader) addProvisioning(b *batch) {
-	for _, cl := range c.provisionRequests {
-		if !cl.recorded && b.fits(1, smallRecordBytes) {
-			b.put(records.ProvisioningKey(cl.ProvisioningRequest.ID), cl.ProvisioningRequest, smallRecordBytes)
-			b.provisioned = append(b.provisioned, cl)
+func (c *Leader) addProvisioning(batch *commitBatch) {
+	for _, request := range c.provisionRequests {
+		if !request.recorded && batch.fits(1, smallRecordBytes) {
+			batch.put(records.ProvisioningKey(request.ProvisioningRequest.ID), request.ProvisioningRequest, smallRecordBytes)
+			batch.provisioned = append(batch.provisioned, request)
 		}
 	}
 }
 
-func (c *Leader) addObsoleteProvisioning(b *batch) {
-	for _, cl := range c.provisionRequests {
-		if cl.recorded && cl.obsolete && b.fits(1, smallRecordBytes) {
-			b.remove(records.ProvisioningKey(cl.ProvisioningRequest.ID))
-			b.obsolete = append(b.obsolete, cl)
+func (c *Leader) addObsoleteProvisioning(batch *commitBatch) {
+	for _, request := range c.provisionRequests {
+		if request.recorded && request.obsolete && batch.fits(1, smallRecordBytes) {
+			batch.remove(records.ProvisioningKey(request.ProvisioningRequest.ID))
+			batch.obsolete = append(batch.obsolete, request)
 		}
 	}
 }
 
 // addOrphanedSegments removes pieces of jobs that were closed in an earlier commit.
-func (c *Leader) addOrphanedSegments(b *batch) {
+func (c *Leader) addOrphanedSegments(batch *commitBatch) {
 	for _, l := range c.orphanedSegments {
-		if !b.fits(1, smallRecordBytes) {
+		if !batch.fits(1, smallRecordBytes) {
 			return
 		}
-		b.precondition(l.key, l.version)
-		b.remove(l.key)
-		b.orphans = append(b.orphans, l)
+		batch.precondition(l.key, l.version)
+		batch.remove(l.key)
+		batch.orphans = append(batch.orphans, l)
 	}
 }
 
@@ -129,93 +129,93 @@
 // that do not fit in the transaction are removed later: without an open record
 // nothing counts them. That there is no final record yet is a condition as well, by
 // which a conflict tells whether the transaction was executed (statestore.Apply).
-func (b *batch) close(j *jobState, now time.Time) {
+func (b *commitBatch) close(job *jobState, now time.Time) {
 	if !b.fits(closeMutations+1, closeMutations*smallRecordBytes) {
 		return
 	}
-	final := records.FinalRecord{Phase: protocol.PhaseDone, TasksDone: j.doneCount, ClosedMS: now.UnixMilli()}
-	if j.cancelled {
+	final := records.FinalRecord{Phase: protocol.PhaseDone, TasksDone: job.doneCount, ClosedMS: now.UnixMilli()}
+	if job.cancelled {
 		final.Phase = protocol.PhaseCancelled
 	}
-	b.precondition(records.OpenKey(j.id), j.openVersion)
-	b.remove(records.OpenKey(j.id))
-	b.precondition(records.FinalKey(j.id), 0)
-	b.put(records.FinalKey(j.id), final, smallRecordBytes)
-	for number := range j.segments {
-		p := &j.segments[number]
-		if p.version == 0 || !b.fits(1, smallRecordBytes) {
+	b.precondition(records.OpenKey(job.id), job.openVersion)
+	b.remove(records.OpenKey(job.id))
+	b.precondition(records.FinalKey(job.id), 0)
+	b.put(records.FinalKey(job.id), final, smallRecordBytes)
+	for number := range job.segments {
+		segment := &job.segments[number]
+		if segment.version == 0 || !b.fits(1, smallRecordBytes) {
 			continue
 		}
-		key := records.SegmentKey(j.id, number)
-		b.precondition(key, p.version)
+		key := records.SegmentKey(job.id, number)
+		b.precondition(key, segment.version)
 		b.remove(key)
-		p.removed = true
+		segment.removed = true
 	}
-	b.closed = append(b.closed, jobClosing{j, final})
+	b.closed = append(b.closed, jobClosing{job, final})
 }
 
 // addSegment writes a piece of a job's run record.
-func (c *Leader) addSegment(b *batch, j *jobState, number int, now time.Time) {
-	record, size, err := protocol.EncodeSized(j.segmentRecord(number))
+func (c *Leader) addSegment(batch *commitBatch, job *jobState, number int, now time.Time) {
+	record, size, err := protocol.EncodeSized(job.segmentRecord(number))
 	if err != nil {
-		c.Log.Error("encoding a run record", "job", j.id, "err", err)
+		c.Log.Error("encoding a run record", "job", job.id, "err", err)
 		return
 	}
 	if size > c.Store.MaxValueBytes() {
-		c.onRecordTooLarge(j, number, now)
+		c.onRecordTooLarge(job, number, now)
 		return
 	}
-	if !b.fits(1, size) {
+	if !batch.fits(1, size) {
 		return
 	}
-	w := segmentWrite{job: j, number: number}
-	for _, p := range j.placements {
-		if !p.Recorded && j.owns(number, p.Task) {
-			w.placed = append(w.placed, p)
+	w := segmentWrite{job: job, number: number}
+	for _, placement := range job.placements {
+		if !placement.Recorded && job.owns(number, placement.Task) {
+			w.placed = append(w.placed, placement)
 		}
 	}
-	for task := range j.unrecordedDone {
-		if j.owns(number, task) {
+	for task := range job.unrecordedDone {
+		if job.owns(number, task) {
 			w.done = append(w.done, task)
 		}
 	}
-	p := j.segment(number)
-	key := records.SegmentKey(j.id, number)
-	b.precondition(records.OpenKey(j.id), j.openVersion)
-	b.precondition(key, p.version)
-	b.put(key, record, size)
-	b.segments = append(b.segments, w)
-	p.dirty, p.holdsStarts = false, false
+	segment := job.segment(number)
+	key := records.SegmentKey(job.id, number)
+	batch.precondition(records.OpenKey(job.id), job.openVersion)
+	batch.precondition(key, segment.version)
+	batch.put(key, record, size)
+	batch.segments = append(batch.segments, w)
+	segment.dirty, segment.holdsStarts = false, false
 }
 
 // onRecordTooLarge finds a way on for a record that the state service would refuse.
 // A record of the whole job is divided: its pieces are written first, and then what
 // is left of it fits. Where it may not be divided yet, what was not sent is taken
 // back, and the rest is written when enough of it has ended.
-func (c *Leader) onRecordTooLarge(j *jobState, number int, now time.Time) {
+func (c *Leader) onRecordTooLarge(job *jobState, number int, now time.Time) {
 	c.changed = true
-	head := j.segment(number)
-	if c.format >= records.FormatSegmented && number == 0 && j.splitSegments(head.holdsStarts, now) {
+	head := job.segment(number)
+	if c.format >= records.FormatSegmented && number == 0 && job.splitSegments(head.holdsStarts, now) {
 		return
 	}
-	c.Log.Error("run record beyond the limits", "job", j.id, "piece", number, "running", len(j.placements))
+	c.Log.Error("run record beyond the limits", "job", job.id, "piece", number, "running", len(job.placements))
 	var unsent []*cluster.Placement
-	for _, p := range j.placements {
-		if !p.Recorded && j.owns(number, p.Task) {
-			unsent = append(unsent, p)
+	for _, placement := range job.placements {
+		if !placement.Recorded && job.owns(number, placement.Task) {
+			unsent = append(unsent, placement)
 		}
 	}
-	for _, p := range unsent {
-		c.withdrawPlacement(p, now)
+	for _, placement := range unsent {
+		c.withdrawPlacement(placement, now)
 	}
 	head.holdsStarts, head.dirtySince = false, now
-	j.backOff(now.Add(tuning.MachineBackoff))
+	job.backOff(now.Add(tuning.MachineBackoff))
 }
 
 // runCommit carries a commit through to a certain outcome.
-func (c *Leader) runCommit(b *batch) {
-	reply, err := c.Store.CommitUntilKnown(c.ctx, b.transaction, records.KeyTerm)
-	c.post(commitResult{b, reply.Revision, reply.FailedKeys, err})
+func (c *Leader) runCommit(batch *commitBatch) {
+	reply, err := c.Store.CommitUntilKnown(c.ctx, batch.transaction, records.KeyTerm)
+	c.post(commitResult{batch, reply.Revision, reply.FailedKeys, err})
 }
 
 func (c *Leader) onCommit(m commitResult, now time.Time) {
@@ -232,11 +232,11 @@
 	for _, cl := range m.batch.closed {
 		c.onClosed(cl, now)
 	}
-	for _, cl := range m.batch.provisioned {
-		cl.recorded = true
+	for _, request := range m.batch.provisioned {
+		request.recorded = true
 	}
-	for _, cl := range m.batch.obsolete {
-		delete(c.provisionRequests, cl.ProvisioningRequest.ID)
+	for _, request := range m.batch.obsolete {
+		delete(c.provisionRequests, request.ProvisioningRequest.ID)
 	}
 	c.orphanedSegments = slices.DeleteFunc(c.orphanedSegments, func(l orphanedSegment) bool { return slices.Contains(m.batch.orphans, l) })
 	c.dispatchAll(now)
@@ -249,34 +249,34 @@
 	for _, task := range w.done {
 		delete(w.job.unrecordedDone, task)
 	}
-	for _, p := range w.placed {
-		if w.job.placements[p.Task] == p && !p.Recorded {
-			p.Recorded = true
-			p.Machine.Outbox = append(p.Machine.Outbox, p)
-			c.pendingDispatch[p.Machine] = true
+	for _, placement := range w.placed {
+		if w.job.placements[placement.Task] == placement && !placement.Recorded {
+			placement.Recorded = true
+			placement.Machine.Outbox = append(placement.Machine.Outbox, placement)
+			c.pendingDispatch[placement.Machine] = true
 		}
 	}
 }
 
 // onClosed draws the conclusions from a final record that was written.
 func (c *Leader) onClosed(cl jobClosing, now time.Time) {
-	j := cl.job
-	c.Log.Debug("job over", "job", j.id, "phase", cl.final.Phase)
-	for number, p := range j.segments {
+	job := cl.job
+	c.Log.Debug("job over", "job", job.id, "phase", cl.final.Phase)
+	for number, p := range job.segments {
 		if p.version > 0 && !p.removed {
-			c.orphanedSegments = append(c.orphanedSegments, orphanedSegment{records.SegmentKey(j.id, number), p.version})
+			c.orphanedSegments = append(c.orphanedSegments, orphanedSegment{records.SegmentKey(job.id, number), p.version})
 		}
 	}
-	delete(c.jobs, j.id)
-	c.closedJobs[j.id] = now
-	c.dropDependent(j)
-	c.resolveDependency(j.id, dependencyOutcome{cl.final.Phase, time.UnixMilli(cl.final.ClosedMS)}, now)
+	delete(c.jobs, job.id)
+	c.closedJobs[job.id] = now
+	c.dropDependent(job)
+	c.resolveDependency(job.id, dependencyOutcome{cl.final.Phase, time.UnixMilli(cl.final.ClosedMS)}, now)
 }
 
 func (c *Leader) onCommitFailed(m commitResult, now time.Time) {
 	for _, w := range m.batch.segments {
-		p := w.job.segment(w.number)
-		p.dirty, p.holdsStarts = true, p.holdsStarts || len(w.placed) > 0
+		segment := w.job.segment(w.number)
+		segment.dirty, segment.holdsStarts = true, segment.holdsStarts || len(w.placed) > 0
 	}
 	for _, cl := range m.batch.closed {
 		for number := range cl.job.segments {
@@ -326,9 +326,9 @@
 		if !slices.Contains(m.failedKeys, records.OpenKey(w.job.id)) {
 			continue
 		}
-		for _, p := range w.placed {
-			if w.job.placements[p.Task] == p {
-				c.withdrawPlacement(p, now)
+		for _, placement := range w.placed {
+			if w.job.placements[placement.Task] == placement {
+				c.withdrawPlacement(placement, now)
 			}
 		}
 	}
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -19,75 +19,75 @@
 }
 
 // addDependencies notes what a job that has become known waits for.
-func (c *Leader) addDependencies(j *jobState, now time.Time) {
-	for _, ref := range j.spec.DependsOn {
-		if j.pendingDependencies == nil {
-			j.pendingDependencies = map[string]bool{}
+func (c *Leader) addDependencies(job *jobState, now time.Time) {
+	for _, jobID := range job.spec.DependsOn {
+		if job.pendingDependencies == nil {
+			job.pendingDependencies = map[string]bool{}
 		}
-		j.pendingDependencies[ref] = true
-		c.dependents[ref] = append(c.dependents[ref], j.id)
+		job.pendingDependencies[jobID] = true
+		c.dependents[jobID] = append(c.dependents[jobID], job.id)
 	}
-	for _, ref := range j.spec.DependsOn {
-		if out, known := c.outcomes[ref]; known {
-			c.resolveDependency(ref, out, now)
-		} else if dependency := c.jobs[ref]; dependency != nil && dependency.cancelled {
-			c.cancelDependents(ref, now)
+	for _, jobID := range job.spec.DependsOn {
+		if out, known := c.outcomes[jobID]; known {
+			c.resolveDependency(jobID, out, now)
+		} else if dependency := c.jobs[jobID]; dependency != nil && dependency.cancelled {
+			c.cancelDependents(jobID, now)
 		}
 	}
 }
 
 // resolveDependency draws the conclusions from the final record of a job: those that wait for
 // it go on, or are cancelled with it. Nothing else lets a job go on.
-func (c *Leader) resolveDependency(ref string, out dependencyOutcome, now time.Time) {
+func (c *Leader) resolveDependency(jobID string, out dependencyOutcome, now time.Time) {
 	if len(c.outcomes) >= tuning.OutcomeCache {
 		clear(c.outcomes) // they are read again where they are needed
 	}
-	c.outcomes[ref] = out
+	c.outcomes[jobID] = out
 	if out.phase == protocol.PhaseCancelled {
-		c.cancelDependents(ref, now)
+		c.cancelDependents(jobID, now)
 		return
 	}
-	for _, name := range c.dependents[ref] {
-		j := c.jobs[name]
-		if j == nil {
+	for _, name := range c.dependents[jobID] {
+		job := c.jobs[name]
+		if job == nil {
 			continue
 		}
-		delete(j.pendingDependencies, ref)
-		if out.at.After(j.readyAt) {
-			j.readyAt = out.at
+		delete(job.pendingDependencies, jobID)
+		if out.at.After(job.readyAt) {
+			job.readyAt = out.at
 		}
 		c.changed = true
 	}
-	delete(c.dependents, ref)
+	delete(c.dependents, jobID)
 }
 
 // cancelDependents cancels all jobs that need the one named, directly or through
 // others. None of them has begun, and none ever can.
-func (c *Leader) cancelDependents(ref string, now time.Time) {
-	work := []string{ref}
+func (c *Leader) cancelDependents(jobID string, now time.Time) {
+	work := []string{jobID}
 	for len(work) > 0 {
 		names := c.dependents[work[0]]
 		work = work[1:]
 		for _, name := range names {
-			j := c.jobs[name]
-			if j == nil || j.cancelled {
+			job := c.jobs[name]
+			if job == nil || job.cancelled {
 				continue
 			}
 			c.Log.Info("job cancelled with one that it needs", "job", name)
-			j.cancelled, c.changed = true, true
+			job.cancelled, c.changed = true, true
 			work = append(work, name)
 		}
 	}
 }
 
 // dropDependent forgets what a job that is over was waiting for.
-func (c *Leader) dropDependent(j *jobState) {
-	for ref := range j.pendingDependencies {
-		left := slices.DeleteFunc(c.dependents[ref], func(name string) bool { return name == j.id })
+func (c *Leader) dropDependent(job *jobState) {
+	for jobID := range job.pendingDependencies {
+		left := slices.DeleteFunc(c.dependents[jobID], func(name string) bool { return name == job.id })
 		if len(left) == 0 {
-			delete(c.dependents, ref)
+			delete(c.dependents, jobID)
 		} else {
-			c.dependents[ref] = left
+			c.dependents[jobID] = left
 		}
 	}
 }
@@ -99,27 +99,27 @@
 	if c.lookingUp || now.Before(c.lookupAt) {
 		return
 	}
-	var refs []string
-	for ref := range c.dependents {
-		_, known := c.outcomes[ref]
-		if !known && c.jobs[ref] == nil && len(refs) < tuning.DependencyLookupBatch {
-			refs = append(refs, ref)
+	var jobIDs []string
+	for jobID := range c.dependents {
+		_, known := c.outcomes[jobID]
+		if !known && c.jobs[jobID] == nil && len(jobIDs) < tuning.DependencyLookupBatch {
+			jobIDs = append(jobIDs, jobID)
 		}
 	}
-	if len(refs) == 0 {
+	if len(jobIDs) == 0 {
 		return
 	}
 	c.lookingUp, c.lookupBegan, c.lookupAt = true, now, now.Add(tuning.DependencyLookupInterval)
-	go func() { c.post(c.readDependencyOutcomes(c.ctx, refs)) }()
+	go func() { c.post(c.readDependencyOutcomes(c.ctx, jobIDs)) }()
 }
 
-func (c *Leader) readDependencyOutcomes(ctx context.Context, refs []string) dependencyLookup {
+func (c *Leader) readDependencyOutcomes(ctx context.Context, jobIDs []string) dependencyLookup {
 	m := dependencyLookup{outcomes: map[string]dependencyOutcome{}}
-	for _, ref := range refs {
-		it, err := c.Store.Get(ctx, records.FinalKey(ref))
+	for _, jobID := range jobIDs {
+		entry, err := c.Store.Get(ctx, records.FinalKey(jobID))
 		if errors.Is(err, kvstore.ErrNotFound) {
-			if it, err = c.Store.Get(ctx, records.OpenKey(ref)); err == nil {
-				m.open = append(m.open, it)
+			if entry, err = c.Store.Get(ctx, records.OpenKey(jobID)); err == nil {
+				m.open = append(m.open, entry)
 			}
 			continue
 		}
@@ -127,25 +127,25 @@
 			continue
 		}
 		var f records.FinalRecord
-		if err := protocol.Unmarshal(it.Value, &f); err != nil {
-			c.Log.Error("unreadable record of a dependency", "job", ref, "err", err)
+		if err := protocol.Unmarshal(entry.Value, &f); err != nil {
+			c.Log.Error("unreadable record of a dependency", "job", jobID, "err", err)
 			continue
 		}
 		out := dependencyOutcome{phase: f.Phase}
 		if f.ClosedMS > 0 {
 			out.at = time.UnixMilli(f.ClosedMS)
 		}
-		m.outcomes[ref] = out
+		m.outcomes[jobID] = out
 	}
 	return m
 }
 
 func (c *Leader) onDependencyLookup(m dependencyLookup, now time.Time) {
 	c.lookingUp = false
-	for _, it := range m.open {
-		c.applyOpenRecord(it.Key, it.Value, it.Version, now)
+	for _, entry := range m.open {
+		c.applyOpenRecord(entry.Key, entry.Value, entry.Version, now)
 	}
-	for ref, out := range m.outcomes {
-		c.resolveDependency(ref, out, now)
+	for jobID, out := range m.outcomes {
+		c.resolveDependency(jobID, out, now)
 	}
 }
--- a/internal/leader/duewrites.go
+++ b/internal/leader/duewrites.go
@@ -22,18 +22,18 @@
 // wait, and a worker keeps them.
 func (c *Leader) pendingWrites(now time.Time) []pendingWrite {
 	var due []pendingWrite
-	for _, j := range c.jobs {
-		if j.awaitsOpenRecord {
+	for _, job := range c.jobs {
+		if job.awaitsOpenRecord {
 			continue
 		}
-		if j.isOver() {
-			due = append(due, pendingWrite{j, records.NoSegment, writeClosing, j.knownSince})
+		if job.isOver() {
+			due = append(due, pendingWrite{job, records.NoSegment, writeClosing, job.knownSince})
 			continue
 		}
-		for number := range j.segments {
-			p := &j.segments[number]
-			if p.dirty && (p.holdsStarts || now.Sub(p.dirtySince) >= tuning.CompletionDelay) {
-				due = append(due, pendingWrite{j, number, j.writeOrder(p), p.dirtySince})
+		for number := range job.segments {
+			segment := &job.segments[number]
+			if segment.dirty && (segment.holdsStarts || now.Sub(segment.dirtySince) >= tuning.CompletionDelay) {
+				due = append(due, pendingWrite{job, number, job.writeOrder(segment), segment.dirtySince})
 			}
 		}
 	}
@@ -50,8 +50,8 @@
 // shares the write of its job. Production's starts don't wait.
 func (c *Leader) awaitsBudget(due []pendingWrite, budget int) bool {
 	changes := 0
-	for _, cl := range c.provisionRequests {
-		if !cl.recorded {
+	for _, request := range c.provisionRequests {
+		if !request.recorded {
 			changes++
 		}
 	}
@@ -85,19 +85,19 @@
 }
 
 // addJobs adds what is due of jobs, as far as it fits.
-func (c *Leader) addJobs(b *batch, due []pendingWrite, budget int, now time.Time) {
+func (c *Leader) addJobs(batch *commitBatch, due []pendingWrite, budget int, now time.Time) {
 	for _, d := range due {
 		if d.order == writeCompletions {
 			// A part of the budget is left for starts that come next.
-			b.maxMutations = min(b.maxMutations, budget-c.writeLimiter.Burst()/2)
+			batch.maxMutations = min(batch.maxMutations, budget-c.writeLimiter.Burst()/2)
 		}
-		if !b.fits(1, 0) {
+		if !batch.fits(1, 0) {
 			return
 		}
 		if d.number == records.NoSegment {
-			b.close(d.job, now)
+			batch.close(d.job, now)
 		} else {
-			c.addSegment(b, d.job, d.number, now)
+			c.addSegment(batch, d.job, d.number, now)
 		}
 	}
 }
--- a/internal/leader/estimate.go
+++ b/internal/leader/estimate.go
@@ -20,23 +20,23 @@
 	ratio float64
 }
 
-func (e *estimator) observe(d *protocol.Job, took float64) {
-	if d.EstimateS <= 0 || took <= 0 {
+func (e *estimator) observe(spec *protocol.Job, took float64) {
+	if spec.EstimateS <= 0 || took <= 0 {
 		return
 	}
-	c := e.classes[d.Class]
+	c := e.classes[spec.Class]
 	if c == nil {
 		c = &classRuns{}
-		e.classes[d.Class] = c
+		e.classes[spec.Class] = c
 	}
 	w := math.Max(tuning.EstimatorWeight, 1/float64(c.n+1))
-	c.ratio += w * (took/d.EstimateS - c.ratio)
+	c.ratio += w * (took/spec.EstimateS - c.ratio)
 	c.n++
 }
 
-func (e *estimator) estimate(d *protocol.Job) float64 {
-	if c := e.classes[d.Class]; !e.off && c != nil && c.n >= tuning.EstimatorMin {
-		return d.EstimateS * c.ratio
+func (e *estimator) estimate(spec *protocol.Job) float64 {
+	if c := e.classes[spec.Class]; !e.off && c != nil && c.n >= tuning.EstimatorMin {
+		return spec.EstimateS * c.ratio
 	}
-	return d.EstimateS
+	return spec.EstimateS
 }
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -52,18 +52,18 @@
 		c.Agents = agent.New(w, protocol.NewMalformedLog(c.Log), 5000)
 		c.leadership.Term++ // a leader that has seen none of them yet
 		production := map[string]bool{}
-		for i, m := range c.sorted {
-			m.Addr = m.ID + ":1"
+		for i, machine := range c.sorted {
+			machine.Addr = machine.ID + ":1"
 			if i%50 == 49 {
-				production[m.ID] = true
-				for k := range m.Placements {
+				production[machine.ID] = true
+				for k := range machine.Placements {
 					c.jobs[k.Job].spec.Priority = protocol.PriorityProduction
 				}
 			}
 		}
-		for _, m := range c.sorted { // a job is on several machines
-			for k := range m.Placements {
-				production[m.ID] = production[m.ID] || c.jobs[k.Job].priority() == 0
+		for _, machine := range c.sorted { // a job is on several machines
+			for k := range machine.Placements {
+				production[machine.ID] = production[machine.ID] || c.jobs[k.Job].priority() == 0
 			}
 		}
 		c.planHandshakes(now)
@@ -108,10 +108,10 @@
 			t.Fatalf("%d calls at once", n)
 		}
 		var idle []*cluster.Machine
-		for i, m := range c.sorted[200:] {
+		for i, machine := range c.sorted[200:] {
 			if i%2 == 0 {
-				clear(m.Placements)
-				idle = append(idle, m)
+				clear(machine.Placements)
+				idle = append(idle, machine)
 			}
 		}
 		w.answer <- struct{}{}
@@ -130,7 +130,7 @@
 			}
 			c.onDeprovisionResult(deprovisionResult{}, time.Now())
 		}
-		if slices.ContainsFunc(order[:350-len(idle)], func(m *cluster.Machine) bool { return slices.Contains(idle, m) }) {
+		if slices.ContainsFunc(order[:350-len(idle)], func(machine *cluster.Machine) bool { return slices.Contains(idle, machine) }) {
 			t.Error("idle machines went before those with tasks")
 		}
 		if len(order) != 350 {
@@ -145,12 +145,12 @@
 func TestOlderListProvesNothing(t *testing.T) {
 	c, now := large(2100, 200)
 	live := 0
-	for _, m := range c.machines {
-		live += len(m.Placements)
+	for _, machine := range c.machines {
+		live += len(machine.Placements)
 	}
 	c.onMachineList(machineListResult{machines: []protocol.ListedMachine{{ID: "m-000007", State: protocol.MachineStarting}}}, now)
-	for _, m := range c.machines {
-		live -= len(m.Placements)
+	for _, machine := range c.machines {
+		live -= len(machine.Placements)
 	}
 	if len(c.machines) != 2100 || live != 0 || len(c.deprovisionQueue) > 0 || len(c.deprovisionInFlight) > 0 {
 		t.Errorf("%d machines are left, %d tasks less, %d to be returned", len(c.machines), live, len(c.deprovisionQueue))
@@ -163,17 +163,17 @@
 // itself until the state service has spoken.
 func TestStandingStill(t *testing.T) {
 	free := func(c *Leader) {
-		for _, m := range c.sorted[:50] {
-			for _, p := range m.Placements {
-				delete(c.jobs[p.Job].placements, p.Task)
+		for _, machine := range c.sorted[:50] {
+			for _, placement := range machine.Placements {
+				delete(c.jobs[placement.Job].placements, placement.Task)
 			}
-			clear(m.Placements)
+			clear(machine.Placements)
 		}
 		c.listInFlight, c.machinesListed, c.catalogAt, c.nextInventorySave = true, true, c.tookOverAt.Add(time.Hour), c.tookOverAt.Add(time.Hour)
 	}
 	placed := func(c *Leader) (n int) {
-		for _, m := range c.sorted[:50] {
-			n += len(m.Placements)
+		for _, machine := range c.sorted[:50] {
+			n += len(machine.Placements)
 		}
 		return n
 	}
@@ -188,20 +188,20 @@
 	c.Config.Peers, c.heardMajority = make([]config.Peer, 4), true
 	c.Resign = func() { resigned = true }
 	// One start was recorded and not yet sent: its job may be cancelled by now.
-	m := c.sorted[100]
+	machine := c.sorted[100]
 	var start *cluster.Placement
-	for _, start = range m.Placements {
+	for _, start = range machine.Placements {
 		break
 	}
-	start.Recorded, start.Sent, start.Incarnation = true, false, m.Incarnation
-	m.Addr, m.Outbox = m.ID+":1", []*cluster.Placement{start}
+	start.Recorded, start.Sent, start.Incarnation = true, false, machine.Incarnation
+	machine.Addr, machine.Outbox = machine.ID+":1", []*cluster.Placement{start}
 	for _, still := range []time.Duration{4, 8, 12} {
 		later := now.Add(still * time.Second)
 		c.onTick(later)
 		c.runCycle(later)
 		calls := 0
-		for _, m := range c.machines {
-			if m.CommandInFlight {
+		for _, machine := range c.machines {
+			if machine.CommandInFlight {
 				calls++
 			}
 		}
@@ -215,7 +215,7 @@
 	c.Agents = agent.New(w, protocol.NewMalformedLog(c.Log), 5000)
 	later := now.Add(12 * time.Second)
 	c.confirmedByWatch, c.confirmedByTerm = later, later
-	if c.dispatch(m, later); !start.Sent || len(m.Outbox) > 0 {
+	if c.dispatch(machine, later); !start.Sent || len(machine.Outbox) > 0 {
 		t.Error("a start that waited for the state service was never sent")
 	}
 }
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -25,10 +25,10 @@
 
 // dropAll takes everything of some jobs off its machines.
 func dropAll(now time.Time, jobs ...*jobState) {
-	for _, j := range jobs {
-		for _, p := range j.placements {
-			p.Machine.RemovePlacement(p, now)
+	for _, job := range jobs {
+		for _, placement := range job.placements {
+			placement.Machine.RemovePlacement(placement, now)
 		}
-		clear(j.placements)
+		clear(job.placements)
 	}
 }
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -40,12 +40,12 @@
 
 // newImageInventory describes the images on the first of the machines, as many as surely fit
 // in a value of so many bytes as JSON, and returns how many these are.
-func newImageInventory(ms []*cluster.Machine, bytes int) (h records.ImageInventory, n int) {
+func newImageInventory(machines []*cluster.Machine, bytes int) (h records.ImageInventory, n int) {
 	h.Machines = map[string][]int{}
 	size := tuning.ImageInventoryEntryBytes
-	for n = 0; n < min(len(ms), tuning.ImageInventoryMachines); n++ {
-		size += tuning.ImageInventoryEntryBytes + len(ms[n].ID)
-		ms[n].EachImage(func(name string, _ float64) {
+	for n = 0; n < min(len(machines), tuning.ImageInventoryMachines); n++ {
+		size += tuning.ImageInventoryEntryBytes + len(machines[n].ID)
+		machines[n].EachImage(func(name string, _ float64) {
 			size += tuning.ImageInventoryIndexBytes
 			if !slices.Contains(h.Images, name) {
 				size += tuning.ImageInventoryEntryBytes + len(name)
@@ -54,34 +54,34 @@
 		if size > bytes && n > 0 {
 			break
 		}
-		addImages(&h, ms[n])
+		addImages(&h, machines[n])
 	}
 	return h, n
 }
 
-func addImages(h *records.ImageInventory, m *cluster.Machine) {
-	m.EachImage(func(name string, gb float64) {
+func addImages(h *records.ImageInventory, machine *cluster.Machine) {
+	machine.EachImage(func(name string, gb float64) {
 		i := slices.Index(h.Images, name)
 		if i < 0 {
 			i = len(h.Images)
 			h.Images, h.SizesGB = append(h.Images, name), append(h.SizesGB, gb)
 		}
-		if l := h.Machines[m.ID]; len(l) < tuning.ImageInventoryImages {
-			h.Machines[m.ID] = append(l, i)
+		if l := h.Machines[machine.ID]; len(l) < tuning.ImageInventoryImages {
+			h.Machines[machine.ID] = append(l, i)
 		}
 	})
 }
 
 // loadImageInventory reads what an earlier leader knew; without it all goes on.
 func (c *Leader) loadImageInventory(ctx context.Context) {
-	items, err := c.Store.ListAll(ctx, records.PrefixImages)
+	page, err := c.Store.ListAll(ctx, records.PrefixImages)
 	if err != nil {
 		c.Log.Debug("reading hints", "err", err)
 		return
 	}
-	for _, it := range items.Entries {
+	for _, entry := range page.Entries {
 		var h records.ImageInventory
-		if protocol.Unmarshal(it.Value, &h) == nil && len(h.Images) == len(h.SizesGB) {
+		if protocol.Unmarshal(entry.Value, &h) == nil && len(h.Images) == len(h.SizesGB) {
 			for id := range h.Machines {
 				c.inheritedImages[id] = &h
 			}
@@ -90,24 +90,24 @@
 }
 
 // adoptImageInventory notes what an inherited machine has when it is first heard from.
-func (c *Leader) adoptImageInventory(m *cluster.Machine) {
-	i, known := c.typeIndex[m.Type]
-	h := c.inheritedImages[m.ID]
+func (c *Leader) adoptImageInventory(machine *cluster.Machine) {
+	i, known := c.typeIndex[machine.Type]
+	h := c.inheritedImages[machine.ID]
 	if !known {
 		return
 	}
-	touch := func(name string, gb float64) { m.RecordImageUse(name, gb, c.machineTypes[i].CacheGB) }
+	touch := func(name string, gb float64) { machine.RecordImageUse(name, gb, c.machineTypes[i].CacheGB) }
 	if h != nil {
-		for _, k := range slices.Backward(h.Machines[m.ID]) {
+		for _, k := range slices.Backward(h.Machines[machine.ID]) {
 			if k >= 0 && k < len(h.Images) {
 				touch(h.Images[k], h.SizesGB[k])
 			}
 		}
-		delete(c.inheritedImages, m.ID)
+		delete(c.inheritedImages, machine.ID)
 	}
-	for k, p := range m.Placements {
-		if j := c.jobs[k.Job]; j != nil && p.State != "" && p.State != protocol.TaskFetching {
-			touch(j.spec.Image, j.spec.ImageGB)
+	for k, placement := range machine.Placements {
+		if job := c.jobs[k.Job]; job != nil && placement.State != "" && placement.State != protocol.TaskFetching {
+			touch(job.spec.Image, job.spec.ImageGB)
 		}
 	}
 }
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -19,7 +19,7 @@
 	acceptedAt  time.Time // time of day of acceptance
 	cancelled   bool
 	openVersion uint64
-	segments    []segment // of its run record, by number; see piece
+	segments    []runSegment // of its run record, by number; see piece
 
 	pendingDependencies map[string]bool // dependencies that are not known to be done
 	readyAt             time.Time       // when the last dependency was done; without any, at
@@ -41,9 +41,9 @@
 	knownSince       time.Time // when the leader learnt of it
 }
 
-func newJob(ref string, o *records.OpenJob, version uint64, now time.Time) *jobState {
+func newJob(jobID string, o *records.OpenJob, version uint64, now time.Time) *jobState {
 	at := time.UnixMilli(o.AcceptedMS)
-	return &jobState{id: ref, spec: o.Job, acceptedAt: at, readyAt: at, cancelled: o.Cancelled, openVersion: version,
+	return &jobState{id: jobID, spec: o.Job, acceptedAt: at, readyAt: at, cancelled: o.Cancelled, openVersion: version,
 		nextAttempt: 1, placements: map[int]*cluster.Placement{}, unrecordedDone: map[int]bool{}, knownSince: now}
 }
 
@@ -95,9 +95,9 @@
 	writeCompletions      = 10
 )
 
-func (j *jobState) writeOrder(p *segment) int {
+func (j *jobState) writeOrder(segment *runSegment) int {
 	switch {
-	case !p.holdsStarts:
+	case !segment.holdsStarts:
 		return writeCompletions
 	case j.priority() == 0:
 		return writeProductionStarts
@@ -142,7 +142,7 @@
 func taskName(k cluster.TaskKey) string { return k.Job + "/" + strconv.Itoa(k.Task) }
 
 func parseTask(s string) (cluster.TaskKey, bool) {
-	ref, num, ok := strings.Cut(s, "/")
+	jobID, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
-	return cluster.TaskKey{Job: ref, Task: n}, ok && err == nil && n >= 0
+	return cluster.TaskKey{Job: jobID, Task: n}, ok && err == nil && n >= 0
 }
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -22,19 +22,19 @@
 func TestRestore(t *testing.T) {
 	now := time.Now()
 	o := &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 10}}
-	j := newJob("req-1", o, 1, now)
-	j.restore(&records.RunRecord{NextAttempt: 9, Done: records.TaskRanges{{0, 1}, {4, 4}}, Placements: []records.Placement{{Task: 6, Attempt: 8}}})
-	j.placements[6] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: "req-1", Task: 6}, Machine: &cluster.Machine{ID: "m"}}
+	job := newJob("req-1", o, 1, now)
+	job.restore(&records.RunRecord{NextAttempt: 9, Done: records.TaskRanges{{0, 1}, {4, 4}}, Placements: []records.Placement{{Task: 6, Attempt: 8}}})
+	job.placements[6] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: "req-1", Task: 6}, Machine: &cluster.Machine{ID: "m"}}
 	var got []int
-	for j.waitingTasks() > 0 {
-		n := j.takeTask()
-		j.placements[n] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: "req-1", Task: n}, Machine: &cluster.Machine{ID: "m"}}
+	for job.waitingTasks() > 0 {
+		n := job.takeTask()
+		job.placements[n] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: "req-1", Task: n}, Machine: &cluster.Machine{ID: "m"}}
 		got = append(got, n)
 	}
 	if d := cmp.Diff([]int{2, 3, 5, 7, 8, 9}, got); d != "" {
 		t.Error(d)
 	}
-	if r := j.segmentRecord(0); len(r.Placements) != 7 || r.NextAttempt != 9 || r.Done.Count() != 3 {
+	if r := job.segmentRecord(0); len(r.Placements) != 7 || r.NextAttempt != 9 || r.Done.Count() != 3 {
 		t.Errorf("recorded as %+v", r)
 	}
 }
@@ -46,8 +46,8 @@
 	c, now := large(0, 1)
 	c.Config.Deployment.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 1.5},
 		{Kind: "finished", Class: "c", WithinS: 500}, {Kind: "finished", Class: "other", WithinS: 1}}
-	j := c.jobs["req-000000"]
-	j.spec.DeadlineS = 100
+	job := c.jobs["req-000000"]
+	job.spec.DeadlineS = 100
 	none := math.Inf(1)
 	for _, w := range []struct{ age, ready, est, inherited, due float64 }{
 		{10, 10, 20, none, 90},    // in time
@@ -59,9 +59,9 @@
 		{10, 10, 20, 15, 90},      // which cannot be kept
 		{900, 900, 20, none, -400},
 	} {
-		j.acceptedAt = now.Add(-seconds(w.age))
-		j.readyAt = now.Add(-seconds(w.ready))
-		if due, _ := c.deadlineFor(j, w.est, w.inherited, false, now); math.Abs(due-w.due) > 1e-6 {
+		job.acceptedAt = now.Add(-seconds(w.age))
+		job.readyAt = now.Add(-seconds(w.ready))
+		if due, _ := c.deadlineFor(job, w.est, w.inherited, false, now); math.Abs(due-w.due) > 1e-6 {
 			t.Errorf("%+v: due in %v", w, due)
 		}
 	}
@@ -69,13 +69,13 @@
 
 // A gang starts whole: nothing waits while a member may be on a machine.
 func TestGangWaitsWhole(t *testing.T) {
-	j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindGang, Tasks: 3}}, 1, time.Now())
-	if j.waitingTasks() != 3 {
-		t.Errorf("%d wait", j.waitingTasks())
+	job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindGang, Tasks: 3}}, 1, time.Now())
+	if job.waitingTasks() != 3 {
+		t.Errorf("%d wait", job.waitingTasks())
 	}
-	j.placements[j.takeTask()] = &cluster.Placement{}
-	if j.waitingTasks() != 0 {
-		t.Errorf("%d wait while one may run", j.waitingTasks())
+	job.placements[job.takeTask()] = &cluster.Placement{}
+	if job.waitingTasks() != 0 {
+		t.Errorf("%d wait while one may run", job.waitingTasks())
 	}
 }
 
@@ -84,17 +84,17 @@
 func TestDoneIsRecordedBeforeReap(t *testing.T) {
 	now := time.Now()
 	c := &Leader{jobs: map[string]*jobState{}, leadership: election.Leadership{Term: 1}}
-	j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 2}}, 1, now)
-	c.jobs["req-1"] = j
-	m := cluster.NewMachine("m-1", c.termToken(), now, now.Add(time.Hour))
-	m.ApplyStatus(&protocol.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, Token: c.termToken(), Tasks: []protocol.TaskStatus{
+	job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 2}}, 1, now)
+	c.jobs["req-1"] = job
+	machine := cluster.NewMachine("m-1", c.termToken(), now, now.Add(time.Hour))
+	machine.ApplyStatus(&protocol.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, Token: c.termToken(), Tasks: []protocol.TaskStatus{
 		{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}}}, parseTask, now, now)
-	j.unrecordedDone[0] = true
-	if o := c.reconcileCommands(m); len(o) > 0 {
+	job.unrecordedDone[0] = true
+	if o := c.reconcileCommands(machine); len(o) > 0 {
 		t.Errorf("ordered %v before the completion was recorded", o)
 	}
-	delete(j.unrecordedDone, 0)
-	if o := c.reconcileCommands(m); len(o) != 1 || o[0].Verb != protocol.VerbRelease {
+	delete(job.unrecordedDone, 0)
+	if o := c.reconcileCommands(machine); len(o) != 1 || o[0].Verb != protocol.VerbRelease {
 		t.Errorf("ordered %v after it", o)
 	}
 }
@@ -103,18 +103,18 @@
 // does not make it one to place work on.
 func TestReturnedMachineStaysGone(t *testing.T) {
 	c, now := large(2, 1)
-	m := c.machines["m-000000"]
-	r := fullReport(c, 0, 7)
-	r.Token, r.Tasks = m.IssuedToken, nil
-	c.onHeartbeat(r, now)
-	c.deprovisionInFlight = []*cluster.Machine{m}
+	machine := c.machines["m-000000"]
+	heartbeat := fullReport(c, 0, 7)
+	heartbeat.Token, heartbeat.Tasks = machine.IssuedToken, nil
+	c.onHeartbeat(heartbeat, now)
+	c.deprovisionInFlight = []*cluster.Machine{machine}
 	c.onDeprovisionResult(deprovisionResult{}, now)
-	if c.onHeartbeat(r, now); c.machines["m-000000"] != nil {
+	if c.onHeartbeat(heartbeat, now); c.machines["m-000000"] != nil {
 		t.Error("a copy revived a machine just given back")
 	}
 	clear(c.removedMachines)
-	c.onHeartbeat(r, now)
-	if m := c.machines["m-000000"]; m == nil || m.Schedulable(now, time.Minute) {
+	c.onHeartbeat(heartbeat, now)
+	if machine := c.machines["m-000000"]; machine == nil || machine.Schedulable(now, time.Minute) {
 		t.Error("a copy made a machine usable that is gone")
 	}
 	r2 := fullReport(c, 0, 8)
@@ -128,9 +128,9 @@
 // A new leader knows from the hints of the last which images a machine has.
 func TestHints(t *testing.T) {
 	c, now := large(2, 1)
-	m := c.machines["m-000001"]
+	machine := c.machines["m-000001"]
 	for _, name := range []string{"a", "b", "c"} {
-		m.RecordImageUse(name, 10, 40)
+		machine.RecordImageUse(name, 10, 40)
 	}
 	hint, _ := newImageInventory(c.sorted, 32<<10)
 	raw, _ := protocol.Marshal(hint)
@@ -141,7 +141,7 @@
 	}
 	next.inheritedImages["m-000001"] = &h
 	next.onHeartbeat(&protocol.Heartbeat{Machine: "m-000001", Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: 9}, now)
-	if d := cmp.Diff(m.Images(), next.machines["m-000001"].Images()); d != "" {
+	if d := cmp.Diff(machine.Images(), next.machines["m-000001"].Images()); d != "" {
 		t.Error(d)
 	}
 }
@@ -181,12 +181,12 @@
 // others of the same commit. Once a later reading is in, nothing need be remembered.
 func TestReadingFromBeforeClosing(t *testing.T) {
 	c, now := large(0, 1)
-	j := c.jobs["req-000000"]
-	raw, _ := protocol.Marshal(records.OpenJob{AcceptedMS: now.UnixMilli(), Job: j.spec})
-	record := protocol.KeyValue{Key: records.OpenKey(j.id), Value: raw, Version: j.openVersion}
+	job := c.jobs["req-000000"]
+	raw, _ := protocol.Marshal(records.OpenJob{AcceptedMS: now.UnixMilli(), Job: job.spec})
+	record := protocol.KeyValue{Key: records.OpenKey(job.id), Value: raw, Version: job.openVersion}
 	reading := watchResult{events: []protocol.WatchEvent{{Set: record.Key, Value: raw, Version: record.Version}}, asOf: now.Add(time.Second)}
 	c.lookingUp, c.lookupBegan = true, now.Add(time.Second)
-	c.onClosed(jobClosing{j, records.FinalRecord{Phase: protocol.PhaseDone, ClosedMS: now.UnixMilli()}}, now.Add(2*time.Second))
+	c.onClosed(jobClosing{job, records.FinalRecord{Phase: protocol.PhaseDone, ClosedMS: now.UnixMilli()}}, now.Add(2*time.Second))
 	long := now.Add(2 * tuning.RereadInterval)
 	c.pruneClosedJobs()
 	c.onWatchResult(reading, long)
@@ -206,30 +206,30 @@
 // surely over, whatever becomes of the tasks that the rest names.
 func TestRestIsNotShortened(t *testing.T) {
 	c, now := large(1, 1)
-	j, m := c.jobs["req-000000"], c.machines["m-000000"]
+	job, machine := c.jobs["req-000000"], c.machines["m-000000"]
 	until := now.Add(time.Hour)
-	j.recordUnreadable = true
-	j.backOff(until)
+	job.recordUnreadable = true
+	job.backOff(until)
 	for _, cause := range []string{protocol.ExitError, protocol.ExitUnknownTask} {
-		for _, p := range m.Placements {
-			c.endPlacements([]cluster.EndedPlacement{{Placement: p, ExitReason: cause}}, now)
+		for _, placement := range machine.Placements {
+			c.endPlacements([]cluster.EndedPlacement{{Placement: placement, ExitReason: cause}}, now)
 			break
 		}
 	}
-	if !j.backoffUntil.Equal(until) {
-		t.Errorf("a rest of an hour became one of %v", j.backoffUntil.Sub(now))
+	if !job.backoffUntil.Equal(until) {
+		t.Errorf("a rest of an hour became one of %v", job.backoffUntil.Sub(now))
 	}
 }
 
 // A task that a worker reports and no record names is stopped, counted and described.
 func TestUnknownTask(t *testing.T) {
 	c, now := large(2, 1)
-	r := fullReport(c, 0, 2)
+	heartbeat := fullReport(c, 0, 2)
 	stray := protocol.TaskStatus{Task: "req-000000/59", Attempt: 9, State: protocol.TaskRunning}
-	r.Tasks = append(r.Tasks, stray, protocol.TaskStatus{Task: "req-999999/0", Attempt: 1, State: protocol.TaskExited},
+	heartbeat.Tasks = append(heartbeat.Tasks, stray, protocol.TaskStatus{Task: "req-999999/0", Attempt: 1, State: protocol.TaskExited},
 		protocol.TaskStatus{Task: "nonsense", Attempt: 1, State: protocol.TaskFetching})
 	var stopped []string
-	for _, order := range c.onHeartbeat(r, now).Commands {
+	for _, order := range c.onHeartbeat(heartbeat, now).Commands {
 		if order.Verb == protocol.VerbStop {
 			stopped = append(stopped, order.Task)
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -39,7 +39,7 @@
 	// Acknowledged returns the jobs that controllers have told users are cancelled,
 	// and the time up to which none of those told after since is missing; ok is
 	// false if a controller cannot tell.
-	Acknowledged func(since time.Time) (asOf time.Time, refs []string, ok bool)
+	Acknowledged func(since time.Time) (asOf time.Time, jobIDs []string, ok bool)
 }
 
 // ErrNotEntitled says that the leader may not answer reports now.
@@ -58,7 +58,7 @@
 		err       error
 	}
 	commitResult struct {
-		batch      *batch
+		batch      *commitBatch
 		revision   uint64
 		failedKeys []string
 		err        error
@@ -127,7 +127,7 @@
 	confirmedByWatch  time.Time
 	confirmedByTerm   time.Time
 	confirmedByPeers  time.Time // see extendAuthority
-	batchInFlight     *batch
+	batchInFlight     *commitBatch
 	nextCommit        time.Time
 	inheritedImages   map[string]*records.ImageInventory // of an earlier leader, by machine
 	nextInventorySave time.Time
@@ -198,10 +198,10 @@
 }
 
 // Heartbeat answers a worker's report, or fails with ErrNotEntitled.
-func (c *Leader) Heartbeat(ctx context.Context, rep *protocol.Heartbeat) (*protocol.HeartbeatReply, error) {
+func (c *Leader) Heartbeat(ctx context.Context, heartbeat *protocol.Heartbeat) (*protocol.HeartbeatReply, error) {
 	reply := make(chan *protocol.HeartbeatReply, 1)
 	select {
-	case c.inbox <- heartbeatRequest{rep, reply}:
+	case c.inbox <- heartbeatRequest{heartbeat, reply}:
 	default:
 		return nil, ErrNotEntitled // overloaded: the worker tries again
 	}
@@ -338,8 +338,8 @@
 
 func (c *Leader) termToken() uint64 { return c.leadership.Term << tuning.TermShift }
 
-func (c *Leader) bootS(m *cluster.Machine) float64 {
-	if i, ok := c.typeIndex[m.Type]; ok {
+func (c *Leader) bootS(machine *cluster.Machine) float64 {
+	if i, ok := c.typeIndex[machine.Type]; ok {
 		return c.machineTypes[i].BootS
 	}
 	worst := 0.0
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -60,9 +60,9 @@
 		c.useFormat(records.FormatSegmented)
 	}
 	c.restoreJobs(r.open.Entries, now)
-	for _, it := range r.claims.Entries {
+	for _, entry := range r.claims.Entries {
 		var cl records.ProvisioningRequest
-		if err := protocol.Unmarshal(it.Value, &cl); err == nil {
+		if err := protocol.Unmarshal(entry.Value, &cl); err == nil {
 			c.provisionRequests[cl.ID] = &provisioning{ProvisioningRequest: cl, recorded: true}
 		}
 	}
@@ -77,142 +77,142 @@
 }
 
 // restoreJobs takes in the open jobs with the pieces of their run records.
-func (c *Leader) restoreJobs(items []protocol.KeyValue, now time.Time) {
+func (c *Leader) restoreJobs(entries []protocol.KeyValue, now time.Time) {
 	open := map[string]bool{}
 	pieces := map[string][]protocol.KeyValue{}
-	for _, it := range items {
-		ref, number := records.ParseOpenKey(it.Key)
+	for _, entry := range entries {
+		jobID, number := records.ParseOpenKey(entry.Key)
 		if number == records.NoSegment {
-			open[ref] = true
-			c.applyOpenRecord(it.Key, it.Value, it.Version, now)
+			open[jobID] = true
+			c.applyOpenRecord(entry.Key, entry.Value, entry.Version, now)
 			continue
 		}
-		pieces[ref] = append(pieces[ref], it)
+		pieces[jobID] = append(pieces[jobID], entry)
 	}
-	for ref, of := range pieces {
-		switch j := c.jobs[ref]; {
-		case j != nil:
-			c.restoreRun(j, of, now)
-		case !open[ref]:
+	for jobID, of := range pieces {
+		switch job := c.jobs[jobID]; {
+		case job != nil:
+			c.restoreRun(job, of, now)
+		case !open[jobID]:
 			// The job was closed by a leader that came to no end with it.
-			for _, it := range of {
-				c.orphanedSegments = append(c.orphanedSegments, orphanedSegment{it.Key, it.Version})
+			for _, entry := range of {
+				c.orphanedSegments = append(c.orphanedSegments, orphanedSegment{entry.Key, entry.Version})
 			}
 		}
 		// Otherwise its open record cannot be read: users are told it is queued.
 	}
 	// A job may have been cancelled while nobody led: no event will tell.
-	for _, j := range c.jobs {
-		if j.cancelled {
-			c.cancelJob(j, now)
+	for _, job := range c.jobs {
+		if job.cancelled {
+			c.cancelJob(job, now)
 		}
 	}
 }
 
 // restoreRun takes in the pieces of a job's run record.
-func (c *Leader) restoreRun(j *jobState, items []protocol.KeyValue, now time.Time) {
+func (c *Leader) restoreRun(job *jobState, entries []protocol.KeyValue, now time.Time) {
 	runs := map[int]records.RunRecord{}
-	for _, it := range items {
-		_, number := records.ParseOpenKey(it.Key)
-		if number < 0 || number >= max(1, records.SegmentCount(j.spec.Tasks)) {
-			c.Log.Error("run record of no task", "key", it.Key)
-			c.orphanedSegments = append(c.orphanedSegments, orphanedSegment{it.Key, it.Version})
+	for _, entry := range entries {
+		_, number := records.ParseOpenKey(entry.Key)
+		if number < 0 || number >= max(1, records.SegmentCount(job.spec.Tasks)) {
+			c.Log.Error("run record of no task", "key", entry.Key)
+			c.orphanedSegments = append(c.orphanedSegments, orphanedSegment{entry.Key, entry.Version})
 			continue
 		}
-		j.segment(number).version = it.Version
+		job.segment(number).version = entry.Version
 		var r records.RunRecord
-		if err := protocol.Unmarshal(it.Value, &r); err != nil {
-			c.Log.Error("unreadable run record", "job", j.id, "piece", number, "err", err)
-			j.recordUnreadable = true
+		if err := protocol.Unmarshal(entry.Value, &r); err != nil {
+			c.Log.Error("unreadable run record", "job", job.id, "piece", number, "err", err)
+			job.recordUnreadable = true
 			continue
 		}
 		runs[number] = r
 	}
 	whole := records.JoinSegments(runs)
-	j.restore(&whole)
-	if j.recordUnreadable {
+	job.restore(&whole)
+	if job.recordUnreadable {
 		// Anything of it may run anywhere. It rests until that is surely
 		// over, as on machines never heard from, and then goes on with what it
 		// has no record of: workers kept the results of what was done.
-		j.nextAttempt = max(j.nextAttempt, c.leadership.Term<<tuning.TermShift+1) // no earlier attempt has this number
-		j.backOff(c.agentLeaseExpiry(c.tookOverAt.Add(c.leaseDuration())))
+		job.nextAttempt = max(job.nextAttempt, c.leadership.Term<<tuning.TermShift+1) // no earlier attempt has this number
+		job.backOff(c.agentLeaseExpiry(c.tookOverAt.Add(c.leaseDuration())))
 	}
 	for _, lp := range whole.Placements {
-		c.restorePlacement(j, lp, now)
+		c.restorePlacement(job, lp, now)
 	}
 }
 
-func (c *Leader) restorePlacement(j *jobState, lp records.Placement, now time.Time) {
-	m := c.machineByID(lp.Machine, now)
-	if m.Zone == "" {
-		m.Zone = lp.Zone
-	}
-	p := &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.id, Task: lp.Task}, Attempt: lp.Attempt, Incarnation: lp.Incarnation,
-		Machine: m, Recorded: true, Sent: true, StartToken: c.termToken() - 1, Since: now}
-	j.placements[lp.Task], m.Placements[p.TaskKey] = p, p
+func (c *Leader) restorePlacement(job *jobState, lp records.Placement, now time.Time) {
+	machine := c.machineByID(lp.Machine, now)
+	if machine.Zone == "" {
+		machine.Zone = lp.Zone
+	}
+	placement := &cluster.Placement{TaskKey: cluster.TaskKey{Job: job.id, Task: lp.Task}, Attempt: lp.Attempt, Incarnation: lp.Incarnation,
+		Machine: machine, Recorded: true, Sent: true, StartToken: c.termToken() - 1, Since: now}
+	job.placements[lp.Task], machine.Placements[placement.TaskKey] = placement, placement
 }
 
 // applyOpenRecord takes in an open job's record.
 func (c *Leader) applyOpenRecord(key string, value []byte, version uint64, now time.Time) {
-	ref, _ := records.ParseOpenKey(key)
-	j := c.jobs[ref]
+	jobID, _ := records.ParseOpenKey(key)
+	job := c.jobs[jobID]
 	var o records.OpenJob
 	if err := protocol.Unmarshal(value, &o); err != nil {
-		c.Log.Error("unreadable job record", "job", ref, "err", err)
-		c.onUnreadableRecord(ref, value, now)
+		c.Log.Error("unreadable job record", "job", jobID, "err", err)
+		c.onUnreadableRecord(jobID, value, now)
 		return
 	}
-	if j != nil {
-		c.onRecordRewritten(j, &o, version, now)
+	if job != nil {
+		c.onRecordRewritten(job, &o, version, now)
 		return
 	}
-	if _, over := c.closedJobs[ref]; over {
+	if _, over := c.closedJobs[jobID]; over {
 		return // read before it was closed
 	}
-	c.addJob(ref, &o, version, now)
+	c.addJob(jobID, &o, version, now)
 }
 
 // pruneClosedJobs drops the closed jobs that no reading still under way can name: a
 // reading that began after a job was closed has been taken in, and readings of the same
 // kind come one after another.
 func (c *Leader) pruneClosedJobs() {
-	for ref, at := range c.closedJobs {
+	for jobID, at := range c.closedJobs {
 		lookup := c.lookingUp && !c.lookupBegan.After(at)
 		if c.confirmedByWatch.After(at) && !lookup {
-			delete(c.closedJobs, ref)
+			delete(c.closedJobs, jobID)
 		}
 	}
 }
 
 // onUnreadableRecord draws from an open record that cannot be read what can be told.
-func (c *Leader) onUnreadableRecord(ref string, value []byte, now time.Time) {
+func (c *Leader) onUnreadableRecord(jobID string, value []byte, now time.Time) {
 	if !records.MarkedCancelled(value) {
 		return
 	}
-	if j := c.jobs[ref]; j != nil && !j.cancelled {
-		c.cancelJob(j, now) // its user is told so
+	if job := c.jobs[jobID]; job != nil && !job.cancelled {
+		c.cancelJob(job, now) // its user is told so
 	}
-	c.cancelDependents(ref, now)
+	c.cancelDependents(jobID, now)
 }
 
-func (c *Leader) onRecordRewritten(j *jobState, o *records.OpenJob, version uint64, now time.Time) {
-	if version <= j.openVersion {
+func (c *Leader) onRecordRewritten(job *jobState, o *records.OpenJob, version uint64, now time.Time) {
+	if version <= job.openVersion {
 		return
 	}
-	j.openVersion, j.awaitsOpenRecord = version, false
-	if o.Cancelled && !j.cancelled {
-		c.cancelJob(j, now)
+	job.openVersion, job.awaitsOpenRecord = version, false
+	if o.Cancelled && !job.cancelled {
+		c.cancelJob(job, now)
 	}
 }
 
-func (c *Leader) addJob(ref string, o *records.OpenJob, version uint64, now time.Time) {
-	j := newJob(ref, o, version, now)
-	c.jobs[ref] = j
+func (c *Leader) addJob(jobID string, o *records.OpenJob, version uint64, now time.Time) {
+	job := newJob(jobID, o, version, now)
+	c.jobs[jobID] = job
 	c.changed = true
-	c.Log.Debug("job known", "job", ref, "class", o.Job.Class, "tasks", o.Job.Tasks, "age", now.Sub(j.acceptedAt))
-	c.addDependencies(j, now)
-	if n := j.request(); n.GPUs > 0 {
-		c.gpuPriority = max(c.gpuPriority, j.priority())
+	c.Log.Debug("job known", "job", jobID, "class", o.Job.Class, "tasks", o.Job.Tasks, "age", now.Sub(job.acceptedAt))
+	c.addDependencies(job, now)
+	if n := job.request(); n.GPUs > 0 {
+		c.gpuPriority = max(c.gpuPriority, job.priority())
 		c.gpuRequest = scheduler.Resources{Cores: max(c.gpuRequest.Cores, n.Cores), GPUs: max(c.gpuRequest.GPUs, n.GPUs), MemGB: max(c.gpuRequest.MemGB, n.MemGB)}
 	}
 }
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -40,28 +40,28 @@
 // lost, and those that never came up.
 func (c *Leader) reviewMachines(now time.Time) (lost, stuck []*cluster.Machine) {
 	presumed := c.unreachableMachines(now)
-	for _, m := range c.machines {
-		if m.Incarnation > m.ExpiredIncarnation || len(m.Placements) > 0 {
-			if ended := m.ExpireLease(now); len(ended) > 0 {
-				c.Log.Info("lease over", "machine", m.ID, "tasks", len(ended))
+	for _, machine := range c.machines {
+		if machine.Incarnation > machine.ExpiredIncarnation || len(machine.Placements) > 0 {
+			if ended := machine.ExpireLease(now); len(ended) > 0 {
+				c.Log.Info("lease over", "machine", machine.ID, "tasks", len(ended))
 				c.endPlacements(ended, now)
 			}
 		}
 		switch {
-		case m.Deprovisioning:
-		case presumed[m]:
-			lost = append(lost, m)
-		case m.Up && (now.After(m.LeaseExpiry.Add(tuning.UnreachableGrace)) || now.Sub(m.LastHeartbeat) > tuning.NoHeartbeatLimit):
-			lost = append(lost, m)
-		case !m.Up && len(m.Placements) == 0 && c.typesLoaded &&
-			now.Sub(m.ProvisionedAt) > seconds(tuning.BootGiveUp*c.bootS(m)):
-			stuck = append(stuck, m)
-		case m.Up && m.Quarantined && len(m.Placements) == 0 && m.CommandsResolved():
-			lost = append(lost, m)
+		case machine.Deprovisioning:
+		case presumed[machine]:
+			lost = append(lost, machine)
+		case machine.Up && (now.After(machine.LeaseExpiry.Add(tuning.UnreachableGrace)) || now.Sub(machine.LastHeartbeat) > tuning.NoHeartbeatLimit):
+			lost = append(lost, machine)
+		case !machine.Up && len(machine.Placements) == 0 && c.typesLoaded &&
+			now.Sub(machine.ProvisionedAt) > seconds(tuning.BootGiveUp*c.bootS(machine)):
+			stuck = append(stuck, machine)
+		case machine.Up && machine.Quarantined && len(machine.Placements) == 0 && machine.CommandsResolved():
+			lost = append(lost, machine)
 		}
-		c.drain(m, now)
-		if len(m.Outbox) > 0 {
-			c.pendingDispatch[m] = true
+		c.drain(machine, now)
+		if len(machine.Outbox) > 0 {
+			c.pendingDispatch[machine] = true
 		}
 	}
 	return lost, stuck
@@ -103,21 +103,21 @@
 }
 
 // drain saves in time what can be saved on a machine that the cloud takes away.
-func (c *Leader) drain(m *cluster.Machine, now time.Time) {
-	if m.PreemptionAt.IsZero() || m.AcknowledgedToken < c.termToken() {
+func (c *Leader) drain(machine *cluster.Machine, now time.Time) {
+	if machine.PreemptionAt.IsZero() || machine.AcknowledgedToken < c.termToken() {
 		return // a copy of a report from before this term proves no notice
 	}
-	left := m.PreemptionAt.Sub(now).Seconds()
-	for _, p := range m.Placements {
-		j := c.jobs[p.Job]
-		if j == nil || p.Stopping || p.State != protocol.TaskRunning || j.spec.CheckpointIntervalS <= 0 ||
-			left > j.spec.CheckpointSaveS+tuning.NoticeMargin {
+	left := machine.PreemptionAt.Sub(now).Seconds()
+	for _, placement := range machine.Placements {
+		job := c.jobs[placement.Job]
+		if job == nil || placement.Stopping || placement.State != protocol.TaskRunning || job.spec.CheckpointIntervalS <= 0 ||
+			left > job.spec.CheckpointSaveS+tuning.NoticeMargin {
 			continue
 		}
-		grace := j.spec.CheckpointSaveS + tuning.SaveMargin
-		c.stopPlacement(p, grace, now)
-		if j.isGang() {
-			for _, q := range j.placements {
+		grace := job.spec.CheckpointSaveS + tuning.SaveMargin
+		c.stopPlacement(placement, grace, now)
+		if job.isGang() {
+			for _, q := range job.placements {
 				c.stopPlacement(q, grace, now)
 			}
 		}
@@ -137,10 +137,10 @@
 
 // dispatchAll sends what is due to the machines for which there is something.
 func (c *Leader) dispatchAll(now time.Time) {
-	for m := range c.pendingDispatch {
-		if !m.CommandInFlight {
-			delete(c.pendingDispatch, m)
-			c.dispatch(m, now)
+	for machine := range c.pendingDispatch {
+		if !machine.CommandInFlight {
+			delete(c.pendingDispatch, machine)
+			c.dispatch(machine, now)
 		}
 	}
 }
@@ -152,10 +152,10 @@
 	for _, start := range plan.Starts {
 		c.placeTasks(jobs[start.Job], machines[start.Machine], start.Count, now)
 	}
-	for i, j := range jobs {
+	for i, job := range jobs {
 		// One attempt number for the whole gang, the next for the next try.
-		if j.isGang() && snap.Jobs[i].Waiting > 0 && len(j.placements) > 0 {
-			j.nextAttempt++
+		if job.isGang() && snap.Jobs[i].Waiting > 0 && len(job.placements) > 0 {
+			job.nextAttempt++
 		}
 	}
 	for _, stop := range plan.Preemptions {
@@ -174,39 +174,39 @@
 }
 
 // placeTasks places tasks of a job on a machine; they are started once that is recorded.
-func (c *Leader) placeTasks(j *jobState, m *cluster.Machine, count int, now time.Time) {
+func (c *Leader) placeTasks(job *jobState, machine *cluster.Machine, count int, now time.Time) {
 	for range count {
-		task := j.takeTask()
-		p := &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.id, Task: task}, Attempt: j.nextAttempt, Incarnation: m.Incarnation, Machine: m, Since: now}
-		if !j.isGang() {
-			j.nextAttempt++
+		task := job.takeTask()
+		placement := &cluster.Placement{TaskKey: cluster.TaskKey{Job: job.id, Task: task}, Attempt: job.nextAttempt, Incarnation: machine.Incarnation, Machine: machine, Since: now}
+		if !job.isGang() {
+			job.nextAttempt++
 		}
-		j.placements[task], m.Placements[p.TaskKey] = p, p
-		c.markDirty(j, task, true, now)
+		job.placements[task], machine.Placements[placement.TaskKey] = placement, placement
+		c.markDirty(job, task, true, now)
 	}
-	if i, ok := c.typeIndex[m.Type]; ok {
-		m.RecordImageUse(j.spec.Image, j.spec.ImageGB, c.machineTypes[i].CacheGB)
+	if i, ok := c.typeIndex[machine.Type]; ok {
+		machine.RecordImageUse(job.spec.Image, job.spec.ImageGB, c.machineTypes[i].CacheGB)
 	}
-	c.Log.Debug("placing", "job", j.id, "machine", m.ID, "count", count)
+	c.Log.Debug("placing", "job", job.id, "machine", machine.ID, "count", count)
 }
 
 // preemptTasks stops tasks of a job on a machine to make room, the last started first: the
 // least is lost.
-func (c *Leader) preemptTasks(j *jobState, m *cluster.Machine, count int, now time.Time) {
-	c.Log.Info("making room", "machine", m.ID, "job", j.id, "count", count)
+func (c *Leader) preemptTasks(job *jobState, machine *cluster.Machine, count int, now time.Time) {
+	c.Log.Info("making room", "machine", machine.ID, "job", job.id, "count", count)
 	var placed []*cluster.Placement
-	for _, p := range m.Placements {
-		if p.Job == j.id && !p.Stopping {
-			placed = append(placed, p)
+	for _, placement := range machine.Placements {
+		if placement.Job == job.id && !placement.Stopping {
+			placed = append(placed, placement)
 		}
 	}
 	slices.SortFunc(placed, func(a, b *cluster.Placement) int {
 		return cmp.Or(b.Since.Compare(a.Since), cmp.Compare(a.Task, b.Task))
 	})
-	for _, p := range placed[:min(count, len(placed))] {
+	for _, placement := range placed[:min(count, len(placed))] {
 		// What goes before does not wait for a save: no more is lost
 		// than the time since the last checkpoint.
-		c.stopPlacement(p, 0, now)
+		c.stopPlacement(placement, 0, now)
 	}
 }
 
@@ -215,9 +215,9 @@
 // would queue at the cloud for half a minute and take the writes from the starts.
 func (c *Leader) scaleOut(snap *scheduler.Snapshot, rents []scheduler.ScaleOut, now time.Time) {
 	asked := map[capacityPool]bool{}
-	for _, cl := range c.provisionRequests {
-		if !cl.resolved {
-			asked[capacityPool{cl.Type, cl.Zone, cl.Spot}] = true
+	for _, request := range c.provisionRequests {
+		if !request.resolved {
+			asked[capacityPool{request.Type, request.Zone, request.Spot}] = true
 		}
 	}
 	for _, rent := range rents {
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -30,57 +30,57 @@
 
 // callProvisioning calls the cloud for recorded claims whose outcome is not known.
 func (c *Leader) callProvisioning(now time.Time) {
-	for _, cl := range c.provisionRequests {
-		if !cl.recorded || cl.calling || cl.resolved || now.Before(cl.nextCall) {
+	for _, request := range c.provisionRequests {
+		if !request.recorded || request.calling || request.resolved || now.Before(request.nextCall) {
 			continue
 		}
-		cl.calling = true
-		req := protocol.ProvisionRequest{RequestID: cl.ProvisioningRequest.ID, Type: cl.Type, Zone: cl.Zone, Spot: cl.Spot, Count: cl.Count}
+		request.calling = true
+		req := protocol.ProvisionRequest{RequestID: request.ProvisioningRequest.ID, Type: request.Type, Zone: request.Zone, Spot: request.Spot, Count: request.Count}
 		go func() {
 			hosts, err := c.Cloud.Provision(c.ctx, req)
-			c.post(provisionResult{cl, hosts, err})
+			c.post(provisionResult{request, hosts, err})
 		}()
 	}
 }
 
 func (c *Leader) onProvisionResult(m provisionResult, now time.Time) {
-	cl := m.request
-	cl.calling = false
+	request := m.request
+	request.calling = false
 	c.changed = true
 	switch {
 	case m.err == nil:
-		cl.resolved, cl.machineIDs = true, m.machineIDs
+		request.resolved, request.machineIDs = true, m.machineIDs
 		c.cloudOK = true
 		for _, id := range m.machineIDs {
 			if _, ok := c.removedMachines[id]; ok {
 				continue
 			}
 			if c.machines[id] == nil {
-				mc := c.machineByID(id, time.UnixMilli(cl.RequestedMS))
-				mc.Type, mc.Zone, mc.Spot = cl.Type, cl.Zone, cl.Spot
+				mc := c.machineByID(id, time.UnixMilli(request.RequestedMS))
+				mc.Type, mc.Zone, mc.Spot = request.Type, request.Zone, request.Spot
 				mc.ProvisionedAt = now
 			}
 		}
-		if len(m.machineIDs) < cl.Count {
-			c.backOffPool(capacityPool{cl.Type, cl.Zone, cl.Spot}, now)
+		if len(m.machineIDs) < request.Count {
+			c.backOffPool(capacityPool{request.Type, request.Zone, request.Spot}, now)
 		} else {
-			delete(c.capacityBackoffs, capacityPool{cl.Type, cl.Zone, cl.Spot})
+			delete(c.capacityBackoffs, capacityPool{request.Type, request.Zone, request.Spot})
 		}
-		c.Log.Info("rented", "claim", cl.ProvisioningRequest.ID, "got", len(m.machineIDs), "asked", cl.Count)
+		c.Log.Info("rented", "claim", request.ProvisioningRequest.ID, "got", len(m.machineIDs), "asked", request.Count)
 	case errors.Is(m.err, cloud.ErrNoCapacity):
-		cl.resolved, cl.obsolete = true, true
+		request.resolved, request.obsolete = true, true
 		c.cloudOK = true
-		c.backOffPool(capacityPool{cl.Type, cl.Zone, cl.Spot}, now)
-		c.Log.Info("no capacity", "type", cl.Type, "zone", cl.Zone, "spot", cl.Spot)
+		c.backOffPool(capacityPool{request.Type, request.Zone, request.Spot}, now)
+		c.Log.Info("no capacity", "type", request.Type, "zone", request.Zone, "spot", request.Spot)
 	default:
 		// The outcome is unknown or the cloud is down: the same claim is
 		// called again, which rents at most once.
-		cl.nextCall = now.Add(tuning.MachineBackoff)
+		request.nextCall = now.Add(tuning.MachineBackoff)
 		c.cloudOK = false
-		c.Log.Info("rental call failed", "claim", cl.ProvisioningRequest.ID, "err", m.err)
+		c.Log.Info("rental call failed", "claim", request.ProvisioningRequest.ID, "err", m.err)
 		if errors.Is(m.err, cloud.ErrInvalidRequest) {
-			cl.resolved, cl.obsolete = true, true
-			c.backOffPool(capacityPool{cl.Type, cl.Zone, cl.Spot}, now)
+			request.resolved, request.obsolete = true, true
+			c.backOffPool(capacityPool{request.Type, request.Zone, request.Spot}, now)
 		}
 	}
 }
@@ -98,22 +98,22 @@
 
 // deprovision returns machines on which nothing can be, or which are lost: the
 // cloud's answer proves that all on them is gone.
-func (c *Leader) deprovision(ms []*cluster.Machine, why string, now time.Time) {
-	if len(ms) == 0 {
+func (c *Leader) deprovision(machines []*cluster.Machine, why string, now time.Time) {
+	if len(machines) == 0 {
 		return
 	}
-	for _, m := range ms {
-		m.Deprovisioning = true
+	for _, machine := range machines {
+		machine.Deprovisioning = true
 	}
-	c.Log.Info("returning machines", "why", why, "machines", machineNames(ms))
-	c.deprovisionQueue = append(c.deprovisionQueue, ms...)
+	c.Log.Info("returning machines", "why", why, "machines", machineNames(machines))
+	c.deprovisionQueue = append(c.deprovisionQueue, machines...)
 	c.deprovisionNext(now)
 }
 
-func machineNames(ms []*cluster.Machine) []string {
-	ids := make([]string, len(ms))
-	for i, m := range ms {
-		ids[i] = m.ID
+func machineNames(machines []*cluster.Machine) []string {
+	ids := make([]string, len(machines))
+	for i, machine := range machines {
+		ids[i] = machine.ID
 	}
 	return ids
 }
@@ -136,24 +136,24 @@
 }
 
 func (c *Leader) onDeprovisionResult(r deprovisionResult, now time.Time) {
-	ms := c.deprovisionInFlight
+	machines := c.deprovisionInFlight
 	c.deprovisionInFlight = nil
 	defer c.deprovisionNext(now)
 	if r.err != nil {
 		// It may have been carried out; names that are gone are ignored.
-		c.Log.Info("returning machines failed", "machines", len(ms), "err", r.err)
-		c.deprovisionQueue = append(c.deprovisionQueue, ms...)
+		c.Log.Info("returning machines failed", "machines", len(machines), "err", r.err)
+		c.deprovisionQueue = append(c.deprovisionQueue, machines...)
 		c.nextDeprovision = now.Add(tuning.MachineBackoff)
 		return
 	}
-	for _, m := range ms {
+	for _, machine := range machines {
 		var ended []cluster.EndedPlacement
-		for _, p := range m.Placements {
-			ended = append(ended, cluster.EndedPlacement{Placement: p})
+		for _, placement := range machine.Placements {
+			ended = append(ended, cluster.EndedPlacement{Placement: placement})
 		}
 		c.endPlacements(ended, now)
-		c.forgetMachine(m)
-		c.removedMachines[m.ID] = now
+		c.forgetMachine(machine)
+		c.removedMachines[machine.ID] = now
 	}
 }
 
@@ -173,37 +173,37 @@
 		if _, ok := c.removedMachines[lm.ID]; ok {
 			continue
 		}
-		m := c.machines[lm.ID]
-		if m == nil {
-			m = c.machineByID(lm.ID, now)
-			m.ProvisionedAt = now.Add(-seconds(lm.AgeS))
-			m.Type, m.Zone, m.Spot = lm.Type, lm.Zone, lm.Spot
+		machine := c.machines[lm.ID]
+		if machine == nil {
+			machine = c.machineByID(lm.ID, now)
+			machine.ProvisionedAt = now.Add(-seconds(lm.AgeS))
+			machine.Type, machine.Zone, machine.Spot = lm.Type, lm.Zone, lm.Spot
 		}
-		if m.Type == "" {
-			m.Type, m.Zone, m.Spot, m.ProvisionedAt = lm.Type, lm.Zone, lm.Spot, now.Add(-seconds(lm.AgeS))
+		if machine.Type == "" {
+			machine.Type, machine.Zone, machine.Spot, machine.ProvisionedAt = lm.Type, lm.Zone, lm.Spot, now.Add(-seconds(lm.AgeS))
 		}
-		if !m.Up && m.Addr == "" && lm.Addr != "" && lm.State != protocol.MachineStarting {
-			m.Addr = lm.Addr
+		if !machine.Up && machine.Addr == "" && lm.Addr != "" && lm.State != protocol.MachineStarting {
+			machine.Addr = lm.Addr
 		}
-		if lm.State == protocol.MachineFailed && !m.Deprovisioning {
-			failed = append(failed, m)
+		if lm.State == protocol.MachineFailed && !machine.Deprovisioning {
+			failed = append(failed, machine)
 		}
 	}
 	c.deprovision(failed, "failed", now)
 	c.planHandshakes(now)
 	c.pruneRemovedMachines(l.began)
-	for _, cl := range c.provisionRequests {
-		if !cl.resolved || cl.obsolete {
+	for _, request := range c.provisionRequests {
+		if !request.resolved || request.obsolete {
 			continue
 		}
 		// The list has taken over: a new leader will find these there.
 		all := true
-		for _, id := range cl.machineIDs {
+		for _, id := range request.machineIDs {
 			_, gone := c.removedMachines[id]
-			m := c.machines[id]
-			all = all && (seen[id] || gone || (m != nil && m.Up))
+			machine := c.machines[id]
+			all = all && (seen[id] || gone || (machine != nil && machine.Up))
 		}
-		cl.obsolete = all
+		request.obsolete = all
 	}
 }
 
--- a/internal/leader/runrecord.go
+++ b/internal/leader/runrecord.go
@@ -8,8 +8,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// segment is what the leader knows of a piece of a job's run record.
-type segment struct {
+// runSegment is what the leader knows of a piece of a job's run record.
+type runSegment struct {
 	version     uint64    // 0: not written yet
 	dirty       bool      // it lags behind what must be in it
 	holdsStarts bool      // it holds starts
@@ -18,9 +18,9 @@
 }
 
 // segment returns a piece of the run record by its number.
-func (j *jobState) segment(number int) *segment {
+func (j *jobState) segment(number int) *runSegment {
 	for len(j.segments) <= number {
-		j.segments = append(j.segments, segment{})
+		j.segments = append(j.segments, runSegment{})
 	}
 	return &j.segments[number]
 }
@@ -98,7 +98,7 @@
 }
 
 // markDirty notes that the piece lags behind what must be in it.
-func (p *segment) markDirty(urgent bool, now time.Time) {
+func (p *runSegment) markDirty(urgent bool, now time.Time) {
 	if !p.dirty {
 		p.dirty, p.dirtySince = true, now
 	}
@@ -108,11 +108,11 @@
 // markDirty notes that the record of a task lags behind. The first piece holds the
 // whole job until the whole cluster reads pieces, and where the whole surely fits in
 // a value: each piece that changes is a write.
-func (c *Leader) markDirty(j *jobState, task int, urgent bool, now time.Time) {
+func (c *Leader) markDirty(job *jobState, task int, urgent bool, now time.Time) {
 	number := records.SegmentOf(task)
-	undivided := c.format < records.FormatSegmented || j.spec.Tasks*tuning.RecordEntryBytes <= c.Store.MaxValueBytes()
-	if undivided && !j.written(number) {
+	undivided := c.format < records.FormatSegmented || job.spec.Tasks*tuning.RecordEntryBytes <= c.Store.MaxValueBytes()
+	if undivided && !job.written(number) {
 		number = 0
 	}
-	j.segment(number).markDirty(urgent, now)
+	job.segment(number).markDirty(urgent, now)
 }
--- a/internal/leader/runrecord_test.go
+++ b/internal/leader/runrecord_test.go
@@ -43,7 +43,7 @@
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range 200 {
 		tasks := 1 + rng.IntN(200)
-		j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: tasks}}, 1, time.Now())
+		job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: tasks}}, 1, time.Now())
 		c := &Leader{format: records.FormatWhole}
 		c.Store = kvstore.New("state:1", &calls{}, nil, config.State{StateLimits: config.StateLimits{ValueKB: float64(1 + rng.IntN(8))}})
 		machine := &cluster.Machine{ID: "m-000001"}
@@ -53,16 +53,16 @@
 			switch rng.IntN(4) {
 			case 0, 1:
 				task := rng.IntN(tasks)
-				changeTask(j, task, machine, rng)
-				c.markDirty(j, task, rng.IntN(2) == 0, time.Now())
+				changeTask(job, task, machine, rng)
+				c.markDirty(job, task, rng.IntN(2) == 0, time.Now())
 			case 2:
-				writePiece(j, rng, stored, model, uint64(step+2))
+				writePiece(job, rng, stored, model, uint64(step+2))
 			case 3:
 				if rng.IntN(5) == 0 {
 					c.format = records.FormatSegmented
 				}
 				if c.format >= records.FormatSegmented && rng.IntN(4) == 0 {
-					j.splitSegments(false, time.Now())
+					job.splitSegments(false, time.Now())
 				}
 			}
 			whole := records.JoinSegments(stored)
@@ -74,25 +74,25 @@
 }
 
 // changeTask starts a task, completes it, or takes its placement back.
-func changeTask(j *jobState, task int, machine *cluster.Machine, rng *rand.Rand) {
+func changeTask(job *jobState, task int, machine *cluster.Machine, rng *rand.Rand) {
 	switch {
-	case j.doneTasks.Has(task):
-	case j.placements[task] == nil:
-		j.placements[task] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.id, Task: task}, Attempt: j.nextAttempt, Machine: machine}
-		j.nextAttempt++
+	case job.doneTasks.Has(task):
+	case job.placements[task] == nil:
+		job.placements[task] = &cluster.Placement{TaskKey: cluster.TaskKey{Job: job.id, Task: task}, Attempt: job.nextAttempt, Machine: machine}
+		job.nextAttempt++
 	case rng.IntN(2) == 0:
-		delete(j.placements, task)
+		delete(job.placements, task)
 	default:
-		delete(j.placements, task)
-		j.doneTasks.Add(task)
+		delete(job.placements, task)
+		job.doneTasks.Add(task)
 	}
 }
 
 // writePiece writes one of the pieces that lag behind.
-func writePiece(j *jobState, rng *rand.Rand, stored map[int]records.RunRecord, model []taskState, version uint64) {
+func writePiece(job *jobState, rng *rand.Rand, stored map[int]records.RunRecord, model []taskState, version uint64) {
 	var dirty []int
-	for number := range j.segments {
-		if j.segments[number].dirty {
+	for number := range job.segments {
+		if job.segments[number].dirty {
 			dirty = append(dirty, number)
 		}
 	}
@@ -101,20 +101,20 @@
 	}
 	number := dirty[rng.IntN(len(dirty))]
 	for task := range model {
-		if !j.owns(number, task) {
+		if !job.owns(number, task) {
 			continue
 		}
 		model[task] = 0
-		if p := j.placements[task]; p != nil {
-			model[task] = taskState(p.Attempt)
+		if placement := job.placements[task]; placement != nil {
+			model[task] = taskState(placement.Attempt)
 		}
-		if j.doneTasks.Has(task) {
+		if job.doneTasks.Has(task) {
 			model[task] = completed
 		}
 	}
-	stored[number] = j.segmentRecord(number)
-	p := j.segment(number)
-	p.version, p.dirty, p.holdsStarts = version, false, false
+	stored[number] = job.segmentRecord(number)
+	segment := job.segment(number)
+	segment.version, segment.dirty, segment.holdsStarts = version, false, false
 }
 
 // A record of the whole job that is beyond the limits by now is divided, its other
@@ -126,27 +126,27 @@
 	limits.Next.ValueKB = &value
 	c.Store = kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(c.Log), limits)
 	c.useFormat(records.FormatSegmented)
-	j := c.jobs["req-000000"]
-	j.spec.Tasks = 300
+	job := c.jobs["req-000000"]
+	job.spec.Tasks = 300
 	machine := &cluster.Machine{ID: "m-000001", Placements: map[cluster.TaskKey]*cluster.Placement{}}
 	for task := range 300 {
-		p := &cluster.Placement{TaskKey: cluster.TaskKey{Job: j.id, Task: task}, Attempt: j.nextAttempt, Machine: machine, Recorded: true, Sent: true}
-		j.placements[task], machine.Placements[p.TaskKey] = p, p
-		j.nextAttempt++
+		placement := &cluster.Placement{TaskKey: cluster.TaskKey{Job: job.id, Task: task}, Attempt: job.nextAttempt, Machine: machine, Recorded: true, Sent: true}
+		job.placements[task], machine.Placements[placement.TaskKey] = placement, placement
+		job.nextAttempt++
 	}
-	j.segment(0).version = 1
-	c.endPlacements([]cluster.EndedPlacement{{Placement: j.placements[3], ExitReason: protocol.ExitDone}}, now)
-	stored := map[int]records.RunRecord{0: {NextAttempt: j.nextAttempt}}
-	for commits := 0; j.segment(0).dirty; commits++ {
+	job.segment(0).version = 1
+	c.endPlacements([]cluster.EndedPlacement{{Placement: job.placements[3], ExitReason: protocol.ExitDone}}, now)
+	stored := map[int]records.RunRecord{0: {NextAttempt: job.nextAttempt}}
+	for commits := 0; job.segment(0).dirty; commits++ {
 		if commits > 20 {
 			t.Fatal("the record is not written")
 		}
 		now = now.Add(time.Second)
-		b := &batch{maxMutations: 6}
+		batch := &commitBatch{maxMutations: 6}
 		later := now.Add(time.Minute)
-		c.addJobs(b, c.pendingWrites(later), 1000, later)
-		for i, w := range b.segments {
-			raw := b.transaction.Mutations[i].Value.(msgpack.RawMessage)
+		c.addJobs(batch, c.pendingWrites(later), 1000, later)
+		for i, w := range batch.segments {
+			raw := batch.transaction.Mutations[i].Value.(msgpack.RawMessage)
 			if size, err := protocol.JSONSize(raw); err != nil || size > c.Store.MaxValueBytes() {
 				t.Errorf("piece %d of %d bytes, %v", w.number, size, err)
 			}
@@ -159,26 +159,26 @@
 		}
 	}
 	whole := records.JoinSegments(stored)
-	if len(j.placements) != 299 || len(whole.Placements) != 299 || whole.Done.Count() != 1 {
-		t.Errorf("%d run; recorded are %d and %v done", len(j.placements), len(whole.Placements), whole.Done)
+	if len(job.placements) != 299 || len(whole.Placements) != 299 || whole.Done.Count() != 1 {
+		t.Errorf("%d run; recorded are %d and %v done", len(job.placements), len(whole.Placements), whole.Done)
 	}
 }
 
 // A piece fits in the smallest value that is served with, whatever its tasks are at.
 func TestPieceFits(t *testing.T) {
 	for _, share := range []int{0, 2, 3, 1000} {
-		j := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Tasks: tuning.MaxTasks, Spread: true}}, 1, time.Now())
-		j.nextAttempt = 900 << tuning.TermShift
+		job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Tasks: tuning.MaxTasks, Spread: true}}, 1, time.Now())
+		job.nextAttempt = 900 << tuning.TermShift
 		number := records.SegmentCount(tuning.MaxTasks) - 1
 		for task := number * tuning.SegmentTasks; task < tuning.MaxTasks; task++ {
 			if share > 0 && task%share == 0 {
-				j.doneTasks.Add(task)
+				job.doneTasks.Add(task)
 				continue
 			}
-			j.placements[task] = &cluster.Placement{TaskKey: cluster.TaskKey{Task: task}, Attempt: j.nextAttempt, Incarnation: 99,
+			job.placements[task] = &cluster.Placement{TaskKey: cluster.TaskKey{Task: task}, Attempt: job.nextAttempt, Incarnation: 99,
 				Machine: &cluster.Machine{ID: "m-123456", Zone: "north-west-10"}}
 		}
-		raw, err := protocol.Marshal(j.segmentRecord(number))
+		raw, err := protocol.Marshal(job.segmentRecord(number))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -20,8 +20,8 @@
 
 // expectedToReport tells whether a machine is one that should be heard: it has been, or there
 // are tasks on it.
-func expectedToReport(m *cluster.Machine) bool {
-	return !m.Deprovisioning && (m.Up || len(m.Placements) > 0)
+func expectedToReport(machine *cluster.Machine) bool {
+	return !machine.Deprovisioning && (machine.Up || len(machine.Placements) > 0)
 }
 
 // unreachableMachines picks silent machines whose tasks need not wait for the lease:
@@ -35,52 +35,52 @@
 	var deaf, mute []*cluster.Machine
 	up := 0
 	inZone, silentIn := map[string]int{}, map[string]int{}
-	for _, m := range c.machines {
-		if !expectedToReport(m) {
+	for _, machine := range c.machines {
+		if !expectedToReport(machine) {
 			continue
 		}
-		silent := now.Sub(m.LastContact)
-		if !m.Up {
+		silent := now.Sub(machine.LastContact)
+		if !machine.Up {
 			silent = now.Sub(c.tookOverAt) // it was heard by an earlier leader at best
 		}
-		inZone[m.Zone]++
+		inZone[machine.Zone]++
 		if silent > interval {
-			silentIn[m.Zone]++ // sooner, so that a cut shows before any of it counts as lost
+			silentIn[machine.Zone]++ // sooner, so that a cut shows before any of it counts as lost
 		}
-		if silent > unheard && len(m.Placements) > 0 {
-			mute = append(mute, m)
+		if silent > unheard && len(machine.Placements) > 0 {
+			mute = append(mute, machine)
 		}
-		if m.AcknowledgedToken < c.termToken() {
+		if machine.AcknowledgedToken < c.termToken() {
 			continue
 		}
 		up++
 		switch {
-		case !m.PreemptionAt.IsZero() && now.After(m.PreemptionAt) && silent > unheard:
-			out[m] = true
-		case m.OneWayPartitioned():
-			deaf = append(deaf, m)
+		case !machine.PreemptionAt.IsZero() && now.After(machine.PreemptionAt) && silent > unheard:
+			out[machine] = true
+		case machine.OneWayPartitioned():
+			deaf = append(deaf, machine)
 		}
 	}
 	lost := seconds(c.Config.Deployment.Workers.ReportS * tuning.UnreachableHeartbeats)
-	for _, m := range mute {
-		if float64(silentIn[m.Zone]) > max(1, float64(inZone[m.Zone])*tuning.ZoneOutageShare) {
+	for _, machine := range mute {
+		if float64(silentIn[machine.Zone]) > max(1, float64(inZone[machine.Zone])*tuning.ZoneOutageShare) {
 			continue
 		}
-		long := now.Sub(m.LastContact) > lost && now.Sub(c.tookOverAt) > lost
+		long := now.Sub(machine.LastContact) > lost && now.Sub(c.tookOverAt) > lost
 		switch {
-		case m.UnansweredCommands >= tuning.UnreachableCommands:
-			out[m] = long || c.runsUrgentWork(m)
-		case m.Addr == "": // not listed either, so there is nothing to call
-			out[m] = long && c.machinesListed
-		case !m.CommandInFlight:
-			c.sendCommands(m, nil, lastIncarnation(m), false, false)
+		case machine.UnansweredCommands >= tuning.UnreachableCommands:
+			out[machine] = long || c.runsUrgentWork(machine)
+		case machine.Addr == "": // not listed either, so there is nothing to call
+			out[machine] = long && c.machinesListed
+		case !machine.CommandInFlight:
+			c.sendCommands(machine, nil, lastIncarnation(machine), false, false)
 		}
 	}
 	// Machines whose reports come although nothing reaches them are as lost, but
 	// where they are many it is the link.
 	if len(deaf) <= max(1, int(float64(up)*tuning.OneWayPartitionShare)) {
-		for _, m := range deaf {
-			out[m] = true
+		for _, machine := range deaf {
+			out[machine] = true
 		}
 	}
 	return out
@@ -89,19 +89,19 @@
 // runsUrgentWork tells whether the machine has what should not wait for its lease: a
 // player-facing service, or a task of a gang, whose others can do nothing
 // meanwhile and whose machines stand idle.
-func (c *Leader) runsUrgentWork(m *cluster.Machine) bool {
-	for k := range m.Placements {
-		if j := c.jobs[k.Job]; j != nil && j.isGang() && j.spec.Tasks > 1 {
+func (c *Leader) runsUrgentWork(machine *cluster.Machine) bool {
+	for k := range machine.Placements {
+		if job := c.jobs[k.Job]; job != nil && job.isGang() && job.spec.Tasks > 1 {
 			return true
 		}
 	}
-	return c.runsProduction(m)
+	return c.runsProduction(machine)
 }
 
 // runsProduction tells whether the machine has player-facing services.
-func (c *Leader) runsProduction(m *cluster.Machine) bool {
-	for k := range m.Placements {
-		if j := c.jobs[k.Job]; j != nil && j.priority() == 0 {
+func (c *Leader) runsProduction(machine *cluster.Machine) bool {
+	for k := range machine.Placements {
+		if job := c.jobs[k.Job]; job != nil && job.priority() == 0 {
 			return true
 		}
 	}
@@ -122,12 +122,12 @@
 		return false
 	}
 	known, heard := 0, 0
-	for _, m := range c.machines {
-		if !expectedToReport(m) {
+	for _, machine := range c.machines {
+		if !expectedToReport(machine) {
 			continue
 		}
 		known++
-		if m.Up && !m.OneWayPartitioned() && now.Sub(m.LastHeartbeat) <= span {
+		if machine.Up && !machine.OneWayPartitioned() && now.Sub(machine.LastHeartbeat) <= span {
 			heard++
 		}
 	}
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -13,9 +13,9 @@
 	"marblehaven/internal/tuning"
 )
 
-// deadline is a time by which a job should be complete, counted from when it could
+// jobDeadline is a time by which a job should be complete, counted from when it could
 // begin, and whether it stands for an aim on the start, which counts tasks.
-type deadline struct {
+type jobDeadline struct {
 	seconds     float64
 	countsTasks bool
 }
@@ -24,18 +24,18 @@
 // objective sets one, in seconds, and whether it is an aim on the start, which
 // counts tasks. inherited is the time until the jobs that need this one must have
 // it, in seconds.
-func (c *Leader) deadlineFor(j *jobState, est, inherited float64, guaranteed bool, now time.Time) (due float64, onStart bool) {
-	age := now.Sub(j.readyAt).Seconds()
-	dues := c.deadlines(j, est, guaranteed)
+func (c *Leader) deadlineFor(job *jobState, est, inherited float64, guaranteed bool, now time.Time) (due float64, onStart bool) {
+	age := now.Sub(job.readyAt).Seconds()
+	dues := c.deadlines(job, est, guaranteed)
 	if !math.IsInf(inherited, 1) {
-		dues = append(dues, deadline{age + inherited, false})
+		dues = append(dues, jobDeadline{age + inherited, false})
 	}
 	if len(dues) == 0 {
-		dues = append(dues, deadline{c.Config.Operator.DeadlineFactor * est, false})
+		dues = append(dues, jobDeadline{c.Config.Operator.DeadlineFactor * est, false})
 	}
 	// The earliest that can still be kept; a job that has missed all of them
 	// is held to the last.
-	slices.SortStableFunc(dues, func(a, b deadline) int { return cmp.Compare(a.seconds, b.seconds) })
+	slices.SortStableFunc(dues, func(a, b jobDeadline) int { return cmp.Compare(a.seconds, b.seconds) })
 	for _, d := range dues {
 		if d.seconds-age >= est {
 			return d.seconds - age, d.countsTasks
@@ -46,27 +46,27 @@
 }
 
 // deadlines lists the job's own deadline and what the objectives ask for it.
-func (c *Leader) deadlines(j *jobState, est float64, guaranteed bool) []deadline {
-	var dues []deadline
-	due := j.spec.DeadlineS > 0
+func (c *Leader) deadlines(job *jobState, est float64, guaranteed bool) []jobDeadline {
+	var dues []jobDeadline
+	due := job.spec.DeadlineS > 0
 	// It counts from the submission, however long the job has waited for others.
-	waited := j.readyAt.Sub(j.acceptedAt).Seconds()
+	waited := job.readyAt.Sub(job.acceptedAt).Seconds()
 	if due {
-		dues = append(dues, deadline{j.spec.DeadlineS - waited, false})
+		dues = append(dues, jobDeadline{job.spec.DeadlineS - waited, false})
 	}
-	begun := len(j.placements) > 0
+	begun := len(job.placements) > 0
 	for _, o := range c.Config.Deployment.Objectives {
-		ofClass := o.Class == j.spec.Class
+		ofClass := o.Class == job.spec.Class
 		switch {
 		case o.Kind == "deadline" && ofClass && due && o.Times > 1:
-			dues = append(dues, deadline{o.Times*j.spec.DeadlineS - waited, false})
+			dues = append(dues, jobDeadline{o.Times*job.spec.DeadlineS - waited, false})
 		case o.WithinS <= 0:
 		case o.Kind == "finished" && ofClass:
-			dues = append(dues, deadline{o.WithinS, false})
+			dues = append(dues, jobDeadline{o.WithinS, false})
 		case o.Kind == "wait" && ofClass && !begun:
-			dues = append(dues, deadline{o.WithinS + est, true})
+			dues = append(dues, jobDeadline{o.WithinS + est, true})
 		case o.Kind == "guarantee" && guaranteed && !begun:
-			dues = append(dues, deadline{o.WithinS + est, false})
+			dues = append(dues, jobDeadline{o.WithinS + est, false})
 		}
 	}
 	return dues
@@ -75,10 +75,10 @@
 // starvationBoundS is how long a job may wait for its first start, in seconds, before it
 // goes first: early enough that even the largest begins in time. Room for a gang
 // falls free in one zone, a machine after another, and other gangs gather too.
-func starvationBoundS(j *jobState, est, slots float64, zones int) float64 {
+func starvationBoundS(job *jobState, est, slots float64, zones int) float64 {
 	gather := 0.0
-	if j.isGang() && j.spec.Tasks > 1 && slots > 0 {
-		gather = tuning.GangSlackFactor * est * float64(j.spec.Tasks) * float64(zones) / slots
+	if job.isGang() && job.spec.Tasks > 1 && slots > 0 {
+		gather = tuning.GangSlackFactor * est * float64(job.spec.Tasks) * float64(zones) / slots
 	}
 	return max(tuning.StarvationMinS, tuning.MaxStartWaitS-tuning.StarvationMarginS-gather)
 }
@@ -137,22 +137,22 @@
 
 // addJobs adds the jobs in the order of their acceptance.
 func (b *snapshotBuilder) addJobs() {
-	for _, j := range b.Leader.jobs {
-		if _, ok := b.teams[j.spec.Team]; ok {
-			b.jobs = append(b.jobs, j)
+	for _, job := range b.Leader.jobs {
+		if _, ok := b.teams[job.spec.Team]; ok {
+			b.jobs = append(b.jobs, job)
 		}
 	}
 	slices.SortFunc(b.jobs, func(x, y *jobState) int {
 		return cmp.Or(x.acceptedAt.Compare(y.acceptedAt), strings.Compare(x.id, y.id))
 	})
-	for i, j := range b.jobs {
-		b.jobIndex[j.id] = i
+	for i, job := range b.jobs {
+		b.jobIndex[job.id] = i
 	}
 	chained := b.chained()
 	demand := make([]scheduler.Resources, len(b.snap.Teams))
 	b.snap.Jobs = make([]scheduler.Job, 0, len(b.jobs))
-	for i, j := range b.jobs {
-		b.addJob(j, &chained[i], demand)
+	for i, job := range b.jobs {
+		b.addJob(job, &chained[i], demand)
 	}
 }
 
@@ -161,16 +161,16 @@
 func (b *snapshotBuilder) chained() []scheduler.ChainedJob {
 	out := make([]scheduler.ChainedJob, len(b.jobs))
 	any := false
-	for i, j := range b.jobs {
-		out[i] = scheduler.ChainedJob{Priority: j.priority(), DeadlineS: math.Inf(1), EstimateS: b.estimator.estimate(&j.spec)}
-		if j.spec.DeadlineS > 0 {
-			out[i].DeadlineS = j.spec.DeadlineS - b.now.Sub(j.acceptedAt).Seconds()
+	for i, job := range b.jobs {
+		out[i] = scheduler.ChainedJob{Priority: job.priority(), DeadlineS: math.Inf(1), EstimateS: b.estimator.estimate(&job.spec)}
+		if job.spec.DeadlineS > 0 {
+			out[i].DeadlineS = job.spec.DeadlineS - b.now.Sub(job.acceptedAt).Seconds()
 		}
-		if j.cancelled {
+		if job.cancelled {
 			continue
 		}
-		for ref := range j.pendingDependencies {
-			if need, ok := b.jobIndex[ref]; ok {
+		for jobID := range job.pendingDependencies {
+			if need, ok := b.jobIndex[jobID]; ok {
 				out[i].DependsOn = append(out[i].DependsOn, need)
 				any = true
 			}
@@ -183,37 +183,37 @@
 }
 
 // addJob adds a job; demand is what the jobs before it take of each team.
-func (b *snapshotBuilder) addJob(j *jobState, chained *scheduler.ChainedJob, demand []scheduler.Resources) {
-	team := b.teams[j.spec.Team]
-	need := j.request()
-	left := j.spec.Tasks - j.doneCount
+func (b *snapshotBuilder) addJob(job *jobState, chained *scheduler.ChainedJob, demand []scheduler.Resources) {
+	team := b.teams[job.spec.Team]
+	need := job.request()
+	left := job.spec.Tasks - job.doneCount
 	guaranteed := false
 	// A job that waits for others holds no part of its team's guarantee.
-	if !j.cancelled && len(j.pendingDependencies) == 0 {
+	if !job.cancelled && len(job.pendingDependencies) == 0 {
 		demand[team] = demand[team].Minus(need, -left)
 		guaranteed = withinGuarantee(need, demand[team], b.guarantee(team))
 	}
-	sj := scheduler.Job{ID: j.id, Spec: &j.spec, Request: need, Priority: chained.Priority, Guaranteed: guaranteed, EstimateS: chained.EstimateS,
-		Waiting: j.waitingTasks(), Running: len(j.placements), Team: team, BackingOff: b.now.Before(j.backoffUntil), Weight: 1}
+	sj := scheduler.Job{ID: job.id, Spec: &job.spec, Request: need, Priority: chained.Priority, Guaranteed: guaranteed, EstimateS: chained.EstimateS,
+		Waiting: job.waitingTasks(), Running: len(job.placements), Team: team, BackingOff: b.now.Before(job.backoffUntil), Weight: 1}
 	var onStart bool
-	if sj.DeadlineS, onStart = b.deadlineFor(j, sj.EstimateS, chained.DeadlineS, guaranteed, b.now); onStart {
-		sj.Weight = float64(j.spec.Tasks)
+	if sj.DeadlineS, onStart = b.deadlineFor(job, sj.EstimateS, chained.DeadlineS, guaranteed, b.now); onStart {
+		sj.Weight = float64(job.spec.Tasks)
 	}
-	if room := b.maxPlacements() - len(j.placements); sj.Waiting > room {
+	if room := b.maxPlacements() - len(job.placements); sj.Waiting > room {
 		// More would not fit into the run record, and a gang starts whole.
 		sj.Waiting = max(0, room)
-		if j.isGang() {
+		if job.isGang() {
 			sj.Waiting = 0
 		}
 	}
-	if sj.Waiting > 0 && (j.spec.Spread || j.spec.OneZone) {
+	if sj.Waiting > 0 && (job.spec.Spread || job.spec.OneZone) {
 		sj.RunningByZone = map[string]int{}
-		for _, p := range j.placements {
-			sj.RunningByZone[p.Machine.Zone]++
+		for _, placement := range job.placements {
+			sj.RunningByZone[placement.Machine.Zone]++
 		}
 	}
-	used := len(j.placements)
-	if j.recordUnreadable && b.now.Before(j.backoffUntil) {
+	used := len(job.placements)
+	if job.recordUnreadable && b.now.Before(job.backoffUntil) {
 		used = left // any of them may run
 	}
 	b.snap.Teams[team].Used = b.snap.Teams[team].Used.Minus(need, -used)
@@ -237,72 +237,72 @@
 	b.machines = make([]*cluster.Machine, 0, len(b.sorted))
 	b.snap.Machines = make([]scheduler.Machine, 0, len(b.sorted))
 	b.running = make([]scheduler.RunningTasks, 0, b.lastRunning+len(b.sorted))
-	for _, m := range b.sorted {
-		if typ, ok := b.typeIndex[m.Type]; ok {
-			b.addMachine(m, typ)
+	for _, machine := range b.sorted {
+		if typ, ok := b.typeIndex[machine.Type]; ok {
+			b.addMachine(machine, typ)
 		}
 	}
 	b.lastRunning = len(b.running)
 }
 
-func (b *snapshotBuilder) addMachine(m *cluster.Machine, typ int) {
-	t := &b.snap.Types[typ]
-	sm := scheduler.Machine{ID: m.ID, Type: typ, Zone: m.Zone, Spot: m.Spot, Free: t.Capacity,
-		Schedulable: m.Schedulable(b.now, b.schedulableSilence()), Empty: len(m.Placements) == 0 && len(m.Outbox) == 0, IdleS: b.now.Sub(m.IdleSince).Seconds(),
-		GPUIdleS: b.now.Sub(m.GPUIdleSince).Seconds()}
-	sm.Booting = !m.Up && !m.Deprovisioning && b.now.Sub(m.ProvisionedAt) < seconds(tuning.BootSlow*t.BootS)
-	if m.Up && !sm.Schedulable && !m.Deprovisioning && m.PreemptionAt.IsZero() {
+func (b *snapshotBuilder) addMachine(machine *cluster.Machine, typ int) {
+	machineType := &b.snap.Types[typ]
+	sm := scheduler.Machine{ID: machine.ID, Type: typ, Zone: machine.Zone, Spot: machine.Spot, Free: machineType.Capacity,
+		Schedulable: machine.Schedulable(b.now, b.schedulableSilence()), Empty: len(machine.Placements) == 0 && len(machine.Outbox) == 0, IdleS: b.now.Sub(machine.IdleSince).Seconds(),
+		GPUIdleS: b.now.Sub(machine.GPUIdleSince).Seconds()}
+	sm.Booting = !machine.Up && !machine.Deprovisioning && b.now.Sub(machine.ProvisionedAt) < seconds(tuning.BootSlow*machineType.BootS)
+	if machine.Up && !sm.Schedulable && !machine.Deprovisioning && machine.PreemptionAt.IsZero() {
 		b.unresolved++
 	}
-	if !m.Deprovisioning {
-		b.machineCounts[t.Capacity.GPUs > 0]++
-		b.zones = max(b.zones, len(t.Zones))
+	if !machine.Deprovisioning {
+		b.machineCounts[machineType.Capacity.GPUs > 0]++
+		b.zones = max(b.zones, len(machineType.Zones))
 	}
-	b.addRunning(&sm, m, t)
-	sm.Images = m.Images()
+	b.addRunning(&sm, machine, machineType)
+	sm.Images = machine.Images()
 	b.snap.Machines = append(b.snap.Machines, sm)
-	b.machines = append(b.machines, m)
+	b.machines = append(b.machines, machine)
 }
 
 // addRunning takes what is on a machine off its room, and sums it up by jobs.
-func (b *snapshotBuilder) addRunning(sm *scheduler.Machine, m *cluster.Machine, t *scheduler.MachineType) {
+func (b *snapshotBuilder) addRunning(sm *scheduler.Machine, machine *cluster.Machine, machineType *scheduler.MachineType) {
 	first := len(b.running)
 	var fetching []string
-	for k, p := range m.Placements {
-		ji, ok := b.jobIndex[k.Job]
+	for k, placement := range machine.Placements {
+		jobIndex, ok := b.jobIndex[k.Job]
 		if !ok {
 			sm.Schedulable = false
 			continue
 		}
-		j := &b.snap.Jobs[ji]
-		sm.Free = sm.Free.Minus(j.Request, 1)
-		i := slices.IndexFunc(b.running[first:], func(r scheduler.RunningTasks) bool { return r.Job == ji })
+		job := &b.snap.Jobs[jobIndex]
+		sm.Free = sm.Free.Minus(job.Request, 1)
+		i := slices.IndexFunc(b.running[first:], func(r scheduler.RunningTasks) bool { return r.Job == jobIndex })
 		if i < 0 {
 			i = len(b.running) - first
-			b.running = append(b.running, scheduler.RunningTasks{Job: ji})
+			b.running = append(b.running, scheduler.RunningTasks{Job: jobIndex})
 		}
-		b.addPlacement(&b.running[first+i], p, j)
-		if (p.State == "" || p.State == protocol.TaskFetching) && !slices.Contains(fetching, j.Spec.Image) {
-			fetching = append(fetching, j.Spec.Image)
-			sm.PendingFetchGB += max(0, j.Spec.ImageGB-t.FetchGBps*b.now.Sub(p.Since).Seconds())
+		b.addPlacement(&b.running[first+i], placement, job)
+		if (placement.State == "" || placement.State == protocol.TaskFetching) && !slices.Contains(fetching, job.Spec.Image) {
+			fetching = append(fetching, job.Spec.Image)
+			sm.PendingFetchGB += max(0, job.Spec.ImageGB-machineType.FetchGBps*b.now.Sub(placement.Since).Seconds())
 		}
 	}
 	sm.Tasks = b.running[first:len(b.running):len(b.running)]
 }
 
-func (b *snapshotBuilder) addPlacement(r *scheduler.RunningTasks, p *cluster.Placement, j *scheduler.Job) {
+func (b *snapshotBuilder) addPlacement(r *scheduler.RunningTasks, placement *cluster.Placement, job *scheduler.Job) {
 	r.Count++
-	if p.Stopping {
+	if placement.Stopping {
 		r.Stopping++
 	}
-	r.RemainingS = max(r.RemainingS, j.EstimateS)
-	if p.State != protocol.TaskRunning {
+	r.RemainingS = max(r.RemainingS, job.EstimateS)
+	if placement.State != protocol.TaskRunning {
 		return
 	}
-	ran := b.now.Sub(p.Since).Seconds()
-	r.RemainingS = max(0, j.EstimateS-ran)
+	ran := b.now.Sub(placement.Since).Seconds()
+	r.RemainingS = max(0, job.EstimateS-ran)
 	lost := ran
-	if interval := j.Spec.CheckpointIntervalS; interval > 0 {
+	if interval := job.Spec.CheckpointIntervalS; interval > 0 {
 		lost = min(lost, interval)
 	}
 	r.LostWorkS += lost
@@ -310,13 +310,13 @@
 
 // markStarved marks the jobs that have waited longer than any may.
 func (b *snapshotBuilder) markStarved() {
-	for i, j := range b.jobs {
-		if j.fullyStarted() || len(j.pendingDependencies) > 0 {
+	for i, job := range b.jobs {
+		if job.fullyStarted() || len(job.pendingDependencies) > 0 {
 			continue
 		}
 		sj := &b.snap.Jobs[i]
-		age := b.now.Sub(j.readyAt).Seconds()
-		sj.StarvedS = max(0, age-starvationBoundS(j, sj.EstimateS, b.machineCounts[sj.Request.GPUs > 0], b.zones))
+		age := b.now.Sub(job.readyAt).Seconds()
+		sj.StarvedS = max(0, age-starvationBoundS(job, sj.EstimateS, b.machineCounts[sj.Request.GPUs > 0], b.zones))
 		sj.MaxWaitExceeded = age > tuning.MaxStartWaitS
 	}
 }
@@ -324,13 +324,13 @@
 // addProvisioning adds the machines that were asked for without an answer yet: their room
 // counts as coming.
 func (b *snapshotBuilder) addProvisioning() {
-	for _, cl := range b.provisionRequests {
-		typ, ok := b.typeIndex[cl.Type]
-		if !ok || cl.resolved {
+	for _, request := range b.provisionRequests {
+		typ, ok := b.typeIndex[request.Type]
+		if !ok || request.resolved {
 			continue
 		}
-		for range cl.Count {
-			b.snap.Machines = append(b.snap.Machines, scheduler.Machine{Type: typ, Zone: cl.Zone, Spot: cl.Spot, Free: b.snap.Types[typ].Capacity, Booting: true})
+		for range request.Count {
+			b.snap.Machines = append(b.snap.Machines, scheduler.Machine{Type: typ, Zone: request.Zone, Spot: request.Spot, Free: b.snap.Types[typ].Capacity, Booting: true})
 			b.machines = append(b.machines, nil)
 		}
 	}
