--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -69,36 +69,36 @@
 	SinceS  float64 `msgpack:"s"`
 }
 
-func (c *Leader) summarize(s *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan, now time.Time) {
+func (c *Leader) summarize(snapshot *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan, now time.Time) {
 	st := Status{Term: c.leadership.Term, CloudOK: c.cloudOK, Format: c.format, Versions: c.nodeVersions()}
 	late := map[int]bool{}
 	for _, i := range plan.SlackSpent {
 		late[i] = true
 	}
 	classes := map[string]*ClassStatus{}
-	for i, j := range jobs {
-		if j.cancelled {
+	for i, job := range jobs {
+		if job.cancelled {
 			continue
 		}
-		k := classes[j.spec.Class]
+		k := classes[job.spec.Class]
 		if k == nil {
-			k = &ClassStatus{Class: j.spec.Class}
-			classes[j.spec.Class] = k
+			k = &ClassStatus{Class: job.spec.Class}
+			classes[job.spec.Class] = k
 		}
-		waiting := j.spec.Tasks - j.doneCount - len(j.placements)
+		waiting := job.spec.Tasks - job.doneCount - len(job.placements)
 		switch {
-		case len(j.pendingDependencies) > 0:
+		case len(job.pendingDependencies) > 0:
 			k.Blocked++
-		case waiting > 0 && len(j.placements) == 0:
+		case waiting > 0 && len(job.placements) == 0:
 			k.Waiting++
 		default:
 			k.Running++
 		}
-		if s.Jobs[i].DeadlineS < 0 && s.Jobs[i].Priority > 0 || late[i] {
+		if snapshot.Jobs[i].DeadlineS < 0 && snapshot.Jobs[i].Priority > 0 || late[i] {
 			k.Late++
 		}
-		if s.Jobs[i].Priority == 0 && waiting > 0 && len(j.pendingDependencies) == 0 && now.Sub(j.readyAt) > tuning.ErrorLogInterval {
-			st.Overdue = append(st.Overdue, OverdueJob{j.id, j.spec.Class, waiting, now.Sub(j.readyAt).Seconds()})
+		if snapshot.Jobs[i].Priority == 0 && waiting > 0 && len(job.pendingDependencies) == 0 && now.Sub(job.readyAt) > tuning.ErrorLogInterval {
+			st.Overdue = append(st.Overdue, OverdueJob{job.id, job.spec.Class, waiting, now.Sub(job.readyAt).Seconds()})
 		}
 	}
 	for _, k := range classes {
@@ -106,14 +106,14 @@
 	}
 	slices.SortFunc(st.Classes, func(a, b ClassStatus) int { return cmp.Compare(a.Class, b.Class) })
 	counts := map[[2]any]*MachineCount{}
-	for _, m := range c.machines {
-		key := [2]any{m.Type, m.Spot}
+	for _, machine := range c.machines {
+		key := [2]any{machine.Type, machine.Spot}
 		k := counts[key]
 		if k == nil {
-			k = &MachineCount{Type: m.Type, Spot: m.Spot}
+			k = &MachineCount{Type: machine.Type, Spot: machine.Spot}
 			counts[key] = k
 		}
-		if c.up(m, now) {
+		if c.up(machine, now) {
 			k.Up++
 		} else {
 			k.Other++
@@ -133,37 +133,37 @@
 
 // addUnknown counts and names the tasks that no record names.
 func (c *Leader) addUnknown(st *Status) {
-	for _, m := range c.sorted {
-		if m.UnknownTaskCount == 0 {
+	for _, machine := range c.sorted {
+		if machine.UnknownTaskCount == 0 {
 			continue
 		}
-		st.UnknownTasks += m.UnknownTaskCount
-		for _, t := range m.UnknownTasks() {
+		st.UnknownTasks += machine.UnknownTaskCount
+		for _, t := range machine.UnknownTasks() {
 			if len(st.Unknown) < tuning.UnknownTasksShown {
-				st.Unknown = append(st.Unknown, c.describeUnknown(m, &t))
+				st.Unknown = append(st.Unknown, c.describeUnknown(machine, &t))
 			}
 		}
 	}
 }
 
 // logUnknown logs the tasks of a machine that no record names.
-func (c *Leader) logUnknown(m *cluster.Machine) {
-	for _, t := range m.UnknownTasks() {
-		u := c.describeUnknown(m, &t)
-		c.Log.Error("unknown task", "task", u.Task, "try", u.Attempt, "state", u.State, "machine", u.Machine, "session", m.Incarnation, "job", u.Job)
+func (c *Leader) logUnknown(machine *cluster.Machine) {
+	for _, t := range machine.UnknownTasks() {
+		u := c.describeUnknown(machine, &t)
+		c.Log.Error("unknown task", "task", u.Task, "try", u.Attempt, "state", u.State, "machine", u.Machine, "session", machine.Incarnation, "job", u.Job)
 	}
 }
 
-func (c *Leader) describeUnknown(m *cluster.Machine, t *cluster.ReportedTask) UnknownTask {
-	u := UnknownTask{Task: t.Task, Attempt: t.Attempt, State: t.State, Machine: m.ID, Job: "not open"}
-	j := c.jobs[t.Key.Job]
+func (c *Leader) describeUnknown(machine *cluster.Machine, t *cluster.ReportedTask) UnknownTask {
+	u := UnknownTask{Task: t.Task, Attempt: t.Attempt, State: t.State, Machine: machine.ID, Job: "not open"}
+	job := c.jobs[t.Key.Job]
 	switch {
-	case j == nil:
-	case j.placements[t.Key.Task] != nil:
+	case job == nil:
+	case job.placements[t.Key.Task] != nil:
 		u.Job = "the task is elsewhere or another try"
-	case j.doneTasks.Has(t.Key.Task):
+	case job.doneTasks.Has(t.Key.Task):
 		u.Job = "the task is done"
-	case j.cancelled:
+	case job.cancelled:
 		u.Job = "cancelled"
 	default:
 		u.Job = "the task waits"
@@ -185,6 +185,6 @@
 	return out
 }
 
-func (c *Leader) up(m *cluster.Machine, now time.Time) bool {
-	return m.Up && now.Sub(m.LastContact) <= c.schedulableSilence()
+func (c *Leader) up(machine *cluster.Machine, now time.Time) bool {
+	return machine.Up && now.Sub(machine.LastContact) <= c.schedulableSilence()
 }
--- a/internal/leader/stop.go
+++ b/internal/leader/stop.go
@@ -7,38 +7,38 @@
 )
 
 // stopPlacement orders a placement to end.
-func (c *Leader) stopPlacement(p *cluster.Placement, graceS float64, now time.Time) {
-	if p.Stopping && p.GracePeriodS <= graceS {
+func (c *Leader) stopPlacement(placement *cluster.Placement, graceS float64, now time.Time) {
+	if placement.Stopping && placement.GracePeriodS <= graceS {
 		return
 	}
-	if !p.Recorded {
-		c.withdrawPlacement(p, now) // its start was never sent
+	if !placement.Recorded {
+		c.withdrawPlacement(placement, now) // its start was never sent
 		return
 	}
-	p.Stopping, p.GracePeriodS, p.StopOrderedAt = true, graceS, now
-	c.pendingDispatch[p.Machine] = true
+	placement.Stopping, placement.GracePeriodS, placement.StopOrderedAt = true, graceS, now
+	c.pendingDispatch[placement.Machine] = true
 	c.changed = true
 }
 
 // withdrawPlacement takes back a placement whose start was never sent.
-func (c *Leader) withdrawPlacement(p *cluster.Placement, now time.Time) {
+func (c *Leader) withdrawPlacement(placement *cluster.Placement, now time.Time) {
 	c.changed = true
-	p.Machine.RemovePlacement(p, now)
-	if j := c.jobs[p.Job]; j != nil && j.placements[p.Task] == p {
-		delete(j.placements, p.Task)
-		j.requeueTask(p.Task)
-		if p.Recorded {
-			c.markDirty(j, p.Task, false, now)
+	placement.Machine.RemovePlacement(placement, now)
+	if job := c.jobs[placement.Job]; job != nil && job.placements[placement.Task] == placement {
+		delete(job.placements, placement.Task)
+		job.requeueTask(placement.Task)
+		if placement.Recorded {
+			c.markDirty(job, placement.Task, false, now)
 		}
 	}
 }
 
-func (c *Leader) cancelJob(j *jobState, now time.Time) {
-	c.Log.Info("job cancelled", "job", j.id, "live", len(j.placements))
-	j.cancelled = true
+func (c *Leader) cancelJob(job *jobState, now time.Time) {
+	c.Log.Info("job cancelled", "job", job.id, "live", len(job.placements))
+	job.cancelled = true
 	c.changed = true
-	for _, p := range j.placements {
-		c.stopPlacement(p, 0, now)
+	for _, placement := range job.placements {
+		c.stopPlacement(placement, 0, now)
 	}
-	c.cancelDependents(j.id, now)
+	c.cancelDependents(job.id, now)
 }
--- a/internal/leader/versions.go
+++ b/internal/leader/versions.go
@@ -38,13 +38,13 @@
 	if err != nil {
 		return m, err
 	}
-	for _, it := range page.Entries {
+	for _, entry := range page.Entries {
 		var v records.FormatVersion
-		if err := protocol.Unmarshal(it.Value, &v); err != nil {
-			c.Log.Error("unreadable version record", "key", it.Key, "err", err)
+		if err := protocol.Unmarshal(entry.Value, &v); err != nil {
+			c.Log.Error("unreadable version record", "key", entry.Key, "err", err)
 			continue // it counts as an earlier version
 		}
-		m.formats[it.Key[len(records.PrefixNode):]] = v.Format
+		m.formats[entry.Key[len(records.PrefixNode):]] = v.Format
 	}
 	_, err = c.Store.Get(ctx, records.KeyCluster)
 	m.committed = err == nil
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -156,12 +156,12 @@
 
 // Run exchanges statuses with all peers until ctx ends.
 func (g *Group) Run(ctx context.Context) {
-	for _, l := range g.links {
+	for _, link := range g.links {
 		go func() {
 			t := time.NewTicker(tuning.PeerExchangeInterval)
 			defer t.Stop()
 			for {
-				g.exchangeStatus(ctx, l, false)
+				g.exchangeStatus(ctx, link, false)
 				select {
 				case <-ctx.Done():
 					return
@@ -172,22 +172,22 @@
 	}
 }
 
-func (g *Group) exchangeStatus(ctx context.Context, l *peerLink, summary bool) (Status, bool) {
+func (g *Group) exchangeStatus(ctx context.Context, link *peerLink, summary bool) (Status, bool) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerTimeout)
 	defer cancel()
 	a := statusAnswer{asked: time.Now()}
 	req := &StatusRequest{Leader: g.local.Status(&StatusRequest{}).Leader, Summary: summary, Acknowledged: g.local.IsLeader()}
-	err := l.conn.Invoke(ctx, "/"+service+"/Status", req, &a.status)
+	err := link.conn.Invoke(ctx, "/"+service+"/Status", req, &a.status)
 	if err != nil {
-		g.log.Debug("peer silent", "peer", l.name, "err", err)
+		g.log.Debug("peer silent", "peer", link.name, "err", err)
 		return Status{}, false
 	}
 	a.answered = time.Now()
 	g.local.ObserveTerm(a.status.Leader)
 	g.mu.Lock()
-	l.last = a
-	if a.answered.Sub(l.markAt) >= tuning.PeerWindow {
-		l.before, l.redirected, l.markAt = l.redirected, a.status.Redirected, a.answered
+	link.last = a
+	if a.answered.Sub(link.markAt) >= tuning.PeerWindow {
+		link.before, link.redirected, link.markAt = link.redirected, a.status.Redirected, a.answered
 	}
 	g.mu.Unlock()
 	return a.status, true
@@ -197,22 +197,22 @@
 // the latest time up to which none of those told after since is missing; it is
 // zero without peers. A peer that restarted after since, or has told users of
 // more jobs than it names, cannot say, nor can one that has not been asked.
-func (g *Group) Acknowledged(since time.Time) (asOf time.Time, refs []string, ok bool) {
+func (g *Group) Acknowledged(since time.Time) (asOf time.Time, jobIDs []string, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, l := range g.links {
+	for _, link := range g.links {
 		// The peer reckoned CompleteMS before it answered, so this is too late
 		// rather than too early.
-		complete := l.last.answered.Add(-time.Duration(l.last.status.CompleteMS) * time.Millisecond)
-		if l.last.asked.IsZero() || !complete.Before(since) {
+		complete := link.last.answered.Add(-time.Duration(link.last.status.CompleteMS) * time.Millisecond)
+		if link.last.asked.IsZero() || !complete.Before(since) {
 			return time.Time{}, nil, false
 		}
-		refs = append(refs, l.last.status.Acknowledged...)
-		if asOf.IsZero() || l.last.asked.Before(asOf) {
-			asOf = l.last.asked
+		jobIDs = append(jobIDs, link.last.status.Acknowledged...)
+		if asOf.IsZero() || link.last.asked.Before(asOf) {
+			asOf = link.last.asked
 		}
 	}
-	return asOf, refs, true
+	return asOf, jobIDs, true
 }
 
 // Redirected is how many workers' reports the peers that can be heard have sent on
@@ -221,13 +221,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := uint64(0)
-	for _, l := range g.links {
-		switch t := l.last.status.Redirected; {
-		case time.Since(l.last.answered) > tuning.PeerFresh:
-		case t < l.before: // a new process
+	for _, link := range g.links {
+		switch t := link.last.status.Redirected; {
+		case time.Since(link.last.answered) > tuning.PeerFresh:
+		case t < link.before: // a new process
 			n += t
 		default:
-			n += t - l.before
+			n += t - link.before
 		}
 	}
 	return int(n)
@@ -237,8 +237,8 @@
 func (g *Group) Unreachable(d time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, l := range g.links {
-		if time.Since(l.last.answered) < d {
+	for _, link := range g.links {
+		if time.Since(link.last.answered) < d {
 			return false
 		}
 	}
@@ -255,10 +255,10 @@
 func (g *Group) servedAfter(t time.Time) (*peerLink, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, l := range g.links {
-		at := l.last.answered.Add(-time.Duration(l.last.status.StateMS) * time.Millisecond)
-		if !l.last.asked.IsZero() && at.After(t) && time.Since(at) < tuning.PeerFresh {
-			return l, true
+	for _, link := range g.links {
+		at := link.last.answered.Add(-time.Duration(link.last.status.StateMS) * time.Millisecond)
+		if !link.last.asked.IsZero() && at.After(t) && time.Since(at) < tuning.PeerFresh {
+			return link, true
 		}
 	}
 	return nil, false
@@ -266,14 +266,14 @@
 
 // Forward passes a user's call to a peer that the state service serves.
 func (g *Group) Forward(ctx context.Context, c *UserCall) (*UserAnswer, bool) {
-	l, ok := g.servedAfter(time.Time{})
+	link, ok := g.servedAfter(time.Time{})
 	if !ok {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.ForwardTimeout)
 	defer cancel()
 	a := new(UserAnswer)
-	if err := l.conn.Invoke(ctx, "/"+service+"/UserCall", c, a); err != nil {
+	if err := link.conn.Invoke(ctx, "/"+service+"/UserCall", c, a); err != nil {
 		return nil, false
 	}
 	return a, true
@@ -281,9 +281,9 @@
 
 // Summary fetches the leader's summary.
 func (g *Group) Summary(ctx context.Context, node string) []byte {
-	for _, l := range g.links {
-		if l.name == node {
-			s, _ := g.exchangeStatus(ctx, l, true)
+	for _, link := range g.links {
+		if link.name == node {
+			s, _ := g.exchangeStatus(ctx, link, true)
 			return s.Summary
 		}
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -100,19 +100,19 @@
 				case 1:
 					proof = time.Now()
 				case 2, 3, 4:
-					ref := fmt.Sprint("req-", n)
-					p.refs = append(p.refs, ref)
-					all = append(all, told{ref, time.Now()})
+					jobID := fmt.Sprint("req-", n)
+					p.refs = append(p.refs, jobID)
+					all = append(all, told{jobID, time.Now()})
 				}
 				p.mu.Unlock()
-				asOf, refs, ok := g.Acknowledged(proof)
+				asOf, jobIDs, ok := g.Acknowledged(proof)
 				if !ok {
 					refused++
 					continue
 				}
 				vouched++
 				for _, a := range all {
-					if a.at.After(proof) && a.at.Before(asOf) && !slices.Contains(refs, a.ref) {
+					if a.at.After(proof) && a.at.Before(asOf) && !slices.Contains(jobIDs, a.ref) {
 						t.Errorf("%s, told %v before the time vouched for, is missing", a.ref, asOf.Sub(a.at))
 					}
 				}
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -241,11 +241,11 @@
 // checkDependencies checks the ids of the jobs that the job waits for, and drops
 // repeated ones.
 func (j *Job) checkDependencies() error {
-	for _, ref := range j.DependsOn {
+	for _, jobID := range j.DependsOn {
 		switch {
-		case !ValidJobID(ref):
+		case !ValidJobID(jobID):
 			return errors.New("field awaits names no job")
-		case ref == j.ID:
+		case jobID == j.ID:
 			return errors.New("field awaits names the job itself")
 		}
 	}
--- a/internal/protocol/job_test.go
+++ b/internal/protocol/job_test.go
@@ -93,8 +93,8 @@
 		}
 	}
 	for name, body := range cases {
-		if j, err := DecodeJob(body); err == nil {
-			t.Errorf("%s: accepted as %+v", name, j)
+		if job, err := DecodeJob(body); err == nil {
+			t.Errorf("%s: accepted as %+v", name, job)
 		}
 	}
 }
@@ -103,12 +103,12 @@
 	f.Add(encode(f, valid()))
 	f.Add([]byte{0x81, 0xa3, 'r', 'e', 'f', 0xdb, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		j, err := DecodeJob(body)
+		job, err := DecodeJob(body)
 		if err != nil {
 			return
 		}
-		if !ValidJobID(j.ID) || j.Tasks < 1 || !(j.Cores >= 0) || !(j.MemGB >= 0) || !(j.EstimateS >= 0) || j.Team == "" {
-			t.Errorf("accepted %+v", j)
+		if !ValidJobID(job.ID) || job.Tasks < 1 || !(job.Cores >= 0) || !(job.MemGB >= 0) || !(job.EstimateS >= 0) || job.Team == "" {
+			t.Errorf("accepted %+v", job)
 		}
 	})
 }
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -32,8 +32,8 @@
 
 // OpenKey, FinalKey, ClaimKey and NodeKey name the records of a job, a claim and a
 // controller.
-func OpenKey(ref string) string       { return PrefixOpen + ref }
-func FinalKey(ref string) string      { return "d/" + ref }
+func OpenKey(jobID string) string     { return PrefixOpen + jobID }
+func FinalKey(jobID string) string    { return "d/" + jobID }
 func ProvisioningKey(c string) string { return PrefixProvisioning + c }
 func NodeKey(node string) string      { return PrefixNode + node }
 
@@ -41,11 +41,11 @@
 
 // PieceKey names a piece of a job's run record. The first has the key of the whole
 // record as version 1 of the formats writes it.
-func SegmentKey(ref string, piece int) string {
+func SegmentKey(jobID string, piece int) string {
 	if piece == 0 {
-		return PrefixOpen + ref + runSuffix
+		return PrefixOpen + jobID + runSuffix
 	}
-	return PrefixOpen + ref + runSuffix + "/" + strconv.Itoa(piece)
+	return PrefixOpen + jobID + runSuffix + "/" + strconv.Itoa(piece)
 }
 
 // NoPiece is the piece number of an open job's own record.
@@ -53,16 +53,16 @@
 
 // SplitOpen takes the key of an open job's record or of a piece of its run record
 // apart.
-func ParseOpenKey(key string) (ref string, piece int) {
-	ref, rest, isRun := strings.Cut(strings.TrimPrefix(key, PrefixOpen), runSuffix)
+func ParseOpenKey(key string) (jobID string, piece int) {
+	jobID, rest, isRun := strings.Cut(strings.TrimPrefix(key, PrefixOpen), runSuffix)
 	if !isRun {
-		return ref, NoSegment
+		return jobID, NoSegment
 	}
 	number, err := strconv.Atoi(strings.TrimPrefix(rest, "/"))
 	if err != nil {
-		return ref, 0
+		return jobID, 0
 	}
-	return ref, number
+	return jobID, number
 }
 
 // Versions of the formats of records. Version 1 keeps a job's whole run record
--- a/internal/scheduler/gather.go
+++ b/internal/scheduler/gather.go
@@ -10,7 +10,7 @@
 // gpuWaitS is when the held machines are likely to have room for n tasks of a
 // job with GPUs, in the zone given or, if it needs one, in the best; those
 // machines then count as taken for as long as the job runs.
-func (p *planner) gpuWaitS(j *Job, n int, in string) float64 {
+func (p *planner) gpuWaitS(job *Job, n int, in string) float64 {
 	if p.gpuFreeInS == nil {
 		p.gpuFreeInS = make([]float64, len(p.snapshot.Machines))
 		for i := range p.snapshot.Machines {
@@ -21,13 +21,13 @@
 	}
 	byZone := map[string][]int{}
 	for i := range p.snapshot.Machines {
-		m := &p.snapshot.Machines[i]
-		if p.snapshot.Types[m.Type].Capacity.CapacityFor(j.Request) == 0 || !(m.Schedulable || len(m.Tasks) > 0) || !p.allowed(m, j.Spec) || (in != "" && m.Zone != in) {
+		machine := &p.snapshot.Machines[i]
+		if p.snapshot.Types[machine.Type].Capacity.CapacityFor(job.Request) == 0 || !(machine.Schedulable || len(machine.Tasks) > 0) || !p.allowed(machine, job.Spec) || (in != "" && machine.Zone != in) {
 			continue
 		}
 		z := anyZone
-		if j.Spec.OneZone {
-			z = m.Zone
+		if job.Spec.OneZone {
+			z = machine.Zone
 		}
 		byZone[z] = append(byZone[z], i)
 	}
@@ -37,7 +37,7 @@
 		slices.SortStableFunc(idx, func(a, b int) int { return cmp.Compare(p.gpuFreeInS[a], p.gpuFreeInS[b]) })
 		left := n
 		for k, i := range idx {
-			if left -= p.snapshot.Types[p.snapshot.Machines[i].Type].Capacity.CapacityFor(j.Request); left <= 0 {
+			if left -= p.snapshot.Types[p.snapshot.Machines[i].Type].Capacity.CapacityFor(job.Request); left <= 0 {
 				if p.gpuFreeInS[i] < wait {
 					best, wait = idx[:k+1], p.gpuFreeInS[i]
 				}
@@ -46,7 +46,7 @@
 		}
 	}
 	for _, i := range best {
-		p.gpuFreeInS[i] += j.EstimateS
+		p.gpuFreeInS[i] += job.EstimateS
 	}
 	return wait
 }
@@ -59,27 +59,27 @@
 // is counted against the gang. If the gang has waited too long, what is free and
 // coming is kept for it: otherwise smaller ones take every machine that falls
 // free, and it never starts (all its machines must be free at once).
-func (p *planner) reserveForGang(ji, n int, keepOff bool) (zone string, missing int) {
-	j := &p.snapshot.Jobs[ji]
-	d := j.Spec
+func (p *planner) reserveForGang(jobIndex, n int, keepOff bool) (zone string, missing int) {
+	job := &p.snapshot.Jobs[jobIndex]
+	spec := job.Spec
 	free, comes, whole := map[string]int{}, map[string]int{}, map[string]int{}
-	key := func(m *Machine) string {
-		if d.OneZone {
-			return m.Zone
+	key := func(machine *Machine) string {
+		if spec.OneZone {
+			return machine.Zone
 		}
 		return anyZone
 	}
 	for i := range p.pool {
-		m := &p.pool[i]
-		if !p.eligible(m, d, nil, keepOff) {
+		machine := &p.pool[i]
+		if !p.eligible(machine, spec, nil, keepOff) {
 			continue
 		}
-		whole[key(m)] += p.snapshot.Types[m.Type].Capacity.CapacityFor(j.Request)
+		whole[key(machine)] += p.snapshot.Types[machine.Type].Capacity.CapacityFor(job.Request)
 		switch {
-		case m.Schedulable:
-			free[key(m)] += m.Free.CapacityFor(j.Request)
-		case m.Booting:
-			comes[key(m)] += m.Free.CapacityFor(j.Request)
+		case machine.Schedulable:
+			free[key(machine)] += machine.Free.CapacityFor(job.Request)
+		case machine.Booting:
+			comes[key(machine)] += machine.Free.CapacityFor(job.Request)
 		}
 	}
 	// Where the machines are too few for all of it, there must be more to rent.
@@ -88,40 +88,40 @@
 		can[z] = k >= n
 	}
 	for ti := range p.snapshot.Types {
-		t := &p.snapshot.Types[ti]
-		if !TypeFits(t, d) || (keepOff && t.Capacity.GPUs > 0) {
+		machineType := &p.snapshot.Types[ti]
+		if !TypeFits(machineType, spec) || (keepOff && machineType.Capacity.GPUs > 0) {
 			continue
 		}
-		for _, z := range t.Zones {
-			if !p.snapshot.ExhaustedPools[CapacityPool{ti, z, false}] || (d.Spot && !p.snapshot.ExhaustedPools[CapacityPool{ti, z, true}]) {
+		for _, z := range machineType.Zones {
+			if !p.snapshot.ExhaustedPools[CapacityPool{ti, z, false}] || (spec.Spot && !p.snapshot.ExhaustedPools[CapacityPool{ti, z, true}]) {
 				can[key(&Machine{Zone: z})] = true
 			}
 		}
 	}
 	best := -1
 	for _, z := range slices.Sorted(maps.Keys(can)) {
-		if got := min(n, free[z]+comes[z]); can[z] && (z == anyZone || ZoneCapacity(d, nil, z) > 0) && (got > best || (got == best && whole[z] > whole[zone])) {
+		if got := min(n, free[z]+comes[z]); can[z] && (z == anyZone || ZoneCapacity(spec, nil, z) > 0) && (got > best || (got == best && whole[z] > whole[zone])) {
 			zone, best = z, got
 		}
 	}
 	if best <= 0 {
 		return "", n
 	}
-	keep := j.StarvedS > 0
+	keep := job.StarvedS > 0
 	left := n
 	for i := range p.pool {
-		m := &p.pool[i]
+		machine := &p.pool[i]
 		if left == 0 {
 			break
 		}
-		if key(m) != zone || !(m.Schedulable || m.Booting) || !p.eligible(m, d, nil, keepOff) {
+		if key(machine) != zone || !(machine.Schedulable || machine.Booting) || !p.eligible(machine, spec, nil, keepOff) {
 			continue
 		}
-		k := min(left, m.Free.CapacityFor(j.Request))
-		if m.Booting || keep {
-			m.Free = m.Free.Minus(j.Request, k)
+		k := min(left, machine.Free.CapacityFor(job.Request))
+		if machine.Booting || keep {
+			machine.Free = machine.Free.Minus(job.Request, k)
 		}
-		if k > 0 && m.Schedulable && keep {
+		if k > 0 && machine.Schedulable && keep {
 			p.reserved = append(p.reserved, i)
 		}
 		left -= k
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -12,15 +12,15 @@
 // Among equals the earliest deadline goes first, but where not all can be in
 // time, the jobs that take the most room for what they count go behind the
 // others, so that the most are (Moore's rule).
-func Order(s *Snapshot) []int {
-	idx := make([]int, len(s.Jobs))
+func Order(snapshot *Snapshot) []int {
+	idx := make([]int, len(snapshot.Jobs))
 	for i := range idx {
 		idx[i] = i
 	}
-	cores, gpus := heldCapacity(s)
-	first := starvedFirst(s, cores, gpus)
+	cores, gpus := heldCapacity(snapshot)
+	first := starvedFirst(snapshot, cores, gpus)
 	group := func(a, b int) int {
-		x, y := &s.Jobs[a], &s.Jobs[b]
+		x, y := &snapshot.Jobs[a], &snapshot.Jobs[b]
 		return cmp.Or(
 			compareTrueFirst(x.Priority == 0, y.Priority == 0),
 			compareTrueFirst(first[a], first[b]),
@@ -29,7 +29,7 @@
 			compareTrueFirst(x.Request.GPUs > 0, y.Request.GPUs > 0))
 	}
 	slices.SortStableFunc(idx, func(a, b int) int {
-		x, y := &s.Jobs[a], &s.Jobs[b]
+		x, y := &snapshot.Jobs[a], &snapshot.Jobs[b]
 		if first[a] && first[b] {
 			return compareStarved(x, y) // production is never among them
 		}
@@ -42,10 +42,10 @@
 		for n < len(idx) && group(idx[i], idx[n]) == 0 {
 			n++
 		}
-		if s.Jobs[idx[i]].Request.GPUs > 0 {
-			loadGPUs = orderByFeasibility(s, idx[i:n], loadGPUs, first[idx[i]], func(j *Job) float64 { return j.remainingWork(j.Request.GPUs) / math.Max(gpus, 1) })
+		if snapshot.Jobs[idx[i]].Request.GPUs > 0 {
+			loadGPUs = orderByFeasibility(snapshot, idx[i:n], loadGPUs, first[idx[i]], func(job *Job) float64 { return job.remainingWork(job.Request.GPUs) / math.Max(gpus, 1) })
 		} else {
-			load = orderByFeasibility(s, idx[i:n], load, first[idx[i]], func(j *Job) float64 { return j.remainingWork(j.Request.Cores) / math.Max(cores, 1) })
+			load = orderByFeasibility(snapshot, idx[i:n], load, first[idx[i]], func(job *Job) float64 { return job.remainingWork(job.Request.Cores) / math.Max(cores, 1) })
 		}
 		i = n
 	}
@@ -55,35 +55,35 @@
 // starvedFirst picks the jobs that have waited too long, the longest first, as long
 // as what waits of them fits into a part of the held machines: without the bound
 // an overload would turn all into a queue in which everything is late.
-func starvedFirst(s *Snapshot, cores, gpus float64) []bool {
-	first := make([]bool, len(s.Jobs))
+func starvedFirst(snapshot *Snapshot, cores, gpus float64) []bool {
+	first := make([]bool, len(snapshot.Jobs))
 	var old []int
-	for i := range s.Jobs {
-		if j := &s.Jobs[i]; j.StarvedS > 0 && j.Waiting > 0 && !j.BackingOff && j.Priority > 0 {
+	for i := range snapshot.Jobs {
+		if job := &snapshot.Jobs[i]; job.StarvedS > 0 && job.Waiting > 0 && !job.BackingOff && job.Priority > 0 {
 			old = append(old, i)
 		}
 	}
-	slices.SortFunc(old, func(a, b int) int { return compareStarved(&s.Jobs[a], &s.Jobs[b]) })
-	leftCores, leftGPUs := cores*s.StarvationShare, gpus*s.StarvationShare
-	idle := cores * s.StarvationShareIdle // of the lowest rank, with what of it runs
-	for i := range s.Jobs {
-		if j := &s.Jobs[i]; j.Priority == LowestPriority && j.Request.GPUs == 0 {
-			idle -= j.Request.Cores * float64(j.Running)
+	slices.SortFunc(old, func(a, b int) int { return compareStarved(&snapshot.Jobs[a], &snapshot.Jobs[b]) })
+	leftCores, leftGPUs := cores*snapshot.StarvationShare, gpus*snapshot.StarvationShare
+	idle := cores * snapshot.StarvationShareIdle // of the lowest rank, with what of it runs
+	for i := range snapshot.Jobs {
+		if job := &snapshot.Jobs[i]; job.Priority == LowestPriority && job.Request.GPUs == 0 {
+			idle -= job.Request.Cores * float64(job.Running)
 		}
 	}
 	anyCores, anyGPUs := false, false
 	for _, i := range old {
-		j := &s.Jobs[i]
-		n := float64(j.Waiting)
-		if j.Priority == LowestPriority && j.Request.GPUs == 0 {
+		job := &snapshot.Jobs[i]
+		n := float64(job.Waiting)
+		if job.Priority == LowestPriority && job.Request.GPUs == 0 {
 			if idle <= 0 {
 				continue
 			}
-			idle -= j.Request.Cores * n
+			idle -= job.Request.Cores * n
 		}
-		left, some, need := &leftCores, &anyCores, j.Request.Cores
-		if j.Request.GPUs > 0 {
-			left, some, need = &leftGPUs, &anyGPUs, j.Request.GPUs
+		left, some, need := &leftCores, &anyCores, job.Request.Cores
+		if job.Request.GPUs > 0 {
+			left, some, need = &leftGPUs, &anyGPUs, job.Request.GPUs
 		}
 		if !*some || need*n <= *left {
 			first[i], *some = true, true
@@ -102,11 +102,11 @@
 
 // heldCapacity is the size of the held machines: cores of those without GPUs, and
 // GPUs.
-func heldCapacity(s *Snapshot) (cores, gpus float64) {
-	for i := range s.Machines {
-		m := &s.Machines[i]
-		if m.Schedulable || m.Booting || len(m.Tasks) > 0 {
-			t := s.Types[m.Type].Capacity
+func heldCapacity(snapshot *Snapshot) (cores, gpus float64) {
+	for i := range snapshot.Machines {
+		machine := &snapshot.Machines[i]
+		if machine.Schedulable || machine.Booting || len(machine.Tasks) > 0 {
+			t := snapshot.Types[machine.Type].Capacity
 			gpus += t.GPUs
 			if t.GPUs == 0 {
 				cores += t.Cores
@@ -119,19 +119,19 @@
 // orderByFeasibility puts the jobs of a group that can be in time first, in the order they
 // are given, then the others, the smallest for what it counts first. It returns
 // the load after it. Where the order is fixed nothing is put behind.
-func orderByFeasibility(s *Snapshot, idx []int, load float64, fixed bool, takes func(*Job) float64) float64 {
+func orderByFeasibility(snapshot *Snapshot, idx []int, load float64, fixed bool, takes func(*Job) float64) float64 {
 	by := make(loadHeap, 0, len(idx))
 	late := make([]bool, len(idx))
 	var later []int
-	for k, ji := range idx {
-		j := &s.Jobs[ji]
-		t := takes(j)
+	for k, jobIndex := range idx {
+		job := &snapshot.Jobs[jobIndex]
+		t := takes(job)
 		load += t
 		if fixed {
 			continue
 		}
-		heap.Push(&by, heapEntry{k, t, t / math.Max(j.Weight, 1)})
-		if load+j.EstimateS <= j.DeadlineS {
+		heap.Push(&by, heapEntry{k, t, t / math.Max(job.Weight, 1)})
+		if load+job.EstimateS <= job.DeadlineS {
 			continue
 		}
 		big := heap.Pop(&by).(heapEntry)
@@ -142,17 +142,17 @@
 	if len(later) == 0 {
 		return load
 	}
-	per := func(k int) float64 { j := &s.Jobs[idx[k]]; return takes(j) / math.Max(j.Weight, 1) }
+	per := func(k int) float64 { job := &snapshot.Jobs[idx[k]]; return takes(job) / math.Max(job.Weight, 1) }
 	slices.SortFunc(later, func(a, b int) int { return cmp.Or(cmp.Compare(per(a), per(b)), cmp.Compare(a, b)) })
 	out := make([]int, 0, len(idx))
-	for k, ji := range idx {
+	for k, jobIndex := range idx {
 		if !late[k] {
-			out = append(out, ji)
+			out = append(out, jobIndex)
 		}
 	}
 	for _, k := range later {
 		out = append(out, idx[k])
-		load += takes(&s.Jobs[idx[k]])
+		load += takes(&snapshot.Jobs[idx[k]])
 	}
 	copy(idx, out)
 	return load
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -27,22 +27,22 @@
 
 // place puts up to n tasks on machines of the kind and returns how many found
 // room.
-func (p *planner) place(ji, n int, zones map[string]int, keepOff, gang bool, kind int) int {
+func (p *planner) place(jobIndex, n int, zones map[string]int, keepOff, gang bool, kind int) int {
 	if n == 0 {
 		return 0
 	}
-	j := &p.snapshot.Jobs[ji]
-	sig, like := p.taskKind(j, kind, !gang)
+	job := &p.snapshot.Jobs[jobIndex]
+	sig, like := p.taskKind(job, kind, !gang)
 	if like && p.exhaustedKinds[sig] {
 		return 0
 	}
-	candidates := p.candidates(j, zones, keepOff, kind)
+	candidates := p.candidates(job, zones, keepOff, kind)
 	var starts []Start
 	var placed int
-	if j.Spec.OneZone {
-		starts, placed = p.distributeInOneZone(ji, n, zones, candidates)
+	if job.Spec.OneZone {
+		starts, placed = p.distributeInOneZone(jobIndex, n, zones, candidates)
 	} else {
-		starts, placed = p.distribute(ji, n, zones, candidates, "")
+		starts, placed = p.distribute(jobIndex, n, zones, candidates, "")
 	}
 	if like && placed < n {
 		p.exhaustedKinds[sig] = true
@@ -58,10 +58,10 @@
 
 // candidates lists the machines of a kind that have room for a task, the cheapest
 // first.
-func (p *planner) candidates(j *Job, zones map[string]int, keepOff bool, kind int) []candidate {
+func (p *planner) candidates(job *Job, zones map[string]int, keepOff bool, kind int) []candidate {
 	var out []candidate
 	for _, i := range p.withCapacity {
-		if c, ok := p.candidate(i, j, zones, keepOff, kind); ok {
+		if c, ok := p.candidate(i, job, zones, keepOff, kind); ok {
 			out = append(out, c)
 		}
 	}
@@ -74,39 +74,39 @@
 
 // candidate tells whether a machine of the pool is of the kind and has room for a task
 // of a job, and at what cost.
-func (p *planner) candidate(i int, j *Job, zones map[string]int, keepOff bool, kind int) (c candidate, ok bool) {
-	m, d := &p.pool[i], j.Spec
-	if (kind == targetBooting && !m.Booting) || (kind != targetBooting && !m.Schedulable) || !p.allowed(m, d) || (kind == targetCached && !m.hasImage(d.Image)) {
+func (p *planner) candidate(i int, job *Job, zones map[string]int, keepOff bool, kind int) (c candidate, ok bool) {
+	machine, spec := &p.pool[i], job.Spec
+	if (kind == targetBooting && !machine.Booting) || (kind != targetBooting && !machine.Schedulable) || !p.allowed(machine, spec) || (kind == targetCached && !machine.hasImage(spec.Image)) {
 		return c, false
 	}
-	room := p.capacityOn(m, j, keepOff)
-	if room == 0 || ZoneCapacity(d, zones, m.Zone) == 0 {
+	room := p.capacityOn(machine, job, keepOff)
+	if room == 0 || ZoneCapacity(spec, zones, machine.Zone) == 0 {
 		return c, false
 	}
-	t := &p.snapshot.Types[m.Type]
-	estimate := j.EstimateS
-	if !m.hasImage(d.Image) {
+	machineType := &p.snapshot.Types[machine.Type]
+	estimate := job.EstimateS
+	if !machine.hasImage(spec.Image) {
 		// Fetches share the rate: one after another the first are there
 		// sooner, and what waits meanwhile may find a better place.
-		if kind == targetReady && m.PendingFetchGB > tuning.FetchAheadS*t.FetchGBps {
+		if kind == targetReady && machine.PendingFetchGB > tuning.FetchAheadS*machineType.FetchGBps {
 			return c, false
 		}
-		estimate += fetchTimeS(t, d)
-		if t.FetchGBps > 0 {
-			estimate += m.PendingFetchGB / t.FetchGBps
+		estimate += fetchTimeS(machineType, spec)
+		if machineType.FetchGBps > 0 {
+			estimate += machine.PendingFetchGB / machineType.FetchGBps
 		}
 	}
-	share := 1 / float64(max(1, t.Capacity.CapacityFor(j.Request)))
-	left := m.Free.Cores
-	if j.Request.GPUs > 0 {
-		left = m.GPUIdleS // the last used, so that others are given back
+	share := 1 / float64(max(1, machineType.Capacity.CapacityFor(job.Request)))
+	left := machine.Free.Cores
+	if job.Request.GPUs > 0 {
+		left = machine.GPUIdleS // the last used, so that others are given back
 	}
-	return candidate{i, room, t.HourlyPrice(m.Spot) * share * math.Max(estimate, 1), left}, true
+	return candidate{i, room, machineType.HourlyPrice(machine.Spot) * share * math.Max(estimate, 1), left}, true
 }
 
 // distribute divides up to n tasks over the candidates in their order, in one zone only
 // unless that is empty, and returns how many found room.
-func (p *planner) distribute(ji, n int, zones map[string]int, candidates []candidate, only string) ([]Start, int) {
+func (p *planner) distribute(jobIndex, n int, zones map[string]int, candidates []candidate, only string) ([]Start, int) {
 	if len(candidates) == 0 {
 		return nil, 0
 	}
@@ -121,11 +121,11 @@
 		if only != "" && zone != only {
 			continue
 		}
-		count := min(left, c.capacity, ZoneCapacity(p.snapshot.Jobs[ji].Spec, inZone, zone))
+		count := min(left, c.capacity, ZoneCapacity(p.snapshot.Jobs[jobIndex].Spec, inZone, zone))
 		if count <= 0 {
 			continue
 		}
-		starts = append(starts, Start{ji, c.machine, count})
+		starts = append(starts, Start{jobIndex, c.machine, count})
 		inZone[zone] += count
 		if left -= count; left == 0 {
 			break
@@ -137,7 +137,7 @@
 // distributeInOneZone takes the zone that takes the most tasks, and of those that take as
 // many the one with the least room, so that the other keeps what a larger gang will
 // need.
-func (p *planner) distributeInOneZone(ji, n int, zones map[string]int, candidates []candidate) (best []Start, placed int) {
+func (p *planner) distributeInOneZone(jobIndex, n int, zones map[string]int, candidates []candidate) (best []Start, placed int) {
 	room := map[string]int{}
 	for _, c := range candidates {
 		room[p.pool[c.machine].Zone] += c.capacity
@@ -149,7 +149,7 @@
 			continue
 		}
 		seen[zone] = true
-		starts, count := p.distribute(ji, n, zones, candidates, zone)
+		starts, count := p.distribute(jobIndex, n, zones, candidates, zone)
 		if count > placed || (count == placed && room[zone] < room[bestZone]) {
 			best, placed, bestZone = starts, count, zone
 		}
@@ -160,17 +160,17 @@
 // addStart enters a start in the plan and takes its room. Of machines that are not up yet
 // only the room is taken.
 func (p *planner) addStart(start Start, zones map[string]int, kind int) {
-	j := &p.snapshot.Jobs[start.Job]
-	m := &p.pool[start.Machine]
-	m.Free = m.Free.Minus(j.Request, start.Count)
-	zones[m.Zone] += start.Count
+	job := &p.snapshot.Jobs[start.Job]
+	machine := &p.pool[start.Machine]
+	machine.Free = machine.Free.Minus(job.Request, start.Count)
+	zones[machine.Zone] += start.Count
 	if kind == targetBooting {
 		return
 	}
-	if !m.hasImage(j.Spec.Image) {
-		m.Images = append(slices.Clip(m.Images), j.Spec.Image)
-		m.PendingFetchGB += j.Spec.ImageGB
+	if !machine.hasImage(job.Spec.Image) {
+		machine.Images = append(slices.Clip(machine.Images), job.Spec.Image)
+		machine.PendingFetchGB += job.Spec.ImageGB
 	}
-	m.Tasks = append(slices.Clip(m.Tasks), RunningTasks{Job: start.Job, Count: start.Count})
+	machine.Tasks = append(slices.Clip(machine.Tasks), RunningTasks{Job: start.Job, Count: start.Count})
 	p.plan.Starts = append(p.plan.Starts, start)
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -18,15 +18,15 @@
 // preempt stops the work of the lowest rank, on the machine where the least of
 // it is lost. What is already stopping counts as room to come. It returns for
 // how many tasks there will be room.
-func (p *planner) preempt(ji, n int, zones map[string]int, keepOff, cached bool) int {
-	j := &p.snapshot.Jobs[ji]
-	if j.Spec.Kind == protocol.KindGang && n > 1 {
+func (p *planner) preempt(jobIndex, n int, zones map[string]int, keepOff, cached bool) int {
+	job := &p.snapshot.Jobs[jobIndex]
+	if job.Spec.Kind == protocol.KindGang && n > 1 {
 		return 0 // a gang starts whole: room for a part of it is of no use
 	}
 	if n == 0 {
 		return 0
 	}
-	sig, like := p.taskKind(j, targetPreempted, true)
+	sig, like := p.taskKind(job, targetPreempted, true)
 	if cached {
 		like = false
 	}
@@ -34,12 +34,12 @@
 		return 0
 	}
 	made := 0
-	for _, v := range p.findVictims(ji, zones, keepOff, cached) {
-		if made == n || ZoneCapacity(j.Spec, zones, p.pool[v.machine].Zone) == 0 {
+	for _, v := range p.findVictims(jobIndex, zones, keepOff, cached) {
+		if made == n || ZoneCapacity(job.Spec, zones, p.pool[v.machine].Zone) == 0 {
 			continue
 		}
 		made++
-		p.addPreemption(&v, j, zones)
+		p.addPreemption(&v, job, zones)
 	}
 	if like && made < n {
 		p.exhaustedKinds[sig] = true
@@ -48,15 +48,15 @@
 }
 
 // findVictims lists what could be stopped for a task of a job, the best first.
-func (p *planner) findVictims(ji int, zones map[string]int, keepOff, cached bool) []victim {
-	j := &p.snapshot.Jobs[ji]
+func (p *planner) findVictims(jobIndex int, zones map[string]int, keepOff, cached bool) []victim {
+	job := &p.snapshot.Jobs[jobIndex]
 	var found []victim
 	for _, i := range p.preemptible {
-		m := &p.pool[i]
-		if !m.Schedulable || !p.eligible(m, j.Spec, zones, keepOff) || (cached && !m.hasImage(j.Spec.Image)) {
+		machine := &p.pool[i]
+		if !machine.Schedulable || !p.eligible(machine, job.Spec, zones, keepOff) || (cached && !machine.hasImage(job.Spec.Image)) {
 			continue
 		}
-		if v, ok := p.victimOn(i, ji); ok {
+		if v, ok := p.victimOn(i, jobIndex); ok {
 			found = append(found, v)
 		}
 	}
@@ -70,16 +70,16 @@
 
 // victimOn finds out what has to be stopped on a machine for a task of a job, if that
 // makes enough room.
-func (p *planner) victimOn(i, ji int) (victim, bool) {
-	j, m := &p.snapshot.Jobs[ji], &p.pool[i]
+func (p *planner) victimOn(i, jobIndex int) (victim, bool) {
+	job, machine := &p.snapshot.Jobs[jobIndex], &p.pool[i]
 	out := victim{machine: i, priority: LowestPriority}
-	free := m.Free
-	for _, r := range p.lowestPriorityFirst(m.Tasks) {
+	free := machine.Free
+	for _, r := range p.lowestPriorityFirst(machine.Tasks) {
 		v := &p.snapshot.Jobs[r.Job]
-		if free.CapacityFor(j.Request) > 0 || v.Priority <= j.Priority {
+		if free.CapacityFor(job.Request) > 0 || v.Priority <= job.Priority {
 			break
 		}
-		if p.servingOrder[r.Job] < p.servingOrder[ji] {
+		if p.servingOrder[r.Job] < p.servingOrder[jobIndex] {
 			continue // it would take the room again at once
 		}
 		if v.Spec.Kind == protocol.KindGang && v.Spec.Tasks > 1 {
@@ -87,7 +87,7 @@
 		}
 		free = free.Minus(v.Request, -r.Stopping)
 		count := 0
-		for r.Stopping+count < r.Count && free.CapacityFor(j.Request) == 0 {
+		for r.Stopping+count < r.Count && free.CapacityFor(job.Request) == 0 {
 			free = free.Minus(v.Request, -1)
 			count++
 		}
@@ -97,7 +97,7 @@
 			out.preemptions = append(out.preemptions, Preemption{i, r.Job, count})
 		}
 	}
-	return out, free.CapacityFor(j.Request) > 0
+	return out, free.CapacityFor(job.Request) > 0
 }
 
 // lowestPriorityFirst orders what runs on a machine, the lowest rank and the least loss first.
@@ -113,16 +113,16 @@
 }
 
 // addPreemption enters the stops in the plan. The room that they make is for one task of the job.
-func (p *planner) addPreemption(v *victim, j *Job, zones map[string]int) {
-	m := &p.pool[v.machine]
+func (p *planner) addPreemption(v *victim, job *Job, zones map[string]int) {
+	machine := &p.pool[v.machine]
 	for _, stop := range v.preemptions {
 		p.plan.Preemptions = append(p.plan.Preemptions, stop)
-		k := slices.IndexFunc(m.Tasks, func(r RunningTasks) bool { return r.Job == stop.Job })
-		m.Tasks = slices.Clone(m.Tasks)
-		m.Tasks[k].Stopping += stop.Count
-		m.Free = m.Free.Minus(p.snapshot.Jobs[stop.Job].Request, -stop.Count)
+		k := slices.IndexFunc(machine.Tasks, func(r RunningTasks) bool { return r.Job == stop.Job })
+		machine.Tasks = slices.Clone(machine.Tasks)
+		machine.Tasks[k].Stopping += stop.Count
+		machine.Free = machine.Free.Minus(p.snapshot.Jobs[stop.Job].Request, -stop.Count)
 	}
-	m.Free = m.Free.Minus(j.Request, 1)
-	m.Schedulable = false // its room is spoken for
-	zones[m.Zone]++
+	machine.Free = machine.Free.Minus(job.Request, 1)
+	machine.Schedulable = false // its room is spoken for
+	zones[machine.Zone]++
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -51,14 +51,14 @@
 	image    string
 }
 
-func (p *planner) taskKind(j *Job, kind int, plain bool) (taskKind, bool) {
-	d := j.Spec
-	if d.OneZone || d.Spread || d.Zone != "" || !plain {
+func (p *planner) taskKind(job *Job, kind int, plain bool) (taskKind, bool) {
+	spec := job.Spec
+	if spec.OneZone || spec.Spread || spec.Zone != "" || !plain {
 		return taskKind{}, false
 	}
-	k := taskKind{request: j.Request, types: strings.Join(d.MachineTypes, " "), spot: d.Spot, priority: j.Priority, service: d.Kind == protocol.KindService, target: kind}
+	k := taskKind{request: job.Request, types: strings.Join(spec.MachineTypes, " "), spot: spec.Spot, priority: job.Priority, service: spec.Kind == protocol.KindService, target: kind}
 	if kind == targetCached || kind == targetReady {
-		k.image = d.Image // a machine takes only so many images at once
+		k.image = spec.Image // a machine takes only so many images at once
 	}
 	return k, true
 }
@@ -67,32 +67,32 @@
 func (p *planner) indexMachines() {
 	least := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
 	for i := range p.snapshot.Jobs {
-		if j := &p.snapshot.Jobs[i]; j.Waiting > 0 && !j.BackingOff {
-			least = Resources{math.Min(least.Cores, j.Request.Cores), math.Min(least.GPUs, j.Request.GPUs), math.Min(least.MemGB, j.Request.MemGB)}
+		if job := &p.snapshot.Jobs[i]; job.Waiting > 0 && !job.BackingOff {
+			least = Resources{math.Min(least.Cores, job.Request.Cores), math.Min(least.GPUs, job.Request.GPUs), math.Min(least.MemGB, job.Request.MemGB)}
 		}
 	}
 	for i := range p.pool {
-		m := &p.pool[i]
-		if (m.Schedulable || m.Booting) && m.Free.Cores >= least.Cores-eps && m.Free.GPUs >= least.GPUs-eps && m.Free.MemGB >= least.MemGB-eps {
+		machine := &p.pool[i]
+		if (machine.Schedulable || machine.Booting) && machine.Free.Cores >= least.Cores-eps && machine.Free.GPUs >= least.GPUs-eps && machine.Free.MemGB >= least.MemGB-eps {
 			p.withCapacity = append(p.withCapacity, i)
 		}
-		if m.Schedulable && slices.ContainsFunc(m.Tasks, func(r RunningTasks) bool { return p.snapshot.Jobs[r.Job].Priority > 0 }) {
+		if machine.Schedulable && slices.ContainsFunc(machine.Tasks, func(r RunningTasks) bool { return p.snapshot.Jobs[r.Job].Priority > 0 }) {
 			p.preemptible = append(p.preemptible, i)
 		}
 	}
 }
 
 // Decide makes the plan.
-func Decide(s *Snapshot) Plan {
-	p := &planner{snapshot: s, pool: slices.Clone(s.Machines), exhaustedKinds: map[taskKind]bool{}, productionScaleOuts: map[CapacityPool]int{}, teams: slices.Clone(s.Teams)}
-	p.heldCores, p.heldGPUs = heldCapacity(s)
+func Decide(snapshot *Snapshot) Plan {
+	p := &planner{snapshot: snapshot, pool: slices.Clone(snapshot.Machines), exhaustedKinds: map[taskKind]bool{}, productionScaleOuts: map[CapacityPool]int{}, teams: slices.Clone(snapshot.Teams)}
+	p.heldCores, p.heldGPUs = heldCapacity(snapshot)
 	p.indexMachines()
 	order := p.order()
-	for _, ji := range order {
-		p.scheduleJob(ji)
+	for _, jobIndex := range order {
+		p.scheduleJob(jobIndex)
 	}
 	p.addHeadroom()
-	if s.MayScaleIn {
+	if snapshot.MayScaleIn {
 		p.scaleIn()
 	}
 	return p.plan
@@ -102,91 +102,91 @@
 func (p *planner) order() []int {
 	order := Order(p.snapshot)
 	p.servingOrder = make([]int, len(p.snapshot.Jobs))
-	for i, ji := range order {
-		j := &p.snapshot.Jobs[ji]
-		p.servingOrder[ji] = i
-		p.gpuWaits = p.gpuWaits || (j.Request.GPUs > 0 && j.Waiting > 0 && !j.BackingOff)
+	for i, jobIndex := range order {
+		job := &p.snapshot.Jobs[jobIndex]
+		p.servingOrder[jobIndex] = i
+		p.gpuWaits = p.gpuWaits || (job.Request.GPUs > 0 && job.Waiting > 0 && !job.BackingOff)
 	}
 	return order
 }
 
 // scheduleJob places what waits of a job, makes room for it, and rents for it once its
 // slack is spent.
-func (p *planner) scheduleJob(ji int) {
-	j := &p.snapshot.Jobs[ji]
-	if j.Waiting == 0 || j.BackingOff {
+func (p *planner) scheduleJob(jobIndex int) {
+	job := &p.snapshot.Jobs[jobIndex]
+	if job.Waiting == 0 || job.BackingOff {
 		return
 	}
-	n := min(j.Waiting, tasksWithinQuota(&p.teams[j.Team], j.Request))
-	gang := j.Spec.Kind == protocol.KindGang
-	if n == 0 || (gang && n < j.Waiting) {
+	n := min(job.Waiting, tasksWithinQuota(&p.teams[job.Team], job.Request))
+	gang := job.Spec.Kind == protocol.KindGang
+	if n == 0 || (gang && n < job.Waiting) {
 		return
 	}
-	keepOff := avoidsGPUMachines(p.snapshot, j)
+	keepOff := avoidsGPUMachines(p.snapshot, job)
 	zones := map[string]int{}
-	maps.Copy(zones, j.RunningByZone)
-	if j.Priority == 0 && j.Spec.Kind == protocol.KindService {
-		n -= p.scheduleOnCachedImage(ji, n, zones, keepOff)
+	maps.Copy(zones, job.RunningByZone)
+	if job.Priority == 0 && job.Spec.Kind == protocol.KindService {
+		n -= p.scheduleOnCachedImage(jobIndex, n, zones, keepOff)
 	}
 	// Held machines first (P1): least price times estimate.
-	got := p.place(ji, n, zones, keepOff, gang, targetReady)
-	p.chargeQuota(j, got)
+	got := p.place(jobIndex, n, zones, keepOff, gang, targetReady)
+	p.chargeQuota(job, got)
 	if n -= got; n == 0 {
 		return
 	}
-	boot := bootTimeS(p.snapshot, j)
-	slack := p.slack(j, n, boot)
-	if j.Priority == 0 || j.Request.GPUs > 0 {
-		n -= p.preempt(ji, n, zones, keepOff, false)
+	boot := bootTimeS(p.snapshot, job)
+	slack := p.slack(job, n, boot)
+	if job.Priority == 0 || job.Request.GPUs > 0 {
+		n -= p.preempt(jobIndex, n, zones, keepOff, false)
 	}
 	in, all := anyZone, n // where the gang gathers
 	if gang {
-		in, n = p.reserveForGang(ji, n, keepOff)
+		in, n = p.reserveForGang(jobIndex, n, keepOff)
 	} else {
-		n -= p.place(ji, n, zones, keepOff, false, targetBooting)
+		n -= p.place(jobIndex, n, zones, keepOff, false, targetBooting)
 	}
 	if slack > 0 || n == 0 {
 		return
 	}
-	p.plan.SlackSpent = append(p.plan.SlackSpent, ji)
+	p.plan.SlackSpent = append(p.plan.SlackSpent, jobIndex)
 	// A rental helps only if it is up before held machines get to it
 	// (Algorithm 1, steps 12-14: wait for the machine that is free soon).
 	// This holds for work with GPUs, whose machines are dear and take one
 	// task each; small work is spread over all that can be had.
-	if p.snapshot.MayScaleOut && (j.Request.GPUs == 0 || p.gpuWaitS(j, all, in) > boot) {
-		p.scaleOut(ji, n, zones, keepOff, in)
+	if p.snapshot.MayScaleOut && (job.Request.GPUs == 0 || p.gpuWaitS(job, all, in) > boot) {
+		p.scaleOut(jobIndex, n, zones, keepOff, in)
 	}
 }
 
 // scheduleOnCachedImage places player-facing work where its image is, even if lower work has
 // to be stopped there: a fetch takes longer than it may wait. It returns for how many
 // tasks there is or will be room.
-func (p *planner) scheduleOnCachedImage(ji, n int, zones map[string]int, keepOff bool) int {
-	got := p.place(ji, n, zones, keepOff, false, targetCached)
-	p.chargeQuota(&p.snapshot.Jobs[ji], got)
-	return got + p.preempt(ji, n-got, zones, keepOff, true)
+func (p *planner) scheduleOnCachedImage(jobIndex, n int, zones map[string]int, keepOff bool) int {
+	got := p.place(jobIndex, n, zones, keepOff, false, targetCached)
+	p.chargeQuota(&p.snapshot.Jobs[jobIndex], got)
+	return got + p.preempt(jobIndex, n-got, zones, keepOff, true)
 }
 
 // chargeQuota counts started tasks against the team's limit.
-func (p *planner) chargeQuota(j *Job, tasks int) {
-	p.teams[j.Team].Used = p.teams[j.Team].Used.Minus(j.Request, -tasks)
+func (p *planner) chargeQuota(job *Job, tasks int) {
+	p.teams[job.Team].Used = p.teams[job.Team].Used.Minus(job.Request, -tasks)
 }
 
 // slack is W_k of a job of which n tasks find no room, with the boot that a rental
 // would take. The estimate includes what waits ahead for the same held room, so that
 // W_k is spent while renting still helps.
-func (p *planner) slack(j *Job, n int, boot float64) float64 {
+func (p *planner) slack(job *Job, n int, boot float64) float64 {
 	const longest = 1e6 // seconds; without held machines the queue has no end
-	work := float64(n) * j.EstimateS
+	work := float64(n) * job.EstimateS
 	queue := 0.0
-	if j.Request.GPUs > 0 {
-		p.queuedGPUs += work * j.Request.GPUs
+	if job.Request.GPUs > 0 {
+		p.queuedGPUs += work * job.Request.GPUs
 		queue = p.queuedGPUs / math.Max(p.heldGPUs, eps)
 	} else {
-		p.queuedCores += work * j.Request.Cores
+		p.queuedCores += work * job.Request.Cores
 		queue = p.queuedCores / math.Max(p.heldCores, eps)
 	}
-	return math.Max(0, j.DeadlineS-p.snapshot.Rho*(j.EstimateS+math.Min(queue, longest))-boot)
+	return math.Max(0, job.DeadlineS-p.snapshot.Rho*(job.EstimateS+math.Min(queue, longest))-boot)
 }
 
 // addHeadroom rents half as many machines again for production: boots vary by more
@@ -209,12 +209,12 @@
 		}
 	}
 	for i := range p.snapshot.Machines {
-		m := &p.snapshot.Machines[i]
-		idle := m.IdleS
-		if p.snapshot.Types[m.Type].Capacity.GPUs > 0 {
-			idle = m.GPUIdleS
+		machine := &p.snapshot.Machines[i]
+		idle := machine.IdleS
+		if p.snapshot.Types[machine.Type].Capacity.GPUs > 0 {
+			idle = machine.GPUIdleS
 		}
-		if m.Schedulable && m.Empty && !taken[i] && idle >= p.snapshot.idleTimeout(m) {
+		if machine.Schedulable && machine.Empty && !taken[i] && idle >= p.snapshot.idleTimeout(machine) {
 			p.plan.ScaleIns = append(p.plan.ScaleIns, i)
 		}
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -17,7 +17,7 @@
 // random makes a snapshot. With busy, machines carry tasks that could be
 // stopped.
 func random(rng *rand.Rand, busy bool) *Snapshot {
-	s := &Snapshot{Rho: 1, IdleBootFactor: 2, MayScaleOut: true, MayScaleIn: true, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{},
+	snapshot := &Snapshot{Rho: 1, IdleBootFactor: 2, MayScaleOut: true, MayScaleIn: true, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{},
 		Types: []MachineType{
 			{Name: "small", Capacity: Resources{4, 0, 16}, Price: 0.2, SpotPrice: 0.06, BootS: 30, FetchGBps: 1, Zones: zones},
 			{Name: "big", Capacity: Resources{16, 0, 64}, Price: 1, SpotPrice: 0.3, BootS: 40, FetchGBps: 1, Zones: zones},
@@ -27,86 +27,86 @@
 	}
 	shapes := []string{protocol.KindArray, protocol.KindArray, protocol.KindGang, protocol.KindService}
 	for i := range 1 + rng.IntN(6) {
-		d := &protocol.Job{ID: fmt.Sprint(i), Kind: shapes[rng.IntN(4)], Tasks: 1 + rng.IntN(9), Cores: float64(1 + rng.IntN(4)),
+		spec := &protocol.Job{ID: fmt.Sprint(i), Kind: shapes[rng.IntN(4)], Tasks: 1 + rng.IntN(9), Cores: float64(1 + rng.IntN(4)),
 			MemGB: float64(1 + rng.IntN(16)), OneZone: rng.IntN(4) == 0, Spread: rng.IntN(4) == 0, Spot: rng.IntN(2) == 0,
 			Image: fmt.Sprint("img", rng.IntN(2)), ImageGB: 2}
 		if rng.IntN(4) == 0 {
-			d.GPUs = float64(1 + rng.IntN(4))
+			spec.GPUs = float64(1 + rng.IntN(4))
 		}
 		if rng.IntN(5) == 0 {
-			d.MachineTypes = []string{"big", "card"}
+			spec.MachineTypes = []string{"big", "card"}
 		}
 		if rng.IntN(5) == 0 {
-			d.Zone = zones[rng.IntN(2)]
+			spec.Zone = zones[rng.IntN(2)]
 		}
-		j := Job{ID: d.ID, Spec: d, Request: RequestOf(d), Priority: rng.IntN(4), Guaranteed: rng.IntN(2) == 0, EstimateS: float64(rng.IntN(60)),
-			DeadlineS: float64(rng.IntN(400) - 100), Waiting: rng.IntN(d.Tasks + 1), Team: rng.IntN(2), RunningByZone: map[string]int{}, BackingOff: rng.IntN(8) == 0}
-		if d.Kind == protocol.KindGang && j.Waiting > 0 {
-			j.Waiting = d.Tasks
+		j := Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: rng.IntN(4), Guaranteed: rng.IntN(2) == 0, EstimateS: float64(rng.IntN(60)),
+			DeadlineS: float64(rng.IntN(400) - 100), Waiting: rng.IntN(spec.Tasks + 1), Team: rng.IntN(2), RunningByZone: map[string]int{}, BackingOff: rng.IntN(8) == 0}
+		if spec.Kind == protocol.KindGang && j.Waiting > 0 {
+			j.Waiting = spec.Tasks
 		}
-		s.Jobs = append(s.Jobs, j)
-		if d.GPUs > 0 {
-			s.GPUPriority = max(s.GPUPriority, j.Priority)
-			s.GPURequest = Resources{max(s.GPURequest.Cores, d.Cores), max(s.GPURequest.GPUs, d.GPUs), max(s.GPURequest.MemGB, d.MemGB)}
+		snapshot.Jobs = append(snapshot.Jobs, j)
+		if spec.GPUs > 0 {
+			snapshot.GPUPriority = max(snapshot.GPUPriority, j.Priority)
+			snapshot.GPURequest = Resources{max(snapshot.GPURequest.Cores, spec.Cores), max(snapshot.GPURequest.GPUs, spec.GPUs), max(snapshot.GPURequest.MemGB, spec.MemGB)}
 		}
 	}
 	for i := range rng.IntN(9) {
 		m := Machine{ID: fmt.Sprint("m", i), Type: rng.IntN(3), Zone: zones[rng.IntN(2)], Spot: rng.IntN(3) == 0,
 			IdleS: float64(rng.IntN(90)), GPUIdleS: float64(rng.IntN(90)), Images: []string{"img0", "img1"}[:rng.IntN(2)], PendingFetchGB: float64(rng.IntN(3)) * 2.5}
-		m.Free = s.Types[m.Type].Capacity
+		m.Free = snapshot.Types[m.Type].Capacity
 		m.Schedulable = rng.IntN(4) > 0
 		m.Booting = !m.Schedulable && rng.IntN(2) == 0
-		for ji := range s.Jobs {
-			j := &s.Jobs[ji]
-			if busy && m.Schedulable && rng.IntN(2) == 0 && m.Free.CapacityFor(j.Request) > 0 && len(j.Spec.MachineTypes) == 0 && j.Spec.Kind != protocol.KindGang {
-				m.Free = m.Free.Minus(j.Request, 1)
-				m.Tasks = append(m.Tasks, RunningTasks{Job: ji, Count: 1})
-				j.RunningByZone[m.Zone]++
-				j.Running++
-				s.Teams[j.Team].Used = s.Teams[j.Team].Used.Minus(j.Request, -1)
+		for jobIndex := range snapshot.Jobs {
+			job := &snapshot.Jobs[jobIndex]
+			if busy && m.Schedulable && rng.IntN(2) == 0 && m.Free.CapacityFor(job.Request) > 0 && len(job.Spec.MachineTypes) == 0 && job.Spec.Kind != protocol.KindGang {
+				m.Free = m.Free.Minus(job.Request, 1)
+				m.Tasks = append(m.Tasks, RunningTasks{Job: jobIndex, Count: 1})
+				job.RunningByZone[m.Zone]++
+				job.Running++
+				snapshot.Teams[job.Team].Used = snapshot.Teams[job.Team].Used.Minus(job.Request, -1)
 			}
 		}
 		m.Empty = len(m.Tasks) == 0
-		s.Machines = append(s.Machines, m)
+		snapshot.Machines = append(snapshot.Machines, m)
 	}
-	return s
+	return snapshot
 }
 
 // plain places one task after another, each where it costs least, by looking at
 // everything anew each time.
-func plain(s *Snapshot) map[string]int {
+func plain(snapshot *Snapshot) map[string]int {
 	out := map[string]int{}
-	free := make([]Resources, len(s.Machines))
-	gpuTask := make([]bool, len(s.Machines))
-	images, fetch := make([][]string, len(s.Machines)), make([]float64, len(s.Machines))
-	for i := range s.Machines {
-		free[i] = s.Machines[i].Free
-		images[i], fetch[i] = slices.Clone(s.Machines[i].Images), s.Machines[i].PendingFetchGB
+	free := make([]Resources, len(snapshot.Machines))
+	gpuTask := make([]bool, len(snapshot.Machines))
+	images, fetch := make([][]string, len(snapshot.Machines)), make([]float64, len(snapshot.Machines))
+	for i := range snapshot.Machines {
+		free[i] = snapshot.Machines[i].Free
+		images[i], fetch[i] = slices.Clone(snapshot.Machines[i].Images), snapshot.Machines[i].PendingFetchGB
 	}
-	used := slices.Clone(s.Teams)
-	gpuWaits, below := false, s.GPUPriority
+	used := slices.Clone(snapshot.Teams)
+	gpuWaits, below := false, snapshot.GPUPriority
 	if below < 0 {
 		below = 2 // no work with GPUs is known: only the lowest rank
 	}
-	for _, j := range s.Jobs {
+	for _, j := range snapshot.Jobs {
 		gpuWaits = gpuWaits || (j.Request.GPUs > 0 && j.Waiting > 0 && !j.BackingOff)
 	}
-	for _, ji := range Order(s) {
-		j := &s.Jobs[ji]
-		d := j.Spec
-		if j.BackingOff || j.Waiting == 0 {
+	for _, jobIndex := range Order(snapshot) {
+		job := &snapshot.Jobs[jobIndex]
+		spec := job.Spec
+		if job.BackingOff || job.Waiting == 0 {
 			continue
 		}
-		team := &used[j.Team]
+		team := &used[job.Team]
 		limit := 0
-		for u := team.Used; limit < j.Waiting; limit++ {
-			u = u.Minus(j.Request, -1)
+		for u := team.Used; limit < job.Waiting; limit++ {
+			u = u.Minus(job.Request, -1)
 			if (team.Max.Cores > 0 && u.Cores > team.Max.Cores) || (team.Max.GPUs > 0 && u.GPUs > team.Max.GPUs) {
 				break
 			}
 		}
 		live := map[string]int{}
-		for k, v := range j.RunningByZone {
+		for k, v := range job.RunningByZone {
 			live[k] = v
 		}
 		whole := false // count all the room of a zone, whatever is to be placed
@@ -118,41 +118,41 @@
 			var at []int
 			for len(at) < limit || whole {
 				best, bestCost := -1, 0.0
-				for i, m := range s.Machines {
-					t := s.Types[m.Type]
-					fits := f[i].Cores >= j.Request.Cores && f[i].GPUs >= j.Request.GPUs && f[i].MemGB >= j.Request.MemGB
-					place := (len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, t.Name)) && (d.Zone == "" || d.Zone == m.Zone) &&
-						(only == "" || only == m.Zone) && (!m.Spot || d.Spot) && (!d.Spread || z[m.Zone] < (d.Tasks+1)/2 || (whole && live[m.Zone] < (d.Tasks+1)/2))
-					if t.Capacity.GPUs > 0 && d.GPUs == 0 && plainFits(s, d) {
+				for i, m := range snapshot.Machines {
+					t := snapshot.Types[m.Type]
+					fits := f[i].Cores >= job.Request.Cores && f[i].GPUs >= job.Request.GPUs && f[i].MemGB >= job.Request.MemGB
+					place := (len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, t.Name)) && (spec.Zone == "" || spec.Zone == m.Zone) &&
+						(only == "" || only == m.Zone) && (!m.Spot || spec.Spot) && (!spec.Spread || z[m.Zone] < (spec.Tasks+1)/2 || (whole && live[m.Zone] < (spec.Tasks+1)/2))
+					if t.Capacity.GPUs > 0 && spec.GPUs == 0 && plainFits(snapshot, spec) {
 						switch {
-						case d.Kind == protocol.KindService:
+						case spec.Kind == protocol.KindService:
 							place = false
 						case gpuTask[i]:
-							r := s.GPURequest
+							r := snapshot.GPURequest
 							if f[i].Cores >= r.Cores && f[i].GPUs >= r.GPUs && f[i].MemGB >= r.MemGB {
-								fits = f[i].Cores-r.Cores >= j.Request.Cores && f[i].MemGB-r.MemGB >= j.Request.MemGB
+								fits = f[i].Cores-r.Cores >= job.Request.Cores && f[i].MemGB-r.MemGB >= job.Request.MemGB
 							}
 						default:
-							place = place && !gpuWaits && j.Priority > below && d.Kind != protocol.KindGang && m.GPUIdleS < s.idleTimeout(&m)
+							place = place && !gpuWaits && job.Priority > below && spec.Kind != protocol.KindGang && m.GPUIdleS < snapshot.idleTimeout(&m)
 						}
 					}
-					if d.OneZone && z[zones[0]]+z[zones[1]] > 0 && z[m.Zone] == 0 {
+					if spec.OneZone && z[zones[0]]+z[zones[1]] > 0 && z[m.Zone] == 0 {
 						continue
 					}
-					if !m.Schedulable || !fits || !place || (cached && !slices.Contains(images[i], d.Image)) {
+					if !m.Schedulable || !fits || !place || (cached && !slices.Contains(images[i], spec.Image)) {
 						continue
 					}
-					est := j.EstimateS
-					if !slices.Contains(images[i], d.Image) {
+					est := job.EstimateS
+					if !slices.Contains(images[i], spec.Image) {
 						if fetch[i] > tuning.FetchAheadS*t.FetchGBps {
 							continue
 						}
-						est += (d.ImageGB + fetch[i]) / t.FetchGBps
+						est += (spec.ImageGB + fetch[i]) / t.FetchGBps
 					}
-					cost := t.HourlyPrice(m.Spot) / float64(t.Capacity.CapacityFor(j.Request)) * max(est, 1)
+					cost := t.HourlyPrice(m.Spot) / float64(t.Capacity.CapacityFor(job.Request)) * max(est, 1)
 					tie := best >= 0 && f[i].Cores < f[best].Cores
-					if d.GPUs > 0 {
-						tie = best >= 0 && m.GPUIdleS < s.Machines[best].GPUIdleS
+					if spec.GPUs > 0 {
+						tie = best >= 0 && m.GPUIdleS < snapshot.Machines[best].GPUIdleS
 					}
 					if best < 0 || cost < bestCost-1e-9 || (cost < bestCost+1e-9 && tie) {
 						best, bestCost = i, cost
@@ -161,24 +161,24 @@
 				if best < 0 {
 					break
 				}
-				f[best] = f[best].Minus(j.Request, 1)
-				z[s.Machines[best].Zone]++
+				f[best] = f[best].Minus(job.Request, 1)
+				z[snapshot.Machines[best].Zone]++
 				at = append(at, best)
 			}
 			return at
 		}
 		// Player-facing services go where their image is, then anywhere.
 		stages := []bool{false}
-		if j.Priority == 0 && d.Kind == protocol.KindService {
+		if job.Priority == 0 && spec.Kind == protocol.KindService {
 			stages = []bool{true, false}
 		}
 		for _, cached := range stages {
 			at := attempt("", cached)
-			if d.OneZone {
+			if spec.OneZone {
 				// The zone that takes the most; of equal ones that with the least
 				// room, and then that of the cheapest.
 				prefer := slices.Clone(zones)
-				if len(at) > 0 && s.Machines[at[0]].Zone == zones[1] {
+				if len(at) > 0 && snapshot.Machines[at[0]].Zone == zones[1] {
 					slices.Reverse(prefer)
 				}
 				whole = true
@@ -193,29 +193,29 @@
 					}
 				}
 			}
-			if d.Kind == protocol.KindGang && len(at) < j.Waiting {
+			if spec.Kind == protocol.KindGang && len(at) < job.Waiting {
 				continue
 			}
 			limit -= len(at)
 			for _, i := range at {
-				if !slices.Contains(images[i], d.Image) {
-					images[i] = append(images[i], d.Image)
-					fetch[i] += d.ImageGB
+				if !slices.Contains(images[i], spec.Image) {
+					images[i] = append(images[i], spec.Image)
+					fetch[i] += spec.ImageGB
 				}
-				free[i] = free[i].Minus(j.Request, 1)
-				live[s.Machines[i].Zone]++
-				gpuTask[i] = gpuTask[i] || d.GPUs > 0
-				team.Used = team.Used.Minus(j.Request, -1)
-				out[j.ID+"@"+s.Machines[i].ID]++
+				free[i] = free[i].Minus(job.Request, 1)
+				live[snapshot.Machines[i].Zone]++
+				gpuTask[i] = gpuTask[i] || spec.GPUs > 0
+				team.Used = team.Used.Minus(job.Request, -1)
+				out[job.ID+"@"+snapshot.Machines[i].ID]++
 			}
 		}
 	}
 	return out
 }
 
-func plainFits(s *Snapshot, d *protocol.Job) bool {
-	for _, t := range s.Types {
-		if t.Capacity.GPUs == 0 && d.Cores <= t.Capacity.Cores && d.MemGB <= t.Capacity.MemGB && (len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, t.Name)) {
+func plainFits(snapshot *Snapshot, spec *protocol.Job) bool {
+	for _, t := range snapshot.Types {
+		if t.Capacity.GPUs == 0 && spec.Cores <= t.Capacity.Cores && spec.MemGB <= t.Capacity.MemGB && (len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, t.Name)) {
 			return true
 		}
 	}
@@ -228,13 +228,13 @@
 	rng := rand.New(rand.NewPCG(3, 3))
 	placed := 0
 	for i := range 4000 {
-		s := random(rng, false)
+		snapshot := random(rng, false)
 		got := map[string]int{}
-		for _, st := range Decide(s).Starts {
-			got[s.Jobs[st.Job].ID+"@"+s.Machines[st.Machine].ID] += st.Count
+		for _, st := range Decide(snapshot).Starts {
+			got[snapshot.Jobs[st.Job].ID+"@"+snapshot.Machines[st.Machine].ID] += st.Count
 			placed += st.Count
 		}
-		if d := cmp.Diff(plain(s), got); d != "" {
+		if d := cmp.Diff(plain(snapshot), got); d != "" {
 			t.Fatalf("snapshot %d: %s", i, d)
 		}
 	}
@@ -249,42 +249,42 @@
 	rng := rand.New(rand.NewPCG(4, 4))
 	stops, rents := 0, 0
 	for i := range 4000 {
-		s := random(rng, true)
-		p := Decide(s)
-		free := make([]Resources, len(s.Machines))
-		for k := range s.Machines {
-			free[k] = s.Machines[k].Free
+		snapshot := random(rng, true)
+		p := Decide(snapshot)
+		free := make([]Resources, len(snapshot.Machines))
+		for k := range snapshot.Machines {
+			free[k] = snapshot.Machines[k].Free
 		}
-		used := slices.Clone(s.Teams)
+		used := slices.Clone(snapshot.Teams)
 		started := map[int]int{}
 		touched := map[int]bool{}
 		zone := map[int]map[string]int{}
 		for _, st := range p.Starts {
-			j, m := &s.Jobs[st.Job], &s.Machines[st.Machine]
+			job, machine := &snapshot.Jobs[st.Job], &snapshot.Machines[st.Machine]
 			if zone[st.Job] == nil {
 				zone[st.Job] = map[string]int{}
-				for z, n := range j.RunningByZone {
+				for z, n := range job.RunningByZone {
 					zone[st.Job][z] = n
 				}
 			}
-			zone[st.Job][m.Zone] += st.Count
-			free[st.Machine] = free[st.Machine].Minus(j.Request, st.Count)
-			used[j.Team].Used = used[j.Team].Used.Minus(j.Request, -st.Count)
+			zone[st.Job][machine.Zone] += st.Count
+			free[st.Machine] = free[st.Machine].Minus(job.Request, st.Count)
+			used[job.Team].Used = used[job.Team].Used.Minus(job.Request, -st.Count)
 			started[st.Job] += st.Count
 			touched[st.Machine] = true
-			d := j.Spec
-			if !m.Schedulable || (m.Spot && !d.Spot) || (d.Zone != "" && d.Zone != m.Zone) || (d.MachineTypes != nil && !slices.Contains(d.MachineTypes, s.Types[m.Type].Name)) {
+			spec := job.Spec
+			if !machine.Schedulable || (machine.Spot && !spec.Spot) || (spec.Zone != "" && spec.Zone != machine.Zone) || (spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, snapshot.Types[machine.Type].Name)) {
 				t.Fatalf("snapshot %d: job %d on machine %d", i, st.Job, st.Machine)
 			}
 		}
-		for ji, n := range started {
-			d := s.Jobs[ji].Spec
-			if n > s.Jobs[ji].Waiting || (d.Kind == protocol.KindGang && n < s.Jobs[ji].Waiting) || s.Jobs[ji].BackingOff {
-				t.Fatalf("snapshot %d: job %d starts %d", i, ji, n)
+		for jobIndex, n := range started {
+			spec := snapshot.Jobs[jobIndex].Spec
+			if n > snapshot.Jobs[jobIndex].Waiting || (spec.Kind == protocol.KindGang && n < snapshot.Jobs[jobIndex].Waiting) || snapshot.Jobs[jobIndex].BackingOff {
+				t.Fatalf("snapshot %d: job %d starts %d", i, jobIndex, n)
 			}
-			for z, n := range zone[ji] {
-				if (d.Spread && n > (d.Tasks+1)/2 && n > s.Jobs[ji].RunningByZone[z]) || (d.OneZone && len(zone[ji]) > 1 && len(s.Jobs[ji].RunningByZone) < 2) {
-					t.Fatalf("snapshot %d: job %d in zones %v", i, ji, zone[ji])
+			for z, n := range zone[jobIndex] {
+				if (spec.Spread && n > (spec.Tasks+1)/2 && n > snapshot.Jobs[jobIndex].RunningByZone[z]) || (spec.OneZone && len(zone[jobIndex]) > 1 && len(snapshot.Jobs[jobIndex].RunningByZone) < 2) {
+					t.Fatalf("snapshot %d: job %d in zones %v", i, jobIndex, zone[jobIndex])
 				}
 			}
 		}
@@ -294,15 +294,15 @@
 			}
 		}
 		for k, u := range used {
-			if u.Max.Cores > 0 && u.Used.Cores > max(u.Max.Cores, s.Teams[k].Used.Cores)+eps || u.Max.GPUs > 0 && u.Used.GPUs > max(u.Max.GPUs, s.Teams[k].Used.GPUs)+eps {
+			if u.Max.Cores > 0 && u.Used.Cores > max(u.Max.Cores, snapshot.Teams[k].Used.Cores)+eps || u.Max.GPUs > 0 && u.Used.GPUs > max(u.Max.GPUs, snapshot.Teams[k].Used.GPUs)+eps {
 				t.Fatalf("snapshot %d: team %d uses %+v", i, k, u)
 			}
 		}
 		for _, st := range p.Preemptions {
 			stops++
 			below := false
-			for ji := range s.Jobs {
-				below = below || (s.Jobs[ji].Waiting > 0 && s.Jobs[ji].Priority < s.Jobs[st.Job].Priority)
+			for jobIndex := range snapshot.Jobs {
+				below = below || (snapshot.Jobs[jobIndex].Waiting > 0 && snapshot.Jobs[jobIndex].Priority < snapshot.Jobs[st.Job].Priority)
 			}
 			if !below {
 				t.Fatalf("snapshot %d: job %d is stopped for nothing above it", i, st.Job)
@@ -310,12 +310,12 @@
 		}
 		for _, r := range p.ScaleOuts {
 			rents++
-			if r.Count < 1 || !slices.Contains(s.Types[r.Type].Zones, r.Zone) {
+			if r.Count < 1 || !slices.Contains(snapshot.Types[r.Type].Zones, r.Zone) {
 				t.Fatalf("snapshot %d: rents %+v", i, r)
 			}
 		}
 		for _, k := range p.ScaleIns {
-			if !s.Machines[k].Empty || touched[k] {
+			if !snapshot.Machines[k].Empty || touched[k] {
 				t.Fatalf("snapshot %d: returns machine %d in use", i, k)
 			}
 		}
@@ -328,8 +328,8 @@
 // A task whose machine's zone is not known, as after a takeover, may be in any
 // zone. (On the users' bench, spread services were put together after one.)
 func TestUnknownZoneCounts(t *testing.T) {
-	d := &protocol.Job{Tasks: 4, Spread: true}
-	if n := ZoneCapacity(d, map[string]int{"a": 1, "": 1}, "a"); n != 0 {
+	spec := &protocol.Job{Tasks: 4, Spread: true}
+	if n := ZoneCapacity(spec, map[string]int{"a": 1, "": 1}, "a"); n != 0 {
 		t.Errorf("room for %d more where two may be already", n)
 	}
 	if n := ZoneCapacity(&protocol.Job{Tasks: 4, OneZone: true}, map[string]int{"": 1}, "a"); n != 0 {
@@ -342,27 +342,27 @@
 // it starts. Without the guard the small ones take every machine for ever.
 func TestOverdueGangGathers(t *testing.T) {
 	need := Resources{4, 4, 8}
-	s := &Snapshot{Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5, GPUPriority: 2, GPURequest: need, ExhaustedPools: map[CapacityPool]bool{},
+	snapshot := &Snapshot{Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5, GPUPriority: 2, GPURequest: need, ExhaustedPools: map[CapacityPool]bool{},
 		Types: []MachineType{{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones}}, Teams: []Team{{}}}
-	add := func(ref string, tasks int, overdue float64) {
-		d := &protocol.Job{ID: ref, Kind: protocol.KindGang, Tasks: tasks, Cores: 4, GPUs: 4, MemGB: 8, OneZone: true, Priority: protocol.PriorityStandard}
-		s.Jobs = append(s.Jobs, Job{ID: ref, Spec: d, Request: RequestOf(d), Priority: 2, EstimateS: 60, DeadlineS: 100 - overdue, Waiting: tasks, StarvedS: overdue, Weight: 1})
+	add := func(jobID string, tasks int, overdue float64) {
+		spec := &protocol.Job{ID: jobID, Kind: protocol.KindGang, Tasks: tasks, Cores: 4, GPUs: 4, MemGB: 8, OneZone: true, Priority: protocol.PriorityStandard}
+		snapshot.Jobs = append(snapshot.Jobs, Job{ID: jobID, Spec: spec, Request: RequestOf(spec), Priority: 2, EstimateS: 60, DeadlineS: 100 - overdue, Waiting: tasks, StarvedS: overdue, Weight: 1})
 	}
 	add("big", 4, 5)
 	for i := range 8 {
 		add(fmt.Sprint("small", i), 1, 0)
 	}
 	for i := range 6 {
-		s.Machines = append(s.Machines, Machine{ID: fmt.Sprint("m", i), Zone: "a", Free: s.Types[0].Capacity})
+		snapshot.Machines = append(snapshot.Machines, Machine{ID: fmt.Sprint("m", i), Zone: "a", Free: snapshot.Types[0].Capacity})
 	}
 	started := false
 	for round := 0; round < 6; round++ { // one machine falls free after another
-		s.Machines[round].Schedulable = true
-		for _, st := range Decide(s).Starts {
+		snapshot.Machines[round].Schedulable = true
+		for _, st := range Decide(snapshot).Starts {
 			if st.Job == 0 {
 				started = started || round >= 3
 			} else if !started {
-				t.Fatalf("round %d: %s takes a machine that the overdue gang waits for", round, s.Jobs[st.Job].ID)
+				t.Fatalf("round %d: %s takes a machine that the overdue gang waits for", round, snapshot.Jobs[st.Job].ID)
 			}
 		}
 		if started {
@@ -372,9 +372,9 @@
 	if !started {
 		t.Error("the overdue gang did not start")
 	}
-	s.Jobs[0].StarvedS = 0 // the same gang, not overdue, goes behind
-	s.Machines[5].Schedulable, s.Jobs[0].DeadlineS = false, -1
-	if p := Decide(s); len(p.Starts) == 0 || p.Starts[0].Job == 0 {
+	snapshot.Jobs[0].StarvedS = 0 // the same gang, not overdue, goes behind
+	snapshot.Machines[5].Schedulable, snapshot.Jobs[0].DeadlineS = false, -1
+	if p := Decide(snapshot); len(p.Starts) == 0 || p.Starts[0].Job == 0 {
 		t.Errorf("starts %v", p.Starts)
 	}
 }
@@ -383,14 +383,14 @@
 // test found one waiting for ever: the machine that was free for a part of it
 // was taken for all it needed. So would be machines in different zones.)
 func TestGangRentsTheRest(t *testing.T) {
-	d := &protocol.Job{ID: "g", Kind: protocol.KindGang, Tasks: 3, Cores: 4, GPUs: 2, MemGB: 8, OneZone: true, Spot: true}
-	s := &Snapshot{Rho: 1, MayScaleOut: true, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
+	spec := &protocol.Job{ID: "g", Kind: protocol.KindGang, Tasks: 3, Cores: 4, GPUs: 2, MemGB: 8, OneZone: true, Spot: true}
+	snapshot := &Snapshot{Rho: 1, MayScaleOut: true, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
 		Types: []MachineType{{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, SpotPrice: 3, BootS: 35, FetchGBps: 1, Zones: zones}},
-		Jobs:  []Job{{ID: "g", Spec: d, Request: RequestOf(d), Priority: 1, EstimateS: 60, DeadlineS: -10, Waiting: 3}}}
+		Jobs:  []Job{{ID: "g", Spec: spec, Request: RequestOf(spec), Priority: 1, EstimateS: 60, DeadlineS: -10, Waiting: 3}}}
 	for _, z := range zones {
-		s.Machines = append(s.Machines, Machine{Zone: z, Schedulable: true, Free: s.Types[0].Capacity})
+		snapshot.Machines = append(snapshot.Machines, Machine{Zone: z, Schedulable: true, Free: snapshot.Types[0].Capacity})
 	}
-	if r := Decide(s).ScaleOuts; len(r) != 1 || r[0].Count != 1 {
+	if r := Decide(snapshot).ScaleOuts; len(r) != 1 || r[0].Count != 1 {
 		t.Errorf("rents %+v, not one more machine", r)
 	}
 }
@@ -402,15 +402,15 @@
 func TestLargestBegin(t *testing.T) {
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		s := &Snapshot{Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5, GPUPriority: 2, GPURequest: Resources{4, 4, 8}, ExhaustedPools: map[CapacityPool]bool{},
+		snapshot := &Snapshot{Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5, GPUPriority: 2, GPURequest: Resources{4, 4, 8}, ExhaustedPools: map[CapacityPool]bool{},
 			Types: []MachineType{
 				{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones},
 				{Name: "cpu", Capacity: Resources{16, 0, 64}, Price: 1, BootS: 35, FetchGBps: 1, Zones: zones},
 			}, Teams: make([]Team, 10)}
 		for i := range 120 {
 			m := Machine{ID: fmt.Sprint("m", i), Type: i % 2, Zone: zones[i/2%2], Schedulable: true}
-			m.Free = s.Types[m.Type].Capacity
-			s.Machines = append(s.Machines, m)
+			m.Free = snapshot.Types[m.Type].Capacity
+			snapshot.Machines = append(snapshot.Machines, m)
 		}
 		type run struct{ job, machine, n, ends int }
 		type state struct {
@@ -423,61 +423,61 @@
 		for now := 0; now < 1200; now++ {
 			for _, r := range runs {
 				if r.ends == now {
-					j, m := &s.Jobs[r.job], &s.Machines[r.machine]
-					m.Free = m.Free.Minus(j.Request, -r.n)
-					for k, x := range m.Tasks {
+					job, machine := &snapshot.Jobs[r.job], &snapshot.Machines[r.machine]
+					machine.Free = machine.Free.Minus(job.Request, -r.n)
+					for k, x := range machine.Tasks {
 						if x.Job == r.job {
-							if m.Tasks[k].Count -= r.n; m.Tasks[k].Count == 0 {
-								m.Tasks = slices.Delete(slices.Clone(m.Tasks), k, k+1)
+							if machine.Tasks[k].Count -= r.n; machine.Tasks[k].Count == 0 {
+								machine.Tasks = slices.Delete(slices.Clone(machine.Tasks), k, k+1)
 							}
 							break
 						}
 					}
-					j.Running -= r.n
-					s.Teams[j.Team].Used = s.Teams[j.Team].Used.Minus(j.Request, r.n)
+					job.Running -= r.n
+					snapshot.Teams[job.Team].Used = snapshot.Teams[job.Team].Used.Minus(job.Request, r.n)
 				}
 			}
 			runs = slices.DeleteFunc(runs, func(r run) bool { return r.ends == now })
 			for range 2 {
-				d := &protocol.Job{ID: fmt.Sprint(len(s.Jobs)), MemGB: 8, Spot: true}
+				spec := &protocol.Job{ID: fmt.Sprint(len(snapshot.Jobs)), MemGB: 8, Spot: true}
 				switch {
 				case rng.Float64() < 0.10: // a gang; of the tasks, half are in the largest
-					d.Kind, d.Tasks, d.Cores, d.GPUs, d.OneZone = protocol.KindGang, []int{1, 1, 1, 1, 2, 2, 2, 4, 4, 16}[rng.IntN(10)], 4, 4, true
+					spec.Kind, spec.Tasks, spec.Cores, spec.GPUs, spec.OneZone = protocol.KindGang, []int{1, 1, 1, 1, 2, 2, 2, 4, 4, 16}[rng.IntN(10)], 4, 4, true
 				case rng.Float64() < 0.018:
-					d.Kind, d.Tasks, d.Cores = protocol.KindArray, []int{10, 20, 30, 40, 300}[rng.IntN(5)], 4
+					spec.Kind, spec.Tasks, spec.Cores = protocol.KindArray, []int{10, 20, 30, 40, 300}[rng.IntN(5)], 4
 				default:
 					continue
 				}
-				j := Job{ID: d.ID, Spec: d, Request: RequestOf(d), Priority: 2, EstimateS: 60, Waiting: d.Tasks, Weight: 1, Team: rng.IntN(10)}
-				s.Jobs = append(s.Jobs, j)
-				jobs = append(jobs, state{at: now, begun: -1, left: d.Tasks, lasts: 30 + rng.IntN(60)})
+				j := Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2, EstimateS: 60, Waiting: spec.Tasks, Weight: 1, Team: rng.IntN(10)}
+				snapshot.Jobs = append(snapshot.Jobs, j)
+				jobs = append(jobs, state{at: now, begun: -1, left: spec.Tasks, lasts: 30 + rng.IntN(60)})
 			}
-			for i := range s.Jobs {
-				j := &s.Jobs[i]
+			for i := range snapshot.Jobs {
+				job := &snapshot.Jobs[i]
 				age := float64(now - jobs[i].at)
-				j.DeadlineS = 180 - age
-				j.StarvedS = 0
-				if j.Waiting > 0 {
-					j.StarvedS = max(0, age-60)
+				job.DeadlineS = 180 - age
+				job.StarvedS = 0
+				if job.Waiting > 0 {
+					job.StarvedS = max(0, age-60)
 				}
 			}
-			for _, st := range Decide(s).Starts {
-				j, m := &s.Jobs[st.Job], &s.Machines[st.Machine]
-				m.Free = m.Free.Minus(j.Request, st.Count)
-				m.Tasks = append(slices.Clone(m.Tasks), RunningTasks{Job: st.Job, Count: st.Count, RemainingS: 60})
-				j.Waiting -= st.Count
-				j.Running += st.Count
-				s.Teams[j.Team].Used = s.Teams[j.Team].Used.Minus(j.Request, -st.Count)
+			for _, st := range Decide(snapshot).Starts {
+				job, machine := &snapshot.Jobs[st.Job], &snapshot.Machines[st.Machine]
+				machine.Free = machine.Free.Minus(job.Request, st.Count)
+				machine.Tasks = append(slices.Clone(machine.Tasks), RunningTasks{Job: st.Job, Count: st.Count, RemainingS: 60})
+				job.Waiting -= st.Count
+				job.Running += st.Count
+				snapshot.Teams[job.Team].Used = snapshot.Teams[job.Team].Used.Minus(job.Request, -st.Count)
 				runs = append(runs, run{st.Job, st.Machine, st.Count, now + jobs[st.Job].lasts})
-				if j.Waiting == 0 {
+				if job.Waiting == 0 {
 					jobs[st.Job].begun = now
-					waits[j.Team] = append(waits[j.Team], now-jobs[st.Job].at)
+					waits[job.Team] = append(waits[job.Team], now-jobs[st.Job].at)
 				}
 			}
 		}
 		for i, j := range jobs {
 			if j.begun < 0 && j.at < 960 || j.begun-j.at > 240 {
-				t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s", seed, i, s.Jobs[i].Spec.Tasks, s.Jobs[i].Spec.Kind, s.Jobs[i].Team, j.at, j.begun)
+				t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s", seed, i, snapshot.Jobs[i].Spec.Tasks, snapshot.Jobs[i].Spec.Kind, snapshot.Jobs[i].Team, j.at, j.begun)
 			}
 		}
 		for team, w := range waits {
@@ -492,21 +492,21 @@
 // Room for production is made where the lowest work runs, even if less time
 // would be lost elsewhere.
 func TestLowestIsStoppedFirst(t *testing.T) {
-	s := &Snapshot{Rho: 1, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
+	snapshot := &Snapshot{Rho: 1, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
 		Types: []MachineType{{Name: "small", Capacity: Resources{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}}}
 	for i, rank := range []int{0, 2, 3} {
-		d := &protocol.Job{ID: fmt.Sprint(i), Kind: protocol.KindArray, Tasks: 1, Cores: 4, MemGB: 4}
-		j := Job{ID: d.ID, Spec: d, Request: RequestOf(d), Priority: rank, EstimateS: 60, DeadlineS: 100}
+		spec := &protocol.Job{ID: fmt.Sprint(i), Kind: protocol.KindArray, Tasks: 1, Cores: 4, MemGB: 4}
+		j := Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: rank, EstimateS: 60, DeadlineS: 100}
 		if rank == 0 {
-			d.Kind, j.Waiting = protocol.KindService, 1
+			spec.Kind, j.Waiting = protocol.KindService, 1
 		} else {
 			j.Running = 1
-			s.Machines = append(s.Machines, Machine{ID: d.ID, Zone: "a", Schedulable: true, Free: Resources{0, 0, 12},
+			snapshot.Machines = append(snapshot.Machines, Machine{ID: spec.ID, Zone: "a", Schedulable: true, Free: Resources{0, 0, 12},
 				Tasks: []RunningTasks{{Job: i, Count: 1, LostWorkS: float64(rank*10 - 15)}}})
 		}
-		s.Jobs = append(s.Jobs, j)
+		snapshot.Jobs = append(snapshot.Jobs, j)
 	}
-	if st := Decide(s).Preemptions; len(st) != 1 || st[0].Job != 2 {
+	if st := Decide(snapshot).Preemptions; len(st) != 1 || st[0].Job != 2 {
 		t.Errorf("stops %+v", st)
 	}
 }
@@ -514,14 +514,14 @@
 // That one job found no room on a machine busy fetching says nothing of a like
 // job whose image is there.
 func TestFullIsByImage(t *testing.T) {
-	s := &Snapshot{Rho: 1, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
+	snapshot := &Snapshot{Rho: 1, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
 		Types:    []MachineType{{Name: "small", Capacity: Resources{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}},
 		Machines: []Machine{{Zone: "a", Schedulable: true, Free: Resources{4, 0, 16}, Images: []string{"there"}, PendingFetchGB: 2 * tuning.FetchAheadS}}}
 	for i, image := range []string{"elsewhere", "there"} {
-		d := &protocol.Job{ID: fmt.Sprint(i), Kind: protocol.KindArray, Tasks: 1, Cores: 1, MemGB: 1, Image: image, ImageGB: 2}
-		s.Jobs = append(s.Jobs, Job{ID: d.ID, Spec: d, Request: RequestOf(d), Priority: 2, EstimateS: 60, DeadlineS: 500 + float64(i), Waiting: 1})
+		spec := &protocol.Job{ID: fmt.Sprint(i), Kind: protocol.KindArray, Tasks: 1, Cores: 1, MemGB: 1, Image: image, ImageGB: 2}
+		snapshot.Jobs = append(snapshot.Jobs, Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2, EstimateS: 60, DeadlineS: 500 + float64(i), Waiting: 1})
 	}
-	if st := Decide(s).Starts; len(st) != 1 || st[0].Job != 1 {
+	if st := Decide(snapshot).Starts; len(st) != 1 || st[0].Job != 1 {
 		t.Errorf("starts %+v", st)
 	}
 }
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -159,19 +159,19 @@
 }
 
 // RequestOf is what a task takes.
-func RequestOf(j *protocol.Job) Resources { return Resources{j.Cores, j.GPUs, j.MemGB} }
+func RequestOf(job *protocol.Job) Resources { return Resources{job.Cores, job.GPUs, job.MemGB} }
 
 // idleTimeout is how long a machine is kept idle: a number of boots, which is what
 // having it again would take, the fewer the dearer it is against the cheapest
 // way to have its type.
-func (s *Snapshot) idleTimeout(m *Machine) float64 {
-	t := &s.Types[m.Type]
-	price := t.HourlyPrice(m.Spot)
-	low := math.Min(price, t.Price)
-	if t.SpotPrice > 0 {
-		low = math.Min(low, t.SpotPrice)
+func (s *Snapshot) idleTimeout(machine *Machine) float64 {
+	machineType := &s.Types[machine.Type]
+	price := machineType.HourlyPrice(machine.Spot)
+	low := math.Min(price, machineType.Price)
+	if machineType.SpotPrice > 0 {
+		low = math.Min(low, machineType.SpotPrice)
 	}
-	return s.IdleBootFactor * t.BootS * low / price
+	return s.IdleBootFactor * machineType.BootS * low / price
 }
 
 func tasksWithinQuota(t *Team, need Resources) int {
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -43,44 +43,44 @@
 	for step := range 70 {
 		chains := before(step)
 		next++
-		var j protocol.Job
+		var job protocol.Job
 		runS := float64(5 + rng.IntN(40))
 		switch rng.IntN(4) {
 		case 0:
-			j = serviceJob(next, 1+rng.IntN(3))
+			job = serviceJob(next, 1+rng.IntN(3))
 		case 1:
-			j = gangJob(next, 1+rng.IntN(3))
+			job = gangJob(next, 1+rng.IntN(3))
 		default:
-			j = arrayJob(next, "check", 1+rng.IntN(20))
+			job = arrayJob(next, "check", 1+rng.IntN(20))
 		}
-		if rng.IntN(2) == 0 && j.Kind != protocol.KindGang {
-			j.Team = "blue"
+		if rng.IntN(2) == 0 && job.Kind != protocol.KindGang {
+			job.Team = "blue"
 		}
-		cancel := j.Kind == protocol.KindService || rng.IntN(4) == 0
+		cancel := job.Kind == protocol.KindService || rng.IntN(4) == 0
 		mu.Lock()
 		for range rng.IntN(3) {
-			if chains && len(accepted) > 0 && j.Kind != protocol.KindService {
-				j.DependsOn = append(j.DependsOn, accepted[rng.IntN(len(accepted))])
+			if chains && len(accepted) > 0 && job.Kind != protocol.KindService {
+				job.DependsOn = append(job.DependsOn, accepted[rng.IntN(len(accepted))])
 			}
 		}
 		mu.Unlock()
 		after := secs(1, 60)
 		go func() {
 			// A submission that was not taken in its time is no promise.
-			if st := c.env.Submit(j, runS); st == 200 || st == 201 {
+			if st := c.env.Submit(job, runS); st == 200 || st == 201 {
 				mu.Lock()
 				if !cancel {
-					keep = append(keep, j.ID)
+					keep = append(keep, job.ID)
 				}
-				if j.Kind != protocol.KindService {
-					accepted = append(accepted, j.ID)
+				if job.Kind != protocol.KindService {
+					accepted = append(accepted, job.ID)
 				}
 				mu.Unlock()
 			}
 			if cancel {
 				time.Sleep(after)
 				if c.ctx.Err() == nil {
-					c.env.Cancel(j.ID)
+					c.env.Cancel(job.ID)
 				}
 			}
 		}()
@@ -165,9 +165,9 @@
 			c.env.Store.Refuse(name, true)
 			mu.Lock()
 			if len(keep) > 0 {
-				ref := keep[len(keep)-1]
+				jobID := keep[len(keep)-1]
 				keep = keep[:len(keep)-1]
-				go c.env.Cancel(ref)
+				go c.env.Cancel(jobID)
 			}
 			mu.Unlock()
 			time.Sleep(time.Second)
@@ -222,9 +222,9 @@
 			time.Sleep(secs(1, 12))
 		}
 		mu.Lock()
-		for _, ref := range keep {
+		for _, jobID := range keep {
 			if rng.IntN(8) == 0 {
-				go c.env.Poll(ref)
+				go c.env.Poll(jobID)
 			}
 		}
 		mu.Unlock()
@@ -232,12 +232,12 @@
 	time.Sleep(90 * time.Second)
 	c.env.EndTroubles() // whatever was under way is over
 	mu.Lock()
-	refs := slices.DeleteFunc(slices.Clone(keep), func(ref string) bool { return !c.env.MayFinish(ref) })
+	jobIDs := slices.DeleteFunc(slices.Clone(keep), func(jobID string) bool { return !c.env.MayFinish(jobID) })
 	mu.Unlock()
-	if len(refs) == 0 {
+	if len(jobIDs) == 0 {
 		c.t.Fatal("no job was accepted")
 	}
-	c.known(refs...)
-	c.untilDone(10*time.Minute, refs...)
+	c.known(jobIDs...)
+	c.untilDone(10*time.Minute, jobIDs...)
 	time.Sleep(time.Minute)
 }
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -108,11 +108,11 @@
 // late copy could undo what came after it.
 func (c *testCluster) checkGuards(txn *protocol.Transaction) {
 	guarded := map[string]bool{}
-	for _, g := range txn.Preconditions {
-		guarded[g.Key] = true
+	for _, precondition := range txn.Preconditions {
+		guarded[precondition.Key] = true
 	}
-	for _, ch := range txn.Mutations {
-		key := ch.Set + ch.Delete
+	for _, mutation := range txn.Mutations {
+		key := mutation.Set + mutation.Delete
 		leaders := isRun(key) || strings.HasPrefix(key, "d/") || strings.HasPrefix(key, "r/") || key == "catalog"
 		if (leaders && !guarded["term"]) || (strings.HasPrefix(key, "o/") && !guarded[key]) {
 			c.t.Errorf("unguarded change of %s", key)
@@ -145,19 +145,19 @@
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	rt := c.network.From(ctx, name)
-	n, err := newController(cfg, c.log.With("on", name), transports{store: rt, cloud: rt, agents: rt,
+	node, err := newController(cfg, c.log.With("on", name), transports{store: rt, cloud: rt, agents: rt,
 		peer: func(p config.Peer) (grpc.ClientConnInterface, error) { return &peerConn{c, name, p.Node}, nil }})
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	if c.previous[name] {
-		n.format = records.FormatWhole
+		node.format = records.FormatWhole
 	}
-	n.start(ctx)
+	node.start(ctx)
 	c.mu.Lock()
-	c.controllers[name], c.stops[name] = n, cancel
+	c.controllers[name], c.stops[name] = node, cancel
 	c.mu.Unlock()
-	c.network.Listen(name, cfg.APIAddr, n.api)
+	c.network.Listen(name, cfg.APIAddr, node.api)
 }
 
 // kill ends a node without a word; what it has sent may still arrive.
@@ -183,8 +183,8 @@
 func (c *testCluster) leader() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, n := range c.controllers {
-		if n.LocalLeader() != nil {
+	for name, node := range c.controllers {
+		if node.LocalLeader() != nil {
 			return name
 		}
 	}
@@ -229,11 +229,11 @@
 	var out []byte
 	err = p.c.network.Call(ctx, p.from, p.to, func() {
 		p.c.mu.Lock()
-		n := p.c.controllers[p.to]
+		node := p.c.controllers[p.to]
 		p.c.mu.Unlock()
 		for _, m := range peer.Service.Methods {
-			if n != nil && strings.HasSuffix(method, "/"+m.MethodName) {
-				if v, err := m.Handler(n, context.Background(), func(in any) error { return protocol.Unmarshal(raw, in) }, nil); err == nil {
+			if node != nil && strings.HasSuffix(method, "/"+m.MethodName) {
+				if v, err := m.Handler(node, context.Background(), func(in any) error { return protocol.Unmarshal(raw, in) }, nil); err == nil {
 					out, _ = protocol.Marshal(v)
 				}
 			}
@@ -251,29 +251,29 @@
 
 func testJobID(n int) string { return fmt.Sprintf("req-%06d", n) }
 
-func arrayJob(n int, ref string, tasks int) protocol.Job {
-	return protocol.Job{ID: testJobID(n), Class: ref, Team: "red", Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: tasks,
+func arrayJob(n int, jobID string, tasks int) protocol.Job {
+	return protocol.Job{ID: testJobID(n), Class: jobID, Team: "red", Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: tasks,
 		Cores: 2, MemGB: 4, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 20}
 }
 
 func serviceJob(n, tasks int) protocol.Job {
-	j := arrayJob(n, "front", tasks)
-	j.Kind, j.Priority, j.Spread, j.Spot, j.EstimateS, j.Cores = protocol.KindService, protocol.PriorityProduction, true, false, 0, 1
-	return j
+	job := arrayJob(n, "front", tasks)
+	job.Kind, job.Priority, job.Spread, job.Spot, job.EstimateS, job.Cores = protocol.KindService, protocol.PriorityProduction, true, false, 0, 1
+	return job
 }
 
 func gangJob(n, tasks int) protocol.Job {
-	j := arrayJob(n, "train", tasks)
-	j.Kind, j.Priority, j.OneZone, j.GPUs, j.Cores, j.CheckpointIntervalS, j.CheckpointSaveS = protocol.KindGang, protocol.PriorityHigh, true, 2, 4, 10, 2
-	return j
+	job := arrayJob(n, "train", tasks)
+	job.Kind, job.Priority, job.OneZone, job.GPUs, job.Cores, job.CheckpointIntervalS, job.CheckpointSaveS = protocol.KindGang, protocol.PriorityHigh, true, 2, 4, 10, 2
+	return job
 }
 
-func (c *testCluster) submit(j protocol.Job, runS float64) {
+func (c *testCluster) submit(job protocol.Job, runS float64) {
 	c.t.Helper()
-	if st := c.env.Submit(j, runS); st != 200 && st != 201 {
-		c.t.Fatalf("%s: submission got %d", j.ID, st)
+	if st := c.env.Submit(job, runS); st != 200 && st != 201 {
+		c.t.Fatalf("%s: submission got %d", job.ID, st)
 	}
-	c.jobs = append(c.jobs, j.ID)
+	c.jobs = append(c.jobs, job.ID)
 }
 
 // until waits for a condition.
@@ -287,27 +287,27 @@
 }
 
 // untilElsewhere waits until all replicas of a service run, none of them on a machine.
-func (c *testCluster) untilElsewhere(ref string, replicas int, machine string, limit time.Duration) {
+func (c *testCluster) untilElsewhere(jobID string, replicas int, machine string, limit time.Duration) {
 	c.t.Helper()
 	c.until("the replica runs elsewhere", limit, func() bool {
-		on := c.env.MachinesOf(ref)
+		on := c.env.MachinesOf(jobID)
 		return len(on) == replicas && !slices.Contains(on, machine)
 	})
 }
 
 // known checks that each accepted job gets an answer within 75 s, however the
 // others fare, as the operators' rule says.
-func (c *testCluster) known(refs ...string) {
+func (c *testCluster) known(jobIDs ...string) {
 	c.t.Helper()
 	var wg sync.WaitGroup
-	for _, ref := range refs {
+	for _, jobID := range jobIDs {
 		wg.Go(func() {
 			for start := time.Now(); ; time.Sleep(5 * time.Second) {
-				if st, _ := c.env.Poll(ref); st == 200 {
+				if st, _ := c.env.Poll(jobID); st == 200 {
 					return
 				}
 				if time.Since(start) > 75*time.Second {
-					c.t.Errorf("%s is forgotten", ref)
+					c.t.Errorf("%s is forgotten", jobID)
 					return
 				}
 			}
@@ -316,15 +316,15 @@
 	wg.Wait()
 }
 
-func (c *testCluster) phase(ref string) string {
-	_, st := c.env.Poll(ref)
+func (c *testCluster) phase(jobID string) string {
+	_, st := c.env.Poll(jobID)
 	return st.Phase
 }
 
-func (c *testCluster) untilDone(limit time.Duration, refs ...string) {
+func (c *testCluster) untilDone(limit time.Duration, jobIDs ...string) {
 	c.t.Helper()
-	for _, ref := range refs {
-		c.until(ref+" is done", limit, func() bool { time.Sleep(time.Second); return c.phase(ref) == protocol.PhaseDone })
+	for _, jobID := range jobIDs {
+		c.until(jobID+" is done", limit, func() bool { time.Sleep(time.Second); return c.phase(jobID) == protocol.PhaseDone })
 	}
 }
 
@@ -332,15 +332,15 @@
 // lists the machines that they are on.
 func (c *testCluster) pairs(n int) func() []string {
 	c.t.Helper()
-	refs := make([]string, n)
-	for i := range refs {
-		j := serviceJob(1+i, 2)
-		refs[i] = j.ID
-		c.submit(j, 0)
+	jobIDs := make([]string, n)
+	for i := range jobIDs {
+		job := serviceJob(1+i, 2)
+		jobIDs[i] = job.ID
+		c.submit(job, 0)
 	}
 	on := func() (all []string) {
-		for _, ref := range refs {
-			all = append(all, c.env.MachinesOf(ref)...)
+		for _, jobID := range jobIDs {
+			all = append(all, c.env.MachinesOf(jobID)...)
 		}
 		return all
 	}
--- a/internal/server/cluster_troubles_test.go
+++ b/internal/server/cluster_troubles_test.go
@@ -16,11 +16,11 @@
 }
 
 // withdrawAt cancels a job at one node and checks that it is told so.
-func (c *testCluster) withdrawAt(name, ref string) {
+func (c *testCluster) withdrawAt(name, jobID string) {
 	c.t.Helper()
 	c.env.Asked = []string{c.at(name)}
-	if st, s := c.env.Cancel(ref); st != 200 || s.Phase != protocol.PhaseCancelled {
-		c.t.Errorf("withdrawing %s: %d %q", ref, st, s.Phase)
+	if st, s := c.env.Cancel(jobID); st != 200 || s.Phase != protocol.PhaseCancelled {
+		c.t.Errorf("withdrawing %s: %d %q", jobID, st, s.Phase)
 	}
 	c.env.Asked = nil
 }
@@ -32,8 +32,8 @@
 	c.until("another leads", limit, func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for name, n := range c.controllers {
-			if name != old && n.LocalLeader() != nil {
+		for name, node := range c.controllers {
+			if name != old && node.LocalLeader() != nil {
 				next = name
 			}
 		}
@@ -60,18 +60,18 @@
 	c.mend()
 	c.env.EndTroubles()
 	c.known(c.jobs...)
-	for _, ref := range c.jobs {
-		j := c.env.Job(ref)
+	for _, jobID := range c.jobs {
+		job := c.env.Job(jobID)
 		switch {
-		case c.env.Cancelled(ref):
-			c.until(ref+" is over", time.Minute, func() bool {
-				p := c.phase(ref)
-				return (p == protocol.PhaseCancelled || p == protocol.PhaseDone) && len(c.env.MachinesOf(ref)) == 0
+		case c.env.Cancelled(jobID):
+			c.until(jobID+" is over", time.Minute, func() bool {
+				p := c.phase(jobID)
+				return (p == protocol.PhaseCancelled || p == protocol.PhaseDone) && len(c.env.MachinesOf(jobID)) == 0
 			})
-		case j.Kind == protocol.KindService:
-			c.until(ref+" runs", 3*time.Minute, func() bool { return len(c.env.MachinesOf(ref)) == j.Tasks })
+		case job.Kind == protocol.KindService:
+			c.until(jobID+" runs", 3*time.Minute, func() bool { return len(c.env.MachinesOf(jobID)) == job.Tasks })
 		default:
-			c.untilDone(6*time.Minute, ref)
+			c.untilDone(6*time.Minute, jobID)
 		}
 	}
 	time.Sleep(time.Minute)
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -13,7 +13,7 @@
 // changesAll tells whether a transaction changes all the keys.
 func changesAll(txn *protocol.Transaction, keys ...string) bool {
 	for _, key := range keys {
-		if !slices.ContainsFunc(txn.Mutations, func(ch protocol.Mutation) bool { return ch.Set == key || ch.Delete == key }) {
+		if !slices.ContainsFunc(txn.Mutations, func(mutation protocol.Mutation) bool { return mutation.Set == key || mutation.Delete == key }) {
 			return false
 		}
 	}
@@ -53,9 +53,9 @@
 }
 
 // withdrawUnheard cancels a job without the leader's hearing of it by an event.
-func (c *testCluster) withdrawUnheard(ref string) protocol.JobStatus {
-	c.env.Store.LoseEvent = func(key string) bool { return key == records.OpenKey(ref) }
-	_, status := c.env.Cancel(ref)
+func (c *testCluster) withdrawUnheard(jobID string) protocol.JobStatus {
+	c.env.Store.LoseEvent = func(key string) bool { return key == records.OpenKey(jobID) }
+	_, status := c.env.Cancel(jobID)
 	return status
 }
 
--- a/internal/server/compound_test.go
+++ b/internal/server/compound_test.go
@@ -119,9 +119,9 @@
 			}
 			c.network.Delay = func(from, to string) time.Duration { return time.Duration(c.env.Random()*300) * time.Millisecond }
 			for i, rank := range []string{protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh, protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh} {
-				j := arrayJob(1+i, "check", 10)
-				j.Priority = rank
-				c.submit(j, 15)
+				job := arrayJob(1+i, "check", 10)
+				job.Priority = rank
+				c.submit(job, 15)
 			}
 			c.submit(serviceJob(7, 2), 0)
 			time.Sleep(30 * time.Second)
@@ -179,14 +179,14 @@
 			go c.env.Cancel("req-000003")
 		}},
 		{"a cancellation, a question and a repeat meet the end of the last task", func(c *testCluster, seed uint64) {
-			c.env.OnDone = func(ref string) {
-				n := int(ref[len(ref)-1] - '0')
+			c.env.OnDone = func(jobID string) {
+				n := int(jobID[len(jobID)-1] - '0')
 				time.Sleep(time.Duration(c.env.Random()*float64(seed+1)*700) * time.Millisecond)
 				if n%2 == 0 {
-					go c.env.Cancel(ref)
+					go c.env.Cancel(jobID)
 				}
-				go c.env.Poll(ref)
-				go c.env.Submit(c.env.Job(ref), 1)
+				go c.env.Poll(jobID)
+				go c.env.Submit(c.env.Job(jobID), 1)
 			}
 			for i := range 8 {
 				c.submit(arrayJob(1+i, "check", 1+i%3), float64(10+i))
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -12,9 +12,9 @@
 )
 
 // after makes a job wait for others.
-func after(j protocol.Job, refs ...string) protocol.Job {
-	j.DependsOn = refs
-	return j
+func after(job protocol.Job, jobIDs ...string) protocol.Job {
+	job.DependsOn = jobIDs
+	return job
 }
 
 // pipeline submits a chain of four stages, the third of which is a gang, one job
@@ -22,9 +22,9 @@
 func (c *testCluster) pipeline(first int) []string {
 	c.t.Helper()
 	small := func(i, tasks int, rank string) protocol.Job {
-		j := arrayJob(first+i, "stage", tasks)
-		j.Priority, j.Cores, j.EstimateS = rank, 1, 8
-		return j
+		job := arrayJob(first+i, "stage", tasks)
+		job.Priority, job.Cores, job.EstimateS = rank, 1, 8
+		return job
 	}
 	join := gangJob(first+3, 2)
 	join.GPUs, join.Cores, join.Priority = 0, 2, protocol.PriorityStandard
@@ -37,19 +37,19 @@
 		after(join, testJobID(first), testJobID(first+1)),
 		after(last, testJobID(first+2), testJobID(first+3)),
 	}
-	var refs []string
-	for _, j := range jobs {
-		c.submit(j, 8)
-		refs = append(refs, j.ID)
+	var jobIDs []string
+	for _, job := range jobs {
+		c.submit(job, 8)
+		jobIDs = append(jobIDs, job.ID)
 	}
-	return refs
+	return jobIDs
 }
 
 // untilCancelled waits until the users of all jobs are told that they are cancelled.
-func (c *testCluster) untilCancelled(limit time.Duration, refs ...string) {
+func (c *testCluster) untilCancelled(limit time.Duration, jobIDs ...string) {
 	c.t.Helper()
-	for _, ref := range refs {
-		c.until(ref+" is cancelled", limit, func() bool { return c.phase(ref) == protocol.PhaseCancelled })
+	for _, jobID := range jobIDs {
+		c.until(jobID+" is cancelled", limit, func() bool { return c.phase(jobID) == protocol.PhaseCancelled })
 	}
 }
 
@@ -127,18 +127,18 @@
 	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // the first job never begins beside another
 	runIn(t, 62, nodeNames, dep, func(c *testCluster) {
-		refs := []string{testJobID(1), testJobID(2), testJobID(3)}
+		jobIDs := []string{testJobID(1), testJobID(2), testJobID(3)}
 		c.submit(arrayJob(1, "stage", 2), 1000)
-		c.submit(after(arrayJob(2, "stage", 1), refs[0]), 5)
-		c.submit(after(arrayJob(3, "stage", 1), refs[1]), 5)
+		c.submit(after(arrayJob(2, "stage", 1), jobIDs[0]), 5)
+		c.submit(after(arrayJob(3, "stage", 1), jobIDs[1]), 5)
 		c.leaderless()
-		c.env.Cancel(refs[0])
+		c.env.Cancel(jobIDs[0])
 		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
 		for _, addr := range slices.Clone(c.env.Nodes) {
 			c.env.Asked = []string{addr}
-			for _, ref := range refs {
-				if got := c.phase(ref); got != protocol.PhaseCancelled {
-					t.Errorf("%s is %s at %s", ref, got, addr)
+			for _, jobID := range jobIDs {
+				if got := c.phase(jobID); got != protocol.PhaseCancelled {
+					t.Errorf("%s is %s at %s", jobID, got, addr)
 				}
 			}
 		}
@@ -171,9 +171,9 @@
 		for level := range wide {
 			var names []string
 			for i := range 32 {
-				j := after(arrayJob(1000+100*level+i, "stage", 1), before...)
-				c.submit(j, 5)
-				names = append(names, j.ID)
+				job := after(arrayJob(1000+100*level+i, "stage", 1), before...)
+				c.submit(job, 5)
+				names = append(names, job.ID)
 			}
 			before = names
 		}
@@ -185,9 +185,9 @@
 		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
 		for _, addr := range slices.Clone(c.env.Nodes) {
 			c.env.Asked = []string{addr}
-			for _, ref := range []string{testJobID(deep), last.ID, testJobID(deep / 2), before[5]} {
-				if got := c.phase(ref); got != protocol.PhaseCancelled {
-					t.Errorf("%s is %s at %s", ref, got, addr)
+			for _, jobID := range []string{testJobID(deep), last.ID, testJobID(deep / 2), before[5]} {
+				if got := c.phase(jobID); got != protocol.PhaseCancelled {
+					t.Errorf("%s is %s at %s", jobID, got, addr)
 				}
 			}
 		}
@@ -205,24 +205,24 @@
 	runIn(t, 66, nodeNames, dep, func(c *testCluster) {
 		const jobs = 300
 		c.submit(arrayJob(1, "stage", 2), 1000)
-		var names, refs []string
+		var names, jobIDs []string
 		for i := range 12 {
-			j := after(arrayJob(2+i, "stage", 1), testJobID(1))
-			c.submit(j, 5)
-			names = append(names, j.ID)
+			job := after(arrayJob(2+i, "stage", 1), testJobID(1))
+			c.submit(job, 5)
+			names = append(names, job.ID)
 		}
 		for i := range jobs {
-			j := after(arrayJob(100+i, "stage", 1), names[i%4], names[4+i%4], names[8+i%4])
-			c.submit(j, 5)
-			refs = append(refs, j.ID)
+			job := after(arrayJob(100+i, "stage", 1), names[i%4], names[4+i%4], names[8+i%4])
+			c.submit(job, 5)
+			jobIDs = append(jobIDs, job.ID)
 		}
 		c.env.Store.LimitRequests(120)
 		ctx, stop := context.WithCancel(c.ctx)
-		for i, ref := range refs {
+		for i, jobID := range jobIDs {
 			go func() {
 				time.Sleep(time.Duration(i) * 5 * time.Second / jobs)
 				for ctx.Err() == nil {
-					c.env.Poll(ref)
+					c.env.Poll(jobID)
 					time.Sleep(5 * time.Second)
 				}
 			}()
@@ -231,7 +231,7 @@
 		c.env.Store.Refuse("", true)
 		time.Sleep(25 * time.Second)
 		c.env.Store.Refuse("", false)
-		c.known(refs...)
+		c.known(jobIDs...)
 		time.Sleep(20 * time.Second)
 		requestsBefore, throttledBefore := c.env.Store.Asked()
 		time.Sleep(time.Minute)
@@ -289,14 +289,14 @@
 			c.env.Store.Late = c.lateCommits(0.05)
 			var whole []string
 			for i := range 4 {
-				refs := c.pipeline(100 * (i + 1))
+				jobIDs := c.pipeline(100 * (i + 1))
 				if i%2 == 0 {
-					whole = append(whole, refs...)
+					whole = append(whole, jobIDs...)
 				} else {
 					k := rng.IntN(4)
 					go func() {
 						time.Sleep(time.Duration(rng.IntN(20)) * time.Second)
-						c.env.Cancel(refs[k])
+						c.env.Cancel(jobIDs[k])
 					}()
 				}
 				time.Sleep(time.Duration(rng.IntN(5)) * time.Second)
@@ -307,8 +307,8 @@
 			c.env.Store.LoseEvent, c.env.Store.Late = nil, nil
 			c.untilDone(8*time.Minute, whole...)
 			c.until("nothing is open", 5*time.Minute, func() bool {
-				return !slices.ContainsFunc(c.jobs, func(ref string) bool {
-					p := c.phase(ref)
+				return !slices.ContainsFunc(c.jobs, func(jobID string) bool {
+					p := c.phase(jobID)
 					return p == protocol.PhaseQueued || p == protocol.PhaseRunning
 				})
 			})
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -31,11 +31,11 @@
 		c.env.Step = 250 * time.Millisecond // steps of 4,000 machines are most of what the test takes
 		c.env.Store.LimitRequests(c.deployment.State.RPS)
 		for i := range arrays {
-			j := array(1+i, tasks) // a machine for each task
-			j.MachineTypes, j.Cores, j.MemGB, j.EstimateS = []string{"big"}, 16, 60, 120
-			j.DeadlineS = 180
-			j.Team = c.deployment.Teams[i%2].Name
-			c.submit(j, 120)
+			job := array(1+i, tasks) // a machine for each task
+			job.MachineTypes, job.Cores, job.MemGB, job.EstimateS = []string{"big"}, 16, 60, 120
+			job.DeadlineS = 180
+			job.Team = c.deployment.Teams[i%2].Name
+			c.submit(job, 120)
 		}
 		c.until("all machines run", 4*time.Minute, func() bool { return len(c.env.Machines()) >= fleetSize })
 		var ends []func()
--- a/internal/server/hundreds_test.go
+++ b/internal/server/hundreds_test.go
@@ -90,14 +90,14 @@
 			c.submit(serviceJob(1+i, 4), 0)
 		}
 		for i := range 8 {
-			j := arrayJob(21+i, "check", 80)
-			j.Team, j.EstimateS = []string{"red", "blue"}[i%2], 60
-			c.submit(j, 60)
+			job := arrayJob(21+i, "check", 80)
+			job.Team, job.EstimateS = []string{"red", "blue"}[i%2], 60
+			c.submit(job, 60)
 		}
 		c.until("hundreds run", 2*time.Minute, func() bool { return len(c.env.Machines()) >= 250 })
-		up := func(refs []string) func() bool {
+		up := func(jobIDs []string) func() bool {
 			return func() bool {
-				return !slices.ContainsFunc(refs, func(ref string) bool { return len(c.env.MachinesOf(ref)) != 4 })
+				return !slices.ContainsFunc(jobIDs, func(jobID string) bool { return len(c.env.MachinesOf(jobID)) != 4 })
 			}
 		}
 		c.until("all services run", time.Minute, up(c.jobs[:20]))
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -23,8 +23,8 @@
 			placed := make(chan struct{})
 			c.env.Store.OnCommit = func(txn *protocol.Transaction) {
 				c.checkGuards(txn)
-				for _, ch := range txn.Mutations {
-					if strings.HasSuffix(ch.Set, "/t") {
+				for _, mutation := range txn.Mutations {
+					if strings.HasSuffix(mutation.Set, "/t") {
 						once.Do(func() { close(placed) })
 					}
 				}
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -71,17 +71,17 @@
 // What can be saved on a machine with a notice is saved before it is taken.
 func TestNoticeSaves(t *testing.T) {
 	run(t, 95, func(c *testCluster) {
-		j := arrayJob(1, "check", 2)
-		j.CheckpointIntervalS, j.CheckpointSaveS = 10, 3
-		c.submit(j, 90)
-		c.until("it runs", time.Minute, func() bool { return len(c.env.MachinesOf(j.ID)) > 0 })
+		job := arrayJob(1, "check", 2)
+		job.CheckpointIntervalS, job.CheckpointSaveS = 10, 3
+		c.submit(job, 90)
+		c.until("it runs", time.Minute, func() bool { return len(c.env.MachinesOf(job.ID)) > 0 })
 		time.Sleep(10 * time.Second)
-		c.env.NoticePreemption(c.env.MachinesOf(j.ID)[0], 15*time.Second)
+		c.env.NoticePreemption(c.env.MachinesOf(job.ID)[0], 15*time.Second)
 		time.Sleep(16 * time.Second)
 		if c.env.Saved == 0 {
 			t.Error("nothing was saved")
 		}
-		c.untilDone(4*time.Minute, j.ID)
+		c.untilDone(4*time.Minute, job.ID)
 	})
 }
 
@@ -181,12 +181,12 @@
 			c.env.Limit("small", zone, false, 0)
 		}
 		for i := range 10 {
-			j := arrayJob(1+i, "check", 1) // each takes a small machine whole
-			j.Cores, j.MachineTypes = 4, []string{"small"}
-			c.submit(j, 60)
+			job := arrayJob(1+i, "check", 1) // each takes a small machine whole
+			job.Cores, job.MachineTypes = 4, []string{"small"}
+			c.submit(job, 60)
 		}
 		c.until("all run", 2*time.Minute, func() bool {
-			return !slices.ContainsFunc(c.jobs, func(ref string) bool { return len(c.env.MachinesOf(ref)) == 0 })
+			return !slices.ContainsFunc(c.jobs, func(jobID string) bool { return len(c.env.MachinesOf(jobID)) == 0 })
 		})
 		c.env.CloudDown = true // no return proves anything
 		for _, m := range c.env.Machines() {
--- a/internal/server/polls_test.go
+++ b/internal/server/polls_test.go
@@ -14,12 +14,12 @@
 	longest map[string]time.Duration
 }
 
-func (g *pollGaps) watch(ctx context.Context, c *testCluster, ref string) {
+func (g *pollGaps) watch(ctx context.Context, c *testCluster, jobID string) {
 	answered := time.Now()
 	for ctx.Err() == nil {
-		status, _ := c.env.Poll(ref)
+		status, _ := c.env.Poll(jobID)
 		g.mu.Lock()
-		g.longest[ref] = max(g.longest[ref], time.Since(answered))
+		g.longest[jobID] = max(g.longest[jobID], time.Since(answered))
 		g.mu.Unlock()
 		if status == 200 {
 			answered = time.Now()
@@ -43,10 +43,10 @@
 		gaps := &pollGaps{longest: map[string]time.Duration{}}
 		ctx, stop := context.WithTimeout(c.ctx, 4*time.Minute)
 		defer stop()
-		for i, ref := range c.jobs {
+		for i, jobID := range c.jobs {
 			go func() {
 				time.Sleep(time.Duration(i) * 5 * time.Second / jobs)
-				gaps.watch(ctx, c, ref)
+				gaps.watch(ctx, c, jobID)
 			}()
 		}
 		<-ctx.Done()
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -32,10 +32,10 @@
 func (l *load) arrays(count int) {
 	for range count {
 		l.jobs++
-		j := arrayJob(l.jobs, "check", 60+l.rng.IntN(60))
-		j.Team, j.EstimateS = []string{"red", "blue"}[l.jobs%2], 60
-		l.submit(j, 40)
-		l.kept = append(l.kept, j.ID)
+		job := arrayJob(l.jobs, "check", 60+l.rng.IntN(60))
+		job.Team, job.EstimateS = []string{"red", "blue"}[l.jobs%2], 60
+		l.submit(job, 40)
+		l.kept = append(l.kept, job.ID)
 	}
 }
 
@@ -43,8 +43,8 @@
 func (l *load) chains(count int) {
 	for range count {
 		l.pipelines++
-		refs := l.pipeline(10000 + 10*l.pipelines)
-		l.kept = append(l.kept, refs...)
+		jobIDs := l.pipeline(10000 + 10*l.pipelines)
+		l.kept = append(l.kept, jobIDs...)
 		if l.pipelines%2 == 0 {
 			continue
 		}
@@ -52,7 +52,7 @@
 		go func() {
 			time.Sleep(pause)
 			if l.ctx.Err() == nil {
-				l.env.Cancel(refs[stage])
+				l.env.Cancel(jobIDs[stage])
 			}
 		}()
 	}
@@ -62,8 +62,8 @@
 func (l *load) ask() {
 	go func() {
 		for l.ctx.Err() == nil {
-			ref := l.kept[int(l.env.Random()*float64(len(l.kept)))]
-			go l.env.Poll(ref)
+			jobID := l.kept[int(l.env.Random()*float64(len(l.kept)))]
+			go l.env.Poll(jobID)
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
@@ -163,12 +163,12 @@
 			}
 			time.Sleep(30 * time.Second)
 			c.env.EndTroubles()
-			kept := slices.DeleteFunc(slices.Clone(l.kept), func(ref string) bool { return !c.env.MayFinish(ref) })
+			kept := slices.DeleteFunc(slices.Clone(l.kept), func(jobID string) bool { return !c.env.MayFinish(jobID) })
 			c.known(kept...)
 			c.untilDone(10*time.Minute, kept...)
-			for _, ref := range l.kept {
-				if got := c.phase(ref); got != protocol.PhaseDone && got != protocol.PhaseCancelled {
-					t.Errorf("%s is %s in the end", ref, got)
+			for _, jobID := range l.kept {
+				if got := c.phase(jobID); got != protocol.PhaseDone && got != protocol.PhaseCancelled {
+					t.Errorf("%s is %s in the end", jobID, got)
 				}
 			}
 		})
--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -44,8 +44,8 @@
 func TestInterface(t *testing.T) {
 	run(t, 97, func(c *testCluster) {
 		body := func(change func(m map[string]any)) []byte {
-			j := arrayJob(1, "check", 2)
-			m := fake.JobMap(&j)
+			job := arrayJob(1, "check", 2)
+			m := fake.JobMap(&job)
 			change(m)
 			b, _ := protocol.Marshal(m)
 			return b
@@ -88,11 +88,11 @@
 		c.env.CloudDown = true
 		c.submit(serviceJob(5, 1), 0)
 		time.Sleep(10 * time.Second)
-		for _, n := range c.controllers {
+		for _, node := range c.controllers {
 			rec := httptest.NewRecorder()
-			n.api.ServeHTTP(rec, httptest.NewRequest("GET", "/", nil))
+			node.api.ServeHTTP(rec, httptest.NewRequest("GET", "/", nil))
 			if p := rec.Body.String(); !strings.Contains(p, "work is behind") || !strings.Contains(p, "req-000005") || !strings.Contains(p, c.leader()+" leads") {
-				t.Errorf("status page of %s: %s", n.cfg.Node, p)
+				t.Errorf("status page of %s: %s", node.cfg.Node, p)
 			}
 		}
 		c.env.CloudDown = false
@@ -103,12 +103,12 @@
 // commits within the state service's limits, also over a change of leader.
 func TestLargeArray(t *testing.T) {
 	run(t, 96, func(c *testCluster) {
-		j := arrayJob(1, "many", 3000)
-		j.Cores, j.MemGB, j.EstimateS = 0.05, 0.1, 5
-		c.submit(j, 4)
-		c.until("many run", 2*time.Minute, func() bool { _, st := c.env.Poll(j.ID); return st.Running > 200 && st.Done > 300 })
+		job := arrayJob(1, "many", 3000)
+		job.Cores, job.MemGB, job.EstimateS = 0.05, 0.1, 5
+		c.submit(job, 4)
+		c.until("many run", 2*time.Minute, func() bool { _, st := c.env.Poll(job.ID); return st.Running > 200 && st.Done > 300 })
 		c.kill(c.leader())
-		c.untilDone(10*time.Minute, j.ID)
+		c.untilDone(10*time.Minute, job.ID)
 	})
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -57,20 +57,20 @@
 	if err != nil {
 		return fmt.Errorf("field peer_bind: %w", err)
 	}
-	n, err := newController(cfg, log, transports{
+	node, err := newController(cfg, log, transports{
 		store: transport(tuning.StateConns), cloud: transport(tuning.CloudConns), agents: agentTransport(cfg.Deployment.Sockets(len(cfg.Peers)).Commands), peer: peer.Dial,
 	})
 	if err != nil {
 		return fmt.Errorf("field peers: %w", err)
 	}
 	go func() {
-		if err := peer.Serve(ctx, peerLn, n); err != nil && ctx.Err() == nil {
+		if err := peer.Serve(ctx, peerLn, node); err != nil && ctx.Err() == nil {
 			log.Error("peers' address", "err", err)
 		}
 	}()
-	n.start(ctx)
+	node.start(ctx)
 	log.Info("serving", "node", cfg.Node, "address", cfg.APIAddr)
-	if err := n.api.Serve(ctx, apiLn); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	if err := node.api.Serve(ctx, apiLn); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
@@ -83,19 +83,19 @@
 }
 
 func newController(cfg *config.Config, log *slog.Logger, l transports) (*controller, error) {
-	n := &controller{cfg: cfg, log: log, format: records.FormatSupported}
+	node := &controller{cfg: cfg, log: log, format: records.FormatSupported}
 	cs := protocol.NewMalformedLog(log)
-	n.store = kvstore.New(cfg.Services.State, l.store, cs, cfg.Deployment.State)
-	n.cloud = cloud.New(cfg.Services.Cloud, l.cloud, cs, cfg.Deployment.Cloud.RPS*cfg.Operator.CallBudget)
-	n.agents = agent.New(l.agents, cs, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
-	n.candidate = election.New(n.store, cfg.Node, log)
-	n.users = api.NewUsers(cfg, n.store, log)
+	node.store = kvstore.New(cfg.Services.State, l.store, cs, cfg.Deployment.State)
+	node.cloud = cloud.New(cfg.Services.Cloud, l.cloud, cs, cfg.Deployment.Cloud.RPS*cfg.Operator.CallBudget)
+	node.agents = agent.New(l.agents, cs, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
+	node.candidate = election.New(node.store, cfg.Node, log)
+	node.users = api.NewUsers(cfg, node.store, log)
 	var err error
-	if n.peers, err = peer.NewGroup(cfg.Peers, l.peer, n, log); err != nil {
+	if node.peers, err = peer.NewGroup(cfg.Peers, l.peer, node, log); err != nil {
 		return nil, err
 	}
-	n.api = api.NewServer(cfg, n.users, n, n.peers, log, cs)
-	return n, nil
+	node.api = api.NewServer(cfg, node.users, node, node.peers, log, cs)
+	return node, nil
 }
 
 // start begins everything but serving; it ends with ctx.
@@ -146,9 +146,9 @@
 func (n *controller) loadMachineTypes(ctx context.Context) {
 	for !n.users.HasTypes() {
 		var types []protocol.MachineType
-		it, err := n.store.Get(ctx, records.KeyCatalog)
+		entry, err := n.store.Get(ctx, records.KeyCatalog)
 		if err == nil {
-			err = protocol.Unmarshal(it.Value, &types)
+			err = protocol.Unmarshal(entry.Value, &types)
 		}
 		if err != nil || len(types) == 0 {
 			types, err = n.cloud.Catalog(ctx)
@@ -183,16 +183,16 @@
 
 func (n *controller) writeVersion(ctx context.Context) error {
 	key := records.NodeKey(n.cfg.Node)
-	it, err := n.store.Get(ctx, key)
+	entry, err := n.store.Get(ctx, key)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return err
 	}
 	var v records.FormatVersion
-	if err == nil && protocol.Unmarshal(it.Value, &v) == nil && v.Format >= n.format {
+	if err == nil && protocol.Unmarshal(entry.Value, &v) == nil && v.Format >= n.format {
 		return nil
 	}
 	_, err = n.store.Commit(ctx, protocol.Transaction{
-		Preconditions: []protocol.Precondition{{Key: key, Version: it.Version}},
+		Preconditions: []protocol.Precondition{{Key: key, Version: entry.Version}},
 		Mutations:     []protocol.Mutation{{Set: key, Value: records.FormatVersion{Format: n.format}}},
 	})
 	return err
@@ -245,17 +245,17 @@
 // acknowledged returns the jobs that controllers, this one included, have told
 // users are cancelled, and the time up to which none of those told after since is
 // missing; ok is false if one of them cannot tell.
-func (n *controller) acknowledged(since time.Time) (asOf time.Time, refs []string, ok bool) {
+func (n *controller) acknowledged(since time.Time) (asOf time.Time, jobIDs []string, ok bool) {
 	now := time.Now() // what this node tells users from here on is later than asOf
 	own, complete := n.users.Acknowledged()
 	if !complete.Before(since) {
 		return asOf, nil, false
 	}
-	asOf, refs, ok = n.peers.Acknowledged(since)
+	asOf, jobIDs, ok = n.peers.Acknowledged(since)
 	if asOf.IsZero() {
 		asOf = now
 	}
-	return asOf, append(own, refs...), ok
+	return asOf, append(own, jobIDs...), ok
 }
 
 // Status is what this node says to its peers.
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -26,9 +26,9 @@
 
 // array is a large array of small tasks.
 func array(n, tasks int) protocol.Job {
-	j := arrayJob(n, "check", tasks)
-	j.Cores, j.MemGB = 1, 2
-	return j
+	job := arrayJob(n, "check", tasks)
+	job.Cores, job.MemGB = 1, 2
+	return job
 }
 
 // runUpgrade plays a scenario that begins with the previous version on all nodes.
@@ -58,9 +58,9 @@
 func (c *testCluster) checkFormat(txn *protocol.Transaction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, ch := range txn.Mutations {
-		if isFurtherPiece(ch.Set) && slices.ContainsFunc(c.names, func(n string) bool { return c.previous[n] }) {
-			c.t.Errorf("%s is written while not all can read it", ch.Set)
+	for _, mutation := range txn.Mutations {
+		if isFurtherPiece(mutation.Set) && slices.ContainsFunc(c.names, func(n string) bool { return c.previous[n] }) {
+			c.t.Errorf("%s is written while not all can read it", mutation.Set)
 		}
 	}
 }
@@ -137,9 +137,9 @@
 			limitAt := -1
 			chaosDuring(c, seed, func(step int) bool {
 				if step%20 == 5 {
-					j := array(5000+step, 60+rng.IntN(60))
-					if st := c.env.Submit(j, 10); st == 200 || st == 201 {
-						large = append(large, j.ID)
+					job := array(5000+step, 60+rng.IntN(60))
+					if st := c.env.Submit(job, 10); st == 200 || st == 201 {
+						large = append(large, job.ID)
 					}
 				}
 				if step > 5 && len(left) > 0 && rng.IntN(4) == 0 {
@@ -201,7 +201,7 @@
 			die := make(chan struct{}, 12)
 			c.env.Store.OnCommit = func(txn *protocol.Transaction) {
 				c.checkGuards(txn)
-				further := func(ch protocol.Mutation) bool { return isFurtherPiece(ch.Set + ch.Delete) }
+				further := func(mutation protocol.Mutation) bool { return isFurtherPiece(mutation.Set + mutation.Delete) }
 				if !slices.ContainsFunc(txn.Mutations, further) {
 					return
 				}
@@ -275,9 +275,9 @@
 		c.until(name+" shows "+texts[0], 20*time.Second, func() bool {
 			rec := httptest.NewRecorder()
 			c.mu.Lock()
-			n := c.controllers[name]
+			node := c.controllers[name]
 			c.mu.Unlock()
-			n.api.ServeHTTP(rec, httptest.NewRequest("GET", "/", nil))
+			node.api.ServeHTTP(rec, httptest.NewRequest("GET", "/", nil))
 			return !slices.ContainsFunc(texts, func(text string) bool { return !strings.Contains(rec.Body.String(), text) })
 		})
 	}
@@ -287,17 +287,17 @@
 // cancelled and are closed.
 func TestCancelLargeRecord(t *testing.T) {
 	runIn(t, 75, nodeNames, wide(), func(c *testCluster) {
-		j := arrayJob(1, strings.Repeat("c", 140), 1)
+		job := arrayJob(1, strings.Repeat("c", 140), 1)
 		for range 20 {
-			j.MachineTypes = append(j.MachineTypes, strings.Repeat("t", 140))
+			job.MachineTypes = append(job.MachineTypes, strings.Repeat("t", 140))
 		}
-		c.env.Register(j)
-		c.env.Store.Put(records.OpenKey(j.ID), records.OpenJob{Job: j, AcceptedMS: time.Now().UnixMilli()})
+		c.env.Register(job)
+		c.env.Store.Put(records.OpenKey(job.ID), records.OpenJob{Job: job, AcceptedMS: time.Now().UnixMilli()})
 		c.env.Store.Limit(c.deployment.State.Smaller())
-		if st := c.env.Submit(j, 5); st != 200 {
+		if st := c.env.Submit(job, 5); st != 200 {
 			t.Errorf("an accepted job submitted again gets %d", st)
 		}
-		c.env.Cancel(j.ID)
-		c.until("it is closed", time.Minute, func() bool { return c.env.Store.Value(records.FinalKey(j.ID)) != nil })
+		c.env.Cancel(job.ID)
+		c.until("it is closed", time.Minute, func() bool { return c.env.Store.Value(records.FinalKey(job.ID)) != nil })
 	})
 }
