--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -23,7 +23,7 @@
 	return &Client{protocol.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs}, make(chan struct{}, max(1, atOnce))}
 }
 
-// Do sends commands to the worker at addr and returns its report after them,
+// SendCommands sends commands to the worker at addr and returns its report after them,
 // executed or refused whole: the report tells. An error means that they may
 // still be executed, even much later.
 func (c *Client) SendCommands(ctx context.Context, addr string, req protocol.CommandRequest) (*protocol.Heartbeat, error) {
--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -4,6 +4,7 @@
 	"sync"
 	"time"
 
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
 )
 
@@ -13,23 +14,23 @@
 // so the list never claims too much.
 type acknowledgedJobs struct {
 	mu    sync.Mutex
-	known map[string]bool
+	known map[protocol.JobID]bool
 	jobs  []acknowledgment // in the order of their first acknowledgment
 	since time.Time        // of all first acknowledged after it none is missing
 }
 
 type acknowledgment struct {
-	ref string
-	at  time.Time
+	jobID protocol.JobID
+	at    time.Time
 }
 
 // newAcknowledged begins a list. An earlier process of this node may have told
 // users anything until just before the start.
 func newAcknowledgedJobs(start time.Time) acknowledgedJobs {
-	return acknowledgedJobs{known: map[string]bool{}, since: start}
+	return acknowledgedJobs{known: map[protocol.JobID]bool{}, since: start}
 }
 
-func (a *acknowledgedJobs) add(jobID string) {
+func (a *acknowledgedJobs) add(jobID protocol.JobID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.known[jobID] {
@@ -37,19 +38,19 @@
 	}
 	if len(a.jobs) >= tuning.AcknowledgedJobs {
 		a.since = a.jobs[0].at
-		delete(a.known, a.jobs[0].ref)
+		delete(a.known, a.jobs[0].jobID)
 		a.jobs = a.jobs[1:]
 	}
 	a.known[jobID] = true
 	a.jobs = append(a.jobs, acknowledgment{jobID, time.Now()})
 }
 
-func (a *acknowledgedJobs) list() (jobIDs []string, since time.Time) {
+func (a *acknowledgedJobs) list() (jobIDs []protocol.JobID, since time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	jobIDs = make([]string, len(a.jobs))
+	jobIDs = make([]protocol.JobID, len(a.jobs))
 	for i, k := range a.jobs {
-		jobIDs[i] = k.ref
+		jobIDs[i] = k.jobID
 	}
 	return jobIDs, a.since
 }
--- a/internal/api/acknowledged_test.go
+++ b/internal/api/acknowledged_test.go
@@ -8,6 +8,7 @@
 	"testing/synctest"
 	"time"
 
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
 )
 
@@ -17,11 +18,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(1, 2))
 		a := newAcknowledgedJobs(time.Now())
-		first := map[string]time.Time{}
+		first := map[protocol.JobID]time.Time{}
 		dropped := false
 		for range 4 * tuning.AcknowledgedJobs {
 			time.Sleep(time.Duration(1+rng.IntN(50)) * time.Millisecond)
-			jobID := fmt.Sprint("req-", rng.IntN(2*tuning.AcknowledgedJobs))
+			jobID := protocol.JobID(fmt.Sprint("req-", rng.IntN(2*tuning.AcknowledgedJobs)))
 			if _, ok := first[jobID]; !ok {
 				first[jobID] = time.Now()
 			}
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -27,8 +27,8 @@
 // what was read here shortly before is not read again. That one is cancelled is never
 // undone, so it holds for good. The time is zero if not all could be looked at: what is
 // left out is read for the next answer, and the leader knows all open jobs.
-func (u *Users) dependencies(ctx context.Context, jobIDs []string) (state dependencyState, asOf time.Time, err error) {
-	w := &dependencyWalk{Users: u, asOf: time.Now(), seen: map[string]bool{}}
+func (u *Users) dependencies(ctx context.Context, jobIDs []protocol.JobID) (state dependencyState, asOf time.Time, err error) {
+	w := &dependencyWalk{Users: u, asOf: time.Now(), seen: map[protocol.JobID]bool{}}
 	for direct := true; len(jobIDs) > 0; direct = false {
 		jobs, err := w.findLevel(ctx, jobIDs)
 		if err != nil {
@@ -64,18 +64,18 @@
 // dependencyWalk goes through the jobs that a job needs, level by level.
 type dependencyWalk struct {
 	*Users
-	asOf        time.Time       // what is found holds for this time
-	seen        map[string]bool // jobs that were met
-	open        []string        // of them, those that are open
-	singleReads int             // jobs that were read one by one
-	incomplete  bool            // not all that is over could be read
+	asOf        time.Time               // what is found holds for this time
+	seen        map[protocol.JobID]bool // jobs that were met
+	open        []protocol.JobID        // of them, those that are open
+	singleReads int                     // jobs that were read one by one
+	incomplete  bool                    // not all that is over could be read
 }
 
 // findLevel finds the jobs among those named that were not met before and that this
 // node does not know to be open. Few are read one by one, more all at once; what is not
 // open then is read one by one again, not more than tuning.DependencyReads for an
 // answer, and remembered.
-func (w *dependencyWalk) findLevel(ctx context.Context, jobIDs []string) ([]lookupResult, error) {
+func (w *dependencyWalk) findLevel(ctx context.Context, jobIDs []protocol.JobID) ([]lookupResult, error) {
 	level := w.unseen(jobIDs)
 	listing, ok := w.openJobReads.latestValid()
 	out, left := w.findListed(level, listing, ok)
@@ -96,7 +96,7 @@
 }
 
 // unseen picks the jobs that were not met before and that are not known to be open.
-func (w *dependencyWalk) unseen(jobIDs []string) (out []string) {
+func (w *dependencyWalk) unseen(jobIDs []protocol.JobID) (out []protocol.JobID) {
 	for _, jobID := range jobIDs {
 		if w.seen[jobID] {
 			continue
@@ -113,14 +113,14 @@
 
 // findListed finds jobs without a request, in what is remembered of those that are over
 // and in a reading of the open ones, and returns which are left.
-func (w *dependencyWalk) findListed(jobIDs []string, listing jobListing, reliable bool) (out []lookupResult, left []string) {
+func (w *dependencyWalk) findListed(jobIDs []protocol.JobID, listing jobListing, reliable bool) (out []lookupResult, left []protocol.JobID) {
 	for _, jobID := range jobIDs {
 		open, listed := listing.jobs[jobID]
 		switch status, over := w.finalStatus(jobID); {
 		case over:
-			out = append(out, lookupResult{ref: jobID, job: &jobRecord{status: status}})
+			out = append(out, lookupResult{jobID: jobID, job: &jobRecord{status: status}})
 		case reliable && listed:
-			out = append(out, lookupResult{ref: jobID, job: &jobRecord{version: openVersion, open: open, status: openStatus(jobID, &open)}})
+			out = append(out, lookupResult{jobID: jobID, job: &jobRecord{version: openVersion, open: open, status: openStatus(jobID, &open)}})
 			if listing.asOf.Before(w.asOf) {
 				w.asOf = listing.asOf
 			}
@@ -139,11 +139,11 @@
 	case f.err != nil:
 		return false, f.err
 	case f.job == nil:
-		w.Log.Error("dependency of a dependency without record", "job", f.ref) // the job waits
+		w.Log.Error("dependency of a dependency without record", "job", f.jobID) // the job waits
 	case f.job.status.Phase == protocol.PhaseCancelled:
 		return true, nil
 	case f.isOpen():
-		w.open = append(w.open, f.ref)
+		w.open = append(w.open, f.jobID)
 	}
 	return false, nil
 }
@@ -152,7 +152,7 @@
 const openVersion = 1
 
 // openStatus is the phase of an open job, as far as its own record says.
-func openStatus(jobID string, open *records.OpenJob) protocol.JobStatus {
+func openStatus(jobID protocol.JobID, open *records.OpenJob) protocol.JobStatus {
 	status := protocol.JobStatus{ID: jobID, Phase: protocol.PhaseQueued}
 	if open.Cancelled {
 		status.Phase = protocol.PhaseCancelled
@@ -162,9 +162,9 @@
 
 // lookupResult is what a job was found to be, or why it could not be read.
 type lookupResult struct {
-	ref string
-	job *jobRecord
-	err error
+	jobID protocol.JobID
+	job   *jobRecord
+	err   error
 }
 
 func (f lookupResult) isOpen() bool { return f.job != nil && f.job.version != 0 }
@@ -172,11 +172,11 @@
 func (f lookupResult) neverAccepted() bool { return f.err == nil && f.job == nil }
 
 // findAll reads some jobs at the same time.
-func (u *Users) findAll(ctx context.Context, jobIDs []string) []lookupResult {
+func (u *Users) findAll(ctx context.Context, jobIDs []protocol.JobID) []lookupResult {
 	out := make([]lookupResult, len(jobIDs))
 	var wg sync.WaitGroup
 	for i, jobID := range jobIDs {
-		out[i].ref = jobID
+		out[i].jobID = jobID
 		wg.Go(func() { out[i].job, out[i].err = u.find(ctx, jobID) })
 	}
 	wg.Wait()
@@ -186,7 +186,7 @@
 // current reads a job as find does. If a job that it needs is cancelled, so is this
 // one, and its own record says so before its user is told: then no controller can
 // tell the user anything else, whatever it knows of the others.
-func (u *Users) current(ctx context.Context, jobID string) (*jobRecord, error) {
+func (u *Users) current(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
 	start := time.Now()
 	record, err := u.find(ctx, jobID)
 	if err != nil || record == nil || record.version == 0 || record.open.Cancelled {
@@ -212,7 +212,7 @@
 
 // confirmOpen remembers that at some time a job was accepted, and neither it nor any
 // that it needs was cancelled.
-func (u *Users) confirmOpen(jobID string, at time.Time) {
+func (u *Users) confirmOpen(jobID protocol.JobID, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.confirmedOpen) >= tuning.FinalCache {
@@ -224,7 +224,7 @@
 // openAsOf returns when that was last known, if it may still be answered by: the
 // leader closes a job soon after one that it needs is cancelled, and only if it cannot
 // must others find out within cancel_s.
-func (u *Users) openAsOf(jobID string) (at time.Time, ok bool) {
+func (u *Users) openAsOf(jobID protocol.JobID) (at time.Time, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	at = u.confirmedOpen[jobID]
@@ -239,7 +239,7 @@
 
 // forgetOpen forgets that a job was open: its user is about to be told that it is
 // cancelled.
-func (u *Users) forgetOpen(jobID string) {
+func (u *Users) forgetOpen(jobID protocol.JobID) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.confirmedOpen, jobID)
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -25,7 +25,7 @@
 // find reads a job; nil means that it was never accepted. The final record is
 // read after the open one, and closing moves the job in one commit, so a job
 // found at neither place was at neither when the open record was read.
-func (u *Users) find(ctx context.Context, jobID string) (*jobRecord, error) {
+func (u *Users) find(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
 	if st, ok := u.finalStatus(jobID); ok {
 		return &jobRecord{status: st}, nil
 	}
@@ -40,7 +40,7 @@
 }
 
 // openRecords reads the records of an open job; none if it is not open.
-func (u *Users) openRecords(ctx context.Context, jobID string) ([]protocol.KeyValue, error) {
+func (u *Users) openRecords(ctx context.Context, jobID protocol.JobID) ([]protocol.KeyValue, error) {
 	if u.sharedReads.enabled() {
 		return u.sharedReads.records(ctx, jobID)
 	}
@@ -59,7 +59,7 @@
 }
 
 // finalStatus returns the remembered status of a job that is over.
-func (u *Users) finalStatus(jobID string) (protocol.JobStatus, bool) {
+func (u *Users) finalStatus(jobID protocol.JobID) (protocol.JobStatus, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	status, ok := u.finals[jobID]
@@ -67,7 +67,7 @@
 }
 
 // openJob makes of an open job's records what its user may be told.
-func (u *Users) openJob(jobID string, entries []protocol.KeyValue) *jobRecord {
+func (u *Users) openJob(jobID protocol.JobID, entries []protocol.KeyValue) *jobRecord {
 	record := &jobRecord{version: entries[0].Version, status: protocol.JobStatus{ID: jobID, Phase: protocol.PhaseQueued}}
 	if err := protocol.Unmarshal(entries[0].Value, &record.open); err != nil {
 		// That the record is there says that the job was accepted. Refusing
@@ -97,7 +97,7 @@
 }
 
 // finalJob reads the final record of a job; nil means that there is none.
-func (u *Users) finalJob(ctx context.Context, jobID string) (*jobRecord, error) {
+func (u *Users) finalJob(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
 	entry, err := u.Store.Get(ctx, records.FinalKey(jobID))
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil, nil
--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -30,7 +30,7 @@
 // jobListing is all open jobs at some time.
 type jobListing struct {
 	asOf time.Time
-	jobs map[string]records.OpenJob
+	jobs map[protocol.JobID]records.OpenJob
 }
 
 func newOpenJobs(store *kvstore.Client, lasts time.Duration) *openJobs {
@@ -70,7 +70,7 @@
 	if listing, ok := o.latestValid(); ok {
 		return listing, nil
 	}
-	listing := jobListing{asOf: time.Now(), jobs: map[string]records.OpenJob{}}
+	listing := jobListing{asOf: time.Now(), jobs: map[protocol.JobID]records.OpenJob{}}
 	page, err := o.store.ListAll(ctx, records.PrefixOpen)
 	if err != nil {
 		return jobListing{}, err
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -96,17 +96,17 @@
 	case path == "/v1/jobs":
 		if requireMethod(w, r, http.MethodPost) {
 			if body, ok := readBody(w, r); ok {
-				s.serveUser(w, r, opSubmit, "", body)
+				s.serveUser(w, r, peer.OperationSubmit, "", body)
 			}
 		}
 	case strings.HasPrefix(path, "/v1/jobs/"):
-		jobID := strings.TrimPrefix(path, "/v1/jobs/")
-		if jobID, ok := strings.CutSuffix(jobID, "/withdraw"); ok {
+		name := strings.TrimPrefix(path, "/v1/jobs/")
+		if name, ok := strings.CutSuffix(name, "/withdraw"); ok {
 			if requireMethod(w, r, http.MethodPost) {
-				s.serveUser(w, r, opCancel, jobID, nil)
+				s.serveUser(w, r, peer.OperationCancel, protocol.JobID(name), nil)
 			}
 		} else if requireMethod(w, r, http.MethodGet) {
-			s.serveUser(w, r, opStatus, jobID, nil)
+			s.serveUser(w, r, peer.OperationStatus, protocol.JobID(name), nil)
 		}
 	case path == "/":
 		if requireMethod(w, r, http.MethodGet) {
@@ -167,7 +167,7 @@
 
 // serveUser answers a user's call. When more come than can be worked on they are
 // refused early, at once and alike.
-func (s *Server) serveUser(w http.ResponseWriter, r *http.Request, op, jobID string, body []byte) {
+func (s *Server) serveUser(w http.ResponseWriter, r *http.Request, operation peer.Operation, jobID protocol.JobID, body []byte) {
 	select {
 	case s.slots <- struct{}{}:
 		defer func() { <-s.slots }()
@@ -177,14 +177,14 @@
 	}
 	var a answer
 	if !s.node.RefusedAlone() {
-		a = s.users.Handle(r.Context(), op, jobID, body)
+		a = s.users.Handle(r.Context(), operation, jobID, body)
 	} else {
 		a = refused
 	}
 	if a.refused {
 		// The state service may refuse this node alone: a peer that it serves
 		// can answer for us.
-		if f, ok := s.peers.Forward(r.Context(), &peer.UserCall{Operation: op, JobID: jobID, Body: body}); ok {
+		if f, ok := s.peers.Forward(r.Context(), &peer.UserCall{Operation: operation, JobID: jobID, Body: body}); ok {
 			writeReply(w, f.Status, f.Body)
 			return
 		}
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -61,7 +61,7 @@
 
 // records returns the records of an open job, as a reading that begins after the call
 // finds them; none if it is not open.
-func (s *sharedReads) records(ctx context.Context, jobID string) ([]protocol.KeyValue, error) {
+func (s *sharedReads) records(ctx context.Context, jobID protocol.JobID) ([]protocol.KeyValue, error) {
 	r := s.join()
 	select {
 	case <-r.done:
@@ -123,7 +123,7 @@
 
 // recordsOf picks the records of a job among those of all open jobs, in the order of
 // their keys.
-func recordsOf(entries []protocol.KeyValue, jobID string) []protocol.KeyValue {
+func recordsOf(entries []protocol.KeyValue, jobID protocol.JobID) []protocol.KeyValue {
 	key := records.OpenKey(jobID)
 	first, found := slices.BinarySearchFunc(entries, key, func(entry protocol.KeyValue, key string) int { return strings.Compare(entry.Key, key) })
 	if !found {
--- a/internal/api/sharedreads_test.go
+++ b/internal/api/sharedreads_test.go
@@ -18,7 +18,7 @@
 	} {
 		entries = append(entries, protocol.KeyValue{Key: key})
 	}
-	for jobID, want := range map[string][]string{
+	for jobID, want := range map[protocol.JobID][]string{
 		"req-1":  {"o/req-1", "o/req-1/t", "o/req-1/t/3"},
 		"req-10": {"o/req-10", "o/req-10/t"},
 		"req-11": nil, // closed: what is left of its run record counts for nobody
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -20,13 +20,6 @@
 	"marblehaven/internal/tuning"
 )
 
-// Operations of users.
-const (
-	opSubmit = "submit"
-	opStatus = "poll"
-	opCancel = "withdraw"
-)
-
 // Users answers users' calls straight at the state service, whoever leads: what
 // it says is durable first, and read anew each time.
 type Users struct {
@@ -40,15 +33,15 @@
 	sharedReads   *sharedReads
 	retries       *retryBudget
 	mu            sync.Mutex // guards finals and open
-	finals        map[string]protocol.JobStatus
-	confirmedOpen map[string]time.Time // see confirmOpen
+	finals        map[protocol.JobID]protocol.JobStatus
+	confirmedOpen map[protocol.JobID]time.Time // see confirmOpen
 }
 
 // NewUsers makes the users' side of a node.
 func NewUsers(c *config.Config, store *kvstore.Client, log *slog.Logger) *Users {
 	return &Users{Config: c, Store: store, Log: log, acknowledged: newAcknowledgedJobs(time.Now()),
 		openJobReads: newOpenJobs(store, dependencyCheck(c)), sharedReads: newSharedReads(store, c), retries: newRetryBudget(),
-		finals: map[string]protocol.JobStatus{}, confirmedOpen: map[string]time.Time{}}
+		finals: map[protocol.JobID]protocol.JobStatus{}, confirmedOpen: map[protocol.JobID]time.Time{}}
 }
 
 // SetTypes tells which machine types there are; before, nothing is accepted.
@@ -65,7 +58,9 @@
 
 // Acknowledged names the jobs that users were told are cancelled, and since when
 // none is missing.
-func (u *Users) Acknowledged() (jobIDs []string, since time.Time) { return u.acknowledged.list() }
+func (u *Users) Acknowledged() (jobIDs []protocol.JobID, since time.Time) {
+	return u.acknowledged.list()
+}
 
 // answer is a user's answer; body is nil where only the status matters.
 type answer struct {
@@ -85,19 +80,19 @@
 }
 
 // Handle answers one call.
-func (u *Users) Handle(ctx context.Context, op, jobID string, body []byte) answer {
+func (u *Users) Handle(ctx context.Context, operation peer.Operation, jobID protocol.JobID, body []byte) answer {
 	limit := tuning.UserDeadline
-	if op == opStatus {
+	if operation == peer.OperationStatus {
 		limit = tuning.PollDeadline
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	switch op {
-	case opSubmit:
+	switch operation {
+	case peer.OperationSubmit:
 		return u.submit(ctx, body)
-	case opStatus:
+	case peer.OperationStatus:
 		return u.status(ctx, jobID)
-	case opCancel:
+	case peer.OperationCancel:
 		return u.cancel(ctx, jobID)
 	}
 	return busy
@@ -141,7 +136,7 @@
 	}
 }
 
-func (u *Users) status(ctx context.Context, jobID string) answer {
+func (u *Users) status(ctx context.Context, jobID protocol.JobID) answer {
 	if !protocol.ValidJobID(jobID) {
 		return failure(404, errors.New("no such job"))
 	}
@@ -185,7 +180,7 @@
 
 // refuse answers a submission that cannot be accepted. A job that was accepted
 // stays accepted, also if the catalog has changed since.
-func (u *Users) refuse(ctx context.Context, jobID string, status int, reason error) answer {
+func (u *Users) refuse(ctx context.Context, jobID protocol.JobID, status int, reason error) answer {
 	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (answer, error) {
 		record, err := u.current(ctx, jobID)
 		switch {
@@ -272,7 +267,7 @@
 // exceeds compares with a limit, of which 0 is none.
 func exceeds(need, limit float64) bool { return limit > 0 && need > limit*(1+1e-9) }
 
-func (u *Users) cancel(ctx context.Context, jobID string) answer {
+func (u *Users) cancel(ctx context.Context, jobID protocol.JobID) answer {
 	if !protocol.ValidJobID(jobID) {
 		return failure(404, errors.New("no such job"))
 	}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d; it returns false at once when ctx ends.
+// Sleep waits for d; it returns false at once when ctx ends.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -18,7 +18,7 @@
 var (
 	// ErrNoCapacity: nothing of this type, zone and kind is to be had now.
 	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrMalformed: the cloud refused the request as malformed.
+	// ErrInvalidRequest: the cloud refused the request as malformed.
 	ErrInvalidRequest = errors.New("cloud: malformed request")
 	// ErrUnavailable: no usable answer; the request may be executed later.
 	ErrUnavailable = errors.New("cloud: unavailable")
@@ -73,7 +73,7 @@
 	return ok, nil
 }
 
-// Rent asks for machines under a claim. Repeating it is safe.
+// Provision asks for machines under a claim. Repeating it is safe.
 func (c *Client) Provision(ctx context.Context, r protocol.ProvisionRequest) ([]string, error) {
 	var hosts protocol.MachineIDs
 	var refusal protocol.ErrorReply
@@ -84,12 +84,12 @@
 	return hosts.IDs, err
 }
 
-// Return gives machines back; on success they and all on them are gone.
+// Deprovision gives machines back; on success they and all on them are gone.
 func (c *Client) Deprovision(ctx context.Context, hosts []string) error {
 	return c.call(ctx, http.MethodPost, "/rentals/return", protocol.MachineIDs{IDs: hosts}, nil)
 }
 
-// List reads all machines. A page that leads no further although there is more is an
+// ListMachines reads all machines. A page that leads no further although there is more is an
 // error, so that no part of the list is taken for the whole.
 func (c *Client) ListMachines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -12,7 +12,7 @@
 
 // TaskKey names a task of a job.
 type TaskKey struct {
-	Job  string
+	Job  protocol.JobID
 	Task int
 }
 
@@ -29,12 +29,12 @@
 	// StartToken is the token that its start was sent with. Copies of the start
 	// may arrive at any time until the worker has seen a higher one.
 	StartToken    uint64
-	State         string    // as last reported
-	Since         time.Time // of the last change of State
-	Stopping      bool      // a stop was ordered
-	GracePeriodS  float64   // the stop's, in seconds
-	StopOrderedAt time.Time // when the stop was first ordered
-	ByCommand     bool      // ended because we stopped it
+	State         protocol.TaskState // as last reported
+	Since         time.Time          // of the last change of State
+	Stopping      bool               // a stop was ordered
+	GracePeriodS  float64            // the stop's, in seconds
+	StopOrderedAt time.Time          // when the stop was first ordered
+	ByCommand     bool               // ended because we stopped it
 }
 
 // Machine is a rented machine. The leader's actor owns it.
@@ -75,7 +75,7 @@
 	restarted     bool                  // its next report is the first of a new life
 	statusMatches bool                  // the newest report lists just what is live, and nothing of it has changed since
 	startTokens   map[attemptKey]uint64 // tokens of the starts of what is listed or live
-	failedJobs    map[string]bool
+	failedJobs    map[protocol.JobID]bool
 	images        []cachedImage // most recent first
 	imageNames    []string
 }
@@ -108,7 +108,7 @@
 // The token is the first of the present term.
 func NewMachine(id string, token uint64, now time.Time, leaseEnd time.Time) *Machine {
 	return &Machine{ID: id, IssuedToken: token, RequiredToken: token, startTokens: map[attemptKey]uint64{}, ProvisionedAt: now, LastHeartbeat: now, IdleSince: now, GPUIdleSince: now, LeaseExpiry: leaseEnd,
-		Placements: map[TaskKey]*Placement{}, failedJobs: map[string]bool{}}
+		Placements: map[TaskKey]*Placement{}, failedJobs: map[protocol.JobID]bool{}}
 }
 
 // AcceptHeartbeat tells whether a report that came by itself is newer than all before it.
@@ -196,7 +196,7 @@
 // it is gone without a word.
 type EndedPlacement struct {
 	*Placement
-	ExitReason   string
+	ExitReason   protocol.ExitReason
 	Checkpointed bool
 }
 
@@ -393,7 +393,7 @@
 
 // RecordTaskFailure notes that a task of a job failed here. Different jobs failing on one
 // machine show that it is the machine.
-func (m *Machine) RecordTaskFailure(job string) {
+func (m *Machine) RecordTaskFailure(job protocol.JobID) {
 	m.failedJobs[job] = true
 	m.Quarantined = len(m.failedJobs) >= tuning.QuarantineJobs
 }
--- a/internal/cluster/machine_test.go
+++ b/internal/cluster/machine_test.go
@@ -13,7 +13,7 @@
 func parse(s string) (TaskKey, bool) {
 	jobID, num, ok := strings.Cut(s, "/")
 	n, _ := strconv.Atoi(num)
-	return TaskKey{jobID, n}, ok
+	return TaskKey{protocol.JobID(jobID), n}, ok
 }
 
 const lease = 12 * time.Second
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -17,13 +17,13 @@
 	"marblehaven/internal/tuning"
 )
 
-// Held is a term that this node holds.
+// Leadership is a term that this node holds.
 type Leadership struct {
 	Term        uint64
 	TermVersion uint64 // version of the term key: the guard of all the leader's writes
 }
 
-// Keeper runs elections for one node.
+// Candidate runs elections for one node.
 type Candidate struct {
 	store *kvstore.Client
 	node  string
@@ -47,7 +47,7 @@
 	return records.Term{}, false
 }
 
-// Observe takes in a term heard of from a peer or a worker. A newer one than
+// ObserveTerm takes in a term heard of from a peer or a worker. A newer one than
 // our own ends our leadership at once.
 func (k *Candidate) ObserveTerm(t records.Term) {
 	for {
@@ -73,7 +73,7 @@
 	}
 }
 
-// term reads the term under a key, and the key's version: 0 if it does not exist.
+// readTerm reads the term under a key, and the key's version: 0 if it does not exist.
 func (k *Candidate) readTerm(ctx context.Context, key string) (t records.Term, version uint64, err error) {
 	entry, err := k.store.Get(ctx, key)
 	if err == nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// attempt takes the term if nobody holds it. It returns the revision to watch
+// campaign takes the term if nobody holds it. It returns the revision to watch
 // from when somebody does.
 func (k *Candidate) campaign(ctx context.Context) (*Leadership, uint64, uint64, error) {
 	leader, guard, err := k.readTerm(ctx, records.KeyLeader)
@@ -153,7 +153,7 @@
 	return &Leadership{Term: mine.Number, TermVersion: r.Revision}, grant, 0, nil
 }
 
-// hold leads until the term is lost, and returns the grant held last.
+// holdTerm leads until the term is lost, and returns the grant held last.
 func (k *Candidate) holdTerm(ctx context.Context, held Leadership, grant uint64, lead func(context.Context, Leadership)) uint64 {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -29,7 +29,7 @@
 	cfg := config.Deployment{Workers: config.Workers{ReportS: 2.5, LeaseS: 1000, CancelS: 37}}
 	w := NewEnvironment(ctx, NewNetwork(1), cfg, []protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
 	w.Register(protocol.Job{ID: first, Kind: protocol.KindArray, Tasks: 1, Cores: 1})
-	w.Register(protocol.Job{ID: second, Kind: protocol.KindArray, Tasks: 1, Cores: 1, DependsOn: []string{first}})
+	w.Register(protocol.Job{ID: second, Kind: protocol.KindArray, Tasks: 1, Cores: 1, DependsOn: []protocol.JobID{first}})
 	h := &history{Environment: w}
 	w.mu.Lock()
 	id := w.newMachine("big", "a", false)
@@ -40,12 +40,12 @@
 	return h
 }
 
-func (h *history) record(jobID, machine string) {
+func (h *history) record(jobID protocol.JobID, machine string) {
 	h.Store.Put(records.SegmentKey(jobID, 0), records.RunRecord{NextAttempt: 2, Placements: []records.Placement{{Attempt: 1, Machine: machine}}})
 }
 
 // run makes a job's task run on the machine, as if a controller had started it.
-func (h *history) run(jobID string) *agentTask {
+func (h *history) run(jobID protocol.JobID) *agentTask {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	running := &agentTask{jobID: jobID, attempt: 1, state: protocol.TaskRunning, since: time.Now(), left: 1e6}
@@ -55,7 +55,7 @@
 }
 
 // tell judges that a job's user is told a phase.
-func (h *history) tell(jobID, phase string) {
+func (h *history) tell(jobID protocol.JobID, phase protocol.JobPhase) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	job := h.jobs[jobID]
@@ -63,7 +63,7 @@
 }
 
 // cancel makes a job's user cancel it and be told so.
-func (h *history) cancel(jobID string) {
+func (h *history) cancel(jobID protocol.JobID) {
 	h.mu.Lock()
 	h.jobs[jobID].cancelAsked = true
 	h.mu.Unlock()
--- a/internal/fake/dependencies.go
+++ b/internal/fake/dependencies.go
@@ -9,7 +9,7 @@
 // dependenciesOf lists the jobs that a job needs, directly or through others.
 func (w *Environment) dependenciesOf(job *userJob) []*userJob {
 	var out []*userJob
-	seen := map[string]bool{}
+	seen := map[protocol.JobID]bool{}
 	work := job.job.DependsOn
 	for len(work) > 0 {
 		jobID := work[0]
@@ -24,7 +24,7 @@
 }
 
 // MayFinish tells whether no user has asked to cancel the job or one that it needs.
-func (w *Environment) MayFinish(jobID string) bool {
+func (w *Environment) MayFinish(jobID protocol.JobID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	asked, _ := w.cancelledBefore(w.jobs[jobID])
@@ -69,7 +69,7 @@
 }
 
 // checkDependentAnswer judges what the user of a job that needs others is told.
-func (w *Environment) checkDependentAnswer(job *userJob, phase string) {
+func (w *Environment) checkDependentAnswer(job *userJob, phase protocol.JobPhase) {
 	if phase != protocol.PhaseQueued && phase != protocol.PhaseRunning {
 		return
 	}
--- a/internal/fake/records.go
+++ b/internal/fake/records.go
@@ -7,7 +7,7 @@
 	"marblehaven/internal/records"
 )
 
-// records reads run records in the state service, decoding each version once.
+// recordChecker reads run records in the state service, decoding each version once.
 type recordChecker struct {
 	state    *Store
 	segments map[string]decodedSegment // by key
@@ -26,7 +26,7 @@
 
 // segment returns the piece that counts for a task: its own if that was written,
 // otherwise the first of its job.
-func (r *recordChecker) segment(jobID string, task int) decodedSegment {
+func (r *recordChecker) segment(jobID protocol.JobID, task int) decodedSegment {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
 	key := records.SegmentKey(jobID, records.SegmentOf(task))
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -11,11 +11,11 @@
 )
 
 type agentTask struct {
-	jobID        string
+	jobID        protocol.JobID
 	index        int
 	attempt      uint64
-	state        string
-	exitReason   string
+	state        protocol.TaskState
+	exitReason   protocol.ExitReason
 	checkpointed bool
 	since        time.Time // of state
 	left         float64   // seconds of work, while running
@@ -192,12 +192,12 @@
 	}
 }
 
-func (m *machineAgent) enter(task *agentTask, state string) {
+func (m *machineAgent) enter(task *agentTask, state protocol.TaskState) {
 	task.state, task.since, m.changed = state, time.Now(), true
 }
 
-func (m *machineAgent) exit(task *agentTask, cause string) {
-	task.exitReason = cause
+func (m *machineAgent) exit(task *agentTask, reason protocol.ExitReason) {
+	task.exitReason = reason
 	m.enter(task, protocol.TaskExited)
 	if m.env.jobs[task.jobID].job.Kind == protocol.KindGang {
 		m.env.gangsChanged()
@@ -208,7 +208,7 @@
 // a task. (A lost task is noticed at once here, which PROTOCOL allows.)
 func (w *Environment) gangsChanged() {
 	type gang struct {
-		ref     string
+		jobID   protocol.JobID
 		attempt uint64
 	}
 	waiting, running := map[gang][]*agentTask{}, map[gang][]*agentTask{}
@@ -225,14 +225,14 @@
 		}
 	}
 	for g, ts := range waiting {
-		if job := w.jobs[g.ref]; len(ts) == job.job.Tasks {
+		if job := w.jobs[g.jobID]; len(ts) == job.job.Tasks {
 			for _, task := range ts {
 				task.state, task.since, task.left = protocol.TaskRunning, time.Now(), job.runS
 			}
 		}
 	}
 	for g, ts := range running {
-		job := w.jobs[g.ref]
+		job := w.jobs[g.jobID]
 		if len(ts) == job.job.Tasks {
 			continue
 		}
@@ -330,7 +330,7 @@
 	}
 }
 
-func (m *machineAgent) find(jobID string, num int) *agentTask {
+func (m *machineAgent) find(jobID protocol.JobID, num int) *agentTask {
 	for _, task := range m.tasks {
 		if task.jobID == jobID && task.index == num {
 			return task
@@ -377,7 +377,7 @@
 	}
 }
 
-func (m *machineAgent) start(jobID string, num int, attempt uint64) {
+func (m *machineAgent) start(jobID protocol.JobID, num int, attempt uint64) {
 	task := &agentTask{jobID: jobID, index: num, attempt: attempt, state: protocol.TaskExited, since: time.Now()}
 	m.changed = true
 	job := m.env.jobs[jobID]
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -32,20 +32,20 @@
 	machines      map[string]*machineAgent
 	provisioned   map[string][]string
 	nextID        int
-	jobs          map[string]*userJob
+	jobs          map[protocol.JobID]*userJob
 	violations    []string
-	Calls         map[string]int         // calls of the cloud, by path
-	LoseReply     func(path string) bool // answers of the cloud that get lost
-	CloudDown     bool                   // it answers 503 "trouble"
-	PageMost      int                    // machines in a page of the list at most; 0: as many as asked for
-	Saved         int                    // tasks that were stopped and saved
-	LeaseExpiries int                    // leases that ran out with tasks
-	Uneven        float64                // how much longer each task of an array runs than the one before
-	OnDone        func(jobID string)     // told when the last task of an array has completed
-	Step          time.Duration          // between two looks of a machine at what it runs
-	LateStart     time.Duration          // the longest time from a confirmed cancellation to a start
-	troublesOver  bool                   // all troubles are over
-	addrNode      map[string]string      // node name -> address
+	Calls         map[string]int             // calls of the cloud, by path
+	LoseReply     func(path string) bool     // answers of the cloud that get lost
+	CloudDown     bool                       // it answers 503 "trouble"
+	PageMost      int                        // machines in a page of the list at most; 0: as many as asked for
+	Saved         int                        // tasks that were stopped and saved
+	LeaseExpiries int                        // leases that ran out with tasks
+	Uneven        float64                    // how much longer each task of an array runs than the one before
+	OnDone        func(jobID protocol.JobID) // told when the last task of an array has completed
+	Step          time.Duration              // between two looks of a machine at what it runs
+	LateStart     time.Duration              // the longest time from a confirmed cancellation to a start
+	troublesOver  bool                       // all troubles are over
+	addrNode      map[string]string          // node name -> address
 	records       *recordChecker
 }
 
@@ -71,7 +71,7 @@
 func NewEnvironment(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *Environment {
 	w := &Environment{Network: net, Store: NewStore(), Cfg: cfg, life: ctx, types: map[string]protocol.MachineType{},
 		capacity: map[string]int{}, machines: map[string]*machineAgent{}, provisioned: map[string][]string{},
-		jobs: map[string]*userJob{}, Step: usualStep, Calls: map[string]int{}, addrNode: map[string]string{}}
+		jobs: map[protocol.JobID]*userJob{}, Step: usualStep, Calls: map[string]int{}, addrNode: map[string]string{}}
 	for _, t := range types {
 		w.types[t.Name] = t
 	}
@@ -136,7 +136,7 @@
 }
 
 // MachinesOf lists the machines on which tasks of a job are, with or without image.
-func (w *Environment) MachinesOf(jobID string) []string {
+func (w *Environment) MachinesOf(jobID protocol.JobID) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
@@ -152,14 +152,14 @@
 }
 
 // Cancelled tells whether a job's user asked to cancel it.
-func (w *Environment) Cancelled(jobID string) bool {
+func (w *Environment) Cancelled(jobID protocol.JobID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.jobs[jobID].cancelAsked
 }
 
 // Job is a job as its user submitted it.
-func (w *Environment) Job(jobID string) protocol.Job {
+func (w *Environment) Job(jobID protocol.JobID) protocol.Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.jobs[jobID].job
@@ -355,7 +355,7 @@
 }
 
 // Poll asks once for a job's state.
-func (w *Environment) Poll(jobID string) (int, protocol.JobStatus) {
+func (w *Environment) Poll(jobID protocol.JobID) (int, protocol.JobStatus) {
 	w.mu.Lock()
 	job := w.jobs[jobID]
 	var before userJob // what the user had been told when it asked
@@ -363,7 +363,7 @@
 		before = *job
 	}
 	w.mu.Unlock()
-	status, st := w.ask(http.MethodGet, "/v1/jobs/"+jobID, nil, 2*time.Second, 0)
+	status, st := w.ask(http.MethodGet, "/v1/jobs/"+string(jobID), nil, 2*time.Second, 0)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	job = w.jobs[jobID]
@@ -403,13 +403,13 @@
 }
 
 // Cancel cancels a job, repeating the request until it is answered.
-func (w *Environment) Cancel(jobID string) (int, protocol.JobStatus) {
+func (w *Environment) Cancel(jobID protocol.JobID) (int, protocol.JobStatus) {
 	w.mu.Lock()
 	job := w.jobs[jobID]
 	job.cancelAsked = true
 	before := *job
 	w.mu.Unlock()
-	status, st := w.ask(http.MethodPost, "/v1/jobs/"+jobID+"/withdraw", nil, 5*time.Second, 120*time.Second)
+	status, st := w.ask(http.MethodPost, "/v1/jobs/"+string(jobID)+"/withdraw", nil, 5*time.Second, 120*time.Second)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if status == 200 {
@@ -608,8 +608,8 @@
 	}
 }
 
-func parseTask(s string) (string, int) {
-	jobID, num, _ := strings.Cut(s, "/")
-	n, _ := strconv.Atoi(num)
-	return jobID, n
+func parseTask(s string) (protocol.JobID, int) {
+	jobID, index, _ := strings.Cut(s, "/")
+	n, _ := strconv.Atoi(index)
+	return protocol.JobID(jobID), n
 }
--- a/internal/kvstore/apply.go
+++ b/internal/kvstore/apply.go
@@ -16,7 +16,7 @@
 // records until one of its conditions can no longer hold.
 var ErrInDoubt = errors.New("state service: transaction in doubt")
 
-// Apply carries a transaction through to an outcome that holds for good. Without an
+// CommitUntilKnown carries a transaction through to an outcome that holds for good. Without an
 // answer it may have been executed, or be executed later, so it is sent again,
 // unchanged. The result is one of these:
 //
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -17,9 +17,9 @@
 )
 
 var (
-	// ErrUnknown: no usable answer; the request may be executed, also later.
+	// ErrOutcomeUnknown: no usable answer; the request may be executed, also later.
 	ErrOutcomeUnknown = errors.New("state service: outcome unknown")
-	// ErrRefused: answered 503 or 429; the request was not executed.
+	// ErrUnavailable: answered 503 or 429; the request was not executed.
 	ErrUnavailable = errors.New("state service: refused")
 	// ErrThrottled: answered 429; the request was not executed.
 	ErrThrottled = fmt.Errorf("%w: too many requests", ErrUnavailable)
@@ -27,9 +27,9 @@
 	ErrConflict = errors.New("state service: guard failed")
 	// ErrNotFound: no such key.
 	ErrNotFound = errors.New("state service: not found")
-	// ErrNoLease: the grant is over.
+	// ErrLeaseExpired: the grant is over.
 	ErrLeaseExpired = errors.New("state service: grant is over")
-	// ErrMalformed: the service refused the request as malformed; not executed.
+	// ErrInvalidRequest: the service refused the request as malformed; not executed.
 	ErrInvalidRequest = errors.New("state service: malformed request")
 	// ErrTooLarge: the transaction exceeds the limits, so it was not sent.
 	ErrTooLarge = errors.New("state service: beyond the limits")
@@ -53,17 +53,17 @@
 		limits: newLimits(state), start: time.Now()}
 }
 
-// ValueBytes is the largest value, in bytes as JSON, that may be written now.
+// MaxValueBytes is the largest value, in bytes as JSON, that may be written now.
 func (c *Client) MaxValueBytes() int { return c.limits.valueBytes() }
 
-// TxnOps is how many changes a transaction may have.
+// MaxMutations is how many changes a transaction may have.
 func (c *Client) MaxMutations() int { return c.limits.smaller.TxnOps }
 
-// UseSmaller keeps to the smaller of the present and the announced value limit
+// UseAnnouncedLimits keeps to the smaller of the present and the announced value limit
 // from now on.
 func (c *Client) UseAnnouncedLimits() { c.limits.announced.Store(true) }
 
-// SinceOK is the time since the service last answered other than by refusing.
+// SinceServed is the time since the service last answered other than by refusing.
 func (c *Client) SinceServed() time.Duration {
 	return time.Since(c.start) - time.Duration(c.lastServed.Load())
 }
@@ -174,7 +174,7 @@
 	return r, nil
 }
 
-// NewGrant opens a lease.
+// GrantLease opens a lease.
 func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
 	var g protocol.Lease
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodPost, "/grants",
@@ -185,7 +185,7 @@
 	return g.ID, err
 }
 
-// Touch renews a lease.
+// KeepAlive renews a lease.
 func (c *Client) KeepAlive(ctx context.Context, lease uint64) error {
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodPost, fmt.Sprintf("/grants/%d/touch", lease), nil, nil)
 	switch {
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// EndGrant ends a lease at once.
+// RevokeLease ends a lease at once.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil)
 	if err == nil && status != 200 && status != 404 {
@@ -208,7 +208,7 @@
 	return err
 }
 
-// Follow waits up to hold for changes under a prefix after a revision.
+// Watch waits up to hold for changes under a prefix after a revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (protocol.WatchReply, error) {
 	var ev protocol.WatchReply
 	q := url.Values{"prefix": {prefix}, "after": {fmt.Sprint(after)}, "holdMs": {fmt.Sprint(hold.Milliseconds())}}
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -37,7 +37,7 @@
 	c.setTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
 	c.typesLoaded = true
 	for i := range jobs {
-		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: fmt.Sprint("t", i%10),
+		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: protocol.JobID(fmt.Sprintf("req-%06d", i)), Class: "c", Team: fmt.Sprint("t", i%10),
 			Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
 		b, _ := protocol.Marshal(o)
 		c.applyOpenRecord(records.OpenKey(o.Job.ID), b, 1, now)
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -14,7 +14,7 @@
 
 // dependencyOutcome is the final phase of a job that others depend on, from its record.
 type dependencyOutcome struct {
-	phase string
+	phase protocol.JobPhase
 	at    time.Time // when it was closed; zero: not recorded
 }
 
@@ -22,7 +22,7 @@
 func (c *Leader) addDependencies(job *jobState, now time.Time) {
 	for _, jobID := range job.spec.DependsOn {
 		if job.pendingDependencies == nil {
-			job.pendingDependencies = map[string]bool{}
+			job.pendingDependencies = map[protocol.JobID]bool{}
 		}
 		job.pendingDependencies[jobID] = true
 		c.dependents[jobID] = append(c.dependents[jobID], job.id)
@@ -38,7 +38,7 @@
 
 // resolveDependency draws the conclusions from the final record of a job: those that wait for
 // it go on, or are cancelled with it. Nothing else lets a job go on.
-func (c *Leader) resolveDependency(jobID string, out dependencyOutcome, now time.Time) {
+func (c *Leader) resolveDependency(jobID protocol.JobID, out dependencyOutcome, now time.Time) {
 	if len(c.outcomes) >= tuning.OutcomeCache {
 		clear(c.outcomes) // they are read again where they are needed
 	}
@@ -63,8 +63,8 @@
 
 // cancelDependents cancels all jobs that need the one named, directly or through
 // others. None of them has begun, and none ever can.
-func (c *Leader) cancelDependents(jobID string, now time.Time) {
-	work := []string{jobID}
+func (c *Leader) cancelDependents(jobID protocol.JobID, now time.Time) {
+	work := []protocol.JobID{jobID}
 	for len(work) > 0 {
 		names := c.dependents[work[0]]
 		work = work[1:]
@@ -83,7 +83,7 @@
 // dropDependent forgets what a job that is over was waiting for.
 func (c *Leader) dropDependent(job *jobState) {
 	for jobID := range job.pendingDependencies {
-		left := slices.DeleteFunc(c.dependents[jobID], func(name string) bool { return name == job.id })
+		left := slices.DeleteFunc(c.dependents[jobID], func(name protocol.JobID) bool { return name == job.id })
 		if len(left) == 0 {
 			delete(c.dependents, jobID)
 		} else {
@@ -99,7 +99,7 @@
 	if c.lookingUp || now.Before(c.lookupAt) {
 		return
 	}
-	var jobIDs []string
+	var jobIDs []protocol.JobID
 	for jobID := range c.dependents {
 		_, known := c.outcomes[jobID]
 		if !known && c.jobs[jobID] == nil && len(jobIDs) < tuning.DependencyLookupBatch {
@@ -113,8 +113,8 @@
 	go func() { c.post(c.readDependencyOutcomes(c.ctx, jobIDs)) }()
 }
 
-func (c *Leader) readDependencyOutcomes(ctx context.Context, jobIDs []string) dependencyLookup {
-	m := dependencyLookup{outcomes: map[string]dependencyOutcome{}}
+func (c *Leader) readDependencyOutcomes(ctx context.Context, jobIDs []protocol.JobID) dependencyLookup {
+	m := dependencyLookup{outcomes: map[protocol.JobID]dependencyOutcome{}}
 	for _, jobID := range jobIDs {
 		entry, err := c.Store.Get(ctx, records.FinalKey(jobID))
 		if errors.Is(err, kvstore.ErrNotFound) {
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -14,15 +14,15 @@
 
 // jobState is an open job as the leader knows it.
 type jobState struct {
-	id          string
+	id          protocol.JobID
 	spec        protocol.Job
 	acceptedAt  time.Time // time of day of acceptance
 	cancelled   bool
 	openVersion uint64
 	segments    []runSegment // of its run record, by number; see piece
 
-	pendingDependencies map[string]bool // dependencies that are not known to be done
-	readyAt             time.Time       // when the last dependency was done; without any, at
+	pendingDependencies map[protocol.JobID]bool // dependencies that are not known to be done
+	readyAt             time.Time               // when the last dependency was done; without any, at
 
 	nextAttempt uint64 // the next unused attempt
 	doneTasks   records.TaskRanges
@@ -41,7 +41,7 @@
 	knownSince       time.Time // when the leader learnt of it
 }
 
-func newJob(jobID string, o *records.OpenJob, version uint64, now time.Time) *jobState {
+func newJob(jobID protocol.JobID, o *records.OpenJob, version uint64, now time.Time) *jobState {
 	at := time.UnixMilli(o.AcceptedMS)
 	return &jobState{id: jobID, spec: o.Job, acceptedAt: at, readyAt: at, cancelled: o.Cancelled, openVersion: version,
 		nextAttempt: 1, placements: map[int]*cluster.Placement{}, unrecordedDone: map[int]bool{}, knownSince: now}
@@ -102,7 +102,7 @@
 	case j.priority() == 0:
 		return writeProductionStarts
 	}
-	return writeClosing + j.priority()
+	return writeClosing + int(j.priority())
 }
 
 func (j *jobState) isOver() bool {
@@ -135,14 +135,12 @@
 
 func (j *jobState) request() scheduler.Resources { return scheduler.RequestOf(&j.spec) }
 
-func (j *jobState) priority() int {
-	return slices.Index([]string{protocol.PriorityProduction, protocol.PriorityHigh, protocol.PriorityStandard, protocol.PriorityIdle}, j.spec.Priority)
-}
+func (j *jobState) priority() protocol.PriorityLevel { return j.spec.Priority.Level() }
 
-func taskName(k cluster.TaskKey) string { return k.Job + "/" + strconv.Itoa(k.Task) }
+func taskName(k cluster.TaskKey) string { return string(k.Job) + "/" + strconv.Itoa(k.Task) }
 
 func parseTask(s string) (cluster.TaskKey, bool) {
 	jobID, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
-	return cluster.TaskKey{Job: jobID, Task: n}, ok && err == nil && n >= 0
+	return cluster.TaskKey{Job: protocol.JobID(jobID), Task: n}, ok && err == nil && n >= 0
 }
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -83,7 +83,7 @@
 // in between would leave nothing that shows it.
 func TestDoneIsRecordedBeforeReap(t *testing.T) {
 	now := time.Now()
-	c := &Leader{jobs: map[string]*jobState{}, leadership: election.Leadership{Term: 1}}
+	c := &Leader{jobs: map[protocol.JobID]*jobState{}, leadership: election.Leadership{Term: 1}}
 	job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 2}}, 1, now)
 	c.jobs["req-1"] = job
 	machine := cluster.NewMachine("m-1", c.termToken(), now, now.Add(time.Hour))
@@ -156,7 +156,7 @@
 		named, other := c.jobs["req-000000"], c.jobs["req-000001"]
 		dropAll(now, named, other)
 		late := now.Add(time.Minute)
-		c.Acknowledged = func(time.Time) (time.Time, []string, bool) { return late, []string{named.id}, true }
+		c.Acknowledged = func(time.Time) (time.Time, []protocol.JobID, bool) { return late, []protocol.JobID{named.id}, true }
 		c.confirmByPeers(late)
 		if !named.cancelled || other.cancelled || !c.lastProof().Equal(late) {
 			t.Fatalf("cancelled %v and %v, authority %v", named.cancelled, other.cancelled, c.lastProof().Sub(now))
@@ -210,7 +210,7 @@
 	until := now.Add(time.Hour)
 	job.recordUnreadable = true
 	job.backOff(until)
-	for _, cause := range []string{protocol.ExitError, protocol.ExitUnknownTask} {
+	for _, cause := range []protocol.ExitReason{protocol.ExitError, protocol.ExitUnknownTask} {
 		for _, placement := range machine.Placements {
 			c.endPlacements([]cluster.EndedPlacement{{Placement: placement, ExitReason: cause}}, now)
 			break
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -39,7 +39,7 @@
 	// Acknowledged returns the jobs that controllers have told users are cancelled,
 	// and the time up to which none of those told after since is missing; ok is
 	// false if a controller cannot tell.
-	Acknowledged func(since time.Time) (asOf time.Time, jobIDs []string, ok bool)
+	Acknowledged func(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool)
 }
 
 // ErrNotEntitled says that the leader may not answer reports now.
@@ -69,7 +69,7 @@
 	}
 	termConfirmation struct{ asOf time.Time }
 	dependencyLookup struct {
-		outcomes map[string]dependencyOutcome
+		outcomes map[protocol.JobID]dependencyOutcome
 		open     []protocol.KeyValue
 	}
 	versionsResult struct {
@@ -108,12 +108,12 @@
 	inbox      chan any
 	ctx        context.Context
 
-	jobs              map[string]*jobState
+	jobs              map[protocol.JobID]*jobState
 	machines          map[string]*cluster.Machine
 	sorted            []*cluster.Machine // the same, by name
 	firstToken        uint64             // the first token of a machine that becomes known
 	removedMachines   map[string]time.Time
-	closedJobs        map[string]time.Time // jobs closed lately, see forgetClosed
+	closedJobs        map[protocol.JobID]time.Time // jobs closed lately, see forgetClosed
 	provisionRequests map[string]*provisioning
 	provisionSequence int
 	machineTypes      []protocol.MachineType
@@ -139,8 +139,8 @@
 	format             int               // the version of the formats that the whole cluster uses
 	controllerFormats  map[string]int
 
-	dependents          map[string][]string          // jobs that wait for the one named
-	outcomes            map[string]dependencyOutcome // final phases of jobs, as far as they were needed
+	dependents          map[protocol.JobID][]protocol.JobID  // jobs that wait for the one named
+	outcomes            map[protocol.JobID]dependencyOutcome // final phases of jobs, as far as they were needed
 	lookingUp           bool
 	lookupBegan         time.Time // of the lookup under way
 	lookupAt            time.Time // no lookup before
@@ -164,7 +164,7 @@
 	lastSummary         time.Time
 	lateLogged          time.Time
 	status              Status
-	gpuPriority         int // see sched.Snapshot
+	gpuPriority         protocol.PriorityLevel // see sched.Snapshot
 	gpuRequest          scheduler.Resources
 }
 
@@ -188,12 +188,12 @@
 		// A report that waits holds a connection, so that none is refused here:
 		// after a takeover all workers report at once.
 		inbox: make(chan any, d.Config.Deployment.Sockets(len(d.Config.Peers)).Incoming),
-		jobs:  map[string]*jobState{}, machines: map[string]*cluster.Machine{}, removedMachines: map[string]time.Time{}, closedJobs: map[string]time.Time{}, inheritedImages: map[string]*records.ImageInventory{}, pendingDispatch: map[*cluster.Machine]bool{},
+		jobs:  map[protocol.JobID]*jobState{}, machines: map[string]*cluster.Machine{}, removedMachines: map[string]time.Time{}, closedJobs: map[protocol.JobID]time.Time{}, inheritedImages: map[string]*records.ImageInventory{}, pendingDispatch: map[*cluster.Machine]bool{},
 		firstToken: floor, gpuPriority: -1, provisionRequests: map[string]*provisioning{}, capacityBackoffs: map[capacityPool]*capacityBackoff{}, typeIndex: map[string]int{},
 		estimator:         estimator{off: d.Config.Operator.Estimator == "user", classes: map[string]*classRuns{}},
 		writeLimiter:      rate.NewLimiter(rate.Limit(wr), max(int(wr), limits.TxnOps)),
 		format:            records.FormatWhole,
-		controllerFormats: map[string]int{}, dependents: map[string][]string{}, outcomes: map[string]dependencyOutcome{},
+		controllerFormats: map[string]int{}, dependents: map[protocol.JobID][]protocol.JobID{}, outcomes: map[protocol.JobID]dependencyOutcome{},
 	}
 }
 
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -14,7 +14,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// records is what an earlier leader left.
+// storedRecords is what an earlier leader left.
 type storedRecords struct {
 	open, claims     protocol.KeyValuePage
 	catalog, cluster protocol.KeyValue
@@ -78,8 +78,8 @@
 
 // restoreJobs takes in the open jobs with the pieces of their run records.
 func (c *Leader) restoreJobs(entries []protocol.KeyValue, now time.Time) {
-	open := map[string]bool{}
-	pieces := map[string][]protocol.KeyValue{}
+	open := map[protocol.JobID]bool{}
+	pieces := map[protocol.JobID][]protocol.KeyValue{}
 	for _, entry := range entries {
 		jobID, number := records.ParseOpenKey(entry.Key)
 		if number == records.NoSegment {
@@ -185,7 +185,7 @@
 }
 
 // onUnreadableRecord draws from an open record that cannot be read what can be told.
-func (c *Leader) onUnreadableRecord(jobID string, value []byte, now time.Time) {
+func (c *Leader) onUnreadableRecord(jobID protocol.JobID, value []byte, now time.Time) {
 	if !records.MarkedCancelled(value) {
 		return
 	}
@@ -205,7 +205,7 @@
 	}
 }
 
-func (c *Leader) addJob(jobID string, o *records.OpenJob, version uint64, now time.Time) {
+func (c *Leader) addJob(jobID protocol.JobID, o *records.OpenJob, version uint64, now time.Time) {
 	job := newJob(jobID, o, version, now)
 	c.jobs[jobID] = job
 	c.changed = true
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"math"
 	"slices"
-	"strings"
 	"time"
 
 	"marblehaven/internal/cluster"
@@ -89,7 +88,7 @@
 	now      time.Time
 	snap     *scheduler.Snapshot
 	jobs     []*jobState              // in the order of snap.Jobs
-	jobIndex map[string]int           // of snap.Jobs
+	jobIndex map[protocol.JobID]int   // of snap.Jobs
 	teams    map[string]int           // index of snap.Teams
 	machines []*cluster.Machine       // in the order of snap.Machines; nil: asked for
 	running  []scheduler.RunningTasks // backs the machines' tasks
@@ -102,7 +101,7 @@
 }
 
 func (c *Leader) snapshot(now time.Time) (*scheduler.Snapshot, []*jobState, []*cluster.Machine) {
-	b := &snapshotBuilder{Leader: c, now: now, teams: map[string]int{}, jobIndex: map[string]int{}, machineCounts: map[bool]float64{}, zones: 1}
+	b := &snapshotBuilder{Leader: c, now: now, teams: map[string]int{}, jobIndex: map[protocol.JobID]int{}, machineCounts: map[bool]float64{}, zones: 1}
 	op := c.Config.Operator
 	b.snap = &scheduler.Snapshot{Rho: op.Rho, GPUPriority: c.gpuPriority, GPURequest: c.gpuRequest, IdleBootFactor: op.GiveBackFactor,
 		StarvationShare: tuning.StarvationShare, StarvationShareIdle: tuning.StarvationShareIdle, ExhaustedPools: map[scheduler.CapacityPool]bool{}}
@@ -143,7 +142,7 @@
 		}
 	}
 	slices.SortFunc(b.jobs, func(x, y *jobState) int {
-		return cmp.Or(x.acceptedAt.Compare(y.acceptedAt), strings.Compare(x.id, y.id))
+		return cmp.Or(x.acceptedAt.Compare(y.acceptedAt), cmp.Compare(x.id, y.id))
 	})
 	for i, job := range b.jobs {
 		b.jobIndex[job.id] = i
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
 	"marblehaven/internal/scheduler"
 	"marblehaven/internal/tuning"
@@ -30,10 +31,10 @@
 
 // UnknownTask is a task that a worker reports and no record names. It is stopped.
 type UnknownTask struct {
-	Task    string `msgpack:"t"`
-	Attempt uint64 `msgpack:"a"`
-	State   string `msgpack:"s"`
-	Machine string `msgpack:"m"`
+	Task    string             `msgpack:"t"`
+	Attempt uint64             `msgpack:"a"`
+	State   protocol.TaskState `msgpack:"s"`
+	Machine string             `msgpack:"m"`
 	// Job is what is known of its job.
 	Job string `msgpack:"j"`
 }
@@ -63,10 +64,10 @@
 
 // OverdueJob is player-facing production work that waits longer than it should.
 type OverdueJob struct {
-	Job     string  `msgpack:"j"`
-	Class   string  `msgpack:"c"`
-	Missing int     `msgpack:"m"`
-	SinceS  float64 `msgpack:"s"`
+	Job     protocol.JobID `msgpack:"j"`
+	Class   string         `msgpack:"c"`
+	Missing int            `msgpack:"m"`
+	SinceS  float64        `msgpack:"s"`
 }
 
 func (c *Leader) summarize(snapshot *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan, now time.Time) {
--- a/internal/peer/compatible_test.go
+++ b/internal/peer/compatible_test.go
@@ -43,7 +43,7 @@
 		"catalog": &[]protocol.MachineType{{Name: "g8", Cores: 96, GPUs: 8, MemGB: 768, CacheGB: 200, FetchGBps: 1, Price: 12, SpotPrice: 4.5,
 			BootS: 45, Zones: []string{"a", "b"}}},
 		"statusRequest": &StatusRequest{Leader: term, Acknowledged: true},
-		"status": &Status{Leader: term, StateMS: 120, Acknowledged: []string{"req-000412"}, CompleteMS: 9000, Redirected: 3,
+		"status": &Status{Leader: term, StateMS: 120, Acknowledged: []protocol.JobID{"req-000412"}, CompleteMS: 9000, Redirected: 3,
 			Summary: []byte{1}},
 		"userCall":   &UserCall{Operation: "poll", JobID: "req-000412", Body: []byte{0x80}},
 		"userAnswer": &UserAnswer{Status: 200, Body: []byte{0x80}},
@@ -72,7 +72,7 @@
 // What this version writes beyond that is passed over by the one in production, whose
 // structures are these: the names of a job's dependencies, and when a job was closed.
 func TestReadByProduction(t *testing.T) {
-	open, _ := protocol.Marshal(records.OpenJob{Job: protocol.Job{ID: "req-000001", Tasks: 3, DependsOn: []string{"req-000002"}}, AcceptedMS: 7})
+	open, _ := protocol.Marshal(records.OpenJob{Job: protocol.Job{ID: "req-000001", Tasks: 3, DependsOn: []protocol.JobID{"req-000002"}}, AcceptedMS: 7})
 	var job struct {
 		Job struct {
 			ID    string `msgpack:"ref"`
@@ -89,7 +89,7 @@
 		Phase string `msgpack:"p"`
 		Tasks int    `msgpack:"n"`
 	}
-	if err := protocol.Unmarshal(closed, &final); err != nil || final.Phase != protocol.PhaseDone || final.Tasks != 3 {
+	if err := protocol.Unmarshal(closed, &final); err != nil || final.Phase != string(protocol.PhaseDone) || final.Tasks != 3 {
 		t.Errorf("final record read as %+v, %v", final, err)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,8 +28,8 @@
 	StateMS int64 `msgpack:"s"`
 	// Acknowledged names the jobs that the node has told users are cancelled, if
 	// asked for, and CompleteMS is the time since which none is missing there.
-	Acknowledged []string `msgpack:"k,omitempty"`
-	CompleteMS   int64    `msgpack:"c,omitempty"`
+	Acknowledged []protocol.JobID `msgpack:"k,omitempty"`
+	CompleteMS   int64            `msgpack:"c,omitempty"`
 	// Redirected counts the workers' reports that the node sent on to others.
 	Redirected uint64 `msgpack:"t"`
 	// Summary is the leader's status, encoded; only if asked for.
@@ -43,11 +43,21 @@
 	Acknowledged bool         `msgpack:"k,omitempty"`
 }
 
+// Operation is what a user's call asks for.
+type Operation string
+
+// The operations of users; the values travel between controllers.
+const (
+	OperationSubmit Operation = "submit"
+	OperationStatus Operation = "poll"
+	OperationCancel Operation = "withdraw"
+)
+
 // UserCall is a user's call passed on.
 type UserCall struct {
-	Operation string `msgpack:"o"`
-	JobID     string `msgpack:"r"`
-	Body      []byte `msgpack:"b"`
+	Operation Operation      `msgpack:"o"`
+	JobID     protocol.JobID `msgpack:"r"`
+	Body      []byte         `msgpack:"b"`
 }
 
 // UserAnswer answers it.
@@ -197,7 +207,7 @@
 // the latest time up to which none of those told after since is missing; it is
 // zero without peers. A peer that restarted after since, or has told users of
 // more jobs than it names, cannot say, nor can one that has not been asked.
-func (g *Group) Acknowledged(since time.Time) (asOf time.Time, jobIDs []string, ok bool) {
+func (g *Group) Acknowledged(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, link := range g.links {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,6 +15,7 @@
 	"google.golang.org/grpc"
 
 	"marblehaven/internal/config"
+	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
 )
@@ -22,10 +23,10 @@
 // teller is a peer that acknowledges cancellations and restarts at random; it is
 // reached over a link on which each way takes up to a second.
 type teller struct {
-	rng   *rand.Rand // of the link
-	mu    sync.Mutex
-	since time.Time
-	refs  []string
+	rng    *rand.Rand // of the link
+	mu     sync.Mutex
+	since  time.Time
+	jobIDs []protocol.JobID
 }
 
 func (p *teller) Invoke(ctx context.Context, _ string, _, reply any, _ ...grpc.CallOption) error {
@@ -42,7 +43,7 @@
 	}
 	time.Sleep(out)
 	p.mu.Lock()
-	*reply.(*Status) = Status{Acknowledged: slices.Clone(p.refs), CompleteMS: time.Since(p.since).Milliseconds()}
+	*reply.(*Status) = Status{Acknowledged: slices.Clone(p.jobIDs), CompleteMS: time.Since(p.since).Milliseconds()}
 	p.mu.Unlock()
 	time.Sleep(back)
 	return nil
@@ -85,8 +86,8 @@
 			time.Sleep(time.Second)
 			g.Run(ctx)
 			type told struct {
-				ref string
-				at  time.Time
+				jobID protocol.JobID
+				at    time.Time
 			}
 			var all []told
 			proof := time.Now()
@@ -96,12 +97,12 @@
 				p.mu.Lock()
 				switch rng.IntN(25) {
 				case 0:
-					p.refs, p.since = nil, time.Now()
+					p.jobIDs, p.since = nil, time.Now()
 				case 1:
 					proof = time.Now()
 				case 2, 3, 4:
-					jobID := fmt.Sprint("req-", n)
-					p.refs = append(p.refs, jobID)
+					jobID := protocol.JobID(fmt.Sprint("req-", n))
+					p.jobIDs = append(p.jobIDs, jobID)
 					all = append(all, told{jobID, time.Now()})
 				}
 				p.mu.Unlock()
@@ -112,8 +113,8 @@
 				}
 				vouched++
 				for _, a := range all {
-					if a.at.After(proof) && a.at.Before(asOf) && !slices.Contains(jobIDs, a.ref) {
-						t.Errorf("%s, told %v before the time vouched for, is missing", a.ref, asOf.Sub(a.at))
+					if a.at.After(proof) && a.at.Before(asOf) && !slices.Contains(jobIDs, a.jobID) {
+						t.Errorf("%s, told %v before the time vouched for, is missing", a.jobID, asOf.Sub(a.at))
 					}
 				}
 			}
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -16,11 +16,11 @@
 
 // Job is a job's description as its user submits it.
 type Job struct {
-	ID                  string   `msgpack:"ref"`
+	ID                  JobID    `msgpack:"ref"`
 	Class               string   `msgpack:"workload"`
 	Team                string   `msgpack:"owner"`
-	Kind                string   `msgpack:"shape"`
-	Priority            string   `msgpack:"rank"`
+	Kind                JobKind  `msgpack:"shape"`
+	Priority            Priority `msgpack:"rank"`
 	Tasks               int      `msgpack:"pieces"`
 	Cores               float64  `msgpack:"cores"`
 	GPUs                float64  `msgpack:"cards"`
@@ -36,12 +36,29 @@
 	CheckpointIntervalS float64  `msgpack:"snapshotS"`
 	CheckpointSaveS     float64  `msgpack:"flushS"`
 	DeadlineS           float64  `msgpack:"dueS"` // 0: none
-	// Awaits names the jobs that must be done before any task of this one starts.
-	DependsOn []string `msgpack:"awaits,omitempty"`
+	// DependsOn names the jobs that must be done before any task of this one starts.
+	DependsOn []JobID `msgpack:"awaits,omitempty"`
 }
 
-// ValidID tells whether s has the form of a job id.
-func ValidJobID(s string) bool {
+// priorities lists the priorities, the highest first.
+var priorities = []Priority{PriorityProduction, PriorityHigh, PriorityStandard, PriorityIdle}
+
+// PriorityLevel orders priorities: the smaller the level, the higher the priority.
+type PriorityLevel int
+
+// The levels that decisions name.
+const (
+	LevelProduction PriorityLevel = 0
+	LevelLowest     PriorityLevel = 3
+)
+
+// Level returns the place of the priority in the order of all, -1 if it is unknown.
+func (p Priority) Level() PriorityLevel {
+	return PriorityLevel(slices.Index(priorities, p))
+}
+
+// ValidJobID tells whether s has the form of a job id.
+func ValidJobID(s JobID) bool {
 	const prefix = "req-"
 	if len(s) <= len(prefix) || len(s) > len(prefix)+20 || s[:len(prefix)] != prefix {
 		return false
@@ -216,12 +233,12 @@
 
 func (r *jobReader) job() *Job {
 	return &Job{
-		ID: r.texts["ref"], Class: r.texts["workload"], Team: r.texts["owner"], Kind: r.texts["shape"], Priority: r.texts["rank"],
+		ID: JobID(r.texts["ref"]), Class: r.texts["workload"], Team: r.texts["owner"], Kind: JobKind(r.texts["shape"]), Priority: Priority(r.texts["rank"]),
 		Tasks: r.tasks, Cores: r.amounts["cores"], GPUs: r.amounts["cards"], MemGB: r.amounts["memGb"],
 		Image: r.texts["bundle"], ImageGB: r.amounts["imageGb"], MachineTypes: r.lists["flavors"], Zone: r.texts["quarry"],
 		OneZone: r.bools["samePlace"], Spread: r.bools["spread"], Spot: r.bools["loaners"],
 		EstimateS: r.amounts["guessS"], CheckpointIntervalS: r.amounts["snapshotS"], CheckpointSaveS: r.amounts["flushS"],
-		DeadlineS: r.amounts["dueS"], DependsOn: r.lists["awaits"],
+		DeadlineS: r.amounts["dueS"], DependsOn: jobIDs(r.lists["awaits"]),
 	}
 }
 
@@ -230,9 +247,9 @@
 	switch {
 	case !ValidJobID(j.ID):
 		return errors.New("field ref is malformed")
-	case !slices.Contains([]string{KindArray, KindGang, KindService}, j.Kind):
+	case !slices.Contains([]JobKind{KindArray, KindGang, KindService}, j.Kind):
 		return errors.New("unknown shape")
-	case !slices.Contains([]string{PriorityProduction, PriorityHigh, PriorityStandard, PriorityIdle}, j.Priority):
+	case j.Priority.Level() < 0:
 		return errors.New("unknown rank")
 	}
 	return j.checkDependencies()
@@ -279,3 +296,14 @@
 	}
 	return list, true, nil
 }
+
+func jobIDs(names []string) []JobID {
+	if names == nil {
+		return nil
+	}
+	ids := make([]JobID, len(names))
+	for i, name := range names {
+		ids[i] = JobID(name)
+	}
+	return ids
+}
--- a/internal/protocol/jsonsize.go
+++ b/internal/protocol/jsonsize.go
@@ -14,7 +14,7 @@
 // maxDepth bounds how deep values may be nested when they are measured.
 const maxDepth = 32
 
-// Encode encodes a value, unless it is encoded already, and returns its size as
+// EncodeSized encodes a value, unless it is encoded already, and returns its size as
 // JSONSize does.
 func EncodeSized(value any) (raw msgpack.RawMessage, size int, err error) {
 	raw, encoded := value.(msgpack.RawMessage)
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -18,63 +18,106 @@
 	"marblehaven/internal/tuning"
 )
 
-// Placement shapes, ranks, phases, causes and verbs as spelled on the wire.
+// JobID names a job, in the form that ValidJobID checks.
+type JobID string
+
+// JobKind tells how the tasks of a job belong together.
+type JobKind string
+
+// The kinds of jobs.
+const (
+	KindArray   JobKind = "sweep"    // independent tasks, each runs to completion
+	KindGang    JobKind = "group"    // all tasks run at the same time or none does
+	KindService JobKind = "standing" // replicas that run until the job is cancelled
+)
+
+// Priority is a job's priority as its user names it; Level orders priorities.
+type Priority string
+
+// The priorities, the highest first.
+const (
+	PriorityProduction Priority = "production"
+	PriorityHigh       Priority = "high"
+	PriorityStandard   Priority = "standard"
+	PriorityIdle       Priority = "idle"
+)
+
+// JobPhase is the state of a job as users are told.
+type JobPhase string
+
+// The phases of a job.
+const (
+	PhaseQueued    JobPhase = "queued"
+	PhaseRunning   JobPhase = "running"
+	PhaseDone      JobPhase = "done"
+	PhaseCancelled JobPhase = "cancelled"
+)
+
+// TaskState is the state of a task on a machine.
+type TaskState string
+
+// The states of a task that its agent reports.
 const (
-	KindArray   = "sweep"
-	KindGang    = "group"
-	KindService = "standing"
-
-	PriorityProduction = "production"
-	PriorityHigh       = "high"
-	PriorityStandard   = "standard"
-	PriorityIdle       = "idle"
-
-	PhaseQueued    = "queued"
-	PhaseRunning   = "running"
-	PhaseDone      = "done"
-	PhaseCancelled = "cancelled"
-
-	TaskFetching = "pulling"
-	TaskWaiting  = "gathering"
-	TaskRunning  = "running"
-	TaskSaving   = "saving"
-	TaskExited   = "ended"
-
-	ExitDone        = "done"
-	ExitStopped     = "stopped"
-	ExitError       = "error"
-	ExitNoCapacity  = "no_room"
-	ExitDuplicate   = "in_use"
-	ExitUnknownTask = "no_such"
-
-	VerbStart   = "start"
-	VerbStop    = "kill"
-	VerbRelease = "reap"
-
-	MachineStarting = "starting"
-	MachineFailed   = "failed"
-
-	ReasonNoLease = "no such lease"
+	TaskFetching TaskState = "pulling"   // waits for its image
+	TaskWaiting  TaskState = "gathering" // waits for the other tasks of its gang
+	TaskRunning  TaskState = "running"
+	TaskSaving   TaskState = "saving" // writes a checkpoint before it exits
+	TaskExited   TaskState = "ended"
 )
 
+// ExitReason tells why a task has exited.
+type ExitReason string
+
+// The reasons of an exit that the leader tells apart.
+const (
+	ExitDone        ExitReason = "done"
+	ExitStopped     ExitReason = "stopped"
+	ExitError       ExitReason = "error"
+	ExitNoCapacity  ExitReason = "no_room"
+	ExitDuplicate   ExitReason = "in_use"
+	ExitUnknownTask ExitReason = "no_such"
+)
+
+// Verb is what a command asks of an agent.
+type Verb string
+
+// The verbs of commands.
+const (
+	VerbStart   Verb = "start"
+	VerbStop    Verb = "kill"
+	VerbRelease Verb = "reap" // the agent may forget an exited attempt
+)
+
+// MachineState is the state of a machine in the cloud's list.
+type MachineState string
+
+// The states of a machine that are told apart.
+const (
+	MachineStarting MachineState = "starting"
+	MachineFailed   MachineState = "failed"
+)
+
+// ReasonNoLease is the store's reason for refusing a write with an expired lease.
+const ReasonNoLease = "no such lease"
+
 // JobStatus answers users' calls.
 type JobStatus struct {
-	ID      string `msgpack:"ref"`
-	Phase   string `msgpack:"phase"`
-	Done    int    `msgpack:"done"`
-	Running int    `msgpack:"running"`
+	ID      JobID    `msgpack:"ref"`
+	Phase   JobPhase `msgpack:"phase"`
+	Done    int      `msgpack:"done"`
+	Running int      `msgpack:"running"`
 }
 
-// TaskReport is one task in a worker's report.
+// TaskStatus is one task in a worker's report.
 type TaskStatus struct {
-	Task         string `msgpack:"piece"`
-	Attempt      uint64 `msgpack:"try"`
-	State        string `msgpack:"phase"`
-	ExitReason   string `msgpack:"cause"`
-	Checkpointed bool   `msgpack:"stored"`
+	Task         string     `msgpack:"piece"`
+	Attempt      uint64     `msgpack:"try"`
+	State        TaskState  `msgpack:"phase"`
+	ExitReason   ExitReason `msgpack:"cause"`
+	Checkpointed bool       `msgpack:"stored"`
 }
 
-// Report is what a worker tells about itself.
+// Heartbeat is what a worker tells about itself.
 type Heartbeat struct {
 	Machine           string       `msgpack:"host"`
 	Addr              string       `msgpack:"endpoint"`
@@ -96,15 +139,15 @@
 	return nil
 }
 
-// Order is a command to a worker.
+// Command is a command to a worker.
 type Command struct {
-	Verb         string  `msgpack:"verb"`
+	Verb         Verb    `msgpack:"verb"`
 	Task         string  `msgpack:"piece"`
 	Attempt      uint64  `msgpack:"try"`
 	GracePeriodS float64 `msgpack:"windupS,omitempty"`
 }
 
-// ReportReply answers a report.
+// HeartbeatReply answers a report.
 type HeartbeatReply struct {
 	Token    uint64    `msgpack:"baton"`
 	Commands []Command `msgpack:"orders"`
@@ -115,7 +158,7 @@
 	Leader string `msgpack:"steward,omitempty"`
 }
 
-// DoRequest carries direct commands.
+// CommandRequest carries direct commands.
 type CommandRequest struct {
 	Token       uint64    `msgpack:"baton"`
 	Incarnation uint64    `msgpack:"tenure"`
@@ -141,7 +184,7 @@
 	Types []MachineType `msgpack:"flavors"`
 }
 
-// RentRequest asks the cloud for machines.
+// ProvisionRequest asks the cloud for machines.
 type ProvisionRequest struct {
 	RequestID string `msgpack:"claim"`
 	Type      string `msgpack:"flavor"`
@@ -150,20 +193,20 @@
 	Count     int    `msgpack:"howMany"`
 }
 
-// Hosts lists machine names.
+// MachineIDs lists machine names.
 type MachineIDs struct {
 	IDs []string `msgpack:"hosts"`
 }
 
 // ListedMachine is an entry of the cloud's machine list.
 type ListedMachine struct {
-	ID    string  `msgpack:"ref"`
-	Addr  string  `msgpack:"endpoint"`
-	Type  string  `msgpack:"flavor"`
-	Zone  string  `msgpack:"quarry"`
-	Spot  bool    `msgpack:"loaners"`
-	State string  `msgpack:"phase"`
-	AgeS  float64 `msgpack:"heldS"`
+	ID    string       `msgpack:"ref"`
+	Addr  string       `msgpack:"endpoint"`
+	Type  string       `msgpack:"flavor"`
+	Zone  string       `msgpack:"quarry"`
+	Spot  bool         `msgpack:"loaners"`
+	State MachineState `msgpack:"phase"`
+	AgeS  float64      `msgpack:"heldS"`
 }
 
 // MachineList is a page of the cloud's machine list.
@@ -172,27 +215,27 @@
 	More     bool            `msgpack:"truncated"`
 }
 
-// Item is a key of the state service with its value.
+// KeyValue is a key of the state service with its value.
 type KeyValue struct {
 	Key     string             `msgpack:"path"`
 	Value   msgpack.RawMessage `msgpack:"data"`
 	Version uint64             `msgpack:"stamp"`
 }
 
-// Items is a page of keys.
+// KeyValuePage is a page of keys.
 type KeyValuePage struct {
 	Entries  []KeyValue `msgpack:"rows"`
 	More     bool       `msgpack:"truncated"`
 	Revision uint64     `msgpack:"epoch"`
 }
 
-// Guard is a condition of a commit.
+// Precondition is a condition of a commit.
 type Precondition struct {
 	Key     string `msgpack:"path"`
 	Version uint64 `msgpack:"stamp"`
 }
 
-// Change is a put (Set) or a delete.
+// Mutation is a put (Set) or a delete.
 type Mutation struct {
 	Set    string `msgpack:"set,omitempty"`
 	Value  any    `msgpack:"data,omitempty"`
@@ -200,30 +243,30 @@
 	Delete string `msgpack:"delete,omitempty"`
 }
 
-// Commit is a transaction.
+// Transaction is a transaction.
 type Transaction struct {
 	Preconditions []Precondition `msgpack:"guards"`
 	Mutations     []Mutation     `msgpack:"then,omitempty"`
 }
 
-// CommitReply answers a transaction.
+// TransactionReply answers a transaction.
 type TransactionReply struct {
 	Revision   uint64   `msgpack:"epoch"`
 	FailedKeys []string `msgpack:"failed"`
 	Error      string   `msgpack:"error"`
 }
 
-// GrantRequest asks for a lease at the state service.
+// LeaseRequest asks for a lease at the state service.
 type LeaseRequest struct {
 	TTLMS int64 `msgpack:"lifeMs"`
 }
 
-// Grant is a lease at the state service.
+// Lease is a lease at the state service.
 type Lease struct {
 	ID uint64 `msgpack:"permit"`
 }
 
-// Event is a change seen by a follow call.
+// WatchEvent is a change seen by a follow call.
 type WatchEvent struct {
 	Set     string             `msgpack:"set"`
 	Value   msgpack.RawMessage `msgpack:"data"`
@@ -231,7 +274,7 @@
 	Version uint64             `msgpack:"stamp"`
 }
 
-// Events answers a follow call.
+// WatchReply answers a follow call.
 type WatchReply struct {
 	Revision uint64       `msgpack:"epoch"`
 	Events   []WatchEvent `msgpack:"events"`
@@ -260,16 +303,16 @@
 // ErrMalformed: an answer that cannot be read. It counts as no answer.
 var ErrMalformed = errors.New("malformed answer")
 
-// Complaints logs malformed messages at a limited rate.
+// MalformedLog logs malformed messages at a limited rate.
 type MalformedLog struct {
 	log  *slog.Logger
 	last atomic.Int64 // when it last logged, ns
 }
 
-// NewComplaints makes a log of malformed messages.
+// NewMalformedLog makes a log of malformed messages.
 func NewMalformedLog(log *slog.Logger) *MalformedLog { return &MalformedLog{log: log} }
 
-// Note logs a malformed message, unless another was logged just before.
+// Record logs a malformed message, unless another was logged just before.
 func (c *MalformedLog) Record(from string, err error) {
 	now := time.Now().UnixNano()
 	last := c.last.Load()
--- a/internal/records/pieces.go
+++ b/internal/records/pieces.go
@@ -2,15 +2,15 @@
 
 import "marblehaven/internal/tuning"
 
-// Piece is the number of the run record's piece that a task belongs to. The first
+// SegmentOf is the number of the run record's piece that a task belongs to. The first
 // piece, number 0, also holds the tasks of every piece that was not written yet: a
 // record that holds the whole job is a first piece without others.
 func SegmentOf(task int) int { return task / tuning.SegmentTasks }
 
-// Pieces is how many pieces the run record of a job with so many tasks has.
+// SegmentCount is how many pieces the run record of a job with so many tasks has.
 func SegmentCount(tasks int) int { return (tasks + tuning.SegmentTasks - 1) / tuning.SegmentTasks }
 
-// Assemble joins the pieces of a job's run record. Where the first piece still names
+// JoinSegments joins the pieces of a job's run record. Where the first piece still names
 // tasks of a piece that was written since, the latter alone counts for them.
 func JoinSegments(pieces map[int]RunRecord) RunRecord {
 	var whole RunRecord
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -32,29 +32,30 @@
 
 // OpenKey, FinalKey, ClaimKey and NodeKey name the records of a job, a claim and a
 // controller.
-func OpenKey(jobID string) string     { return PrefixOpen + jobID }
-func FinalKey(jobID string) string    { return "d/" + jobID }
-func ProvisioningKey(c string) string { return PrefixProvisioning + c }
-func NodeKey(node string) string      { return PrefixNode + node }
+func OpenKey(jobID protocol.JobID) string  { return PrefixOpen + string(jobID) }
+func FinalKey(jobID protocol.JobID) string { return "d/" + string(jobID) }
+func ProvisioningKey(c string) string      { return PrefixProvisioning + c }
+func NodeKey(node string) string           { return PrefixNode + node }
 
-const runSuffix = "/t"
+const segmentSuffix = "/t"
 
-// PieceKey names a piece of a job's run record. The first has the key of the whole
+// SegmentKey names a piece of a job's run record. The first has the key of the whole
 // record as version 1 of the formats writes it.
-func SegmentKey(jobID string, piece int) string {
-	if piece == 0 {
-		return PrefixOpen + jobID + runSuffix
+func SegmentKey(jobID protocol.JobID, segment int) string {
+	if segment == 0 {
+		return PrefixOpen + string(jobID) + segmentSuffix
 	}
-	return PrefixOpen + jobID + runSuffix + "/" + strconv.Itoa(piece)
+	return PrefixOpen + string(jobID) + segmentSuffix + "/" + strconv.Itoa(segment)
 }
 
-// NoPiece is the piece number of an open job's own record.
+// NoSegment is the piece number of an open job's own record.
 const NoSegment = -1
 
-// SplitOpen takes the key of an open job's record or of a piece of its run record
+// ParseOpenKey takes the key of an open job's record or of a piece of its run record
 // apart.
-func ParseOpenKey(key string) (jobID string, piece int) {
-	jobID, rest, isRun := strings.Cut(strings.TrimPrefix(key, PrefixOpen), runSuffix)
+func ParseOpenKey(key string) (jobID protocol.JobID, segment int) {
+	name, rest, isRun := strings.Cut(strings.TrimPrefix(key, PrefixOpen), segmentSuffix)
+	jobID = protocol.JobID(name)
 	if !isRun {
 		return jobID, NoSegment
 	}
@@ -70,11 +71,11 @@
 const (
 	FormatWhole     = 1
 	FormatSegmented = 2
-	// FormatOwn is what this program can read and write.
+	// FormatSupported is what this program can read and write.
 	FormatSupported = FormatSegmented
 )
 
-// Version is the format version that a controller can read and write, under its
+// FormatVersion is the format version that a controller can read and write, under its
 // node key, or the one that the whole cluster uses, under the cluster key.
 type FormatVersion struct {
 	Format int `msgpack:"v"`
@@ -94,7 +95,7 @@
 	Cancelled  bool         `msgpack:"c,omitempty"`
 }
 
-// SaysCancelled looks for the mark of a cancellation in an open record that
+// MarkedCancelled looks for the mark of a cancellation in an open record that
 // cannot be read as a whole.
 func MarkedCancelled(value []byte) bool {
 	var m map[string]msgpack.RawMessage
@@ -113,7 +114,7 @@
 	Zone string
 }
 
-// Run is what was done about an open job. Live holds every task that may be on
+// RunRecord is what was done about an open job. Live holds every task that may be on
 // a machine: it is written before a start is sent, and shrinks on proof only.
 type RunRecord struct {
 	NextAttempt uint64      `msgpack:"n"` // the next unused attempt number
@@ -121,16 +122,16 @@
 	Placements  []Placement `msgpack:"l"`
 }
 
-// Final is the last word on a job.
+// FinalRecord is the last word on a job.
 type FinalRecord struct {
-	Phase     string `msgpack:"p"`
-	TasksDone int    `msgpack:"n"`
-	// AtMS is the time of day when the job was closed; the waits of jobs that
+	Phase     protocol.JobPhase `msgpack:"p"`
+	TasksDone int               `msgpack:"n"`
+	// ClosedMS is the time of day when the job was closed; the waits of jobs that
 	// depend on it count from then. 0 in records of earlier versions.
 	ClosedMS int64 `msgpack:"a,omitempty"`
 }
 
-// Claim is a rental, written before its call. A claim's name is never reused.
+// ProvisioningRequest is a rental, written before its call. A claim's name is never reused.
 type ProvisioningRequest struct {
 	ID          string `msgpack:"c"`
 	Type        string `msgpack:"t"`
@@ -140,7 +141,7 @@
 	RequestedMS int64  `msgpack:"a"`
 }
 
-// Hint keeps what a leader knows of the images on some machines, for the next
+// ImageInventory keeps what a leader knows of the images on some machines, for the next
 // one. Nothing depends on it but where work starts soonest.
 type ImageInventory struct {
 	Images   []string         `msgpack:"i"`
@@ -148,7 +149,7 @@
 	Machines map[string][]int `msgpack:"m"` // indices of images, the most recent first
 }
 
-// Ranges is a set of task numbers as sorted, disjoint, closed ranges, so that a
+// TaskRanges is a set of task numbers as sorted, disjoint, closed ranges, so that a
 // job of 100,000 finished tasks takes a few bytes.
 type TaskRanges [][2]int
 
--- a/internal/scheduler/fit.go
+++ b/internal/scheduler/fit.go
@@ -102,7 +102,7 @@
 // gpuPriority is the rank that work on an idle machine with GPUs must be below.
 // As long as no work with GPUs has been seen, as after a takeover, only the
 // lowest rank is certain to be stopped for it.
-func (p *planner) gpuPriority() int {
+func (p *planner) gpuPriority() protocol.PriorityLevel {
 	if p.snapshot.GPUPriority < 0 {
 		return LowestPriority - 1
 	}
--- a/internal/scheduler/inherit.go
+++ b/internal/scheduler/inherit.go
@@ -1,9 +1,11 @@
 package scheduler
 
+import "marblehaven/internal/protocol"
+
 // ChainedJob is a job with the jobs that must be done before it.
 type ChainedJob struct {
-	Priority  int     // 0 is the highest priority
-	DeadlineS float64 // seconds from now until it should be complete; +Inf: no deadline
+	Priority  protocol.PriorityLevel // 0 is the highest priority
+	DeadlineS float64                // seconds from now until it should be complete; +Inf: no deadline
 	EstimateS float64
 	DependsOn []int // indices of the jobs that it needs
 }
--- a/internal/scheduler/inherit_test.go
+++ b/internal/scheduler/inherit_test.go
@@ -4,20 +4,22 @@
 	"math"
 	"math/rand/v2"
 	"testing"
+
+	"marblehaven/internal/protocol"
 )
 
 // inherited follows every path from a job to those that need it.
-func inherited(jobs []ChainedJob, i int) (rank int, dueS float64) {
-	rank, dueS = jobs[i].Priority, jobs[i].DeadlineS
+func inherited(jobs []ChainedJob, i int) (priority protocol.PriorityLevel, deadlineS float64) {
+	priority, deadlineS = jobs[i].Priority, jobs[i].DeadlineS
 	for k := range jobs {
 		for _, need := range jobs[k].DependsOn {
 			if need == i {
 				r, d := inherited(jobs, k)
-				rank, dueS = min(rank, r), min(dueS, d-jobs[k].EstimateS)
+				priority, deadlineS = min(priority, r), min(deadlineS, d-jobs[k].EstimateS)
 			}
 		}
 	}
-	return rank, dueS
+	return priority, deadlineS
 }
 
 // On random graphs the priority and deadline that reach a job are those found by
@@ -27,7 +29,7 @@
 	for range 300 {
 		jobs := make([]ChainedJob, 1+rng.IntN(9))
 		for i := range jobs {
-			jobs[i] = ChainedJob{Priority: rng.IntN(4), DeadlineS: math.Inf(1), EstimateS: rng.Float64() * 60}
+			jobs[i] = ChainedJob{Priority: protocol.PriorityLevel(rng.IntN(4)), DeadlineS: math.Inf(1), EstimateS: rng.Float64() * 60}
 			if rng.IntN(3) == 0 {
 				jobs[i].DeadlineS = rng.Float64()*300 - 100
 			}
@@ -41,9 +43,9 @@
 		copy(got, jobs)
 		PropagateDeadlines(got)
 		for i := range jobs {
-			rank, due := inherited(jobs, i)
-			if got[i].Priority != rank || math.Abs(got[i].DeadlineS-due) > 1e-6 && got[i].DeadlineS != due {
-				t.Fatalf("job %d of %+v: rank %d due %v instead of %d, %v", i, jobs, got[i].Priority, got[i].DeadlineS, rank, due)
+			priority, due := inherited(jobs, i)
+			if got[i].Priority != priority || math.Abs(got[i].DeadlineS-due) > 1e-6 && got[i].DeadlineS != due {
+				t.Fatalf("job %d of %+v: priority %d due %v instead of %d, %v", i, jobs, got[i].Priority, got[i].DeadlineS, priority, due)
 			}
 		}
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -10,8 +10,8 @@
 // victim is what is stopped on a machine to make room there for one task.
 type victim struct {
 	machine     int
-	priority    int     // the highest rank of what is stopped
-	lostWork    float64 // the work that is lost
+	priority    protocol.PriorityLevel // the highest rank of what is stopped
+	lostWork    float64                // the work that is lost
 	preemptions []Preemption
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -45,7 +45,7 @@
 	request  Resources
 	types    string
 	spot     bool
-	priority int
+	priority protocol.PriorityLevel
 	service  bool
 	target   int
 	image    string
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -25,9 +25,9 @@
 		},
 		Teams: []Team{{Max: Resources{Cores: 30, GPUs: 8}}, {}},
 	}
-	shapes := []string{protocol.KindArray, protocol.KindArray, protocol.KindGang, protocol.KindService}
+	kinds := []protocol.JobKind{protocol.KindArray, protocol.KindArray, protocol.KindGang, protocol.KindService}
 	for i := range 1 + rng.IntN(6) {
-		spec := &protocol.Job{ID: fmt.Sprint(i), Kind: shapes[rng.IntN(4)], Tasks: 1 + rng.IntN(9), Cores: float64(1 + rng.IntN(4)),
+		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(i)), Kind: kinds[rng.IntN(4)], Tasks: 1 + rng.IntN(9), Cores: float64(1 + rng.IntN(4)),
 			MemGB: float64(1 + rng.IntN(16)), OneZone: rng.IntN(4) == 0, Spread: rng.IntN(4) == 0, Spot: rng.IntN(2) == 0,
 			Image: fmt.Sprint("img", rng.IntN(2)), ImageGB: 2}
 		if rng.IntN(4) == 0 {
@@ -39,7 +39,7 @@
 		if rng.IntN(5) == 0 {
 			spec.Zone = zones[rng.IntN(2)]
 		}
-		j := Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: rng.IntN(4), Guaranteed: rng.IntN(2) == 0, EstimateS: float64(rng.IntN(60)),
+		j := Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: protocol.PriorityLevel(rng.IntN(4)), Guaranteed: rng.IntN(2) == 0, EstimateS: float64(rng.IntN(60)),
 			DeadlineS: float64(rng.IntN(400) - 100), Waiting: rng.IntN(spec.Tasks + 1), Team: rng.IntN(2), RunningByZone: map[string]int{}, BackingOff: rng.IntN(8) == 0}
 		if spec.Kind == protocol.KindGang && j.Waiting > 0 {
 			j.Waiting = spec.Tasks
@@ -206,7 +206,7 @@
 				live[snapshot.Machines[i].Zone]++
 				gpuTask[i] = gpuTask[i] || spec.GPUs > 0
 				team.Used = team.Used.Minus(job.Request, -1)
-				out[job.ID+"@"+snapshot.Machines[i].ID]++
+				out[string(job.ID)+"@"+snapshot.Machines[i].ID]++
 			}
 		}
 	}
@@ -231,7 +231,7 @@
 		snapshot := random(rng, false)
 		got := map[string]int{}
 		for _, st := range Decide(snapshot).Starts {
-			got[snapshot.Jobs[st.Job].ID+"@"+snapshot.Machines[st.Machine].ID] += st.Count
+			got[string(snapshot.Jobs[st.Job].ID)+"@"+snapshot.Machines[st.Machine].ID] += st.Count
 			placed += st.Count
 		}
 		if d := cmp.Diff(plain(snapshot), got); d != "" {
@@ -344,13 +344,13 @@
 	need := Resources{4, 4, 8}
 	snapshot := &Snapshot{Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5, GPUPriority: 2, GPURequest: need, ExhaustedPools: map[CapacityPool]bool{},
 		Types: []MachineType{{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones}}, Teams: []Team{{}}}
-	add := func(jobID string, tasks int, overdue float64) {
+	add := func(jobID protocol.JobID, tasks int, overdue float64) {
 		spec := &protocol.Job{ID: jobID, Kind: protocol.KindGang, Tasks: tasks, Cores: 4, GPUs: 4, MemGB: 8, OneZone: true, Priority: protocol.PriorityStandard}
 		snapshot.Jobs = append(snapshot.Jobs, Job{ID: jobID, Spec: spec, Request: RequestOf(spec), Priority: 2, EstimateS: 60, DeadlineS: 100 - overdue, Waiting: tasks, StarvedS: overdue, Weight: 1})
 	}
 	add("big", 4, 5)
 	for i := range 8 {
-		add(fmt.Sprint("small", i), 1, 0)
+		add(protocol.JobID(fmt.Sprint("small", i)), 1, 0)
 	}
 	for i := range 6 {
 		snapshot.Machines = append(snapshot.Machines, Machine{ID: fmt.Sprint("m", i), Zone: "a", Free: snapshot.Types[0].Capacity})
@@ -439,7 +439,7 @@
 			}
 			runs = slices.DeleteFunc(runs, func(r run) bool { return r.ends == now })
 			for range 2 {
-				spec := &protocol.Job{ID: fmt.Sprint(len(snapshot.Jobs)), MemGB: 8, Spot: true}
+				spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(len(snapshot.Jobs))), MemGB: 8, Spot: true}
 				switch {
 				case rng.Float64() < 0.10: // a gang; of the tasks, half are in the largest
 					spec.Kind, spec.Tasks, spec.Cores, spec.GPUs, spec.OneZone = protocol.KindGang, []int{1, 1, 1, 1, 2, 2, 2, 4, 4, 16}[rng.IntN(10)], 4, 4, true
@@ -494,15 +494,15 @@
 func TestLowestIsStoppedFirst(t *testing.T) {
 	snapshot := &Snapshot{Rho: 1, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
 		Types: []MachineType{{Name: "small", Capacity: Resources{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}}}
-	for i, rank := range []int{0, 2, 3} {
-		spec := &protocol.Job{ID: fmt.Sprint(i), Kind: protocol.KindArray, Tasks: 1, Cores: 4, MemGB: 4}
-		j := Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: rank, EstimateS: 60, DeadlineS: 100}
-		if rank == 0 {
+	for i, level := range []protocol.PriorityLevel{0, 2, 3} {
+		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(i)), Kind: protocol.KindArray, Tasks: 1, Cores: 4, MemGB: 4}
+		j := Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: level, EstimateS: 60, DeadlineS: 100}
+		if level == 0 {
 			spec.Kind, j.Waiting = protocol.KindService, 1
 		} else {
 			j.Running = 1
-			snapshot.Machines = append(snapshot.Machines, Machine{ID: spec.ID, Zone: "a", Schedulable: true, Free: Resources{0, 0, 12},
-				Tasks: []RunningTasks{{Job: i, Count: 1, LostWorkS: float64(rank*10 - 15)}}})
+			snapshot.Machines = append(snapshot.Machines, Machine{ID: string(spec.ID), Zone: "a", Schedulable: true, Free: Resources{0, 0, 12},
+				Tasks: []RunningTasks{{Job: i, Count: 1, LostWorkS: float64(level*10 - 15)}}})
 		}
 		snapshot.Jobs = append(snapshot.Jobs, j)
 	}
@@ -518,7 +518,7 @@
 		Types:    []MachineType{{Name: "small", Capacity: Resources{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}},
 		Machines: []Machine{{Zone: "a", Schedulable: true, Free: Resources{4, 0, 16}, Images: []string{"there"}, PendingFetchGB: 2 * tuning.FetchAheadS}}}
 	for i, image := range []string{"elsewhere", "there"} {
-		spec := &protocol.Job{ID: fmt.Sprint(i), Kind: protocol.KindArray, Tasks: 1, Cores: 1, MemGB: 1, Image: image, ImageGB: 2}
+		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(i)), Kind: protocol.KindArray, Tasks: 1, Cores: 1, MemGB: 1, Image: image, ImageGB: 2}
 		snapshot.Jobs = append(snapshot.Jobs, Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2, EstimateS: 60, DeadlineS: 500 + float64(i), Waiting: 1})
 	}
 	if st := Decide(snapshot).Starts; len(st) != 1 || st[0].Job != 1 {
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -10,7 +10,7 @@
 const eps = 1e-9
 
 // LowestPriority is the rank that everything else may stop.
-const LowestPriority = 3
+const LowestPriority = protocol.LevelLowest
 
 // Resources is an amount of machine resources.
 type Resources struct{ Cores, GPUs, MemGB float64 }
@@ -79,10 +79,10 @@
 
 // Job is a job with tasks waiting.
 type Job struct {
-	ID              string
+	ID              protocol.JobID
 	Spec            *protocol.Job
 	Request         Resources
-	Priority        int // 0 is production
+	Priority        protocol.PriorityLevel // 0 is production
 	Guaranteed      bool
 	DeadlineS       float64 // seconds from now until it should be complete
 	EstimateS       float64
@@ -127,7 +127,7 @@
 	StarvationShareIdle float64
 	// GPUPriority is the lowest rank of the work with GPUs that has been seen, -1
 	// if there was none; GPUNeed is the most that a task of it takes.
-	GPUPriority int
+	GPUPriority protocol.PriorityLevel
 	GPURequest  Resources
 }
 
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -27,8 +27,8 @@
 	c.env.Store.PageMost, c.env.PageMost = 1+rng.IntN(20), 1+rng.IntN(5)
 	next := 0
 	var mu sync.Mutex
-	var keep []string     // jobs that must be done in the end, unless one they need is cancelled
-	var accepted []string // jobs that others may wait for
+	var keep []protocol.JobID     // jobs that must be done in the end, unless one they need is cancelled
+	var accepted []protocol.JobID // jobs that others may wait for
 	later := func(d time.Duration, f func()) {
 		go func() {
 			time.Sleep(d)
@@ -232,7 +232,7 @@
 	time.Sleep(90 * time.Second)
 	c.env.EndTroubles() // whatever was under way is over
 	mu.Lock()
-	jobIDs := slices.DeleteFunc(slices.Clone(keep), func(jobID string) bool { return !c.env.MayFinish(jobID) })
+	jobIDs := slices.DeleteFunc(slices.Clone(keep), func(jobID protocol.JobID) bool { return !c.env.MayFinish(jobID) })
 	mu.Unlock()
 	if len(jobIDs) == 0 {
 		c.t.Fatal("no job was accepted")
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -36,7 +36,7 @@
 	controllers map[string]*controller
 	stops       map[string]func()
 	mends       []func()
-	jobs        []string
+	jobs        []protocol.JobID
 	names       []string // of all nodes
 	deployment  config.Deployment
 	// previous names the nodes that run the previous version of the formats.
@@ -249,10 +249,10 @@
 	return nil, status.Error(codes.Unimplemented, "no streams")
 }
 
-func testJobID(n int) string { return fmt.Sprintf("req-%06d", n) }
+func testJobID(n int) protocol.JobID { return protocol.JobID(fmt.Sprintf("req-%06d", n)) }
 
-func arrayJob(n int, jobID string, tasks int) protocol.Job {
-	return protocol.Job{ID: testJobID(n), Class: jobID, Team: "red", Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: tasks,
+func arrayJob(n int, class string, tasks int) protocol.Job {
+	return protocol.Job{ID: testJobID(n), Class: class, Team: "red", Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: tasks,
 		Cores: 2, MemGB: 4, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 20}
 }
 
@@ -287,7 +287,7 @@
 }
 
 // untilElsewhere waits until all replicas of a service run, none of them on a machine.
-func (c *testCluster) untilElsewhere(jobID string, replicas int, machine string, limit time.Duration) {
+func (c *testCluster) untilElsewhere(jobID protocol.JobID, replicas int, machine string, limit time.Duration) {
 	c.t.Helper()
 	c.until("the replica runs elsewhere", limit, func() bool {
 		on := c.env.MachinesOf(jobID)
@@ -297,7 +297,7 @@
 
 // known checks that each accepted job gets an answer within 75 s, however the
 // others fare, as the operators' rule says.
-func (c *testCluster) known(jobIDs ...string) {
+func (c *testCluster) known(jobIDs ...protocol.JobID) {
 	c.t.Helper()
 	var wg sync.WaitGroup
 	for _, jobID := range jobIDs {
@@ -316,15 +316,15 @@
 	wg.Wait()
 }
 
-func (c *testCluster) phase(jobID string) string {
+func (c *testCluster) phase(jobID protocol.JobID) protocol.JobPhase {
 	_, st := c.env.Poll(jobID)
 	return st.Phase
 }
 
-func (c *testCluster) untilDone(limit time.Duration, jobIDs ...string) {
+func (c *testCluster) untilDone(limit time.Duration, jobIDs ...protocol.JobID) {
 	c.t.Helper()
 	for _, jobID := range jobIDs {
-		c.until(jobID+" is done", limit, func() bool { time.Sleep(time.Second); return c.phase(jobID) == protocol.PhaseDone })
+		c.until(string(jobID)+" is done", limit, func() bool { time.Sleep(time.Second); return c.phase(jobID) == protocol.PhaseDone })
 	}
 }
 
@@ -332,7 +332,7 @@
 // lists the machines that they are on.
 func (c *testCluster) pairs(n int) func() []string {
 	c.t.Helper()
-	jobIDs := make([]string, n)
+	jobIDs := make([]protocol.JobID, n)
 	for i := range jobIDs {
 		job := serviceJob(1+i, 2)
 		jobIDs[i] = job.ID
--- a/internal/server/cluster_troubles_test.go
+++ b/internal/server/cluster_troubles_test.go
@@ -16,7 +16,7 @@
 }
 
 // withdrawAt cancels a job at one node and checks that it is told so.
-func (c *testCluster) withdrawAt(name, jobID string) {
+func (c *testCluster) withdrawAt(name string, jobID protocol.JobID) {
 	c.t.Helper()
 	c.env.Asked = []string{c.at(name)}
 	if st, s := c.env.Cancel(jobID); st != 200 || s.Phase != protocol.PhaseCancelled {
@@ -64,12 +64,12 @@
 		job := c.env.Job(jobID)
 		switch {
 		case c.env.Cancelled(jobID):
-			c.until(jobID+" is over", time.Minute, func() bool {
+			c.until(string(jobID)+" is over", time.Minute, func() bool {
 				p := c.phase(jobID)
 				return (p == protocol.PhaseCancelled || p == protocol.PhaseDone) && len(c.env.MachinesOf(jobID)) == 0
 			})
 		case job.Kind == protocol.KindService:
-			c.until(jobID+" runs", 3*time.Minute, func() bool { return len(c.env.MachinesOf(jobID)) == job.Tasks })
+			c.until(string(jobID)+" runs", 3*time.Minute, func() bool { return len(c.env.MachinesOf(jobID)) == job.Tasks })
 		default:
 			c.untilDone(6*time.Minute, jobID)
 		}
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -53,7 +53,7 @@
 }
 
 // withdrawUnheard cancels a job without the leader's hearing of it by an event.
-func (c *testCluster) withdrawUnheard(jobID string) protocol.JobStatus {
+func (c *testCluster) withdrawUnheard(jobID protocol.JobID) protocol.JobStatus {
 	c.env.Store.LoseEvent = func(key string) bool { return key == records.OpenKey(jobID) }
 	_, status := c.env.Cancel(jobID)
 	return status
--- a/internal/server/compound_test.go
+++ b/internal/server/compound_test.go
@@ -118,9 +118,9 @@
 				c.env.Limit("small", zone, true, 2)
 			}
 			c.network.Delay = func(from, to string) time.Duration { return time.Duration(c.env.Random()*300) * time.Millisecond }
-			for i, rank := range []string{protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh, protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh} {
+			for i, priority := range []protocol.Priority{protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh, protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh} {
 				job := arrayJob(1+i, "check", 10)
-				job.Priority = rank
+				job.Priority = priority
 				c.submit(job, 15)
 			}
 			c.submit(serviceJob(7, 2), 0)
@@ -179,7 +179,7 @@
 			go c.env.Cancel("req-000003")
 		}},
 		{"a cancellation, a question and a repeat meet the end of the last task", func(c *testCluster, seed uint64) {
-			c.env.OnDone = func(jobID string) {
+			c.env.OnDone = func(jobID protocol.JobID) {
 				n := int(jobID[len(jobID)-1] - '0')
 				time.Sleep(time.Duration(c.env.Random()*float64(seed+1)*700) * time.Millisecond)
 				if n%2 == 0 {
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -12,18 +12,18 @@
 )
 
 // after makes a job wait for others.
-func after(job protocol.Job, jobIDs ...string) protocol.Job {
+func after(job protocol.Job, jobIDs ...protocol.JobID) protocol.Job {
 	job.DependsOn = jobIDs
 	return job
 }
 
 // pipeline submits a chain of four stages, the third of which is a gang, one job
 // after another, and returns their ids. Numbers count from first.
-func (c *testCluster) pipeline(first int) []string {
+func (c *testCluster) pipeline(first int) []protocol.JobID {
 	c.t.Helper()
-	small := func(i, tasks int, rank string) protocol.Job {
+	small := func(i, tasks int, priority protocol.Priority) protocol.Job {
 		job := arrayJob(first+i, "stage", tasks)
-		job.Priority, job.Cores, job.EstimateS = rank, 1, 8
+		job.Priority, job.Cores, job.EstimateS = priority, 1, 8
 		return job
 	}
 	join := gangJob(first+3, 2)
@@ -37,7 +37,7 @@
 		after(join, testJobID(first), testJobID(first+1)),
 		after(last, testJobID(first+2), testJobID(first+3)),
 	}
-	var jobIDs []string
+	var jobIDs []protocol.JobID
 	for _, job := range jobs {
 		c.submit(job, 8)
 		jobIDs = append(jobIDs, job.ID)
@@ -46,10 +46,10 @@
 }
 
 // untilCancelled waits until the users of all jobs are told that they are cancelled.
-func (c *testCluster) untilCancelled(limit time.Duration, jobIDs ...string) {
+func (c *testCluster) untilCancelled(limit time.Duration, jobIDs ...protocol.JobID) {
 	c.t.Helper()
 	for _, jobID := range jobIDs {
-		c.until(jobID+" is cancelled", limit, func() bool { return c.phase(jobID) == protocol.PhaseCancelled })
+		c.until(string(jobID)+" is cancelled", limit, func() bool { return c.phase(jobID) == protocol.PhaseCancelled })
 	}
 }
 
@@ -75,7 +75,7 @@
 		}
 		// That one of the jobs named is cancelled doesn't make up for one that nobody
 		// submitted. (Found on the users' bench, just after an outage.)
-		for _, names := range [][]string{{cut[3], testJobID(999)}, {testJobID(99), cut[3]}, {testJobID(99), whole[0], cut[1]}} {
+		for _, names := range [][]protocol.JobID{{cut[3], testJobID(999)}, {testJobID(99), cut[3]}, {testJobID(99), whole[0], cut[1]}} {
 			c.env.Refused(arrayJob(302, "stage", 1), func(m map[string]any) { m["awaits"] = names }, 422)
 		}
 		next := after(arrayJob(301, "stage", 2), whole[1], whole[4])
@@ -95,7 +95,7 @@
 	run(t, 61, func(c *testCluster) {
 		first := arrayJob(1, "stage", 1)
 		c.submit(first, 5)
-		many := make([]string, 40)
+		many := make([]protocol.JobID, 40)
 		for i := range many {
 			many[i] = testJobID(1000 + i)
 		}
@@ -103,7 +103,7 @@
 			awaits any
 			want   int
 		}{
-			{[]string{testJobID(999)}, 422}, {[]string{first.ID, testJobID(999)}, 422}, {[]string{testJobID(2)}, 400}, {"req-000001", 400},
+			{[]protocol.JobID{testJobID(999)}, 422}, {[]protocol.JobID{first.ID, testJobID(999)}, 422}, {[]protocol.JobID{testJobID(2)}, 400}, {"req-000001", 400},
 			{[]string{"job-1"}, 400}, {[]any{1}, 400}, {[]string{""}, 400}, {map[string]int{}, 400}, {many, 400},
 		} {
 			c.env.Refused(arrayJob(2, "stage", 1), func(m map[string]any) { m["awaits"] = b.awaits }, b.want)
@@ -115,7 +115,7 @@
 			t.Errorf("an accepted job submitted again gets %d", st)
 		}
 		none := arrayJob(3, "stage", 1)
-		none.DependsOn = []string{}
+		none.DependsOn = []protocol.JobID{}
 		c.submit(none, 5)
 		c.untilDone(3*time.Minute, first.ID, second.ID, none.ID)
 	})
@@ -127,7 +127,7 @@
 	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // the first job never begins beside another
 	runIn(t, 62, nodeNames, dep, func(c *testCluster) {
-		jobIDs := []string{testJobID(1), testJobID(2), testJobID(3)}
+		jobIDs := []protocol.JobID{testJobID(1), testJobID(2), testJobID(3)}
 		c.submit(arrayJob(1, "stage", 2), 1000)
 		c.submit(after(arrayJob(2, "stage", 1), jobIDs[0]), 5)
 		c.submit(after(arrayJob(3, "stage", 1), jobIDs[1]), 5)
@@ -167,9 +167,9 @@
 		for i := 2; i <= deep; i++ {
 			c.submit(after(arrayJob(i, "stage", 1), testJobID(i-1)), 5)
 		}
-		before := []string{testJobID(1)}
+		before := []protocol.JobID{testJobID(1)}
 		for level := range wide {
-			var names []string
+			var names []protocol.JobID
 			for i := range 32 {
 				job := after(arrayJob(1000+100*level+i, "stage", 1), before...)
 				c.submit(job, 5)
@@ -185,7 +185,7 @@
 		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
 		for _, addr := range slices.Clone(c.env.Nodes) {
 			c.env.Asked = []string{addr}
-			for _, jobID := range []string{testJobID(deep), last.ID, testJobID(deep / 2), before[5]} {
+			for _, jobID := range []protocol.JobID{testJobID(deep), last.ID, testJobID(deep / 2), before[5]} {
 				if got := c.phase(jobID); got != protocol.PhaseCancelled {
 					t.Errorf("%s is %s at %s", jobID, got, addr)
 				}
@@ -205,7 +205,7 @@
 	runIn(t, 66, nodeNames, dep, func(c *testCluster) {
 		const jobs = 300
 		c.submit(arrayJob(1, "stage", 2), 1000)
-		var names, jobIDs []string
+		var names, jobIDs []protocol.JobID
 		for i := range 12 {
 			job := after(arrayJob(2+i, "stage", 1), testJobID(1))
 			c.submit(job, 5)
@@ -287,7 +287,7 @@
 			rng := rand.New(rand.NewPCG(seed, 9))
 			c.env.Store.LoseEvent = func(string) bool { return c.env.Random() < 0.1 }
 			c.env.Store.Late = c.lateCommits(0.05)
-			var whole []string
+			var whole []protocol.JobID
 			for i := range 4 {
 				jobIDs := c.pipeline(100 * (i + 1))
 				if i%2 == 0 {
@@ -307,7 +307,7 @@
 			c.env.Store.LoseEvent, c.env.Store.Late = nil, nil
 			c.untilDone(8*time.Minute, whole...)
 			c.until("nothing is open", 5*time.Minute, func() bool {
-				return !slices.ContainsFunc(c.jobs, func(jobID string) bool {
+				return !slices.ContainsFunc(c.jobs, func(jobID protocol.JobID) bool {
 					p := c.phase(jobID)
 					return p == protocol.PhaseQueued || p == protocol.PhaseRunning
 				})
--- a/internal/server/hundreds_test.go
+++ b/internal/server/hundreds_test.go
@@ -7,13 +7,14 @@
 
 	"marblehaven/internal/config"
 	"marblehaven/internal/fake"
+	"marblehaven/internal/protocol"
 )
 
 // The same troubles at the size of the grown deployments: hundreds of machines,
 // many of them deaf at once, the leader left with its workers only, late copies of
 // reports, and every controller back at once.
 func TestHundredsOfMachines(t *testing.T) {
-	hundreds(t, 138, func(c *testCluster, up func([]string) func() bool) {
+	hundreds(t, 138, func(c *testCluster, up func([]protocol.JobID) func() bool) {
 		var mends []func()
 		for i, m := range c.env.Machines() {
 			if i%8 == 0 {
@@ -40,7 +41,7 @@
 // held and comes late, dozens of machines die meanwhile, and as it is over every
 // controller ends: no rule is broken, and all runs again soon.
 func TestHundredsInACutZone(t *testing.T) {
-	hundreds(t, 142, func(c *testCluster, up func([]string) func() bool) {
+	hundreds(t, 142, func(c *testCluster, up func([]protocol.JobID) func() bool) {
 		inside := map[string]bool{c.leader(): true, c.names[4]: true}
 		for _, m := range c.env.Machines() {
 			inside[m] = c.env.Zone(m) == "a"
@@ -80,7 +81,7 @@
 
 // hundreds plays a scenario with five controllers and hundreds of machines: twenty
 // services, given to up, and eight arrays run.
-func hundreds(t *testing.T, seed uint64, scenario func(c *testCluster, up func([]string) func() bool)) {
+func hundreds(t *testing.T, seed uint64, scenario func(c *testCluster, up func([]protocol.JobID) func() bool)) {
 	dep := testDeployment()
 	dep.Teams = []config.Team{{Name: "red", Cores: 500, CoresMax: 2000, GPUs: 4, GPUsMax: 8}, {Name: "blue", Cores: 500, CoresMax: 2000}}
 	names := []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}
@@ -95,9 +96,9 @@
 			c.submit(job, 60)
 		}
 		c.until("hundreds run", 2*time.Minute, func() bool { return len(c.env.Machines()) >= 250 })
-		up := func(jobIDs []string) func() bool {
+		up := func(jobIDs []protocol.JobID) func() bool {
 			return func() bool {
-				return !slices.ContainsFunc(jobIDs, func(jobID string) bool { return len(c.env.MachinesOf(jobID)) != 4 })
+				return !slices.ContainsFunc(jobIDs, func(jobID protocol.JobID) bool { return len(c.env.MachinesOf(jobID)) != 4 })
 			}
 		}
 		c.until("all services run", time.Minute, up(c.jobs[:20]))
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"marblehaven/internal/fake"
+	"marblehaven/internal/protocol"
 )
 
 // Direct commands held by the network and delivered when the leader has long
@@ -186,7 +187,7 @@
 			c.submit(job, 60)
 		}
 		c.until("all run", 2*time.Minute, func() bool {
-			return !slices.ContainsFunc(c.jobs, func(jobID string) bool { return len(c.env.MachinesOf(jobID)) == 0 })
+			return !slices.ContainsFunc(c.jobs, func(jobID protocol.JobID) bool { return len(c.env.MachinesOf(jobID)) == 0 })
 		})
 		c.env.CloudDown = true // no return proves anything
 		for _, m := range c.env.Machines() {
--- a/internal/server/polls_test.go
+++ b/internal/server/polls_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"marblehaven/internal/protocol"
 	"sync"
 	"testing"
 	"time"
@@ -11,10 +12,10 @@
 // and notes the longest time for which no question about a job was answered.
 type pollGaps struct {
 	mu      sync.Mutex
-	longest map[string]time.Duration
+	longest map[protocol.JobID]time.Duration
 }
 
-func (g *pollGaps) watch(ctx context.Context, c *testCluster, jobID string) {
+func (g *pollGaps) watch(ctx context.Context, c *testCluster, jobID protocol.JobID) {
 	answered := time.Now()
 	for ctx.Err() == nil {
 		status, _ := c.env.Poll(jobID)
@@ -40,7 +41,7 @@
 			c.submit(arrayJob(1+i, "check", 2), 5)
 		}
 		c.env.Store.LimitRequests(c.deployment.State.RPS)
-		gaps := &pollGaps{longest: map[string]time.Duration{}}
+		gaps := &pollGaps{longest: map[protocol.JobID]time.Duration{}}
 		ctx, stop := context.WithTimeout(c.ctx, 4*time.Minute)
 		defer stop()
 		for i, jobID := range c.jobs {
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -25,7 +25,7 @@
 	rng       *rand.Rand
 	jobs      int
 	pipelines int
-	kept      []string // must be done in the end, unless one that they need is cancelled
+	kept      []protocol.JobID // must be done in the end, unless one that they need is cancelled
 }
 
 // arrays submits large arrays of both teams.
@@ -163,7 +163,7 @@
 			}
 			time.Sleep(30 * time.Second)
 			c.env.EndTroubles()
-			kept := slices.DeleteFunc(slices.Clone(l.kept), func(jobID string) bool { return !c.env.MayFinish(jobID) })
+			kept := slices.DeleteFunc(slices.Clone(l.kept), func(jobID protocol.JobID) bool { return !c.env.MayFinish(jobID) })
 			c.known(kept...)
 			c.untilDone(10*time.Minute, kept...)
 			for _, jobID := range l.kept {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -245,7 +245,7 @@
 // acknowledged returns the jobs that controllers, this one included, have told
 // users are cancelled, and the time up to which none of those told after since is
 // missing; ok is false if one of them cannot tell.
-func (n *controller) acknowledged(since time.Time) (asOf time.Time, jobIDs []string, ok bool) {
+func (n *controller) acknowledged(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
 	now := time.Now() // what this node tells users from here on is later than asOf
 	own, complete := n.users.Acknowledged()
 	if !complete.Before(since) {
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -132,7 +132,7 @@
 	for seed := range seeds(3) {
 		runUpgrade(t, 760+seed, func(c *testCluster) {
 			rng := rand.New(rand.NewPCG(seed, 11))
-			var large []string
+			var large []protocol.JobID
 			left := slices.Clone(nodeNames)
 			limitAt := -1
 			chaosDuring(c, seed, func(step int) bool {
