--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -25,7 +25,7 @@
 	// LocalLeader is the leader of this node's term, nil if it has none.
 	LocalLeader() *leader.Leader
 	// Leader is who leads, as far as known.
-	Leader() (records.Term, bool)
+	Leader() (records.LeaderRecord, bool)
 	// Healthy tells whether the node can take requests.
 	Healthy() bool
 	// Summary is the leader's status, from whichever node.
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -29,7 +29,7 @@
 	node  string
 	log   *slog.Logger
 
-	leader atomic.Pointer[records.Term]       // as last seen; nil: none known
+	leader atomic.Pointer[records.LeaderRecord]       // as last seen; nil: none known
 	revoke atomic.Pointer[func(newer uint64)] // while leading
 	resign atomic.Bool
 }
@@ -40,19 +40,19 @@
 }
 
 // Leader is who led last, as far as this node knows.
-func (k *Candidate) Leader() (records.Term, bool) {
+func (k *Candidate) Leader() (records.LeaderRecord, bool) {
 	if t := k.leader.Load(); t != nil {
 		return *t, true
 	}
-	return records.Term{}, false
+	return records.LeaderRecord{}, false
 }
 
 // ObserveTerm takes in a term heard of from a peer or a worker. A newer one than
 // our own ends our leadership at once.
-func (k *Candidate) ObserveTerm(t records.Term) {
+func (k *Candidate) ObserveTerm(t records.LeaderRecord) {
 	for {
 		cur := k.leader.Load()
-		if cur != nil && cur.Number >= t.Number {
+		if cur != nil && cur.Term >= t.Term {
 			return
 		}
 		if k.leader.CompareAndSwap(cur, &t) {
@@ -60,7 +60,7 @@
 		}
 	}
 	if f := k.revoke.Load(); f != nil {
-		(*f)(t.Number)
+		(*f)(t.Term)
 	}
 }
 
@@ -74,7 +74,7 @@
 }
 
 // readTerm reads the term under a key, and the key's version: 0 if it does not exist.
-func (k *Candidate) readTerm(ctx context.Context, key string) (t records.Term, version uint64, err error) {
+func (k *Candidate) readTerm(ctx context.Context, key string) (t records.LeaderRecord, version uint64, err error) {
 	entry, err := k.store.Get(ctx, key)
 	if err == nil {
 		err = protocol.Unmarshal(entry.Value, &t)
@@ -103,7 +103,7 @@
 		switch {
 		case held != nil:
 			k.log.Info("leading", "term", held.Term)
-			k.leader.Store(&records.Term{Number: held.Term, Node: k.node})
+			k.leader.Store(&records.LeaderRecord{Term: held.Term, Node: k.node})
 			grant = k.holdTerm(ctx, *held, grant, lead)
 			k.log.Info("no longer leading", "term", held.Term)
 			if k.resign.Swap(false) {
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	mine := records.Term{Number: term.Number + 1, Node: k.node}
+	mine := records.LeaderRecord{Term: term.Term + 1, Node: k.node}
 	r, err := k.store.Commit(ctx, protocol.Transaction{
 		Preconditions: []protocol.Precondition{{Key: records.KeyLeader, Version: guard}, {Key: records.KeyTerm, Version: termGuard}},
 		Mutations: []protocol.Mutation{
@@ -150,7 +150,7 @@
 	if err != nil {
 		return nil, 0, 0, err // if it was applied after all, the next attempt finds our own name
 	}
-	return &Leadership{Term: mine.Number, TermVersion: r.Revision}, grant, 0, nil
+	return &Leadership{Term: mine.Term, TermVersion: r.Revision}, grant, 0, nil
 }
 
 // holdTerm leads until the term is lost, and returns the grant held last.
@@ -206,7 +206,7 @@
 		grant = g
 		_, err = k.store.Commit(ctx, protocol.Transaction{
 			Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: held.TermVersion}},
-			Mutations:     []protocol.Mutation{{Set: records.KeyLeader, Value: records.Term{Number: held.Term, Node: k.node}, Lease: grant}},
+			Mutations:     []protocol.Mutation{{Set: records.KeyLeader, Value: records.LeaderRecord{Term: held.Term, Node: k.node}, Lease: grant}},
 		})
 		if errors.Is(err, kvstore.ErrConflict) {
 			cancel()
@@ -230,7 +230,7 @@
 			if e.Delete == records.KeyLeader {
 				return
 			}
-			var t records.Term
+			var t records.LeaderRecord
 			if e.Set == records.KeyLeader && protocol.Unmarshal(e.Value, &t) == nil {
 				k.ObserveTerm(t)
 				if t.Node == k.node {
--- a/internal/leader/authority.go
+++ b/internal/leader/authority.go
@@ -59,9 +59,9 @@
 			continue
 		}
 		if entry.Version != c.leadership.TermVersion {
-			var t records.Term
+			var t records.LeaderRecord
 			if protocol.Unmarshal(entry.Value, &t) == nil {
-				c.OnNewerTerm(t.Number)
+				c.OnNewerTerm(t.Term)
 			}
 			return
 		}
--- a/internal/peer/compatible_test.go
+++ b/internal/peer/compatible_test.go
@@ -30,7 +30,7 @@
 	job := protocol.Job{ID: "req-000412", Class: "train", Team: "vision", Kind: protocol.KindGang, Priority: protocol.PriorityHigh, Tasks: 16, Cores: 8, GPUs: 1,
 		MemGB: 64, Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}
 	const atMS = 1790000000123
-	term := records.Term{Number: 41, Node: "marble-2"}
+	term := records.LeaderRecord{Term: 41, Node: "marble-2"}
 	for name, want := range map[string]any{
 		"open":      &records.OpenJob{Job: job, AcceptedMS: atMS},
 		"cancelled": &records.OpenJob{Job: job, AcceptedMS: atMS, Cancelled: true},
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -23,7 +23,7 @@
 
 // Status is what a node says of itself.
 type Status struct {
-	Leader records.Term `msgpack:"l"`
+	Leader records.LeaderRecord `msgpack:"l"`
 	// StateMS is the time since the state service last served the node.
 	StateMS int64 `msgpack:"s"`
 	// Acknowledged names the jobs that the node has told users are cancelled, if
@@ -38,7 +38,7 @@
 
 // StatusRequest asks for a node's status.
 type StatusRequest struct {
-	Leader       records.Term `msgpack:"l"`
+	Leader       records.LeaderRecord `msgpack:"l"`
 	Summary      bool         `msgpack:"y,omitempty"`
 	Acknowledged bool         `msgpack:"k,omitempty"`
 }
@@ -71,7 +71,7 @@
 	Status(r *StatusRequest) Status
 	// IsLeader tells whether the node leads, and so must know what others acknowledge.
 	IsLeader() bool
-	ObserveTerm(t records.Term)
+	ObserveTerm(t records.LeaderRecord)
 	UserCall(ctx context.Context, c *UserCall) *UserAnswer
 }
 
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -81,10 +81,10 @@
 	Format int `msgpack:"v"`
 }
 
-// Term says who leads. The term key outlives every leader; the leader key,
+// LeaderRecord says who leads. The term key outlives every leader; the leader key,
 // with the same content, hangs on the leader's grant.
-type Term struct {
-	Number uint64 `msgpack:"n"`
+type LeaderRecord struct {
+	Term uint64 `msgpack:"n"`
 	Node   string `msgpack:"node"`
 }
 
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -175,7 +175,7 @@
 	defer c.mu.Unlock()
 	for _, nd := range c.controllers {
 		t, _ := nd.Leader()
-		n = max(n, t.Number)
+		n = max(n, t.Term)
 	}
 	return n
 }
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -151,8 +151,8 @@
 // leaderless makes all controllers take a node for the leader that is none.
 func (c *testCluster) leaderless() {
 	c.t.Helper()
-	c.env.Store.Put(records.KeyTerm, records.Term{Number: 99, Node: "gone"})
-	c.env.Store.Put(records.KeyLeader, records.Term{Number: 99, Node: "gone"})
+	c.env.Store.Put(records.KeyTerm, records.LeaderRecord{Term: 99, Node: "gone"})
+	c.env.Store.Put(records.KeyLeader, records.LeaderRecord{Term: 99, Node: "gone"})
 	c.until("nobody leads", time.Minute, func() bool { return c.leader() == "" })
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -111,7 +111,7 @@
 func (n *controller) lead(ctx context.Context, held election.Leadership) {
 	c := leader.New(leader.Dependencies{
 		Config: n.cfg, Store: n.store, Cloud: n.cloud, Agents: n.agents, Log: n.log,
-		OnNewerTerm:  func(t uint64) { n.candidate.ObserveTerm(records.Term{Number: t}) },
+		OnNewerTerm:  func(t uint64) { n.candidate.ObserveTerm(records.LeaderRecord{Term: t}) },
 		Resign:       n.candidate.Resign,
 		Redirected:   n.peers.Redirected,
 		Acknowledged: n.acknowledged,
@@ -202,7 +202,7 @@
 func (n *controller) LocalLeader() *leader.Leader { return n.activeLeader.Load() }
 
 // Leader is who leads, as far as known.
-func (n *controller) Leader() (records.Term, bool) {
+func (n *controller) Leader() (records.LeaderRecord, bool) {
 	t, ok := n.candidate.Leader()
 	return t, ok && t.Node != ""
 }
@@ -281,8 +281,8 @@
 func (n *controller) IsLeader() bool { return n.activeLeader.Load() != nil }
 
 // ObserveTerm takes in a term that a peer has named.
-func (n *controller) ObserveTerm(t records.Term) {
-	if t.Number > 0 {
+func (n *controller) ObserveTerm(t records.LeaderRecord) {
+	if t.Term > 0 {
 		n.candidate.ObserveTerm(t)
 	}
 }
