--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -18,8 +18,8 @@
 type jobRecord struct {
 	status     protocol.JobStatus
 	open       records.OpenJob
-	version    uint64 // of the open record; 0: the job is over
-	unreadable bool   // its open record cannot be read, so it cannot be rewritten
+	version    protocol.Version // of the open record; 0: the job is over
+	unreadable bool             // its open record cannot be read, so it cannot be rewritten
 }
 
 // find reads a job; nil means that it was never accepted. The final record is
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -20,7 +20,7 @@
 type Placement struct {
 	TaskKey
 	Attempt     uint64
-	Incarnation uint64
+	Incarnation protocol.Incarnation
 	Machine     *Machine
 	// Recorded: it is in the ledger, so its start may be sent.
 	Recorded bool
@@ -28,7 +28,7 @@
 	Sent bool
 	// StartToken is the token that its start was sent with. Copies of the start
 	// may arrive at any time until the worker has seen a higher one.
-	StartToken    uint64
+	StartToken    protocol.FencingToken
 	State         protocol.TaskState // as last reported
 	Since         time.Time          // of the last change of State
 	Stopping      bool               // a stop was ordered
@@ -42,46 +42,50 @@
 	ID, Addr, Type, Zone string
 	Spot                 bool
 
-	Incarnation, Sequence uint64      // of the newest report
-	lastAccepted          heartbeatID // of the newest report that came by itself
-	lastAcceptedToken     uint64      // the token that it showed
-	probeToken            uint64      // see Again; 0: none
-	unacknowledged        int         // reports in a row that show nothing of what was answered
-	answeredToken         uint64      // the token in our last answer to a report
-	AcknowledgedToken     uint64      // the highest token that the worker has shown
-	IssuedToken           uint64      // the token we use towards this worker
-	RequiredToken         uint64      // the token that it must have shown before it gets new work
-	LastContact           time.Time   // a report or a direct command's answer
-	LastHeartbeat         time.Time   // a report that came by itself, or when it became known
-	LeaseExpiry           time.Time   // after it, what was on it in its session is gone
-	ExpiredIncarnation    uint64      // the session that has surely ended
-	PreemptionAt          time.Time   // when the cloud takes it; zero: no notice
-	ProvisionedAt         time.Time
-	IdleSince             time.Time
-	GPUIdleSince          time.Time // since when no GPU has been in use
-	BackoffUntil          time.Time
-	NextHandshake         time.Time // no handshake before
-	Up                    bool      // has reported
-	Deprovisioning        bool      // is being given back
-	CommandInFlight       bool      // a direct command is under way
-	UnansweredCommands    int       // direct commands in a row without an answer or a report since
-	UnknownTaskCount      int       // reported tasks that we have no record of and that still run
-	Quarantined           bool
-	WasSchedulable        bool // as last looked at
+	Incarnation        protocol.Incarnation  // of the newest status
+	Sequence           uint64                // of the newest status
+	lastAccepted       heartbeatID           // of the newest report that came by itself
+	lastAcceptedToken  protocol.FencingToken // the token that it showed
+	probeToken         protocol.FencingToken // see Again; 0: none
+	unacknowledged     int                   // reports in a row that show nothing of what was answered
+	answeredToken      protocol.FencingToken // the token in our last answer to a report
+	AcknowledgedToken  protocol.FencingToken // the highest token that the worker has shown
+	IssuedToken        protocol.FencingToken // the token we use towards this worker
+	RequiredToken      protocol.FencingToken // the token that it must have shown before it gets new work
+	LastContact        time.Time             // a report or a direct command's answer
+	LastHeartbeat      time.Time             // a report that came by itself, or when it became known
+	LeaseExpiry        time.Time             // after it, what was on it in its session is gone
+	ExpiredIncarnation protocol.Incarnation  // the session that has surely ended
+	PreemptionAt       time.Time             // when the cloud takes it; zero: no notice
+	ProvisionedAt      time.Time
+	IdleSince          time.Time
+	GPUIdleSince       time.Time // since when no GPU has been in use
+	BackoffUntil       time.Time
+	NextHandshake      time.Time // no handshake before
+	Up                 bool      // has reported
+	Deprovisioning     bool      // is being given back
+	CommandInFlight    bool      // a direct command is under way
+	UnansweredCommands int       // direct commands in a row without an answer or a report since
+	UnknownTaskCount   int       // reported tasks that we have no record of and that still run
+	Quarantined        bool
+	WasSchedulable     bool // as last looked at
 
 	Placements    map[TaskKey]*Placement
 	ReportedTasks []ReportedTask
-	Outbox        []*Placement          // recorded, to be sent
-	restarted     bool                  // its next report is the first of a new life
-	statusMatches bool                  // the newest report lists just what is live, and nothing of it has changed since
-	startTokens   map[attemptKey]uint64 // tokens of the starts of what is listed or live
+	Outbox        []*Placement                         // recorded, to be sent
+	restarted     bool                                 // its next report is the first of a new life
+	statusMatches bool                                 // the newest report lists just what is live, and nothing of it has changed since
+	startTokens   map[attemptKey]protocol.FencingToken // tokens of the starts of what is listed or live
 	failedJobs    map[protocol.JobID]bool
 	images        []cachedImage // most recent first
 	imageNames    []string
 }
 
 // heartbeatID orders the reports of a worker.
-type heartbeatID struct{ incarnation, sequence uint64 }
+type heartbeatID struct {
+	incarnation protocol.Incarnation
+	sequence    uint64
+}
 
 func (s heartbeatID) before(o heartbeatID) bool {
 	return s.incarnation < o.incarnation || (s.incarnation == o.incarnation && s.sequence < o.sequence)
@@ -106,8 +110,8 @@
 
 // NewMachine makes a machine known by its name only.
 // The token is the first of the present term.
-func NewMachine(id string, token uint64, now time.Time, leaseEnd time.Time) *Machine {
-	return &Machine{ID: id, IssuedToken: token, RequiredToken: token, startTokens: map[attemptKey]uint64{}, ProvisionedAt: now, LastHeartbeat: now, IdleSince: now, GPUIdleSince: now, LeaseExpiry: leaseEnd,
+func NewMachine(id string, token protocol.FencingToken, now time.Time, leaseEnd time.Time) *Machine {
+	return &Machine{ID: id, IssuedToken: token, RequiredToken: token, startTokens: map[attemptKey]protocol.FencingToken{}, ProvisionedAt: now, LastHeartbeat: now, IdleSince: now, GPUIdleSince: now, LeaseExpiry: leaseEnd,
 		Placements: map[TaskKey]*Placement{}, failedJobs: map[protocol.JobID]bool{}}
 }
 
@@ -180,8 +184,8 @@
 }
 
 // firstTokenOfTerm is the first token of the present term.
-func (m *Machine) firstTokenOfTerm() uint64 {
-	return m.IssuedToken >> tuning.TermShift << tuning.TermShift
+func (m *Machine) firstTokenOfTerm() protocol.FencingToken {
+	return m.IssuedToken.Term().FirstToken()
 }
 
 // Schedulable tells whether new work may be placed. A machine that answers commands but
@@ -245,9 +249,9 @@
 // is gone and that commands still under way for it will be refused. So does a new life,
 // whatever its count: the token that it shows was not sent before, and commands of the
 // former life carry lower ones. known tells whether there was a session before.
-func (m *Machine) beginIncarnation(session uint64, known bool, leaseEnd time.Time) (ended []EndedPlacement) {
+func (m *Machine) beginIncarnation(incarnation protocol.Incarnation, known bool, leaseEnd time.Time) (ended []EndedPlacement) {
 	for _, placement := range m.Placements {
-		if placement.Incarnation < session || (m.restarted && placement.Incarnation > session) {
+		if placement.Incarnation < incarnation || (m.restarted && placement.Incarnation > incarnation) {
 			ended = append(ended, EndedPlacement{Placement: placement})
 		}
 	}
--- a/internal/cluster/machine_test.go
+++ b/internal/cluster/machine_test.go
@@ -18,9 +18,9 @@
 
 const lease = 12 * time.Second
 
-const base = uint64(3) << tuning.TermShift
+const base = protocol.FencingToken(3) << tuning.TermShift
 
-func report(session, seq, token uint64, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+func report(session protocol.Incarnation, seq uint64, token protocol.FencingToken, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
 	return &protocol.Heartbeat{Machine: "m-1", Incarnation: session, Sequence: seq, Token: token, Tasks: tasks}
 }
 
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -19,8 +19,8 @@
 
 // Leadership is a term that this node holds.
 type Leadership struct {
-	Term        uint64
-	TermVersion uint64 // version of the term key: the guard of all the leader's writes
+	Term        protocol.Term
+	TermVersion protocol.Version // version of the term key: the guard of all the leader's writes
 }
 
 // Candidate runs elections for one node.
@@ -29,8 +29,8 @@
 	node  string
 	log   *slog.Logger
 
-	leader atomic.Pointer[records.LeaderRecord]       // as last seen; nil: none known
-	revoke atomic.Pointer[func(newer uint64)] // while leading
+	leader atomic.Pointer[records.LeaderRecord]      // as last seen; nil: none known
+	revoke atomic.Pointer[func(newer protocol.Term)] // while leading
 	resign atomic.Bool
 }
 
@@ -74,7 +74,7 @@
 }
 
 // readTerm reads the term under a key, and the key's version: 0 if it does not exist.
-func (k *Candidate) readTerm(ctx context.Context, key string) (t records.LeaderRecord, version uint64, err error) {
+func (k *Candidate) readTerm(ctx context.Context, key string) (t records.LeaderRecord, version protocol.Version, err error) {
 	entry, err := k.store.Get(ctx, key)
 	if err == nil {
 		err = protocol.Unmarshal(entry.Value, &t)
@@ -84,7 +84,7 @@
 
 // stepDown frees the leader key and leaves the next term to the other nodes,
 // unless none of them takes it.
-func (k *Candidate) stepDown(ctx context.Context, grant uint64) {
+func (k *Candidate) stepDown(ctx context.Context, grant protocol.LeaseID) {
 	if err := k.store.RevokeLease(ctx, grant); err != nil {
 		k.log.Debug("ending the grant", "err", err) // it runs out by itself
 	}
@@ -120,14 +120,14 @@
 
 // campaign takes the term if nobody holds it. It returns the revision to watch
 // from when somebody does.
-func (k *Candidate) campaign(ctx context.Context) (*Leadership, uint64, uint64, error) {
+func (k *Candidate) campaign(ctx context.Context) (*Leadership, protocol.LeaseID, protocol.Revision, error) {
 	leader, guard, err := k.readTerm(ctx, records.KeyLeader)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, 0, 0, err
 	}
 	if err == nil && leader.Node != k.node {
 		k.ObserveTerm(leader)
-		return nil, 0, guard, nil
+		return nil, 0, guard.Revision(), nil
 	}
 	// If we are named but do not lead, this is an earlier process of ours, which is
 	// gone, or a lost term. It need not be waited out.
@@ -150,14 +150,14 @@
 	if err != nil {
 		return nil, 0, 0, err // if it was applied after all, the next attempt finds our own name
 	}
-	return &Leadership{Term: mine.Term, TermVersion: r.Revision}, grant, 0, nil
+	return &Leadership{Term: mine.Term, TermVersion: r.Revision.Version()}, grant, 0, nil
 }
 
 // holdTerm leads until the term is lost, and returns the grant held last.
-func (k *Candidate) holdTerm(ctx context.Context, held Leadership, grant uint64, lead func(context.Context, Leadership)) uint64 {
+func (k *Candidate) holdTerm(ctx context.Context, held Leadership, grant protocol.LeaseID, lead func(context.Context, Leadership)) protocol.LeaseID {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	depose := func(newer uint64) {
+	depose := func(newer protocol.Term) {
 		if newer > held.Term {
 			cancel()
 		}
@@ -173,7 +173,7 @@
 	// A touch that takes long must not hold up the next: where one in twenty took
 	// a second and a half the term changed every few seconds.
 	type touch struct {
-		grant uint64
+		grant protocol.LeaseID
 		err   error
 	}
 	touches := make(chan touch, tuning.KeepAlivesInFlight)
@@ -188,7 +188,7 @@
 		case <-tick.C:
 			if under < tuning.KeepAlivesInFlight {
 				under++
-				go func(grant uint64) { touches <- touch{grant, k.store.KeepAlive(ctx, grant)} }(grant)
+				go func(grant protocol.LeaseID) { touches <- touch{grant, k.store.KeepAlive(ctx, grant)} }(grant)
 			}
 			continue
 		case t = <-touches:
@@ -218,7 +218,7 @@
 
 // watch waits until the leader key goes, or until the state service cannot be
 // followed.
-func (k *Candidate) watch(ctx context.Context, rev uint64) {
+func (k *Candidate) watch(ctx context.Context, rev protocol.Revision) {
 	for ctx.Err() == nil {
 		ev, err := k.store.Watch(ctx, records.KeyLeader, rev, tuning.LeaderWatchHold)
 		if err != nil {
--- a/internal/fake/records.go
+++ b/internal/fake/records.go
@@ -15,7 +15,7 @@
 
 // decodedSegment is a version of a piece of a run record.
 type decodedSegment struct {
-	version  uint64
+	version  protocol.Version
 	run      records.RunRecord
 	readable bool
 }
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -21,8 +21,8 @@
 
 type storeEntry struct {
 	value   msgpack.RawMessage
-	version uint64
-	lease   uint64
+	version protocol.Version
+	lease   protocol.LeaseID
 }
 
 type storeLease struct {
@@ -33,10 +33,10 @@
 // Store is the state service.
 type Store struct {
 	mu       sync.Mutex
-	revision uint64
+	revision protocol.Revision
 	keys     map[string]storeEntry
-	leases   map[uint64]*storeLease
-	nextID   uint64
+	leases   map[protocol.LeaseID]*storeLease
+	nextID   protocol.LeaseID
 	log      []storeChange
 	changed  chan struct{}
 	refuse   map[string]bool // hosts that get 503; "" for all
@@ -88,7 +88,7 @@
 
 // NewStore makes an empty state service.
 func NewStore() *Store {
-	return &Store{keys: map[string]storeEntry{}, leases: map[uint64]*storeLease{}, changed: make(chan struct{}), refuse: map[string]bool{}, Refusals: map[int]int{}}
+	return &Store{keys: map[string]storeEntry{}, leases: map[protocol.LeaseID]*storeLease{}, changed: make(chan struct{}), refuse: map[string]bool{}, Refusals: map[int]int{}}
 }
 
 // Refuse makes the service answer 503 to a host, or to all with "". When that
@@ -140,7 +140,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.put(key, storeEntry{value: raw, version: s.revision})
+	s.put(key, storeEntry{value: raw, version: s.revision.Version()})
 	s.wake()
 }
 
@@ -158,7 +158,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.put(key, storeEntry{value: msgpack.RawMessage{0xa3, 'b', 'a', 'd'}, version: s.revision})
+	s.put(key, storeEntry{value: msgpack.RawMessage{0xa3, 'b', 'a', 'd'}, version: s.revision.Version()})
 	s.wake()
 }
 
@@ -191,7 +191,7 @@
 func (s *Store) del(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
-		s.log = append(s.log, storeChange{key, protocol.WatchEvent{Delete: key, Version: s.revision}})
+		s.log = append(s.log, storeChange{key, protocol.WatchEvent{Delete: key, Version: s.revision.Version()}})
 	}
 }
 
@@ -212,7 +212,7 @@
 	}
 }
 
-func (s *Store) end(id uint64) {
+func (s *Store) end(id protocol.LeaseID) {
 	delete(s.leases, id)
 	for k, e := range s.keys {
 		if e.lease == id {
@@ -235,7 +235,7 @@
 }
 
 type epoch struct {
-	Epoch uint64 `msgpack:"epoch"`
+	Epoch protocol.Revision `msgpack:"epoch"`
 }
 
 // ServeHTTP answers as PROTOCOL says.
@@ -310,7 +310,8 @@
 		go s.watchLease(id, life)
 		answer(w, 200, protocol.Lease{ID: id})
 	case strings.HasSuffix(path, "/touch"):
-		id, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
+		number, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
+		id := protocol.LeaseID(number)
 		if l := s.leases[id]; l != nil {
 			l.expires = time.Now().Add(l.life)
 			answer(w, 200, protocol.Lease{ID: id})
@@ -318,20 +319,22 @@
 			answer(w, 404, nil)
 		}
 	case strings.HasPrefix(path, "/grants/"): // DELETE
-		id, _ := strconv.ParseUint(strings.TrimPrefix(path, "/grants/"), 10, 64)
+		number, _ := strconv.ParseUint(strings.TrimPrefix(path, "/grants/"), 10, 64)
+		id := protocol.LeaseID(number)
 		if s.leases[id] != nil {
 			s.end(id)
 		}
 		answer(w, 200, nil)
 	case path == "/follow":
-		after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
+		number, _ := strconv.ParseUint(q.Get("after"), 10, 64)
+		after := protocol.Revision(number)
 		hold, _ := strconv.Atoi(q.Get("holdMs"))
 		until := time.NewTimer(time.Duration(hold) * time.Millisecond)
 		defer until.Stop()
 		for over := false; ; {
 			out := protocol.WatchReply{Revision: s.revision, Events: []protocol.WatchEvent{}}
 			for _, c := range s.log {
-				if c.ev.Version > after && strings.HasPrefix(c.key, q.Get("prefix")) && (s.LoseEvent == nil || !s.LoseEvent(c.key)) {
+				if c.ev.Version.Revision() > after && strings.HasPrefix(c.key, q.Get("prefix")) && (s.LoseEvent == nil || !s.LoseEvent(c.key)) {
 					out.Events = append(out.Events, c.ev)
 				}
 			}
@@ -359,7 +362,7 @@
 	}
 }
 
-func (s *Store) watchLease(id uint64, life time.Duration) {
+func (s *Store) watchLease(id protocol.LeaseID, life time.Duration) {
 	for {
 		time.Sleep(life / 10)
 		s.mu.Lock()
@@ -403,7 +406,7 @@
 	Changes []struct {
 		Set    string             `msgpack:"set"`
 		Value  msgpack.RawMessage `msgpack:"data"`
-		Lease  uint64             `msgpack:"permit"`
+		Lease  protocol.LeaseID   `msgpack:"permit"`
 		Delete string             `msgpack:"delete"`
 	} `msgpack:"then"`
 }
@@ -488,7 +491,7 @@
 			if ch.Delete != "" {
 				s.del(ch.Delete)
 			} else {
-				s.put(ch.Set, storeEntry{slices.Clone(ch.Value), s.revision, ch.Lease})
+				s.put(ch.Set, storeEntry{slices.Clone(ch.Value), s.revision.Version(), ch.Lease})
 			}
 		}
 		s.wake()
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -39,9 +39,9 @@
 	removed          bool
 	hung             bool
 	notice           time.Time
-	incarnation      uint64
+	incarnation      protocol.Incarnation
 	sequence         uint64
-	token            uint64
+	token            protocol.FencingToken
 	incarnationStart time.Time // of the session
 	leaseRenewed     time.Time // when the last answered report was sent
 	tasks            []*agentTask
@@ -324,7 +324,7 @@
 	}
 }
 
-func (m *machineAgent) setToken(t uint64) {
+func (m *machineAgent) setToken(t protocol.FencingToken) {
 	if t > m.token {
 		m.token, m.changed = t, true
 	}
--- a/internal/kvstore/apply.go
+++ b/internal/kvstore/apply.go
@@ -70,7 +70,7 @@
 		item, err := c.Get(ctx, set)
 		switch {
 		case err == nil:
-			return protocol.TransactionReply{Revision: item.Version}, nil
+			return protocol.TransactionReply{Revision: item.Version.Revision()}, nil
 		case errors.Is(err, ErrNotFound):
 			return reply, fmt.Errorf("%w: %s is gone", ErrInDoubt, set)
 		}
--- a/internal/kvstore/apply_test.go
+++ b/internal/kvstore/apply_test.go
@@ -29,8 +29,8 @@
 	rng      *rand.Rand
 	state    *fake.Store
 	client   *kvstore.Client
-	versions map[string]uint64 // as the writer believes
-	outcome  map[int]error     // what the writer was told of each transaction
+	versions map[string]protocol.Version // as the writer believes
+	outcome  map[int]error               // what the writer was told of each transaction
 	mu       sync.Mutex
 	executed map[int]int // how often each was carried out, by number; guarded by mu
 	number   int         // of the transaction under way
@@ -38,7 +38,7 @@
 
 func newWriter(t *testing.T, seed uint64) *writer {
 	w := &writer{t: t, rng: rand.New(rand.NewPCG(seed, 3)), state: fake.NewStore(),
-		versions: map[string]uint64{}, executed: map[int]int{}, outcome: map[int]error{}}
+		versions: map[string]protocol.Version{}, executed: map[int]int{}, outcome: map[int]error{}}
 	network := fake.NewNetwork(seed)
 	network.Listen("state", "state:1", w.state)
 	limits := config.State{StateLimits: config.StateLimits{ValueKB: 32, TxnOps: 20}}
@@ -67,7 +67,7 @@
 // newTerm makes copies of all earlier transactions fail, and reads the versions.
 func (w *writer) newTerm() {
 	w.state.Put(fence, w.number)
-	w.versions = map[string]uint64{}
+	w.versions = map[string]protocol.Version{}
 	page, err := w.client.ListAll(w.t.Context(), "")
 	if err != nil {
 		w.t.Fatal(err)
@@ -110,12 +110,12 @@
 }
 
 // learn takes in that a transaction was carried out.
-func (w *writer) learn(txn *protocol.Transaction, revision uint64) {
+func (w *writer) learn(txn *protocol.Transaction, revision protocol.Revision) {
 	for _, change := range txn.Mutations {
 		if change.Delete != "" {
 			delete(w.versions, change.Delete)
 		} else {
-			w.versions[change.Set] = revision
+			w.versions[change.Set] = revision.Version()
 		}
 	}
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -175,7 +175,7 @@
 }
 
 // GrantLease opens a lease.
-func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
+func (c *Client) GrantLease(ctx context.Context, life time.Duration) (protocol.LeaseID, error) {
 	var g protocol.Lease
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodPost, "/grants",
 		protocol.LeaseRequest{TTLMS: life.Milliseconds()}, map[int]any{200: &g})
@@ -186,7 +186,7 @@
 }
 
 // KeepAlive renews a lease.
-func (c *Client) KeepAlive(ctx context.Context, lease uint64) error {
+func (c *Client) KeepAlive(ctx context.Context, lease protocol.LeaseID) error {
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodPost, fmt.Sprintf("/grants/%d/touch", lease), nil, nil)
 	switch {
 	case err != nil:
@@ -200,7 +200,7 @@
 }
 
 // RevokeLease ends a lease at once.
-func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
+func (c *Client) RevokeLease(ctx context.Context, lease protocol.LeaseID) error {
 	status, err := c.call(ctx, tuning.StateTimeout, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil)
 	if err == nil && status != 200 && status != 404 {
 		err = unexpected(status)
@@ -209,7 +209,7 @@
 }
 
 // Watch waits up to hold for changes under a prefix after a revision.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (protocol.WatchReply, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, after protocol.Revision, hold time.Duration) (protocol.WatchReply, error) {
 	var ev protocol.WatchReply
 	q := url.Values{"prefix": {prefix}, "after": {fmt.Sprint(after)}, "holdMs": {fmt.Sprint(hold.Milliseconds())}}
 	status, err := c.call(ctx, hold+tuning.WatchGrace, http.MethodGet, "/follow?"+q.Encode(), nil, map[int]any{200: &ev})
--- a/internal/leader/authority.go
+++ b/internal/leader/authority.go
@@ -14,14 +14,14 @@
 
 // watchOpenJobs learns of new jobs and cancellations. Each return also proves that all
 // told before the call began are known here.
-func (c *Leader) watchOpenJobs(ctx context.Context, rev uint64) {
+func (c *Leader) watchOpenJobs(ctx context.Context, revision protocol.Revision) {
 	read := time.Now()
 	for ctx.Err() == nil {
 		start := time.Now()
-		ev, err := c.Store.Watch(ctx, records.PrefixOpen, rev, tuning.WatchHold)
+		ev, err := c.Store.Watch(ctx, records.PrefixOpen, revision, tuning.WatchHold)
 		switch {
 		case err == nil:
-			rev = ev.Revision
+			revision = ev.Revision
 			c.post(watchResult{ev.Events, start})
 		case errors.Is(err, kvstore.ErrCompacted):
 		default:
@@ -43,7 +43,7 @@
 				m.events = append(m.events, protocol.WatchEvent{Set: entry.Key, Value: entry.Value, Version: entry.Version})
 			}
 			if err != nil {
-				rev = page.Revision
+				revision = page.Revision
 			}
 			c.post(m)
 		}
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -30,7 +30,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	store := kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(log), d.State)
-	c := New(Dependencies{Config: cfg, Store: store, Log: log, OnNewerTerm: func(uint64) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
+	c := New(Dependencies{Config: cfg, Store: store, Log: log, OnNewerTerm: func(protocol.Term) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
 	c.Bind(context.Background())
 	now := time.Now()
 	c.tookOverAt, c.confirmedByWatch, c.confirmedByTerm = now, now, now
@@ -57,7 +57,7 @@
 }
 
 func fullReport(c *Leader, i int, seq uint64) *protocol.Heartbeat {
-	heartbeat := &protocol.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: seq, Token: c.leadership.Term << tuning.TermShift}
+	heartbeat := &protocol.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: seq, Token: c.termToken()}
 	for t := range 4 {
 		n := i*4 + t
 		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("req-%06d/%d", n/60, n%60), Attempt: 1, State: protocol.TaskRunning})
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -110,7 +110,7 @@
 
 // lastIncarnation is the latest session of a machine that is known, from its reports or
 // from the records.
-func lastIncarnation(machine *cluster.Machine) uint64 {
+func lastIncarnation(machine *cluster.Machine) protocol.Incarnation {
 	session := max(machine.Incarnation, 1)
 	for _, placement := range machine.Placements {
 		session = max(session, placement.Incarnation)
@@ -118,12 +118,12 @@
 	return session
 }
 
-func (c *Leader) sendCommands(machine *cluster.Machine, orders []protocol.Command, session uint64, starts, handshake bool) {
+func (c *Leader) sendCommands(machine *cluster.Machine, orders []protocol.Command, incarnation protocol.Incarnation, starts, handshake bool) {
 	machine.CommandInFlight = true
 	if orders == nil {
 		orders = []protocol.Command{}
 	}
-	req, addr := protocol.CommandRequest{Token: machine.IssuedToken, Incarnation: session, Commands: orders}, machine.Addr
+	req, addr := protocol.CommandRequest{Token: machine.IssuedToken, Incarnation: incarnation, Commands: orders}, machine.Addr
 	go func() {
 		heartbeat, err := c.Agents.SendCommands(c.ctx, addr, req)
 		c.post(commandResult{machine, heartbeat, starts, handshake, err})
@@ -142,8 +142,8 @@
 		c.Log.Info("direct command unanswered", "machine", d.machine.ID, "err", d.err)
 		return
 	}
-	if d.status.Token>>tuning.TermShift > c.leadership.Term {
-		c.OnNewerTerm(d.status.Token >> tuning.TermShift)
+	if d.status.Token.Term() > c.leadership.Term {
+		c.OnNewerTerm(d.status.Token.Term())
 		return
 	}
 	if d.status.Machine == d.machine.ID {
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -41,7 +41,7 @@
 // orphanedSegment is a piece of a finished job's run record.
 type orphanedSegment struct {
 	key     string
-	version uint64
+	version protocol.Version
 }
 
 // fits tells whether some more changes of so many bytes as JSON fit.
@@ -49,7 +49,7 @@
 	return len(b.transaction.Mutations)+changes <= b.maxMutations && b.bytes+bytes <= tuning.CommitBytes
 }
 
-func (b *commitBatch) precondition(key string, version uint64) {
+func (b *commitBatch) precondition(key string, version protocol.Version) {
 	b.transaction.Preconditions = append(b.transaction.Preconditions, protocol.Precondition{Key: key, Version: version})
 }
 
@@ -244,8 +244,8 @@
 
 // onRunWritten releases what waited for a piece of a run record: starts may be
 // sent, and workers may forget what is done.
-func (c *Leader) onRunWritten(w segmentWrite, revision uint64) {
-	w.job.segment(w.number).version = revision
+func (c *Leader) onRunWritten(w segmentWrite, revision protocol.Revision) {
+	w.job.segment(w.number).version = revision.Version()
 	for _, task := range w.done {
 		delete(w.job.unrecordedDone, task)
 	}
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -18,7 +18,7 @@
 	spec        protocol.Job
 	acceptedAt  time.Time // time of day of acceptance
 	cancelled   bool
-	openVersion uint64
+	openVersion protocol.Version
 	segments    []runSegment // of its run record, by number; see piece
 
 	pendingDependencies map[protocol.JobID]bool // dependencies that are not known to be done
@@ -41,7 +41,7 @@
 	knownSince       time.Time // when the leader learnt of it
 }
 
-func newJob(jobID protocol.JobID, o *records.OpenJob, version uint64, now time.Time) *jobState {
+func newJob(jobID protocol.JobID, o *records.OpenJob, version protocol.Version, now time.Time) *jobState {
 	at := time.UnixMilli(o.AcceptedMS)
 	return &jobState{id: jobID, spec: o.Job, acceptedAt: at, readyAt: at, cancelled: o.Cancelled, openVersion: version,
 		nextAttempt: 1, placements: map[int]*cluster.Placement{}, unrecordedDone: map[int]bool{}, knownSince: now}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -31,7 +31,7 @@
 	Agents *agent.Client
 	Log    *slog.Logger
 	// OnNewerTerm tells of a newer term seen at a worker.
-	OnNewerTerm func(n uint64)
+	OnNewerTerm func(newer protocol.Term)
 	// Resign gives up the term for another node to take.
 	Resign func()
 	// Redirected is how many workers' reports the peers have sent on lately.
@@ -59,7 +59,7 @@
 	}
 	commitResult struct {
 		batch      *commitBatch
-		revision   uint64
+		revision   protocol.Revision
 		failedKeys []string
 		err        error
 	}
@@ -110,8 +110,8 @@
 
 	jobs              map[protocol.JobID]*jobState
 	machines          map[string]*cluster.Machine
-	sorted            []*cluster.Machine // the same, by name
-	firstToken        uint64             // the first token of a machine that becomes known
+	sorted            []*cluster.Machine    // the same, by name
+	firstToken        protocol.FencingToken // the first token of a machine that becomes known
 	removedMachines   map[string]time.Time
 	closedJobs        map[protocol.JobID]time.Time // jobs closed lately, see forgetClosed
 	provisionRequests map[string]*provisioning
@@ -181,7 +181,7 @@
 // New makes the leader of a term.
 func New(d Dependencies, term election.Leadership) *Leader {
 	limits := d.Config.Deployment.State.Smaller()
-	floor := term.Term << tuning.TermShift
+	floor := term.Term.FirstToken()
 	wr := limits.WriteRPS * tuning.LeaderWriteShare
 	return &Leader{
 		Dependencies: d, leadership: term,
@@ -336,7 +336,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (c *Leader) termToken() uint64 { return c.leadership.Term << tuning.TermShift }
+func (c *Leader) termToken() protocol.FencingToken { return c.leadership.Term.FirstToken() }
 
 func (c *Leader) bootS(machine *cluster.Machine) float64 {
 	if i, ok := c.typeIndex[machine.Type]; ok {
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -37,7 +37,7 @@
 }
 
 // load reads the records that an earlier leader left.
-func (c *Leader) load(ctx context.Context) (uint64, bool) {
+func (c *Leader) load(ctx context.Context) (protocol.Revision, bool) {
 	for ctx.Err() == nil {
 		start := time.Now()
 		r, err := c.readRecords(ctx)
@@ -134,7 +134,7 @@
 		// Anything of it may run anywhere. It rests until that is surely
 		// over, as on machines never heard from, and then goes on with what it
 		// has no record of: workers kept the results of what was done.
-		job.nextAttempt = max(job.nextAttempt, c.leadership.Term<<tuning.TermShift+1) // no earlier attempt has this number
+		job.nextAttempt = max(job.nextAttempt, uint64(c.leadership.Term.FirstToken())+1) // no earlier attempt has this number
 		job.backOff(c.agentLeaseExpiry(c.tookOverAt.Add(c.leaseDuration())))
 	}
 	for _, lp := range whole.Placements {
@@ -153,7 +153,7 @@
 }
 
 // applyOpenRecord takes in an open job's record.
-func (c *Leader) applyOpenRecord(key string, value []byte, version uint64, now time.Time) {
+func (c *Leader) applyOpenRecord(key string, value []byte, version protocol.Version, now time.Time) {
 	jobID, _ := records.ParseOpenKey(key)
 	job := c.jobs[jobID]
 	var o records.OpenJob
@@ -195,7 +195,7 @@
 	c.cancelDependents(jobID, now)
 }
 
-func (c *Leader) onRecordRewritten(job *jobState, o *records.OpenJob, version uint64, now time.Time) {
+func (c *Leader) onRecordRewritten(job *jobState, o *records.OpenJob, version protocol.Version, now time.Time) {
 	if version <= job.openVersion {
 		return
 	}
@@ -205,7 +205,7 @@
 	}
 }
 
-func (c *Leader) addJob(jobID protocol.JobID, o *records.OpenJob, version uint64, now time.Time) {
+func (c *Leader) addJob(jobID protocol.JobID, o *records.OpenJob, version protocol.Version, now time.Time) {
 	job := newJob(jobID, o, version, now)
 	c.jobs[jobID] = job
 	c.changed = true
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -38,9 +38,9 @@
 }
 
 func (c *Leader) onHeartbeat(heartbeat *protocol.Heartbeat, now time.Time) *protocol.HeartbeatReply {
-	if heartbeat.Token>>tuning.TermShift > c.leadership.Term {
+	if heartbeat.Token.Term() > c.leadership.Term {
 		c.Log.Info("a worker has seen a newer term", "machine", heartbeat.Machine)
-		c.OnNewerTerm(heartbeat.Token >> tuning.TermShift)
+		c.OnNewerTerm(heartbeat.Token.Term())
 		return nil
 	}
 	if now.Sub(c.lastProof()) > c.leaseDuration() {
--- a/internal/leader/runrecord.go
+++ b/internal/leader/runrecord.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"marblehaven/internal/protocol"
 	"slices"
 	"time"
 
@@ -10,11 +11,11 @@
 
 // runSegment is what the leader knows of a piece of a job's run record.
 type runSegment struct {
-	version     uint64    // 0: not written yet
-	dirty       bool      // it lags behind what must be in it
-	holdsStarts bool      // it holds starts
-	dirtySince  time.Time // since when
-	removed     bool      // the commit under way closes the job and removes it
+	version     protocol.Version // 0: not written yet
+	dirty       bool             // it lags behind what must be in it
+	holdsStarts bool             // it holds starts
+	dirtySince  time.Time        // since when
+	removed     bool             // the commit under way closes the job and removes it
 }
 
 // segment returns a piece of the run record by its number.
--- a/internal/leader/runrecord_test.go
+++ b/internal/leader/runrecord_test.go
@@ -56,7 +56,7 @@
 				changeTask(job, task, machine, rng)
 				c.markDirty(job, task, rng.IntN(2) == 0, time.Now())
 			case 2:
-				writePiece(job, rng, stored, model, uint64(step+2))
+				writePiece(job, rng, stored, model, protocol.Version(step+2))
 			case 3:
 				if rng.IntN(5) == 0 {
 					c.format = records.FormatSegmented
@@ -89,7 +89,7 @@
 }
 
 // writePiece writes one of the pieces that lag behind.
-func writePiece(job *jobState, rng *rand.Rand, stored map[int]records.RunRecord, model []taskState, version uint64) {
+func writePiece(job *jobState, rng *rand.Rand, stored map[int]records.RunRecord, model []taskState, version protocol.Version) {
 	var dirty []int
 	for number := range job.segments {
 		if job.segments[number].dirty {
@@ -155,7 +155,7 @@
 				t.Fatal(err)
 			}
 			stored[w.number] = r
-			c.onRunWritten(w, uint64(commits+2))
+			c.onRunWritten(w, protocol.Revision(commits+2))
 		}
 	}
 	whole := records.JoinSegments(stored)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -14,7 +14,7 @@
 
 // Status is the summary on the status page.
 type Status struct {
-	Term     uint64         `msgpack:"t"`
+	Term     protocol.Term  `msgpack:"t"`
 	CloudOK  bool           `msgpack:"c"`
 	Classes  []ClassStatus  `msgpack:"k"`
 	Machines []MachineCount `msgpack:"m"`
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -39,8 +39,8 @@
 // StatusRequest asks for a node's status.
 type StatusRequest struct {
 	Leader       records.LeaderRecord `msgpack:"l"`
-	Summary      bool         `msgpack:"y,omitempty"`
-	Acknowledged bool         `msgpack:"k,omitempty"`
+	Summary      bool                 `msgpack:"y,omitempty"`
+	Acknowledged bool                 `msgpack:"k,omitempty"`
 }
 
 // Operation is what a user's call asks for.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -56,7 +56,7 @@
 type leader struct{}
 
 func (leader) Status(*StatusRequest) Status                    { return Status{} }
-func (leader) ObserveTerm(records.LeaderRecord)                        {}
+func (leader) ObserveTerm(records.LeaderRecord)                {}
 func (leader) UserCall(context.Context, *UserCall) *UserAnswer { return nil }
 func (leader) IsLeader() bool                                  { return true }
 
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -21,6 +21,39 @@
 // JobID names a job, in the form that ValidJobID checks.
 type JobID string
 
+// Term numbers the leaders one after another: a newer leader has a higher term.
+type Term uint64
+
+// FencingToken proves to an agent which leader a command or an answer comes from.
+// Its high bits are the leader's term; the low bits count the tokens that the
+// leader has issued to one machine.
+type FencingToken uint64
+
+// FirstToken returns the lowest token of the term.
+func (t Term) FirstToken() FencingToken { return FencingToken(t) << tuning.TermShift }
+
+// Term returns the term of the leader that issued the token.
+func (t FencingToken) Term() Term { return Term(t >> tuning.TermShift) }
+
+// Incarnation numbers the lives of an agent: a new one begins when its lease
+// expires, and everything that ran in the ones before is gone.
+type Incarnation uint64
+
+// Revision counts all changes of the key-value store.
+type Revision uint64
+
+// Version is the revision of a key's last change; 0: the key does not exist.
+type Version uint64
+
+// Version returns the version of the keys that were written at the revision.
+func (r Revision) Version() Version { return Version(r) }
+
+// Revision returns the revision of the change that a version stands for.
+func (v Version) Revision() Revision { return Revision(v) }
+
+// LeaseID names a lease of the key-value store.
+type LeaseID uint64
+
 // JobKind tells how the tasks of a job belong together.
 type JobKind string
 
@@ -124,9 +157,9 @@
 	MachineType       string       `msgpack:"flavor"`
 	Zone              string       `msgpack:"quarry"`
 	Spot              bool         `msgpack:"loaners"`
-	Incarnation       uint64       `msgpack:"tenure"`
+	Incarnation       Incarnation  `msgpack:"tenure"`
 	Sequence          uint64       `msgpack:"tick"`
-	Token             uint64       `msgpack:"baton"`
+	Token             FencingToken `msgpack:"baton"`
 	PreemptionNoticeS *float64     `msgpack:"recallS"`
 	Tasks             []TaskStatus `msgpack:"pieces"`
 }
@@ -149,8 +182,8 @@
 
 // HeartbeatReply answers a report.
 type HeartbeatReply struct {
-	Token    uint64    `msgpack:"baton"`
-	Commands []Command `msgpack:"orders"`
+	Token    FencingToken `msgpack:"baton"`
+	Commands []Command    `msgpack:"orders"`
 }
 
 // Redirect names the node that takes reports.
@@ -160,9 +193,9 @@
 
 // CommandRequest carries direct commands.
 type CommandRequest struct {
-	Token       uint64    `msgpack:"baton"`
-	Incarnation uint64    `msgpack:"tenure"`
-	Commands    []Command `msgpack:"orders"`
+	Token       FencingToken `msgpack:"baton"`
+	Incarnation Incarnation  `msgpack:"tenure"`
+	Commands    []Command    `msgpack:"orders"`
 }
 
 // MachineType is an entry of the cloud's catalog.
@@ -219,28 +252,28 @@
 type KeyValue struct {
 	Key     string             `msgpack:"path"`
 	Value   msgpack.RawMessage `msgpack:"data"`
-	Version uint64             `msgpack:"stamp"`
+	Version Version            `msgpack:"stamp"`
 }
 
 // KeyValuePage is a page of keys.
 type KeyValuePage struct {
 	Entries  []KeyValue `msgpack:"rows"`
 	More     bool       `msgpack:"truncated"`
-	Revision uint64     `msgpack:"epoch"`
+	Revision Revision   `msgpack:"epoch"`
 }
 
 // Precondition is a condition of a commit.
 type Precondition struct {
-	Key     string `msgpack:"path"`
-	Version uint64 `msgpack:"stamp"`
+	Key     string  `msgpack:"path"`
+	Version Version `msgpack:"stamp"`
 }
 
 // Mutation is a put (Set) or a delete.
 type Mutation struct {
-	Set    string `msgpack:"set,omitempty"`
-	Value  any    `msgpack:"data,omitempty"`
-	Lease  uint64 `msgpack:"permit,omitempty"`
-	Delete string `msgpack:"delete,omitempty"`
+	Set    string  `msgpack:"set,omitempty"`
+	Value  any     `msgpack:"data,omitempty"`
+	Lease  LeaseID `msgpack:"permit,omitempty"`
+	Delete string  `msgpack:"delete,omitempty"`
 }
 
 // Transaction is a transaction.
@@ -251,7 +284,7 @@
 
 // TransactionReply answers a transaction.
 type TransactionReply struct {
-	Revision   uint64   `msgpack:"epoch"`
+	Revision   Revision `msgpack:"epoch"`
 	FailedKeys []string `msgpack:"failed"`
 	Error      string   `msgpack:"error"`
 }
@@ -263,7 +296,7 @@
 
 // Lease is a lease at the state service.
 type Lease struct {
-	ID uint64 `msgpack:"permit"`
+	ID LeaseID `msgpack:"permit"`
 }
 
 // WatchEvent is a change seen by a follow call.
@@ -271,12 +304,12 @@
 	Set     string             `msgpack:"set"`
 	Value   msgpack.RawMessage `msgpack:"data"`
 	Delete  string             `msgpack:"delete"`
-	Version uint64             `msgpack:"stamp"`
+	Version Version            `msgpack:"stamp"`
 }
 
 // WatchReply answers a follow call.
 type WatchReply struct {
-	Revision uint64       `msgpack:"epoch"`
+	Revision Revision     `msgpack:"epoch"`
 	Events   []WatchEvent `msgpack:"events"`
 }
 
--- a/internal/records/placement.go
+++ b/internal/records/placement.go
@@ -1,6 +1,10 @@
 package records
 
-import "github.com/vmihailenco/msgpack/v5"
+import (
+	"github.com/vmihailenco/msgpack/v5"
+
+	"marblehaven/internal/protocol"
+)
 
 // placementFields is the number of fields of a placement, which is stored as a list
 // of them without names: run records hold hundreds.
@@ -20,7 +24,7 @@
 	if err := e.EncodeString(p.Machine); err != nil {
 		return err
 	}
-	if err := e.EncodeUint64(p.Incarnation); err != nil {
+	if err := e.EncodeUint64(uint64(p.Incarnation)); err != nil {
 		return err
 	}
 	return e.EncodeString(p.Zone)
@@ -38,7 +42,11 @@
 		func() (err error) { p.Task, err = d.DecodeInt(); return err },
 		func() (err error) { p.Attempt, err = d.DecodeUint64(); return err },
 		func() (err error) { p.Machine, err = d.DecodeString(); return err },
-		func() (err error) { p.Incarnation, err = d.DecodeUint64(); return err },
+		func() error {
+			incarnation, err := d.DecodeUint64()
+			p.Incarnation = protocol.Incarnation(incarnation)
+			return err
+		},
 		func() (err error) { p.Zone, err = d.DecodeString(); return err },
 	}
 	for i := range n {
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -84,8 +84,8 @@
 // LeaderRecord says who leads. The term key outlives every leader; the leader key,
 // with the same content, hangs on the leader's grant.
 type LeaderRecord struct {
-	Term uint64 `msgpack:"n"`
-	Node   string `msgpack:"node"`
+	Term protocol.Term `msgpack:"n"`
+	Node string        `msgpack:"node"`
 }
 
 // OpenJob is an accepted job that is not over.
@@ -108,7 +108,7 @@
 	Task        int
 	Attempt     uint64
 	Machine     string
-	Incarnation uint64
+	Incarnation protocol.Incarnation
 	// Zone is set where the job has conditions on zones: a new leader may not
 	// know the machine's yet, and must count the task where it is.
 	Zone string
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -170,7 +170,7 @@
 }
 
 // terms is the highest term that any node knows of.
-func (c *testCluster) terms() (n uint64) {
+func (c *testCluster) terms() (n protocol.Term) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, nd := range c.controllers {
--- a/internal/server/mute_test.go
+++ b/internal/server/mute_test.go
@@ -4,6 +4,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"marblehaven/internal/protocol"
 )
 
 // A machine that reaches no controller, though commands reach it, loses its lease
@@ -62,7 +64,7 @@
 				t.Errorf("%d leases of %d machines ran out with tasks", n, len(machines))
 			}
 			// One leader may leave the term to another, which can do no better.
-			if n := c.terms() - terms; n > 1+seed%2 {
+			if n := c.terms() - terms; n > protocol.Term(1+seed%2) {
 				t.Errorf("%d terms", n)
 			}
 			c.mend()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -111,7 +111,7 @@
 func (n *controller) lead(ctx context.Context, held election.Leadership) {
 	c := leader.New(leader.Dependencies{
 		Config: n.cfg, Store: n.store, Cloud: n.cloud, Agents: n.agents, Log: n.log,
-		OnNewerTerm:  func(t uint64) { n.candidate.ObserveTerm(records.LeaderRecord{Term: t}) },
+		OnNewerTerm:  func(t protocol.Term) { n.candidate.ObserveTerm(records.LeaderRecord{Term: t}) },
 		Resign:       n.candidate.Resign,
 		Redirected:   n.peers.Redirected,
 		Acknowledged: n.acknowledged,
