--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -6,21 +6,22 @@
 	"fmt"
 	"net/http"
 
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
 )
 
 // Client sends commands; it is safe for concurrent use.
 type Client struct {
-	caller protocol.Caller
+	caller httpclient.Caller
 	slots  chan struct{}
 }
 
 // New makes a client over the given transport that has at most so many commands
 // under way at once: a hundred machines that hang take a socket each until the
 // commands to them are given up.
-func New(rt http.RoundTripper, cs *protocol.MalformedLog, atOnce int) *Client {
-	return &Client{protocol.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs}, make(chan struct{}, max(1, atOnce))}
+func New(rt http.RoundTripper, cs *httpclient.MalformedLog, atOnce int) *Client {
+	return &Client{httpclient.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs}, make(chan struct{}, max(1, atOnce))}
 }
 
 // SendCommands sends commands to the worker at addr and returns its report after them,
--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -10,6 +10,7 @@
 	"testing/synctest"
 	"time"
 
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
 )
@@ -29,7 +30,7 @@
 func TestCommandsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &silent{}
-		c := New(s, protocol.NewMalformedLog(slog.New(slog.DiscardHandler)), 20)
+		c := New(s, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 20)
 		start := time.Now()
 		done := make(chan error)
 		for range 100 {
--- a/internal/api/conns_test.go
+++ b/internal/api/conns_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"marblehaven/internal/config"
-	"marblehaven/internal/protocol"
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/tuning"
 )
 
@@ -89,7 +89,7 @@
 	cfg := &config.Config{}
 	cfg.Deployment.Workers.ReportS, cfg.Deployment.Limits.Sockets = 5, 1000
 	log := slog.New(slog.DiscardHandler)
-	go NewServer(cfg, nil, nil, nil, log, protocol.NewMalformedLog(log)).Serve(t.Context(), ln)
+	go NewServer(cfg, nil, nil, nil, log, httpclient.NewMalformedLog(log)).Serve(t.Context(), ln)
 	conn, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -69,7 +70,7 @@
 // openJob makes of an open job's records what its user may be told.
 func (u *Users) openJob(jobID protocol.JobID, entries []protocol.KeyValue) *jobRecord {
 	record := &jobRecord{version: entries[0].Version, status: protocol.JobStatus{ID: jobID, Phase: protocol.PhaseQueued}}
-	if err := protocol.Unmarshal(entries[0].Value, &record.open); err != nil {
+	if err := codec.Unmarshal(entries[0].Value, &record.open); err != nil {
 		// That the record is there says that the job was accepted. Refusing
 		// to answer would make it forgotten.
 		u.Log.Error("unreadable job record", "job", jobID, "err", err)
@@ -80,7 +81,7 @@
 	for _, entry := range entries[1:] {
 		of, number := records.ParseOpenKey(entry.Key)
 		var r records.RunRecord
-		if of == jobID && number != records.NoSegment && protocol.Unmarshal(entry.Value, &r) == nil {
+		if of == jobID && number != records.NoSegment && codec.Unmarshal(entry.Value, &r) == nil {
 			pieces[number] = r
 		}
 	}
@@ -106,7 +107,7 @@
 		return nil, err
 	}
 	var f records.FinalRecord
-	if err := protocol.Unmarshal(entry.Value, &f); err != nil {
+	if err := codec.Unmarshal(entry.Value, &f); err != nil {
 		return nil, fmt.Errorf("%w of %s: %w", errUnreadable, jobID, err)
 	}
 	// Nothing of a job with a final record can run, so to say that it is cancelled
--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -81,7 +82,7 @@
 			continue
 		}
 		var open records.OpenJob
-		if err := protocol.Unmarshal(item.Value, &open); err != nil {
+		if err := codec.Unmarshal(item.Value, &open); err != nil {
 			open = records.OpenJob{Cancelled: records.MarkedCancelled(item.Value)}
 		}
 		listing.jobs[jobID] = open
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -12,7 +12,9 @@
 	"sync/atomic"
 	"time"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/leader"
 	"marblehaven/internal/peer"
 	"marblehaven/internal/protocol"
@@ -47,11 +49,11 @@
 	conns      *connectionTable
 	idle       time.Duration // how long a connection is kept idle
 	redirected atomic.Uint64 // reports that were sent on to another node
-	malformed  *protocol.MalformedLog
+	malformed  *httpclient.MalformedLog
 }
 
 // NewServer makes the server of a node.
-func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, cs *protocol.MalformedLog) *Server {
+func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, cs *httpclient.MalformedLog) *Server {
 	sockets := cfg.Deployment.Sockets(len(cfg.Peers))
 	reports := time.Duration(cfg.Deployment.Workers.ReportS * float64(time.Second))
 	return &Server{name: cfg.Node, users: users, node: node, peers: peers, log: log, malformed: cs,
@@ -147,7 +149,7 @@
 		if b, ok := body.([]byte); ok {
 			raw = b
 		} else {
-			raw, _ = protocol.Marshal(body)
+			raw, _ = codec.Marshal(body)
 		}
 	}
 	h := w.Header()
@@ -198,7 +200,7 @@
 		return
 	}
 	var heartbeat protocol.Heartbeat
-	err := protocol.Unmarshal(body, &heartbeat)
+	err := codec.Unmarshal(body, &heartbeat)
 	if err == nil {
 		err = heartbeat.Check()
 	}
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"marblehaven/internal/clock"
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/peer"
@@ -103,7 +104,7 @@
 	a := u.Handle(ctx, c.Operation, c.JobID, c.Body)
 	out := &peer.UserAnswer{Status: a.status}
 	if a.body != nil {
-		out.Body, _ = protocol.Marshal(a.body)
+		out.Body, _ = codec.Marshal(a.body)
 	}
 	return out
 }
@@ -197,7 +198,7 @@
 // will have, so that it can be rewritten at any time.
 func (u *Users) checkRecordSize(open records.OpenJob) error {
 	open.Cancelled = true // it may become so
-	_, size, err := protocol.EncodeSized(open)
+	_, size, err := codec.EncodeSized(open)
 	if err == nil && size > u.Config.Deployment.State.Smaller().ValueBytes() {
 		err = errors.New("the description is too long to be kept")
 	}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -11,6 +11,7 @@
 
 	"golang.org/x/time/rate"
 
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
 )
@@ -27,13 +28,13 @@
 // Client is a client of the cloud. It is safe for concurrent use.
 type Client struct {
 	base    string
-	caller  protocol.Caller
+	caller  httpclient.Caller
 	limiter *rate.Limiter
 }
 
 // New makes a client that makes at most rps calls a second.
-func New(addr string, rt http.RoundTripper, cs *protocol.MalformedLog, rps float64) *Client {
-	return &Client{base: "http://" + addr, caller: protocol.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs}, limiter: rate.NewLimiter(rate.Limit(rps), int(math.Max(1, rps*tuning.CloudBurst)))}
+func New(addr string, rt http.RoundTripper, cs *httpclient.MalformedLog, rps float64) *Client {
+	return &Client{base: "http://" + addr, caller: httpclient.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs}, limiter: rate.NewLimiter(rate.Limit(rps), int(math.Max(1, rps*tuning.CloudBurst)))}
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in any, out map[int]any) error {
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -9,6 +9,8 @@
 	"net/http"
 	"testing"
 
+	"marblehaven/internal/codec"
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/protocol"
 )
 
@@ -16,7 +18,7 @@
 
 func (p pages) RoundTrip(r *http.Request) (*http.Response, error) {
 	status, page := p(r.URL.Query().Get("after"))
-	b, _ := protocol.Marshal(page)
+	b, _ := codec.Marshal(page)
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(b))}, nil
 }
 
@@ -41,7 +43,7 @@
 			return 503, protocol.MachineList{}
 		}
 		return 200, page(from)
-	}), protocol.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000)
+	}), httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000)
 	if all, err := c.ListMachines(t.Context()); err != nil || len(all) != 2500 || all[2499].ID != "m-002499" {
 		t.Errorf("listed %d machines: %v", len(all), err)
 	}
@@ -50,7 +52,7 @@
 		"repeated": {More: true, Machines: []protocol.ListedMachine{{ID: "m-000001"}}},
 	} {
 		broken := pages(func(string) (int, protocol.MachineList) { return 200, page })
-		all, err := New("cloud:1", broken, protocol.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000).ListMachines(t.Context())
+		all, err := New("cloud:1", broken, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000).ListMachines(t.Context())
 		if !errors.Is(err, ErrUnavailable) || all != nil {
 			t.Errorf("a list with a page that is %s: %d machines, %v", name, len(all), err)
 		}
--- a/internal/protocol/jsonsize.go
+++ b/internal/codec/jsonsize.go
@@ -1,4 +1,4 @@
-package protocol
+package codec
 
 import (
 	"bytes"
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"marblehaven/internal/clock"
+	"marblehaven/internal/codec"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -77,7 +78,7 @@
 func (k *Candidate) readTerm(ctx context.Context, key string) (t records.LeaderRecord, version protocol.Version, err error) {
 	entry, err := k.store.Get(ctx, key)
 	if err == nil {
-		err = protocol.Unmarshal(entry.Value, &t)
+		err = codec.Unmarshal(entry.Value, &t)
 	}
 	return t, entry.Version, err
 }
@@ -231,7 +232,7 @@
 				return
 			}
 			var t records.LeaderRecord
-			if e.Set == records.KeyLeader && protocol.Unmarshal(e.Value, &t) == nil {
+			if e.Set == records.KeyLeader && codec.Unmarshal(e.Value, &t) == nil {
 				k.ObserveTerm(t)
 				if t.Node == k.node {
 					return
--- a/internal/fake/records.go
+++ b/internal/fake/records.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
 )
@@ -41,7 +42,7 @@
 		return known
 	}
 	piece := decodedSegment{version: stored.version}
-	piece.readable = protocol.Unmarshal(stored.value, &piece.run) == nil
+	piece.readable = codec.Unmarshal(stored.value, &piece.run) == nil
 	r.segments[key] = piece
 	return piece
 }
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -15,6 +15,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
 	"marblehaven/internal/protocol"
 )
@@ -133,7 +134,7 @@
 
 // Put stores a record, as an earlier process would have.
 func (s *Store) Put(key string, value any) {
-	raw, err := protocol.Marshal(value)
+	raw, err := codec.Marshal(value)
 	if err != nil {
 		panic(err)
 	}
@@ -226,7 +227,7 @@
 func answer(w http.ResponseWriter, status int, v any) {
 	w.WriteHeader(status)
 	if v != nil {
-		b, err := protocol.Marshal(v)
+		b, err := codec.Marshal(v)
 		if err != nil {
 			panic(err)
 		}
@@ -300,7 +301,7 @@
 		s.commit(w, body)
 	case path == "/grants":
 		var g protocol.LeaseRequest
-		if err := protocol.Unmarshal(body, &g); err != nil {
+		if err := codec.Unmarshal(body, &g); err != nil {
 			panic(err)
 		}
 		s.nextID++
@@ -422,7 +423,7 @@
 
 func (s *Store) commit(w http.ResponseWriter, body []byte) {
 	var c storeTransaction
-	if err := protocol.Unmarshal(body, &c); err != nil {
+	if err := codec.Unmarshal(body, &c); err != nil {
 		answer(w, 400, protocol.ErrorReply{Error: err.Error()})
 		return
 	}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"time"
 
+	"marblehaven/internal/codec"
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/protocol"
 )
 
@@ -287,7 +289,7 @@
 		ctx, cancel := context.WithTimeout(m.env.life, 4*time.Second)
 		var ans protocol.HeartbeatReply
 		var redirect protocol.Redirect
-		status, err := protocol.Call(ctx, hc, http.MethodPost, "http://"+addr+"/hello", msg, map[int]any{200: &ans, 421: &redirect})
+		status, err := httpclient.Call(ctx, hc, http.MethodPost, "http://"+addr+"/hello", msg, map[int]any{200: &ans, 421: &redirect})
 		cancel()
 		m.env.mu.Lock()
 		for m.hung && !m.removed { // it takes the answer when it goes on
@@ -424,7 +426,7 @@
 		return
 	}
 	var req protocol.CommandRequest
-	if protocol.Unmarshal(body, &req) != nil {
+	if codec.Unmarshal(body, &req) != nil {
 		answer(rw, 400, nil)
 		return
 	}
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -12,7 +12,9 @@
 	"sync"
 	"time"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/protocol"
 )
 
@@ -234,7 +236,7 @@
 		return 200, c
 	case r.URL.Path == "/rentals" && r.Method == http.MethodPost:
 		var req protocol.ProvisionRequest
-		if protocol.Unmarshal(body, &req) != nil || req.Count < 1 || req.Count > 50 {
+		if codec.Unmarshal(body, &req) != nil || req.Count < 1 || req.Count > 50 {
 			return 400, nil
 		}
 		if hosts, ok := w.provisioned[req.RequestID]; ok {
@@ -260,7 +262,7 @@
 		return 200, protocol.MachineIDs{IDs: hosts}
 	case r.URL.Path == "/rentals/return":
 		var h protocol.MachineIDs
-		if protocol.Unmarshal(body, &h) != nil || len(h.IDs) > 100 {
+		if codec.Unmarshal(body, &h) != nil || len(h.IDs) > 100 {
 			return 400, nil
 		}
 		for _, id := range h.IDs {
@@ -430,7 +432,7 @@
 		addr := nodes[int(w.Network.float()*float64(len(nodes)))]
 		ctx, cancel := context.WithTimeout(w.life, each)
 		var st protocol.JobStatus
-		status, err := protocol.Call(ctx, &http.Client{Transport: w.Network.From(w.life, "users")}, method, "http://"+addr+path, in,
+		status, err := httpclient.Call(ctx, &http.Client{Transport: w.Network.From(w.life, "users")}, method, "http://"+addr+path, in,
 			map[int]any{200: &st, 201: &st})
 		cancel()
 		if err == nil && status != 429 && status < 500 {
--- a/internal/kvstore/apply_test.go
+++ b/internal/kvstore/apply_test.go
@@ -14,8 +14,10 @@
 	"testing/synctest"
 	"time"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
 	"marblehaven/internal/fake"
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/protocol"
 )
@@ -42,7 +44,7 @@
 	network := fake.NewNetwork(seed)
 	network.Listen("state", "state:1", w.state)
 	limits := config.State{StateLimits: config.StateLimits{ValueKB: 32, TxnOps: 20}}
-	w.client = kvstore.New("state:1", network.From(t.Context(), "leader"), protocol.NewMalformedLog(slog.New(slog.DiscardHandler)), limits)
+	w.client = kvstore.New("state:1", network.From(t.Context(), "leader"), httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), limits)
 	w.state.OnCommit = func(txn *protocol.Transaction) {
 		for _, guard := range txn.Preconditions {
 			var number int
@@ -243,7 +245,7 @@
 		}, -1},
 		{"out of order", func(string) protocol.KeyValuePage { return protocol.KeyValuePage{Entries: row("b", "a"), Revision: 5} }, -1},
 	} {
-		all, err := kvstore.New("state:1", b.pages, protocol.NewMalformedLog(slog.New(slog.DiscardHandler)), config.State{}).ListAll(t.Context(), "")
+		all, err := kvstore.New("state:1", b.pages, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), config.State{}).ListAll(t.Context(), "")
 		if (err != nil) != (b.want < 0) || (err == nil && (len(all.Entries) != b.want || all.Revision != 5)) {
 			t.Errorf("%s: %d records at %d, %v", b.name, len(all.Entries), all.Revision, err)
 		}
@@ -251,7 +253,7 @@
 }
 
 func (p pages) RoundTrip(r *http.Request) (*http.Response, error) {
-	body, err := protocol.Marshal(p(r.URL.Query().Get("after")))
+	body, err := codec.Marshal(p(r.URL.Query().Get("after")))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"marblehaven/internal/config"
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
 )
@@ -40,7 +41,7 @@
 // Client is a client of the state service. It is safe for concurrent use.
 type Client struct {
 	base       string
-	caller     protocol.Caller
+	caller     httpclient.Caller
 	limits     *limits
 	lastServed atomic.Int64 // steady time of the last answer that shows service, ns since start
 	start      time.Time
@@ -48,8 +49,8 @@
 
 // New makes a client for the address host:port over the given transport, within
 // the limits that the settings give.
-func New(addr string, rt http.RoundTripper, cs *protocol.MalformedLog, state config.State) *Client {
-	return &Client{base: "http://" + addr, caller: protocol.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs},
+func New(addr string, rt http.RoundTripper, cs *httpclient.MalformedLog, state config.State) *Client {
+	return &Client{base: "http://" + addr, caller: httpclient.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs},
 		limits: newLimits(state), start: time.Now()}
 }
 
--- a/internal/kvstore/limits.go
+++ b/internal/kvstore/limits.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"sync/atomic"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
@@ -46,7 +47,7 @@
 		if change.Value == nil {
 			continue
 		}
-		raw, size, err := protocol.EncodeSized(change.Value)
+		raw, size, err := codec.EncodeSized(change.Value)
 		if err != nil {
 			return err
 		}
--- a/internal/leader/authority.go
+++ b/internal/leader/authority.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"marblehaven/internal/clock"
+	"marblehaven/internal/codec"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -60,7 +61,7 @@
 		}
 		if entry.Version != c.leadership.TermVersion {
 			var t records.LeaderRecord
-			if protocol.Unmarshal(entry.Value, &t) == nil {
+			if codec.Unmarshal(entry.Value, &t) == nil {
 				c.OnNewerTerm(t.Term)
 			}
 			return
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -9,8 +9,10 @@
 	"time"
 
 	"marblehaven/internal/cluster"
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
 	"marblehaven/internal/election"
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -29,7 +31,7 @@
 		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprint("t", i), Cores: 900, CoresMax: 10000})
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	store := kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(log), d.State)
+	store := kvstore.New("state:1", &calls{}, httpclient.NewMalformedLog(log), d.State)
 	c := New(Dependencies{Config: cfg, Store: store, Log: log, OnNewerTerm: func(protocol.Term) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
 	c.Bind(context.Background())
 	now := time.Now()
@@ -39,7 +41,7 @@
 	for i := range jobs {
 		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: protocol.JobID(fmt.Sprintf("req-%06d", i)), Class: "c", Team: fmt.Sprint("t", i%10),
 			Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
-		b, _ := protocol.Marshal(o)
+		b, _ := codec.Marshal(o)
 		c.applyOpenRecord(records.OpenKey(o.Job.ID), b, 1, now)
 	}
 	for i := range machines {
@@ -68,15 +70,15 @@
 // A report that says nothing new, at the size of the grown deployments.
 func BenchmarkReport(b *testing.B) {
 	c, now := large(1000, 300)
-	raw, _ := protocol.Marshal(fullReport(c, 0, 2))
+	raw, _ := codec.Marshal(fullReport(c, 0, 2))
 	b.ReportAllocs()
 	for i := range b.N {
 		var r protocol.Heartbeat
-		if err := protocol.Unmarshal(raw, &r); err != nil {
+		if err := codec.Unmarshal(raw, &r); err != nil {
 			b.Fatal(err)
 		}
 		r.Sequence = uint64(2 + i)
-		protocol.Marshal(c.onHeartbeat(&r, now))
+		codec.Marshal(c.onHeartbeat(&r, now))
 	}
 }
 
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"marblehaven/internal/cluster"
+	"marblehaven/internal/codec"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -156,7 +157,7 @@
 
 // addSegment writes a piece of a job's run record.
 func (c *Leader) addSegment(batch *commitBatch, job *jobState, number int, now time.Time) {
-	record, size, err := protocol.EncodeSized(job.segmentRecord(number))
+	record, size, err := codec.EncodeSized(job.segmentRecord(number))
 	if err != nil {
 		c.Log.Error("encoding a run record", "job", job.id, "err", err)
 		return
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -127,7 +128,7 @@
 			continue
 		}
 		var f records.FinalRecord
-		if err := protocol.Unmarshal(entry.Value, &f); err != nil {
+		if err := codec.Unmarshal(entry.Value, &f); err != nil {
 			c.Log.Error("unreadable record of a dependency", "job", jobID, "err", err)
 			continue
 		}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -12,6 +12,7 @@
 	"marblehaven/internal/cloud"
 	"marblehaven/internal/cluster"
 	"marblehaven/internal/config"
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
 )
@@ -49,7 +50,7 @@
 		c, now := large(2100, 1000)
 		w := &calls{answer: make(chan struct{})}
 		defer close(w.answer)
-		c.Agents = agent.New(w, protocol.NewMalformedLog(c.Log), 5000)
+		c.Agents = agent.New(w, httpclient.NewMalformedLog(c.Log), 5000)
 		c.leadership.Term++ // a leader that has seen none of them yet
 		production := map[string]bool{}
 		for i, machine := range c.sorted {
@@ -99,7 +100,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, now := large(350, 30)
 		w := &calls{answer: make(chan struct{})}
-		c.Cloud = cloud.New("cloud:1", w, protocol.NewMalformedLog(c.Log), 1000)
+		c.Cloud = cloud.New("cloud:1", w, httpclient.NewMalformedLog(c.Log), 1000)
 		for i := 0; i < 350; i += 10 {
 			c.deprovision(c.sorted[i:i+10], "test", now)
 		}
@@ -212,7 +213,7 @@
 	// Once the state service has spoken the start goes out.
 	w := &calls{answer: make(chan struct{})}
 	defer close(w.answer)
-	c.Agents = agent.New(w, protocol.NewMalformedLog(c.Log), 5000)
+	c.Agents = agent.New(w, httpclient.NewMalformedLog(c.Log), 5000)
 	later := now.Add(12 * time.Second)
 	c.confirmedByWatch, c.confirmedByTerm = later, later
 	if c.dispatch(machine, later); !start.Sent || len(machine.Outbox) > 0 {
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -6,15 +6,15 @@
 	"testing/synctest"
 	"time"
 
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/kvstore"
-	"marblehaven/internal/protocol"
 )
 
 // withSilentStore gives a leader a state service that never answers, so that a commit
 // stays under way. The returned function ends its calls.
 func withSilentStore(t *testing.T, c *Leader) (end func()) {
 	t.Helper()
-	c.Store = kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(c.Log), c.Config.Deployment.State)
+	c.Store = kvstore.New("state:1", &calls{}, httpclient.NewMalformedLog(c.Log), c.Config.Deployment.State)
 	ctx, cancel := context.WithCancel(t.Context())
 	c.Bind(ctx)
 	return func() {
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"marblehaven/internal/cluster"
+	"marblehaven/internal/codec"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
@@ -81,7 +82,7 @@
 	}
 	for _, entry := range page.Entries {
 		var h records.ImageInventory
-		if protocol.Unmarshal(entry.Value, &h) == nil && len(h.Images) == len(h.SizesGB) {
+		if codec.Unmarshal(entry.Value, &h) == nil && len(h.Images) == len(h.SizesGB) {
 			for id := range h.Machines {
 				c.inheritedImages[id] = &h
 			}
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -10,6 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"marblehaven/internal/cluster"
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
 	"marblehaven/internal/election"
 	"marblehaven/internal/protocol"
@@ -133,10 +134,10 @@
 		machine.RecordImageUse(name, 10, 40)
 	}
 	hint, _ := newImageInventory(c.sorted, 32<<10)
-	raw, _ := protocol.Marshal(hint)
+	raw, _ := codec.Marshal(hint)
 	next, _ := large(0, 1)
 	var h records.ImageInventory
-	if err := protocol.Unmarshal(raw, &h); err != nil {
+	if err := codec.Unmarshal(raw, &h); err != nil {
 		t.Fatal(err)
 	}
 	next.inheritedImages["m-000001"] = &h
@@ -166,7 +167,7 @@
 			t.Error("a job was closed on a version that is behind")
 		}
 		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: named.spec, Cancelled: true}
-		b, _ := protocol.Marshal(o)
+		b, _ := codec.Marshal(o)
 		c.applyOpenRecord(records.OpenKey(named.id), b, named.openVersion+1, late)
 		c.commit(late)
 		isNamed := func(cl jobClosing) bool { return cl.job == named }
@@ -182,7 +183,7 @@
 func TestReadingFromBeforeClosing(t *testing.T) {
 	c, now := large(0, 1)
 	job := c.jobs["req-000000"]
-	raw, _ := protocol.Marshal(records.OpenJob{AcceptedMS: now.UnixMilli(), Job: job.spec})
+	raw, _ := codec.Marshal(records.OpenJob{AcceptedMS: now.UnixMilli(), Job: job.spec})
 	record := protocol.KeyValue{Key: records.OpenKey(job.id), Value: raw, Version: job.openVersion}
 	reading := watchResult{events: []protocol.WatchEvent{{Set: record.Key, Value: raw, Version: record.Version}}, asOf: now.Add(time.Second)}
 	c.lookingUp, c.lookupBegan = true, now.Add(time.Second)
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -7,6 +7,7 @@
 
 	"marblehaven/internal/clock"
 	"marblehaven/internal/cluster"
+	"marblehaven/internal/codec"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -62,7 +63,7 @@
 	c.restoreJobs(r.open.Entries, now)
 	for _, entry := range r.claims.Entries {
 		var cl records.ProvisioningRequest
-		if err := protocol.Unmarshal(entry.Value, &cl); err == nil {
+		if err := codec.Unmarshal(entry.Value, &cl); err == nil {
 			c.provisionRequests[cl.ID] = &provisioning{ProvisioningRequest: cl, recorded: true}
 		}
 	}
@@ -70,7 +71,7 @@
 		return
 	}
 	var types []protocol.MachineType
-	if protocol.Unmarshal(r.catalog.Value, &types) == nil {
+	if codec.Unmarshal(r.catalog.Value, &types) == nil {
 		c.setTypes(types)
 		c.typesLoaded = true
 	}
@@ -121,7 +122,7 @@
 		}
 		job.segment(number).version = entry.Version
 		var r records.RunRecord
-		if err := protocol.Unmarshal(entry.Value, &r); err != nil {
+		if err := codec.Unmarshal(entry.Value, &r); err != nil {
 			c.Log.Error("unreadable run record", "job", job.id, "piece", number, "err", err)
 			job.recordUnreadable = true
 			continue
@@ -157,7 +158,7 @@
 	jobID, _ := records.ParseOpenKey(key)
 	job := c.jobs[jobID]
 	var o records.OpenJob
-	if err := protocol.Unmarshal(value, &o); err != nil {
+	if err := codec.Unmarshal(value, &o); err != nil {
 		c.Log.Error("unreadable job record", "job", jobID, "err", err)
 		c.onUnreadableRecord(jobID, value, now)
 		return
--- a/internal/leader/runrecord_test.go
+++ b/internal/leader/runrecord_test.go
@@ -9,7 +9,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"marblehaven/internal/cluster"
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -124,7 +126,7 @@
 	limits := c.Config.Deployment.State
 	value := tuning.ValueMinKB
 	limits.Next.ValueKB = &value
-	c.Store = kvstore.New("state:1", &calls{}, protocol.NewMalformedLog(c.Log), limits)
+	c.Store = kvstore.New("state:1", &calls{}, httpclient.NewMalformedLog(c.Log), limits)
 	c.useFormat(records.FormatSegmented)
 	job := c.jobs["req-000000"]
 	job.spec.Tasks = 300
@@ -147,11 +149,11 @@
 		c.addJobs(batch, c.pendingWrites(later), 1000, later)
 		for i, w := range batch.segments {
 			raw := batch.transaction.Mutations[i].Value.(msgpack.RawMessage)
-			if size, err := protocol.JSONSize(raw); err != nil || size > c.Store.MaxValueBytes() {
+			if size, err := codec.JSONSize(raw); err != nil || size > c.Store.MaxValueBytes() {
 				t.Errorf("piece %d of %d bytes, %v", w.number, size, err)
 			}
 			var r records.RunRecord
-			if err := protocol.Unmarshal(raw, &r); err != nil {
+			if err := codec.Unmarshal(raw, &r); err != nil {
 				t.Fatal(err)
 			}
 			stored[w.number] = r
@@ -178,11 +180,11 @@
 			job.placements[task] = &cluster.Placement{TaskKey: cluster.TaskKey{Task: task}, Attempt: job.nextAttempt, Incarnation: 99,
 				Machine: &cluster.Machine{ID: "m-123456", Zone: "north-west-10"}}
 		}
-		raw, err := protocol.Marshal(job.segmentRecord(number))
+		raw, err := codec.Marshal(job.segmentRecord(number))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if size, err := protocol.JSONSize(raw); err != nil || size > tuning.ValueMinKB*1024 {
+		if size, err := codec.JSONSize(raw); err != nil || size > tuning.ValueMinKB*1024 {
 			t.Errorf("%d bytes, %v", size, err)
 		}
 	}
--- a/internal/leader/versions.go
+++ b/internal/leader/versions.go
@@ -5,6 +5,7 @@
 	"errors"
 
 	"marblehaven/internal/clock"
+	"marblehaven/internal/codec"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -40,7 +41,7 @@
 	}
 	for _, entry := range page.Entries {
 		var v records.FormatVersion
-		if err := protocol.Unmarshal(entry.Value, &v); err != nil {
+		if err := codec.Unmarshal(entry.Value, &v); err != nil {
 			c.Log.Error("unreadable version record", "key", entry.Key, "err", err)
 			continue // it counts as an earlier version
 		}
--- a/internal/peer/compatible_test.go
+++ b/internal/peer/compatible_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
 )
@@ -53,13 +54,13 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
-		if err := protocol.Unmarshal(old, got); err != nil {
+		if err := codec.Unmarshal(old, got); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if d := cmp.Diff(want, got); d != "" {
 			t.Errorf("%s is read differently: %s", name, d)
 		}
-		if now, err := protocol.Marshal(want); err != nil || !bytes.Equal(now, old) {
+		if now, err := codec.Marshal(want); err != nil || !bytes.Equal(now, old) {
 			t.Errorf("%s is written as\n%x, in production as\n%x", name, now, old)
 		}
 		delete(kept, name)
@@ -72,7 +73,7 @@
 // What this version writes beyond that is passed over by the one in production, whose
 // structures are these: the names of a job's dependencies, and when a job was closed.
 func TestReadByProduction(t *testing.T) {
-	open, _ := protocol.Marshal(records.OpenJob{Job: protocol.Job{ID: "req-000001", Tasks: 3, DependsOn: []protocol.JobID{"req-000002"}}, AcceptedMS: 7})
+	open, _ := codec.Marshal(records.OpenJob{Job: protocol.Job{ID: "req-000001", Tasks: 3, DependsOn: []protocol.JobID{"req-000002"}}, AcceptedMS: 7})
 	var job struct {
 		Job struct {
 			ID    string `msgpack:"ref"`
@@ -81,15 +82,15 @@
 		AtMS      int64 `msgpack:"a"`
 		Cancelled bool  `msgpack:"c,omitempty"`
 	}
-	if err := protocol.Unmarshal(open, &job); err != nil || job.Job.ID != "req-000001" || job.Job.Tasks != 3 || job.AtMS != 7 {
+	if err := codec.Unmarshal(open, &job); err != nil || job.Job.ID != "req-000001" || job.Job.Tasks != 3 || job.AtMS != 7 {
 		t.Errorf("open record read as %+v, %v", job, err)
 	}
-	closed, _ := protocol.Marshal(records.FinalRecord{Phase: protocol.PhaseDone, TasksDone: 3, ClosedMS: 9})
+	closed, _ := codec.Marshal(records.FinalRecord{Phase: protocol.PhaseDone, TasksDone: 3, ClosedMS: 9})
 	var final struct {
 		Phase string `msgpack:"p"`
 		Tasks int    `msgpack:"n"`
 	}
-	if err := protocol.Unmarshal(closed, &final); err != nil || final.Phase != string(protocol.PhaseDone) || final.Tasks != 3 {
+	if err := codec.Unmarshal(closed, &final); err != nil || final.Phase != string(protocol.PhaseDone) || final.Tasks != 3 {
 		t.Errorf("final record read as %+v, %v", final, err)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,6 +15,7 @@
 	"google.golang.org/grpc/backoff"
 	"google.golang.org/grpc/credentials/insecure"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -77,8 +78,8 @@
 
 type messageCodec struct{}
 
-func (messageCodec) Marshal(v any) ([]byte, error)      { return protocol.Marshal(v) }
-func (messageCodec) Unmarshal(data []byte, v any) error { return protocol.Unmarshal(data, v) }
+func (messageCodec) Marshal(v any) ([]byte, error)      { return codec.Marshal(v) }
+func (messageCodec) Unmarshal(data []byte, v any) error { return codec.Unmarshal(data, v) }
 func (messageCodec) Name() string                       { return "msgpack" }
 
 const service = "marblehaven.Peer"
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -15,6 +15,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/protocol"
 )
 
@@ -100,7 +101,7 @@
 func MarkedCancelled(value []byte) bool {
 	var m map[string]msgpack.RawMessage
 	var c bool
-	return protocol.Unmarshal(value, &m) == nil && protocol.Unmarshal(m["c"], &c) == nil && c
+	return codec.Unmarshal(value, &m) == nil && codec.Unmarshal(m["c"], &c) == nil && c
 }
 
 // Placement is a task that may be on a machine.
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -18,6 +18,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
 	"marblehaven/internal/fake"
 	"marblehaven/internal/peer"
@@ -222,7 +223,7 @@
 }
 
 func (p *peerConn) Invoke(ctx context.Context, method string, args, reply any, _ ...grpc.CallOption) error {
-	raw, err := protocol.Marshal(args)
+	raw, err := codec.Marshal(args)
 	if err != nil {
 		return err
 	}
@@ -233,8 +234,8 @@
 		p.c.mu.Unlock()
 		for _, m := range peer.Service.Methods {
 			if node != nil && strings.HasSuffix(method, "/"+m.MethodName) {
-				if v, err := m.Handler(node, context.Background(), func(in any) error { return protocol.Unmarshal(raw, in) }, nil); err == nil {
-					out, _ = protocol.Marshal(v)
+				if v, err := m.Handler(node, context.Background(), func(in any) error { return codec.Unmarshal(raw, in) }, nil); err == nil {
+					out, _ = codec.Marshal(v)
 				}
 			}
 		}
@@ -242,7 +243,7 @@
 	if err != nil || out == nil {
 		return status.Error(codes.Unavailable, "no answer")
 	}
-	return protocol.Unmarshal(out, reply)
+	return codec.Unmarshal(out, reply)
 }
 
 func (p *peerConn) NewStream(context.Context, *grpc.StreamDesc, string, ...grpc.CallOption) (grpc.ClientStream, error) {
--- a/internal/server/compound_test.go
+++ b/internal/server/compound_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/fake"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/records"
@@ -296,7 +297,7 @@
 		c.env.Kill(c.env.MachinesOf("req-000001")[0])
 		time.Sleep(20 * time.Second) // its lease is over
 		var r records.RunRecord
-		if err := protocol.Unmarshal(c.env.Store.Value("o/req-000001/t"), &r); err != nil || len(r.Placements) != 2 || len(c.env.MachinesOf("req-000001")) != 2 {
+		if err := codec.Unmarshal(c.env.Store.Value("o/req-000001/t"), &r); err != nil || len(r.Placements) != 2 || len(c.env.MachinesOf("req-000001")) != 2 {
 			t.Errorf("%d run, recorded as running: %v (%v)", len(c.env.MachinesOf("req-000001")), r.Placements, err)
 		}
 		c.settle()
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/fake"
 	"marblehaven/internal/protocol"
 )
@@ -182,7 +183,7 @@
 		}
 		d := testDeployment().Workers
 		time.Sleep(time.Duration((d.CancelS - d.LeaseS) * float64(time.Second)))
-		r, _ := protocol.Marshal(protocol.Heartbeat{Machine: "m-000001", Addr: "m-000001:9000", MachineType: "small", Zone: "a", Incarnation: 1, Sequence: 1 << 40})
+		r, _ := codec.Marshal(protocol.Heartbeat{Machine: "m-000001", Addr: "m-000001:9000", MachineType: "small", Zone: "a", Incarnation: 1, Sequence: 1 << 40})
 		rec = httptest.NewRecorder()
 		cut.api.ServeHTTP(rec, httptest.NewRequest("POST", "/hello", bytes.NewReader(r)))
 		if rec.Code == 200 {
--- a/internal/server/scenario_test.go
+++ b/internal/server/scenario_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/fake"
 	"marblehaven/internal/protocol"
 )
@@ -47,7 +48,7 @@
 			job := arrayJob(1, "check", 2)
 			m := fake.JobMap(&job)
 			change(m)
-			b, _ := protocol.Marshal(m)
+			b, _ := codec.Marshal(m)
 			return b
 		}
 		many := make([]string, 3000)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -20,8 +20,10 @@
 	"marblehaven/internal/api"
 	"marblehaven/internal/clock"
 	"marblehaven/internal/cloud"
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
 	"marblehaven/internal/election"
+	"marblehaven/internal/httpclient"
 	"marblehaven/internal/kvstore"
 	"marblehaven/internal/leader"
 	"marblehaven/internal/peer"
@@ -84,7 +86,7 @@
 
 func newController(cfg *config.Config, log *slog.Logger, l transports) (*controller, error) {
 	node := &controller{cfg: cfg, log: log, format: records.FormatSupported}
-	cs := protocol.NewMalformedLog(log)
+	cs := httpclient.NewMalformedLog(log)
 	node.store = kvstore.New(cfg.Services.State, l.store, cs, cfg.Deployment.State)
 	node.cloud = cloud.New(cfg.Services.Cloud, l.cloud, cs, cfg.Deployment.Cloud.RPS*cfg.Operator.CallBudget)
 	node.agents = agent.New(l.agents, cs, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
@@ -148,7 +150,7 @@
 		var types []protocol.MachineType
 		entry, err := n.store.Get(ctx, records.KeyCatalog)
 		if err == nil {
-			err = protocol.Unmarshal(entry.Value, &types)
+			err = codec.Unmarshal(entry.Value, &types)
 		}
 		if err != nil || len(types) == 0 {
 			types, err = n.cloud.Catalog(ctx)
@@ -188,7 +190,7 @@
 		return err
 	}
 	var v records.FormatVersion
-	if err == nil && protocol.Unmarshal(entry.Value, &v) == nil && v.Format >= n.format {
+	if err == nil && codec.Unmarshal(entry.Value, &v) == nil && v.Format >= n.format {
 		return nil
 	}
 	_, err = n.store.Commit(ctx, protocol.Transaction{
@@ -239,7 +241,7 @@
 		return s, false
 	}
 	raw := n.peers.Summary(ctx, t.Node)
-	return s, raw != nil && protocol.Unmarshal(raw, &s) == nil
+	return s, raw != nil && codec.Unmarshal(raw, &s) == nil
 }
 
 // acknowledged returns the jobs that controllers, this one included, have told
@@ -271,7 +273,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), tuning.PeerTimeout)
 		defer cancel()
 		if sum, ok := c.Status(ctx); ok {
-			s.Summary, _ = protocol.Marshal(sum)
+			s.Summary, _ = codec.Marshal(sum)
 		}
 	}
 	return s
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
 	"marblehaven/internal/fake"
 	"marblehaven/internal/protocol"
@@ -90,7 +91,7 @@
 func (c *testCluster) upgraded() bool {
 	var v records.FormatVersion
 	raw := c.env.Store.Value(records.KeyCluster)
-	return raw != nil && protocol.Unmarshal(raw, &v) == nil && v.Format == records.FormatSegmented
+	return raw != nil && codec.Unmarshal(raw, &v) == nil && v.Format == records.FormatSegmented
 }
 
 func (c *testCluster) untilUpgraded(limit time.Duration) {
