--- /dev/null
+++ b/internal/protocol/identifiers.go
@@ -0,0 +1,53 @@
+package protocol
+
+import "marblehaven/internal/tuning"
+
+// JobID names a job, in the form that ValidJobID checks.
+type JobID string
+
+// ValidJobID tells whether s has the form of a job id.
+func ValidJobID(s JobID) bool {
+	const prefix = "req-"
+	if len(s) <= len(prefix) || len(s) > len(prefix)+20 || s[:len(prefix)] != prefix {
+		return false
+	}
+	for _, c := range s[len(prefix):] {
+		if c < '0' || c > '9' {
+			return false
+		}
+	}
+	return true
+}
+
+// Term numbers the leaders one after another: a newer leader has a higher term.
+type Term uint64
+
+// FencingToken proves to an agent which leader a command or an answer comes from.
+// Its high bits are the leader's term; the low bits count the tokens that the
+// leader has issued to one machine.
+type FencingToken uint64
+
+// FirstToken returns the lowest token of the term.
+func (t Term) FirstToken() FencingToken { return FencingToken(t) << tuning.TermShift }
+
+// Term returns the term of the leader that issued the token.
+func (t FencingToken) Term() Term { return Term(t >> tuning.TermShift) }
+
+// Incarnation numbers the lives of an agent: a new one begins when its lease
+// expires, and everything that ran in the ones before is gone.
+type Incarnation uint64
+
+// Revision counts all changes of the key-value store.
+type Revision uint64
+
+// Version is the revision of a key's last change; 0: the key does not exist.
+type Version uint64
+
+// Version returns the version of the keys that were written at the revision.
+func (r Revision) Version() Version { return Version(r) }
+
+// Revision returns the revision of the change that a version stands for.
+func (v Version) Revision() Revision { return Revision(v) }
+
+// LeaseID names a lease of the key-value store.
+type LeaseID uint64
--- a/internal/records/placement.go
+++ b/internal/records/placement.go
@@ -6,6 +6,17 @@
 	"marblehaven/internal/protocol"
 )
 
+// Placement is a task that may be on a machine.
+type Placement struct {
+	Task        int
+	Attempt     uint64
+	Machine     string
+	Incarnation protocol.Incarnation
+	// Zone is set where the job has conditions on zones: a new leader may not
+	// know the machine's yet, and must count the task where it is.
+	Zone string
+}
+
 // placementFields is the number of fields of a placement, which is stored as a list
 // of them without names: run records hold hundreds.
 const placementFields = 5
--- a/internal/records/pieces.go
+++ b/internal/records/segments.go
@@ -39,24 +39,3 @@
 	}
 	return whole
 }
-
-// Append adds a range that begins behind all members of the set.
-func (r *TaskRanges) Append(first, last int) {
-	if n := len(*r); n > 0 && (*r)[n-1][1] == first-1 {
-		(*r)[n-1][1] = last
-		return
-	}
-	*r = append(*r, [2]int{first, last})
-}
-
-// Within returns the members of the set from first to last.
-func (r TaskRanges) Within(first, last int) TaskRanges {
-	out := TaskRanges{}
-	for _, e := range r {
-		low, high := max(e[0], first), min(e[1], last)
-		if low <= high {
-			out = append(out, [2]int{low, high})
-		}
-	}
-	return out
-}
