--- a/internal/tuning/machines.go
+++ b/internal/tuning/agents.go
@@ -23,6 +23,7 @@
 
 	// HeartbeatJitter times report_s is the longest pause between two reports of a worker.
 	HeartbeatJitter = 1.25
+
 	// SchedulableHeartbeats is how many report intervals may pass before a machine is
 	// not given new work.
 	SchedulableHeartbeats = 2.6
--- a/internal/tuning/users.go
+++ b/internal/tuning/users.go
@@ -50,27 +50,6 @@
 	// that a large site's state service takes, and less than MaxBody together.
 	AcknowledgedJobs = 1000
 
-	// MaxInflight bounds user requests being worked on at once in one node, and
-	// so does the number of its sockets over SocketsUsers: each may take one to
-	// the state service.
-	MaxInflight  = 256
-	SocketsUsers = 6
-
-	// DependenciesMax bounds the jobs that one job may wait for: their names must
-	// fit in its record, with ids of the largest form in 30 bytes each, and in
-	// one transaction's conditions. Pipelines have a handful.
-	DependenciesMax = 32
-
-	// DependencyReads bounds the jobs that jobs wait for which are read one by one, for
-	// an answer and by a node within DependencyCheckShare of cancel_s: a few pipelines'
-	// worth. For more, all open jobs are read at once, which takes some pages.
-	DependencyReads = 64
-
-	// DependencyCheckShare is the part of cancel_s for which a node relies on what it
-	// last knew of a job and of those that it waits for: whoever was told that one of
-	// them is cancelled must hear the same of the dependents within cancel_s.
-	DependencyCheckShare = 0.25
-
 	// SegmentsRead is how many pieces of a job a poll reads; its counts of tasks are
 	// for display, and it reads no more for jobs of thousands of tasks.
 	SegmentsRead = 32
@@ -78,6 +57,7 @@
 	// SharedReadsFor is for how long after a throttled read questions share readings of
 	// all open jobs: a user asks again within about 5 s.
 	SharedReadsFor = 5 * time.Second
+
 	// SharedReadsShare is the part of the state service's requests that these readings of
 	// all nodes may take together, and SharedReadsPause the longest pause between two of
 	// a node: a question has PollDeadline.
