--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -2,71 +2,79 @@
 
 import "time"
 
-// Constants of workers and the machines that they run on.
+// Constants of agents and the machines that they run on.
 const (
-	// CommandTimeout ends a direct command. Workers answer at once unless they hang.
+	// CommandTimeout ends a direct command to an agent. Agents answer at once unless their
+	// machine hangs.
 	CommandTimeout = 2 * time.Second
 
-	// HandshakeInterval is the pause between attempts to reach a machine that has not
-	// seen the term's token; its own report comes within a few seconds anyway.
+	// HandshakeInterval is the pause between handshakes with a machine that has not
+	// acknowledged a token of the term. Its own heartbeat comes within a few seconds anyway.
 	HandshakeInterval = 2 * time.Second
 
-	// HandshakesInFlight is how many handshakes are under way at the same time after a
-	// takeover, production's first: all at once would keep the processor from
-	// the answers that hold their leases.
-	// One that hangs holds its place for CommandTimeout.
+	// HandshakesInFlight is how many handshakes are in flight at once after a failover,
+	// machines with production tasks first. All at once would take the processor from the
+	// heartbeat replies that renew the agents' leases. A machine that hangs holds its
+	// place for CommandTimeout.
 	HandshakesInFlight = 128
 
-	// AgentRetry is what a worker takes to find out that a node does not answer
-	// and to try another: PROTOCOL's 4 s and 1 s.
+	// AgentRetry is how long an agent takes to notice that a controller does not answer and
+	// to turn to another one: 4 s for the answer, 1 s until the next attempt.
 	AgentRetry = 5 * time.Second
 
-	// HeartbeatJitter times report_s is the longest pause between two reports of a worker.
+	// HeartbeatJitter times report_s is the longest pause between two heartbeats of an
+	// agent, as the interface with agents says.
 	HeartbeatJitter = 1.25
 
-	// SchedulableHeartbeats is how many report intervals may pass before a machine is
-	// not given new work.
+	// SchedulableHeartbeats is how many heartbeat intervals a machine may be silent and
+	// still be given new tasks: one heartbeat may be lost between two of the longest pauses.
 	SchedulableHeartbeats = 2.6
 
-	// UnreachableHeartbeats is how many report intervals a silent machine that answers no
-	// direct call either is waited for, if what is on it can wait; reports come
-	// every 0.75 to 1.25 intervals, and after a lost one in about 5 s.
+	// UnreachableHeartbeats is how many heartbeat intervals a silent machine that does not
+	// answer commands either is waited for, if its tasks can wait. Heartbeats come every
+	// 0.75 to 1.25 intervals, and after a lost one in about AgentRetry.
 	UnreachableHeartbeats = 3.5
 
-	// OneWayPartitionShare is the share of machines that may be deaf at once to be given back.
+	// OneWayPartitionShare is the largest share of the machines that may be in a one-way
+	// partition at once and be deprovisioned for it. Where more are, the network failed,
+	// not the machines.
 	OneWayPartitionShare = 0.1
 
-	// UnreachableCommands is how many direct calls in a row a machine that is silent for
-	// one and a half report intervals must leave unanswered, CommandTimeout each, to
-	// count as lost. One may be lost itself.
+	// UnreachableCommands is how many commands in a row a machine that is silent for
+	// MissedHeartbeats must leave unanswered, each for CommandTimeout, to count as lost.
+	// One command may be lost itself.
 	UnreachableCommands = 2
 
-	// ZoneOutageShare is the share of a zone's machines that may be silent for that:
-	// beyond it the zone or the link to it is cut, and the work goes on there.
+	// ZoneOutageShare is the largest share of a zone's machines that may be silent for
+	// single machines of the zone to count as lost. Beyond it the zone, or the link to the
+	// zone, has failed, and the tasks there go on.
 	ZoneOutageShare = 0.4
 
-	// OneWayPartitionHeartbeats is how many reports in a row may show nothing of a higher token
-	// that the ones before were answered with: one answer may be lost or late.
+	// OneWayPartitionHeartbeats is how many heartbeats in a row must lack the higher token
+	// with which the heartbeats before were answered, for the machine to count as
+	// receiving no replies: one reply may be lost or late.
 	OneWayPartitionHeartbeats = 3
 
-	// UnreachableGrace is how long after its lease a silent machine is given back:
-	// a cut often ends within this time, a dead one costs money.
+	// UnreachableGrace is how long after the end of its lease a silent machine is
+	// deprovisioned. Network failures often end within this time, and a dead machine
+	// costs money.
 	UnreachableGrace = 20 * time.Second
 
-	// NoHeartbeatLimit is how long a machine that answers commands may report nothing by
-	// itself before it is given back all the same: it can do no work. Longer than
-	// what keeps workers from connecting usually lasts, since it is often many of
-	// them, and to rent as many anew takes a boot and the cloud's calls.
+	// NoHeartbeatLimit is how long a machine that answers commands may send no heartbeat
+	// before it is deprovisioned all the same, since it can do no work. It is longer than
+	// most failures that keep agents from connecting: these strike many machines at once,
+	// and replacing them takes a boot and the cloud's call budget.
 	NoHeartbeatLimit = 4 * time.Minute
 
-	// MachineBackoff rests a machine that refused a start.
+	// MachineBackoff is how long a machine that refused a start gets no new task, and the
+	// pause before other calls that were refused are repeated.
 	MachineBackoff = 2 * time.Second
 
-	// QuarantineJobs is how many different jobs must fail on a machine before it is
-	// taken for faulty: one alone may be the job's own mistake.
+	// QuarantineJobs is how many different jobs must fail on a machine before it is taken
+	// for faulty: a single job may fail by its own mistake.
 	QuarantineJobs = 2
 
-	// HeartbeatDeadline ends the wait for the leader's answer to a report; workers
-	// drop answers after 4 s.
+	// HeartbeatDeadline ends the wait for the leader's reply to a heartbeat. Agents drop
+	// replies that take more than 4 s.
 	HeartbeatDeadline = 3 * time.Second
 )
--- a/internal/tuning/doc.go
+++ b/internal/tuning/doc.go
@@ -1,3 +1,4 @@
-// Package tuning holds every constant of the service, with its unit and the
-// reason for its value. What operators may change is in config.Operator.
+// Package tuning holds every constant of the service, in one file for each subject, with its
+// unit and the reason for its value. Settings that operators may change are in
+// config.Operator.
 package tuning
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -2,37 +2,41 @@
 
 import "time"
 
-// Constants of what controllers exchange.
+// Constants of the calls between controllers.
 const (
-	// PeerExchangeInterval is the pause between status exchanges with peers.
+	// PeerExchangeInterval is the pause between exchanges of status with a peer: the same
+	// as that of the leader's confirmations from the store.
 	PeerExchangeInterval = 1 * time.Second
 
-	// PeerWindow is the window in which peers' reports sent on are counted; up to
-	// twice as long. A worker that cannot reach the leader asks them all in it.
+	// PeerWindow is the window in which heartbeats that peers have redirected are counted;
+	// the count covers up to two windows. An agent that cannot reach the leader tries every
+	// peer within this time.
 	PeerWindow = 5 * time.Second
 
-	// PeerRedial is the first pause before a lost peer is dialled again.
+	// PeerRedial is the first pause before the connection to a lost peer is dialled again.
 	PeerRedial = 200 * time.Millisecond
 
-	// PeerTimeout ends a call to a peer.
+	// PeerTimeout ends a call to a peer, which answers from memory.
 	PeerTimeout = 1 * time.Second
 
-	// ForwardTimeout ends a user's call passed to a peer; a poll has 2 s in all.
+	// ForwardTimeout ends a user's call that was forwarded to a peer. A user waits 2 s for
+	// a job's status.
 	ForwardTimeout = 1500 * time.Millisecond
 
-	// StoreServedAge is how long ago the state service may have served a node that
-	// counts as served; its follow of the leader key returns every second.
+	// StoreServedAge is how long ago the store may have served a controller for which it
+	// counts as reachable. The controller's watch on the leader key returns every second.
 	StoreServedAge = 2500 * time.Millisecond
 
-	// RefusedAloneLag is how much later peers must have been served for a node to
-	// count as refused alone: more than nodes differ at the start of an outage.
+	// RefusedAloneLag is how much later than a controller its peers must have been served
+	// by the store for that controller to count as refused alone. It is more than the
+	// controllers differ at the start of an outage of the store.
 	RefusedAloneLag = 2500 * time.Millisecond
 
-	// IsolatedAfter is how long neither the state service nor a peer may be heard
-	// before a node takes itself for cut off: some exchanges of both.
+	// IsolatedAfter is how long neither the store nor a peer may have answered before a
+	// controller takes itself for isolated: several calls to either.
 	IsolatedAfter = 5 * time.Second
 
-	// PeerFresh is how old a peer's being served may be to count as present:
-	// the follow's second, the exchange's second and their delays.
+	// PeerFresh is how old a peer's last service by the store, or its last answer, may be to
+	// count as present: a second for the watch, one for the exchange, and their delays.
 	PeerFresh = 3 * time.Second
 )
--- a/internal/tuning/provisioning.go
+++ b/internal/tuning/provisioning.go
@@ -2,47 +2,54 @@
 
 import "time"
 
-// Constants of the cloud and what is rented there.
+// Constants of the cloud and of the machines that are provisioned there.
 const (
-	// CloudTimeout ends a cloud call; usual answers take about 100 ms.
+	// CloudTimeout ends a call to the cloud. Answers usually take about 100 ms.
 	CloudTimeout = 4 * time.Second
 
-	// CloudBurst is how many seconds' worth of calls may be made at once; the
+	// CloudBurst is how many seconds' worth of the call budget may be spent at once. The
 	// cloud allows two.
 	CloudBurst = 1.5
 
-	// ListInterval is the pause between cloud list calls, within the call budget.
+	// ListInterval is the least pause between two reads of the list of machines, so that
+	// most of the call budget is left for provisioning.
 	ListInterval = 3 * time.Second
 
-	// ListLags times the lag of the cloud's list is how long after a machine was given
-	// back a list may begin that still names it: usually twice the lag at most.
+	// ListLags times list_lag_s is how long after a machine was deprovisioned a read of the
+	// list may begin that still names it. The list usually lags by twice list_lag_s at most.
 	ListLags = 6
 
-	// ListShare is the part of the calls that may be made that goes into lists.
+	// ListShare is the share of the call budget that reads of the list may take.
 	ListShare = 0.25
 
-	// CatalogInterval refreshes prices; they move slowly.
+	// CatalogInterval is the pause between reads of the machine types and their prices,
+	// which change slowly.
 	CatalogInterval = 30 * time.Second
 
-	// ProvisionMax and DeprovisionMax are the limits of PROTOCOL on one call.
-	ProvisionMax   = 50
+	// ProvisionMax is the largest number of machines in a provisioning request, as the
+	// cloud says.
+	ProvisionMax = 50
+	// DeprovisionMax is the largest number of machines in a call that deprovisions them, as
+	// the cloud says.
 	DeprovisionMax = 100
-	ListMax        = 500
+	// ListMax is the largest number of machines in a page of the list, as the cloud says.
+	ListMax = 500
 
-	// PoolsInFlight is for how many offers the cloud is asked at once: about what
-	// it answers in a second or two.
+	// PoolsInFlight is for how many capacity pools requests may be in flight at once: about
+	// as many as the cloud answers in a second or two.
 	PoolsInFlight = 6
 
-	// NoCapacityBackoff and its maximum rest a type, zone and kind after a
-	// refusal. Capacity comes back when others return machines.
-	NoCapacityBackoff    = 5 * time.Second
+	// NoCapacityBackoff is how long a capacity pool is left alone after its first refusal.
+	NoCapacityBackoff = 5 * time.Second
+	// NoCapacityBackoffMax is the longest such pause; it doubles with each refusal.
+	// Capacity comes back when others give machines back.
 	NoCapacityBackoffMax = 40 * time.Second
 
-	// BootSlow is how many times bootS a machine's room counts as coming;
-	// usual boots end at 1.5.
+	// BootSlow times bootS is how long a machine that boots counts as capacity to come.
+	// Usual boots end at 1.5 times bootS.
 	BootSlow = 2.0
 
-	// BootGiveUp is how many times bootS a machine may take before it is taken
-	// for one that never comes up.
+	// BootGiveUp times bootS is how long a machine may boot before it is taken for one that
+	// never comes up. Some boots take several times bootS.
 	BootGiveUp = 4.0
 )
--- a/internal/tuning/sockets.go
+++ b/internal/tuning/sockets.go
@@ -2,48 +2,53 @@
 
 import "time"
 
-// Constants of connections and sockets.
+// Constants of connections and of the sockets that a process may have.
 const (
-	// IdleTimeout closes connections nobody has used for so long, but for those
-	// that users and workers make.
+	// IdleTimeout closes idle connections that this process made to the store and the
+	// cloud. It is longer than the pauses between calls to them.
 	IdleTimeout = 120 * time.Second
 
-	// IdleHeartbeats times report_s is how long a connection that was made to us is
-	// kept idle, and IdleMin the least: users poll about every 5 s. A worker
-	// that left, or reports to another node, must not hold a socket for long.
+	// IdleHeartbeats times report_s is how long a connection made to this process is kept
+	// idle. An agent that is gone, or sends its heartbeats to another controller, must not
+	// hold a socket for long.
 	IdleHeartbeats = 5
-	IdleMin        = 20 * time.Second
+	// IdleMin is the least time that such a connection is kept idle, since users ask about a
+	// job every 5 s. Idle connections to agents are kept as long.
+	IdleMin = 20 * time.Second
 
-	// DialTimeout ends a connection attempt: a host that is cut off is silent.
+	// DialTimeout ends an attempt to connect: a host that is cut off does not answer.
 	DialTimeout = 1 * time.Second
 
-	// StateConns and CloudConns are connections kept open when idle: two
-	// follows, a commit and users' calls; the cloud gets a few calls a second.
+	// StateConns is how many idle connections to the store are kept: for two watches, a
+	// commit and users' calls.
 	StateConns = 12
+	// CloudConns is the same for the cloud, which gets a few calls a second.
 	CloudConns = 2
 
-	// SocketsOwn are a process's sockets for itself, beside those for users'
-	// calls at the state service, peers and workers: listeners, the leader's
-	// calls of the state service and the cloud, and what the runtime opens.
+	// SocketsOwn is how many sockets a process keeps for itself, beside those for users'
+	// calls to the store, peers and agents: listeners, the leader's calls to the store and
+	// the cloud, and those that the runtime opens.
 	SocketsOwn = 48
 
-	// SocketsCommands is the part of the sockets left after these, and after two
-	// for each peer, that direct commands to workers may take, idle ones too. The
-	// rest is for connections made to us: a worker holds one all the time and a
-	// command's only for milliseconds.
+	// SocketsCommands is the share of the sockets left after these, and after two for each
+	// peer, that commands to agents may take, idle connections included. The rest is for
+	// connections made to this process: an agent holds one of these all the time, and one
+	// for a command only for milliseconds.
 	SocketsCommands = 0.2
 
-	// SocketsCommandsMax bounds that part, half of it for commands under way: with
-	// CommandTimeout for each that hangs, a tenth of 4,000 machines is asked within 4 s.
-	// More would take connections from workers, of which each holds one.
+	// SocketsCommandsMax is the largest number of sockets for commands, half of which may be
+	// in use. With CommandTimeout for each machine that hangs, a tenth of 4,000 machines is
+	// asked within 4 s. More would take sockets from agents' own connections.
 	SocketsCommandsMax = 512
 
-	// SocketsMin is the least that must be left for connections made to us.
+	// SocketsMin is the least number of sockets for connections made to this process with
+	// which the settings are accepted.
 	SocketsMin = 32
 
-	// MaxInflight bounds user requests being worked on at once in one node, and
-	// so does the number of its sockets over SocketsUsers: each may take one to
-	// the state service.
-	MaxInflight  = 256
+	// MaxInflight is the largest number of users' requests that one controller works on at
+	// once.
+	MaxInflight = 256
+	// SocketsUsers divides the limit of sockets into another bound of that number, since
+	// each request may take a socket to the store: at most a sixth goes there.
 	SocketsUsers = 6
 )
--- a/internal/tuning/status.go
+++ b/internal/tuning/status.go
@@ -4,15 +4,19 @@
 
 // Constants of the status page and the log.
 const (
-	// ErrorLogInterval limits repeated complaints about one source.
+	// ErrorLogInterval is the least pause between two log lines about malformed messages,
+	// and how long production tasks may wait before their job counts as overdue.
 	ErrorLogInterval = 5 * time.Second
 
-	// OverdueLogInterval limits the liaison's log line about late production work.
+	// OverdueLogInterval is the least pause between two log lines about overdue production
+	// jobs: a person reads them.
 	OverdueLogInterval = 10 * time.Second
 
-	// StatusInterval is how often the summary for the status page is made.
+	// StatusInterval is the pause between two summaries for the status page, which the
+	// browser loads again every 10 s.
 	StatusInterval = 1 * time.Second
 
-	// UnknownTasksShown is how many tasks that no record names are on the status page.
+	// UnknownTasksShown is how many tasks that no record names the status page shows, so
+	// that the page stays short.
 	UnknownTasksShown = 20
 )
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -4,39 +4,41 @@
 
 // Constants of the key-value store.
 const (
-	// StateTimeout ends a state service call. Answers usually take under 10 ms
-	// and now and then a few hundred, so this is well past the slow ones.
+	// StateTimeout ends a call to the store. Answers usually take less than 10 ms and now
+	// and then a few hundred, so this is well beyond the slow ones.
 	StateTimeout = 1500 * time.Millisecond
 
-	// StatePage is how many keys a page of a list of the state service holds at most
-	// (PROTOCOL).
+	// StatePage is the largest number of keys in a page of a list, as the store says.
 	StatePage = 1000
-
-	// StatePageBytes is how many bytes such a page holds at most (PROTOCOL).
+	// StatePageBytes is the largest size of such a page in bytes, as the store says.
 	StatePageBytes = 512 << 10
 
-	// LeaderWriteShare is the leader's part of the changes a second; the rest
-	// is left for submissions and cancellations on all nodes.
+	// LeaderWriteShare is the leader's share of the store's mutations a second. The rest is
+	// left for submissions and cancellations by all controllers.
 	LeaderWriteShare = 0.7
 
-	// CommitBytes bounds a commit, in bytes as JSON, under the 64 KiB limit.
+	// CommitBytes is the largest size of a batch of the leader's writes, in bytes as JSON:
+	// well within TransactionBytes, so that estimates of a record's size may be wrong.
 	CommitBytes = 48 << 10
 
-	// ValueMinKB is the smallest value limit to serve with, in KiB: a piece of a
-	// run record must fit.
+	// ValueMinKB is the smallest limit of a value's size, in KiB, with which the settings
+	// are accepted: a segment of a run record must fit.
 	ValueMinKB = 2.0
 
-	// TransactionMutationsMin is the smallest transaction to serve with: a job's open and
-	// final records and a piece of its run record, and one change beside them.
+	// TransactionMutationsMin is the smallest limit of mutations in a transaction with which
+	// the settings are accepted: the open and the final record of a job, a segment of its
+	// run record, and one mutation beside them.
 	TransactionMutationsMin = 4
 
-	// TransactionPreconditions is how many conditions a transaction may have for each change.
+	// TransactionPreconditions is how many preconditions a transaction may have for each
+	// mutation that the store's limit allows, as the store says.
 	TransactionPreconditions = 4
 
-	// TransactionEntryBytes is what a condition or a change takes in a transaction beside
-	// its value, in bytes as JSON: its key, field names and a version.
+	// TransactionEntryBytes is the size of a precondition or a mutation beside its value,
+	// in bytes as JSON: its key, names of fields and a version.
 	TransactionEntryBytes = 120
 
-	// TransactionBytes is the largest transaction in bytes as JSON.
+	// TransactionBytes is the largest size of a transaction in bytes as JSON, as the store
+	// says.
 	TransactionBytes = 64 << 10
 )
