--- a/internal/records/doc.go
+++ b/internal/records/doc.go
@@ -1,9 +1,8 @@
-// Package records defines the durable records and their keys.
+// Package records defines the records in the key-value store and their keys.
 //
-// An open job is o/<ref> and, once it was worked on, o/<ref>/t with the run record,
-// whose further pieces are o/<ref>/t/<number> (see Piece). A finished job is
-// d/<ref>. Closing moves a job from one to the other in one commit, so at every
-// moment an accepted job is at exactly one of them: whoever finds neither may say
-// that the job is not known. Pieces that are left without an open record belong to
-// a finished job and may be removed.
+// An open job has the record o/<job>. Once it was scheduled, it also has a run record under
+// o/<job>/t, whose further segments are o/<job>/t/<number>. A finished job has the record
+// d/<job>. One transaction replaces the open record by the final one, so at every moment an
+// accepted job has exactly one of the two, and a job with neither was never accepted.
+// Segments without an open record belong to a finished job and may be deleted.
 package records
--- a/internal/records/format.go
+++ b/internal/records/format.go
@@ -1,16 +1,17 @@
 package records
 
-// Versions of the formats of records. Version 1 keeps a job's whole run record
-// under one key; version 2 divides it into pieces.
+// Versions of the record formats.
 const (
-	FormatWhole     = 1
+	// FormatWhole keeps the run record of a job under one key.
+	FormatWhole = 1
+	// FormatSegmented divides the run record of a job into segments.
 	FormatSegmented = 2
-	// FormatSupported is what this program can read and write.
+	// FormatSupported is the newest version that this program reads and writes.
 	FormatSupported = FormatSegmented
 )
 
-// FormatVersion is the format version that a controller can read and write, under its
-// node key, or the one that the whole cluster uses, under the cluster key.
+// FormatVersion is stored under NodeKey as the newest format version that a controller reads
+// and writes, and under KeyCluster as the version that the whole cluster uses.
 type FormatVersion struct {
 	Format int `msgpack:"v"`
 }
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -7,26 +7,26 @@
 	"marblehaven/internal/protocol"
 )
 
-// OpenJob is an accepted job that is not over.
+// OpenJob is the record of a job that was accepted and is not finished.
 type OpenJob struct {
 	Job        protocol.Job `msgpack:"j"`
-	AcceptedMS int64        `msgpack:"a"` // time of day of acceptance
+	AcceptedMS int64        `msgpack:"a"` // time of acceptance, in Unix milliseconds
 	Cancelled  bool         `msgpack:"c,omitempty"`
 }
 
-// MarkedCancelled looks for the mark of a cancellation in an open record that
-// cannot be read as a whole.
+// MarkedCancelled reports whether an encoded OpenJob says that the job is cancelled. It is for
+// records that cannot be decoded as a whole: a cancellation must be respected in these, too.
 func MarkedCancelled(value []byte) bool {
 	var m map[string]msgpack.RawMessage
 	var c bool
 	return codec.Unmarshal(value, &m) == nil && codec.Unmarshal(m["c"], &c) == nil && c
 }
 
-// FinalRecord is the last word on a job.
+// FinalRecord is the record of a finished job. It is never changed or deleted.
 type FinalRecord struct {
 	Phase     protocol.JobPhase `msgpack:"p"`
 	TasksDone int               `msgpack:"n"`
-	// ClosedMS is the time of day when the job was closed; the waits of jobs that
-	// depend on it count from then. 0 in records of earlier versions.
+	// ClosedMS is when the job was finished, in Unix milliseconds; the waiting times of jobs
+	// that depend on it count from then. It is 0 in records of earlier versions.
 	ClosedMS int64 `msgpack:"a,omitempty"`
 }
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -9,27 +9,41 @@
 
 // Keys of single records and prefixes of the others.
 const (
-	KeyTerm            = "term"
-	KeyLeader          = "leader"
-	KeyCatalog         = "catalog"
-	KeyCluster         = "version"
-	PrefixOpen         = "o/"
+	// KeyTerm holds the LeaderRecord of the newest term, and outlives its leader.
+	KeyTerm = "term"
+	// KeyLeader holds the same record as long as the leader renews its lease of the store.
+	KeyLeader = "leader"
+	// KeyCatalog holds the cloud's machine types, for controllers that cannot ask the cloud.
+	KeyCatalog = "catalog"
+	// KeyCluster holds the FormatVersion that the whole cluster uses.
+	KeyCluster = "version"
+	// PrefixOpen begins the keys of open jobs and of their run records.
+	PrefixOpen = "o/"
+	// PrefixProvisioning begins the keys of provisioning requests.
 	PrefixProvisioning = "r/"
-	PrefixImages       = "h/"
-	PrefixNode         = "v/"
+	// PrefixImages begins the keys of the parts of the image cache inventory.
+	PrefixImages = "h/"
+	// PrefixNode begins the keys of the controllers' format versions.
+	PrefixNode = "v/"
 )
 
-// OpenKey, FinalKey, ClaimKey and NodeKey name the records of a job, a claim and a
-// controller.
-func OpenKey(jobID protocol.JobID) string  { return PrefixOpen + string(jobID) }
+// OpenKey returns the key of the record of an open job.
+func OpenKey(jobID protocol.JobID) string { return PrefixOpen + string(jobID) }
+
+// FinalKey returns the key of the record of a finished job.
 func FinalKey(jobID protocol.JobID) string { return "d/" + string(jobID) }
-func ProvisioningKey(c string) string      { return PrefixProvisioning + c }
-func NodeKey(node string) string           { return PrefixNode + node }
 
+// ProvisioningKey returns the key of the record of a provisioning request.
+func ProvisioningKey(requestID string) string { return PrefixProvisioning + requestID }
+
+// NodeKey returns the key of the format version that a controller has recorded.
+func NodeKey(node string) string { return PrefixNode + node }
+
+// segmentSuffix follows the key of an open job in the keys of its run record.
 const segmentSuffix = "/t"
 
-// SegmentKey names a piece of a job's run record. The first has the key of the whole
-// record as version 1 of the formats writes it.
+// SegmentKey returns the key of a segment of a job's run record. Segment 0 has the key that
+// the whole run record has in FormatWhole.
 func SegmentKey(jobID protocol.JobID, segment int) string {
 	if segment == 0 {
 		return PrefixOpen + string(jobID) + segmentSuffix
@@ -37,11 +51,11 @@
 	return PrefixOpen + string(jobID) + segmentSuffix + "/" + strconv.Itoa(segment)
 }
 
-// NoSegment is the piece number of an open job's own record.
+// NoSegment is returned by ParseOpenKey as the segment for the key of an open job's own record.
 const NoSegment = -1
 
-// ParseOpenKey takes the key of an open job's record or of a piece of its run record
-// apart.
+// ParseOpenKey splits the key of an open job's record, or of a segment of its run record,
+// into job ID and segment. A key with a malformed segment number counts as segment 0.
 func ParseOpenKey(key string) (jobID protocol.JobID, segment int) {
 	name, rest, isRun := strings.Cut(strings.TrimPrefix(key, PrefixOpen), segmentSuffix)
 	jobID = protocol.JobID(name)
--- a/internal/records/placement.go
+++ b/internal/records/placement.go
@@ -6,22 +6,22 @@
 	"marblehaven/internal/protocol"
 )
 
-// Placement is a task that may be on a machine.
+// Placement is a task that may be on a machine, in the given incarnation of its agent.
 type Placement struct {
 	Task        int
 	Attempt     uint64
 	Machine     string
 	Incarnation protocol.Incarnation
-	// Zone is set where the job has conditions on zones: a new leader may not
-	// know the machine's yet, and must count the task where it is.
+	// Zone is set for jobs with constraints on zones: a new leader may not know the zone
+	// of the machine yet, and must count the task there.
 	Zone string
 }
 
-// placementFields is the number of fields of a placement, which is stored as a list
-// of them without names: run records hold hundreds.
+// placementFields is the number of fields of a placement. It is stored as a list without the
+// names of fields, since a run record holds hundreds of placements.
 const placementFields = 5
 
-// EncodeMsgpack writes the fields in their order.
+// EncodeMsgpack writes the fields as a list, in the order in which they are declared.
 func (p Placement) EncodeMsgpack(e *msgpack.Encoder) error {
 	if err := e.EncodeArrayLen(placementFields); err != nil {
 		return err
@@ -41,8 +41,8 @@
 	return e.EncodeString(p.Zone)
 }
 
-// DecodeMsgpack reads the fields in their order; missing ones are zero, and what a
-// later version adds behind them is passed over.
+// DecodeMsgpack reads the list that EncodeMsgpack writes. Missing fields are zero, and further
+// fields, which a later version may add, are ignored.
 func (p *Placement) DecodeMsgpack(d *msgpack.Decoder) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
--- a/internal/records/segments.go
+++ b/internal/records/segments.go
@@ -2,34 +2,34 @@
 
 import "marblehaven/internal/tuning"
 
-// SegmentOf is the number of the run record's piece that a task belongs to. The first
-// piece, number 0, also holds the tasks of every piece that was not written yet: a
-// record that holds the whole job is a first piece without others.
+// SegmentOf returns the number of the run record's segment that a task belongs to. Segment 0
+// also holds the tasks of every segment that has not been written yet, so a run record in
+// FormatWhole is a segment 0 without others.
 func SegmentOf(task int) int { return task / tuning.SegmentTasks }
 
-// SegmentCount is how many pieces the run record of a job with so many tasks has.
+// SegmentCount returns how many segments the run record of a job with so many tasks has.
 func SegmentCount(tasks int) int { return (tasks + tuning.SegmentTasks - 1) / tuning.SegmentTasks }
 
-// JoinSegments joins the pieces of a job's run record. Where the first piece still names
-// tasks of a piece that was written since, the latter alone counts for them.
-func JoinSegments(pieces map[int]RunRecord) RunRecord {
+// JoinSegments joins the segments of a job's run record, given by their numbers. Where segment
+// 0 still names tasks of a segment that has been written since, only the latter counts.
+func JoinSegments(segments map[int]RunRecord) RunRecord {
 	var whole RunRecord
-	for number, piece := range pieces {
-		whole.NextAttempt = max(whole.NextAttempt, piece.NextAttempt)
+	for number, segment := range segments {
+		whole.NextAttempt = max(whole.NextAttempt, segment.NextAttempt)
 		counts := func(task int) bool {
 			own := SegmentOf(task)
 			if number != 0 {
 				return own == number
 			}
-			_, written := pieces[own]
+			_, written := segments[own]
 			return own == 0 || !written
 		}
-		for _, placement := range piece.Placements {
+		for _, placement := range segment.Placements {
 			if counts(placement.Task) {
 				whole.Placements = append(whole.Placements, placement)
 			}
 		}
-		for _, r := range piece.Done.Within(0, tuning.MaxTasks-1) {
+		for _, r := range segment.Done.Within(0, tuning.MaxTasks-1) {
 			for task := r[0]; task <= r[1]; task++ {
 				if counts(task) {
 					whole.Done.Add(task)
--- a/internal/records/task_ranges.go
+++ b/internal/records/task_ranges.go
@@ -6,6 +6,8 @@
 // job of 100,000 finished tasks takes a few bytes.
 type TaskRanges [][2]int
 
+// find returns the index of the range that holds n, or else the index of the first range
+// behind n.
 func (r TaskRanges) find(n int) (int, bool) {
 	return slices.BinarySearchFunc(r, n, func(e [2]int, n int) int {
 		switch {
@@ -18,10 +20,10 @@
 	})
 }
 
-// Has tells whether n is in the set.
+// Has reports whether n is in the set.
 func (r TaskRanges) Has(n int) bool { _, ok := r.find(n); return ok }
 
-// Add puts n into the set.
+// Add puts n into the set, and joins ranges that touch.
 func (r *TaskRanges) Add(n int) {
 	i, ok := r.find(n)
 	if ok {
@@ -44,7 +46,7 @@
 	*r = s
 }
 
-// Count is the size of the set.
+// Count returns the size of the set.
 func (r TaskRanges) Count() int {
 	n := 0
 	for _, e := range r {
@@ -53,7 +55,7 @@
 	return n
 }
 
-// Append adds a range that begins behind all members of the set.
+// Append adds the range from first to last, which must lie behind all members of the set.
 func (r *TaskRanges) Append(first, last int) {
 	if n := len(*r); n > 0 && (*r)[n-1][1] == first-1 {
 		(*r)[n-1][1] = last
@@ -62,7 +64,7 @@
 	*r = append(*r, [2]int{first, last})
 }
 
-// Within returns the members of the set from first to last.
+// Within returns the members of the set from first to last, both included.
 func (r TaskRanges) Within(first, last int) TaskRanges {
 	out := TaskRanges{}
 	for _, e := range r {
--- a/internal/records/term.go
+++ b/internal/records/term.go
@@ -2,8 +2,8 @@
 
 import "marblehaven/internal/protocol"
 
-// LeaderRecord says who leads. The term key outlives every leader; the leader key,
-// with the same content, hangs on the leader's grant.
+// LeaderRecord says which controller leads in which term. It is stored under KeyTerm, which
+// outlives every leader, and under KeyLeader, which is attached to a lease of the store.
 type LeaderRecord struct {
 	Term protocol.Term `msgpack:"n"`
 	Node string        `msgpack:"node"`
