--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -6,32 +6,32 @@
 	"marblehaven/internal/tuning"
 )
 
-// TaskState is the state of a task on a machine.
+// TaskState is the state of a task on a machine, as the agent reports it.
 type TaskState string
 
-// The states of a task that its agent reports.
+// The states of a task.
 const (
 	TaskFetching TaskState = "pulling"   // waits for its image
 	TaskWaiting  TaskState = "gathering" // waits for the other tasks of its gang
-	TaskRunning  TaskState = "running"
-	TaskSaving   TaskState = "saving" // writes a checkpoint before it exits
-	TaskExited   TaskState = "ended"
+	TaskRunning  TaskState = "running"   // runs, or runs on in a gang that is being stopped
+	TaskSaving   TaskState = "saving"    // saves a checkpoint before it exits
+	TaskExited   TaskState = "ended"     // has exited; see ExitReason
 )
 
-// ExitReason tells why a task has exited.
+// ExitReason says why a task has exited.
 type ExitReason string
 
-// The reasons of an exit that the leader tells apart.
+// The exit reasons that the leader distinguishes.
 const (
-	ExitDone        ExitReason = "done"
-	ExitStopped     ExitReason = "stopped"
-	ExitError       ExitReason = "error"
-	ExitNoCapacity  ExitReason = "no_room"
-	ExitDuplicate   ExitReason = "in_use"
-	ExitUnknownTask ExitReason = "no_such"
+	ExitDone        ExitReason = "done"    // completed
+	ExitStopped     ExitReason = "stopped" // stopped by a command
+	ExitError       ExitReason = "error"   // failed
+	ExitNoCapacity  ExitReason = "no_room" // start refused: the machine has too few free resources
+	ExitDuplicate   ExitReason = "in_use"  // start refused: another attempt of the task has not left the machine
+	ExitUnknownTask ExitReason = "no_such" // start refused: the agent found no such job or task
 )
 
-// TaskStatus is one task in a worker's report.
+// TaskStatus is the status of one task in a heartbeat. Task is <job ID>/<number>.
 type TaskStatus struct {
 	Task         string     `msgpack:"piece"`
 	Attempt      uint64     `msgpack:"try"`
@@ -40,7 +40,9 @@
 	Checkpointed bool       `msgpack:"stored"`
 }
 
-// Heartbeat is what a worker tells about itself.
+// Heartbeat is the status of an agent and of all tasks on its machine. Agents send it by
+// themselves, and in reply to commands. Of two heartbeats the one with the higher incarnation,
+// or with the same incarnation and the higher sequence number, is the newer one.
 type Heartbeat struct {
 	Machine           string       `msgpack:"host"`
 	Addr              string       `msgpack:"endpoint"`
@@ -54,26 +56,26 @@
 	Tasks             []TaskStatus `msgpack:"pieces"`
 }
 
-// Check tells whether a report can be worked with.
-func (r *Heartbeat) Check() error {
-	if r.Machine == "" || len(r.Machine) > tuning.MaxName || r.Incarnation == 0 {
-		return errors.New("report without host or tenure")
+// Check returns an error for a heartbeat without a usable machine ID or incarnation.
+func (h *Heartbeat) Check() error {
+	if h.Machine == "" || len(h.Machine) > tuning.MaxName || h.Incarnation == 0 {
+		return errors.New("heartbeat without machine ID or incarnation")
 	}
 	return nil
 }
 
-// HeartbeatReply answers a report.
+// HeartbeatReply answers a heartbeat that an agent sent by itself, and renews the agent's lease.
 type HeartbeatReply struct {
 	Token    FencingToken `msgpack:"baton"`
 	Commands []Command    `msgpack:"orders"`
 }
 
-// Redirect names the node that takes reports.
+// Redirect names the controller that takes heartbeats; Leader is empty if none is known.
 type Redirect struct {
 	Leader string `msgpack:"steward,omitempty"`
 }
 
-// Verb is what a command asks of an agent.
+// Verb says what a command asks of an agent.
 type Verb string
 
 // The verbs of commands.
@@ -83,7 +85,7 @@
 	VerbRelease Verb = "reap" // the agent may forget an exited attempt
 )
 
-// Command is a command to a worker.
+// Command asks an agent to start, stop or release an attempt of a task.
 type Command struct {
 	Verb         Verb    `msgpack:"verb"`
 	Task         string  `msgpack:"piece"`
@@ -91,7 +93,7 @@
 	GracePeriodS float64 `msgpack:"windupS,omitempty"`
 }
 
-// CommandRequest carries direct commands.
+// CommandRequest sends commands to an agent directly, outside of a heartbeat reply.
 type CommandRequest struct {
 	Token       FencingToken `msgpack:"baton"`
 	Incarnation Incarnation  `msgpack:"tenure"`
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,6 +1,6 @@
 package protocol
 
-// MachineType is an entry of the cloud's catalog.
+// MachineType is a machine type in the cloud's catalog. Prices are per hour.
 type MachineType struct {
 	Name      string   `msgpack:"label"`
 	Cores     float64  `msgpack:"cores"`
@@ -19,7 +19,8 @@
 	Types []MachineType `msgpack:"flavors"`
 }
 
-// ProvisionRequest asks the cloud for machines.
+// ProvisionRequest asks the cloud for machines. The cloud answers a repeated RequestID as the
+// first time and provisions no further machines.
 type ProvisionRequest struct {
 	RequestID string `msgpack:"claim"`
 	Type      string `msgpack:"flavor"`
@@ -28,21 +29,23 @@
 	Count     int    `msgpack:"howMany"`
 }
 
-// MachineIDs lists machine names.
+// MachineIDs lists the IDs of machines, in the answer to a ProvisionRequest and in the request
+// to deprovision machines.
 type MachineIDs struct {
 	IDs []string `msgpack:"hosts"`
 }
 
-// MachineState is the state of a machine in the cloud's list.
+// MachineState is the state of a machine in the cloud's list of machines.
 type MachineState string
 
-// The states of a machine that are told apart.
+// The states of a machine that the leader distinguishes.
 const (
 	MachineStarting MachineState = "starting"
 	MachineFailed   MachineState = "failed"
 )
 
-// ListedMachine is an entry of the cloud's machine list.
+// ListedMachine is a machine in the cloud's list. AgeS is the time in seconds since the
+// machine was requested.
 type ListedMachine struct {
 	ID    string       `msgpack:"ref"`
 	Addr  string       `msgpack:"endpoint"`
@@ -53,7 +56,7 @@
 	AgeS  float64      `msgpack:"heldS"`
 }
 
-// MachineList is a page of the cloud's machine list.
+// MachineList is a page of the cloud's list of machines; More says that another page follows.
 type MachineList struct {
 	Machines []ListedMachine `msgpack:"hosts"`
 	More     bool            `msgpack:"truncated"`
--- a/internal/protocol/decode_job.go
+++ b/internal/protocol/decode_job.go
@@ -14,9 +14,10 @@
 	"marblehaven/internal/tuning"
 )
 
-// DecodeJob reads a submission and refuses everything that PROTOCOL calls
-// malformed. It walks the map by hand: a generic decode would trust lengths
-// claimed in the body, and struct decoding lets mistyped fields through.
+// DecodeJob decodes a submission and returns an error for every malformed one: a body that is
+// not a map, a required field that is missing or null, and any value of a wrong type or out
+// of range. It reads the map field by field, because decoding into a generic map would trust
+// lengths claimed in the body, and decoding into a struct would accept mistyped fields.
 func DecodeJob(body []byte) (*Job, error) {
 	r := newJobReader(body)
 	if err := r.readAll(); err != nil {
@@ -29,7 +30,7 @@
 	return job, nil
 }
 
-// fieldKind says what a submission's field must hold. Only the kinds from
+// fieldKind says which values a field of a submission may have. Only fields of the kinds from
 // optionalTypes on may be missing or null.
 type fieldKind int
 
@@ -44,8 +45,10 @@
 	optionalAmount
 )
 
+// required reports whether a field of this kind must be present and not null.
 func (k fieldKind) required() bool { return k < optionalTypes }
 
+// jobFields gives the kind of each field of a submission. Other fields are ignored.
 var jobFields = map[string]fieldKind{
 	"ref": requiredText, "workload": requiredText, "owner": requiredText, "shape": requiredText,
 	"rank": requiredText, "pieces": requiredCount, "cores": requiredAmount, "cards": requiredAmount,
@@ -55,7 +58,7 @@
 	"awaits": optionalIDs,
 }
 
-// jobReader reads a submission field by field.
+// jobReader holds the decoded fields of a submission, by their type and spelling.
 type jobReader struct {
 	d       *msgpack.Decoder
 	texts   map[string]string
@@ -71,6 +74,7 @@
 		bools: map[string]bool{}, lists: map[string][]string{}, seen: map[string]bool{}}
 }
 
+// readAll reads the whole body and checks that no required field is missing.
 func (r *jobReader) readAll() error {
 	c, err := r.d.PeekCode()
 	if err != nil || !(msgpcode.IsFixedMap(c) || c == msgpcode.Map16 || c == msgpcode.Map32) {
@@ -96,7 +100,7 @@
 	return nil
 }
 
-// readField reads a key with its value; unknown ones are passed over.
+// readField reads a key and its value. It skips unknown fields.
 func (r *jobReader) readField() error {
 	c, err := r.d.PeekCode()
 	if err != nil {
@@ -136,8 +140,8 @@
 	return nil
 }
 
-// readValue reads a value that begins with the code c; ok is false if the field
-// may not hold it.
+// readValue reads a value that begins with the MessagePack code c. It returns false if a field of
+// this kind may not have the value.
 func (r *jobReader) readValue(key string, kind fieldKind, c byte) (ok bool, err error) {
 	isInt := msgpcode.IsFixedNum(c) || (c >= msgpcode.Uint8 && c <= msgpcode.Int64)
 	switch kind {
@@ -174,6 +178,7 @@
 	return ok && (kind != optionalTypes || len(list) > 0), err
 }
 
+// job returns the job that the fields describe.
 func (r *jobReader) job() *Job {
 	return &Job{
 		ID: JobID(r.texts["ref"]), Class: r.texts["workload"], Team: r.texts["owner"], Kind: JobKind(r.texts["shape"]), Priority: Priority(r.texts["rank"]),
@@ -185,7 +190,7 @@
 	}
 }
 
-// check refuses values that no job can have.
+// check returns an error for values of the right type that no job can have.
 func (j *Job) check() error {
 	switch {
 	case !ValidJobID(j.ID):
@@ -198,8 +203,8 @@
 	return j.checkDependencies()
 }
 
-// checkDependencies checks the ids of the jobs that the job waits for, and drops
-// repeated ones.
+// checkDependencies checks the IDs of the jobs that the job depends on, and removes repeated
+// ones.
 func (j *Job) checkDependencies() error {
 	for _, jobID := range j.DependsOn {
 		switch {
@@ -217,7 +222,8 @@
 	return nil
 }
 
-// decodeStrings reads a list of names that are not empty.
+// decodeStrings reads a list of names. It returns false if the value is not a list, or if a name
+// is empty or too long.
 func decodeStrings(d *msgpack.Decoder, c byte) (list []string, ok bool, err error) {
 	if !(msgpcode.IsFixedArray(c) || c == msgpcode.Array16 || c == msgpcode.Array32) {
 		return nil, false, nil
@@ -240,6 +246,7 @@
 	return list, true, nil
 }
 
+// jobIDs converts names to job IDs.
 func jobIDs(names []string) []JobID {
 	if names == nil {
 		return nil
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -2,10 +2,10 @@
 
 import "marblehaven/internal/tuning"
 
-// JobID names a job, in the form that ValidJobID checks.
+// JobID names a job, in the form that ValidJobID checks. Users choose the IDs of their jobs.
 type JobID string
 
-// ValidJobID tells whether s has the form of a job id.
+// ValidJobID reports whether s has the form of a job ID: "req-" and 1 to 20 digits.
 func ValidJobID(s JobID) bool {
 	const prefix = "req-"
 	if len(s) <= len(prefix) || len(s) > len(prefix)+20 || s[:len(prefix)] != prefix {
@@ -22,9 +22,10 @@
 // Term numbers the leaders one after another: a newer leader has a higher term.
 type Term uint64
 
-// FencingToken proves to an agent which leader a command or an answer comes from.
-// Its high bits are the leader's term; the low bits count the tokens that the
-// leader has issued to one machine.
+// FencingToken proves to an agent which leader a command or a heartbeat reply comes from. An
+// agent drops whatever carries a lower token than the highest that it has seen. The high bits
+// are the leader's term; the low bits count the tokens that the leader has issued to one
+// machine.
 type FencingToken uint64
 
 // FirstToken returns the lowest token of the term.
@@ -33,20 +34,20 @@
 // Term returns the term of the leader that issued the token.
 func (t FencingToken) Term() Term { return Term(t >> tuning.TermShift) }
 
-// Incarnation numbers the lives of an agent: a new one begins when its lease
-// expires, and everything that ran in the ones before is gone.
+// Incarnation numbers the lives of an agent. A new one begins when the agent's lease expires;
+// all tasks of earlier incarnations are gone then.
 type Incarnation uint64
 
 // Revision counts all changes of the key-value store.
 type Revision uint64
 
-// Version is the revision of a key's last change; 0: the key does not exist.
+// Version is the revision of a key's last change, or 0 if the key does not exist.
 type Version uint64
 
 // Version returns the version of the keys that were written at the revision.
 func (r Revision) Version() Version { return Version(r) }
 
-// Revision returns the revision of the change that a version stands for.
+// Revision returns the revision of the change that gave the key this version.
 func (v Version) Revision() Revision { return Revision(v) }
 
 // LeaseID names a lease of the key-value store.
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -23,19 +23,21 @@
 	EstimateS           float64  `msgpack:"guessS"`
 	CheckpointIntervalS float64  `msgpack:"snapshotS"`
 	CheckpointSaveS     float64  `msgpack:"flushS"`
-	DeadlineS           float64  `msgpack:"dueS"` // 0: none
-	// DependsOn names the jobs that must be done before any task of this one starts.
+	// DeadlineS is the time in seconds from the submission within which the job should be
+	// done; 0 if there is no deadline.
+	DeadlineS float64 `msgpack:"dueS"`
+	// DependsOn names the jobs that must be done before any task of this job starts.
 	DependsOn []JobID `msgpack:"awaits,omitempty"`
 }
 
-// JobKind tells how the tasks of a job belong together.
+// JobKind says how the tasks of a job belong together.
 type JobKind string
 
 // The kinds of jobs.
 const (
-	KindArray   JobKind = "sweep"    // independent tasks, each runs to completion
-	KindGang    JobKind = "group"    // all tasks run at the same time or none does
-	KindService JobKind = "standing" // replicas that run until the job is cancelled
+	KindArray   JobKind = "sweep"    // tasks that need not run together and end by themselves
+	KindGang    JobKind = "group"    // tasks that run together or not at all
+	KindService JobKind = "standing" // replicas, which go on until their user cancels the job
 )
 
 // Priority is a job's priority as its user names it; Level orders priorities.
@@ -52,16 +54,16 @@
 // priorities lists the priorities, the highest first.
 var priorities = []Priority{PriorityProduction, PriorityHigh, PriorityStandard, PriorityIdle}
 
-// PriorityLevel orders priorities: the smaller the level, the higher the priority.
+// PriorityLevel orders priorities: the lower the level, the higher the priority.
 type PriorityLevel int
 
-// The levels that decisions name.
+// The levels of the highest and the lowest priority.
 const (
 	LevelProduction PriorityLevel = 0
 	LevelLowest     PriorityLevel = 3
 )
 
-// Level returns the place of the priority in the order of all, -1 if it is unknown.
+// Level returns the level of the priority, or -1 if the priority is unknown.
 func (p Priority) Level() PriorityLevel {
 	return PriorityLevel(slices.Index(priorities, p))
 }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -1,6 +1,6 @@
 package protocol
 
-// JobPhase is the state of a job as users are told.
+// JobPhase is the state of a job that users are told.
 type JobPhase string
 
 // The phases of a job.
@@ -11,7 +11,8 @@
 	PhaseCancelled JobPhase = "cancelled"
 )
 
-// JobStatus answers users' calls.
+// JobStatus answers a user's submission, question or cancellation. Done and Running count
+// tasks.
 type JobStatus struct {
 	ID      JobID    `msgpack:"ref"`
 	Phase   JobPhase `msgpack:"phase"`
@@ -19,7 +20,7 @@
 	Running int      `msgpack:"running"`
 }
 
-// ErrorReply explains a refusal.
+// ErrorReply says why a request was refused, by a controller or by another service.
 type ErrorReply struct {
 	Error string `msgpack:"error"`
 }
