--- a/internal/leader/authority.go
+++ b/internal/leader/authority.go
@@ -72,19 +72,19 @@
 
 // lastConfirmation is the time up to which the state service itself has proved that.
 func (c *Leader) lastConfirmation() time.Time {
-	if c.confirmedByTerm.Before(c.confirmedByWatch) {
-		return c.confirmedByTerm
+	if c.lease.confirmedByTerm.Before(c.lease.confirmedByWatch) {
+		return c.lease.confirmedByTerm
 	}
-	return c.confirmedByWatch
+	return c.lease.confirmedByWatch
 }
 
 // lastProof is the time up to which no cancellation acknowledged to a user and no
 // newer term can be unknown here.
 func (c *Leader) lastProof() time.Time {
-	if at := c.lastConfirmation(); at.After(c.confirmedByPeers) {
+	if at := c.lastConfirmation(); at.After(c.lease.confirmedByPeers) {
 		return at
 	}
-	return c.confirmedByPeers
+	return c.lease.confirmedByPeers
 }
 
 // confirmByPeers goes on where the state service gives no proof. The jobs that
@@ -102,13 +102,13 @@
 		return
 	}
 	for _, jobID := range jobIDs {
-		if job := c.jobs[jobID]; job != nil && !job.cancelled {
+		if job := c.jobs.open[jobID]; job != nil && !job.cancelled {
 			job.awaitsOpenRecord = true
 			c.cancelJob(job, now)
 		}
 	}
-	if asOf.After(c.confirmedByPeers) {
-		c.confirmedByPeers = asOf
+	if asOf.After(c.lease.confirmedByPeers) {
+		c.lease.confirmedByPeers = asOf
 	}
 }
 
@@ -131,5 +131,5 @@
 			}
 		}
 	}
-	c.confirmedByWatch = m.asOf
+	c.lease.confirmedByWatch = m.asOf
 }
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -35,9 +35,9 @@
 	c := New(Dependencies{Config: cfg, Store: store, Log: log, OnNewerTerm: func(protocol.Term) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
 	c.Bind(context.Background())
 	now := time.Now()
-	c.tookOverAt, c.confirmedByWatch, c.confirmedByTerm = now, now, now
+	c.tookOverAt, c.lease.confirmedByWatch, c.lease.confirmedByTerm = now, now, now
 	c.setTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
-	c.typesLoaded = true
+	c.catalog.loaded = true
 	for i := range jobs {
 		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: protocol.JobID(fmt.Sprintf("req-%06d", i)), Class: "c", Team: fmt.Sprint("t", i%10),
 			Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
@@ -51,7 +51,7 @@
 			k, _ := parseTask(t.Task)
 			placement := &cluster.Placement{TaskKey: k, Attempt: 1, Incarnation: 1, Machine: machine, Recorded: true, Sent: true, Since: now}
 			machine.Placements[k] = placement
-			c.jobs[k.Job].placements[k.Task] = placement
+			c.jobs.open[k.Job].placements[k.Task] = placement
 		}
 		c.onHeartbeat(heartbeat, now)
 	}
@@ -101,8 +101,8 @@
 	for _, machines := range []int{1000, 2100, 4000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			c, now := large(machines, 300+machines/10)
-			c.listInFlight, c.catalogAt, c.nextInventorySave = true, now.Add(time.Hour), now.Add(time.Hour)
-			c.handshakesInFlight = tuning.HandshakesInFlight
+			c.provisioner.listInFlight, c.catalog.nextRead, c.images.nextSave = true, now.Add(time.Hour), now.Add(time.Hour)
+			c.dispatcher.handshakesInFlight = tuning.HandshakesInFlight
 			b.ReportAllocs()
 			for range b.N {
 				c.onTick(now)
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -55,7 +55,7 @@
 		order int
 	}
 	var dues []due
-	for _, machine := range c.sorted {
+	for _, machine := range c.machines.sorted {
 		if !c.needsHandshake(machine, now) {
 			continue
 		}
@@ -72,18 +72,18 @@
 		dues = append(dues, d)
 	}
 	slices.SortStableFunc(dues, func(a, b due) int { return cmp.Compare(a.order, b.order) })
-	c.handshakeQueue = c.handshakeQueue[:0]
+	c.dispatcher.handshakeQueue = c.dispatcher.handshakeQueue[:0]
 	for _, d := range dues {
-		c.handshakeQueue = append(c.handshakeQueue, d.m)
+		c.dispatcher.handshakeQueue = append(c.dispatcher.handshakeQueue, d.m)
 	}
 	c.nextHandshakes(now)
 }
 
 // nextHandshakes begins as many handshakes as may be under way at once.
 func (c *Leader) nextHandshakes(now time.Time) {
-	for len(c.handshakeQueue) > 0 && c.handshakesInFlight < tuning.HandshakesInFlight {
-		machine := c.handshakeQueue[0]
-		c.handshakeQueue = c.handshakeQueue[1:]
+	for len(c.dispatcher.handshakeQueue) > 0 && c.dispatcher.handshakesInFlight < tuning.HandshakesInFlight {
+		machine := c.dispatcher.handshakeQueue[0]
+		c.dispatcher.handshakeQueue = c.dispatcher.handshakeQueue[1:]
 		c.handshake(machine, now)
 	}
 }
@@ -104,7 +104,7 @@
 		return
 	}
 	machine.NextHandshake = now.Add(tuning.HandshakeInterval)
-	c.handshakesInFlight++
+	c.dispatcher.handshakesInFlight++
 	c.sendCommands(machine, nil, lastIncarnation(machine), false, true)
 }
 
@@ -133,10 +133,10 @@
 func (c *Leader) onCommandResult(d commandResult, now time.Time) {
 	d.machine.RecordCommandOutcome(d.starts, d.err == nil)
 	if d.handshake {
-		c.handshakesInFlight--
+		c.dispatcher.handshakesInFlight--
 		defer c.nextHandshakes(now)
 	}
-	c.pendingDispatch[d.machine] = true
+	c.dispatcher.pending[d.machine] = true
 	if d.err != nil {
 		// The commands may still be executed, even minutes later.
 		c.Log.Info("direct command unanswered", "machine", d.machine.ID, "err", d.err)
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -73,10 +73,10 @@
 // another; each is guarded by its own version, so a late copy of an earlier
 // commit cannot undo a newer one.
 func (c *Leader) commit(now time.Time) {
-	if c.batchInFlight != nil || now.Before(c.nextCommit) {
+	if c.writer.inFlight != nil || now.Before(c.writer.nextCommit) {
 		return
 	}
-	budget := int(c.writeLimiter.TokensAt(now))
+	budget := int(c.writer.limiter.TokensAt(now))
 	due := c.pendingWrites(now)
 	if c.awaitsBudget(due, budget) {
 		return
@@ -91,13 +91,13 @@
 	if changes == 0 {
 		return
 	}
-	c.writeLimiter.AllowN(now, min(changes, c.writeLimiter.Burst()))
-	c.batchInFlight = batch
+	c.writer.limiter.AllowN(now, min(changes, c.writer.limiter.Burst()))
+	c.writer.inFlight = batch
 	go c.runCommit(batch)
 }
 
 func (c *Leader) addProvisioning(batch *commitBatch) {
-	for _, request := range c.provisionRequests {
+	for _, request := range c.provisioner.requests {
 		if !request.recorded && batch.fits(1, smallRecordBytes) {
 			batch.put(records.ProvisioningKey(request.ProvisioningRequest.ID), request.ProvisioningRequest, smallRecordBytes)
 			batch.provisioned = append(batch.provisioned, request)
@@ -106,7 +106,7 @@
 }
 
 func (c *Leader) addObsoleteProvisioning(batch *commitBatch) {
-	for _, request := range c.provisionRequests {
+	for _, request := range c.provisioner.requests {
 		if request.recorded && request.obsolete && batch.fits(1, smallRecordBytes) {
 			batch.remove(records.ProvisioningKey(request.ProvisioningRequest.ID))
 			batch.obsolete = append(batch.obsolete, request)
@@ -116,7 +116,7 @@
 
 // addOrphanedSegments removes pieces of jobs that were closed in an earlier commit.
 func (c *Leader) addOrphanedSegments(batch *commitBatch) {
-	for _, l := range c.orphanedSegments {
+	for _, l := range c.writer.orphans {
 		if !batch.fits(1, smallRecordBytes) {
 			return
 		}
@@ -194,9 +194,9 @@
 // is left of it fits. Where it may not be divided yet, what was not sent is taken
 // back, and the rest is written when enough of it has ended.
 func (c *Leader) onRecordTooLarge(job *jobState, number int, now time.Time) {
-	c.changed = true
+	c.cycle.needed = true
 	head := job.segment(number)
-	if c.format >= records.FormatSegmented && number == 0 && job.splitSegments(head.holdsStarts, now) {
+	if c.formats.cluster >= records.FormatSegmented && number == 0 && job.splitSegments(head.holdsStarts, now) {
 		return
 	}
 	c.Log.Error("run record beyond the limits", "job", job.id, "piece", number, "running", len(job.placements))
@@ -220,13 +220,13 @@
 }
 
 func (c *Leader) onCommit(m commitResult, now time.Time) {
-	c.batchInFlight = nil
-	c.changed = true
+	c.writer.inFlight = nil
+	c.cycle.needed = true
 	if m.err != nil {
 		c.onCommitFailed(m, now)
 		return
 	}
-	c.commitFailingSince = time.Time{}
+	c.writer.failingSince = time.Time{}
 	for _, w := range m.batch.segments {
 		c.onRunWritten(w, m.revision)
 	}
@@ -237,9 +237,9 @@
 		request.recorded = true
 	}
 	for _, request := range m.batch.obsolete {
-		delete(c.provisionRequests, request.ProvisioningRequest.ID)
+		delete(c.provisioner.requests, request.ProvisioningRequest.ID)
 	}
-	c.orphanedSegments = slices.DeleteFunc(c.orphanedSegments, func(l orphanedSegment) bool { return slices.Contains(m.batch.orphans, l) })
+	c.writer.orphans = slices.DeleteFunc(c.writer.orphans, func(l orphanedSegment) bool { return slices.Contains(m.batch.orphans, l) })
 	c.dispatchAll(now)
 }
 
@@ -254,7 +254,7 @@
 		if w.job.placements[placement.Task] == placement && !placement.Recorded {
 			placement.Recorded = true
 			placement.Machine.Outbox = append(placement.Machine.Outbox, placement)
-			c.pendingDispatch[placement.Machine] = true
+			c.dispatcher.pending[placement.Machine] = true
 		}
 	}
 }
@@ -265,11 +265,11 @@
 	c.Log.Debug("job over", "job", job.id, "phase", cl.final.Phase)
 	for number, p := range job.segments {
 		if p.version > 0 && !p.removed {
-			c.orphanedSegments = append(c.orphanedSegments, orphanedSegment{records.SegmentKey(job.id, number), p.version})
+			c.writer.orphans = append(c.writer.orphans, orphanedSegment{records.SegmentKey(job.id, number), p.version})
 		}
 	}
-	delete(c.jobs, job.id)
-	c.closedJobs[job.id] = now
+	delete(c.jobs.open, job.id)
+	c.jobs.closed[job.id] = now
 	c.dropDependent(job)
 	c.resolveDependency(job.id, dependencyOutcome{cl.final.Phase, time.UnixMilli(cl.final.ClosedMS)}, now)
 }
@@ -299,16 +299,16 @@
 	case conflict:
 		c.Log.Debug("commit refused", "failed", m.failedKeys)
 	case errors.Is(m.err, kvstore.ErrUnavailable):
-		c.nextCommit = now.Add(tuning.ElectionRetry)
+		c.writer.nextCommit = now.Add(tuning.ElectionRetry)
 		return
 	default:
 		// The limits have become smaller; the next commit keeps to them.
 		c.Log.Error("commit failed", "err", m.err)
 	}
-	if c.commitFailingSince.IsZero() {
-		c.commitFailingSince = now
+	if c.writer.failingSince.IsZero() {
+		c.writer.failingSince = now
 	}
-	if now.Sub(c.commitFailingSince) > tuning.CommitFailureLimit {
+	if now.Sub(c.writer.failingSince) > tuning.CommitFailureLimit {
 		// The records are not what we take them for, and nothing would
 		// be written ever again: a new term reads them anew.
 		c.Log.Error("records have changed behind this leader", "keys", m.failedKeys, "err", m.err)
@@ -316,7 +316,7 @@
 		return
 	}
 	c.withdrawStarts(m, now)
-	c.nextCommit = now.Add(tuning.CycleInterval)
+	c.writer.nextCommit = now.Add(tuning.CycleInterval)
 }
 
 // withdrawStarts drops the new starts of jobs whose open record has changed: the
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -26,12 +26,12 @@
 			job.pendingDependencies = map[protocol.JobID]bool{}
 		}
 		job.pendingDependencies[jobID] = true
-		c.dependents[jobID] = append(c.dependents[jobID], job.id)
+		c.dependencies.dependents[jobID] = append(c.dependencies.dependents[jobID], job.id)
 	}
 	for _, jobID := range job.spec.DependsOn {
-		if out, known := c.outcomes[jobID]; known {
+		if out, known := c.dependencies.outcomes[jobID]; known {
 			c.resolveDependency(jobID, out, now)
-		} else if dependency := c.jobs[jobID]; dependency != nil && dependency.cancelled {
+		} else if dependency := c.jobs.open[jobID]; dependency != nil && dependency.cancelled {
 			c.cancelDependents(jobID, now)
 		}
 	}
@@ -40,16 +40,16 @@
 // resolveDependency draws the conclusions from the final record of a job: those that wait for
 // it go on, or are cancelled with it. Nothing else lets a job go on.
 func (c *Leader) resolveDependency(jobID protocol.JobID, out dependencyOutcome, now time.Time) {
-	if len(c.outcomes) >= tuning.OutcomeCache {
-		clear(c.outcomes) // they are read again where they are needed
+	if len(c.dependencies.outcomes) >= tuning.OutcomeCache {
+		clear(c.dependencies.outcomes) // they are read again where they are needed
 	}
-	c.outcomes[jobID] = out
+	c.dependencies.outcomes[jobID] = out
 	if out.phase == protocol.PhaseCancelled {
 		c.cancelDependents(jobID, now)
 		return
 	}
-	for _, name := range c.dependents[jobID] {
-		job := c.jobs[name]
+	for _, name := range c.dependencies.dependents[jobID] {
+		job := c.jobs.open[name]
 		if job == nil {
 			continue
 		}
@@ -57,9 +57,9 @@
 		if out.at.After(job.readyAt) {
 			job.readyAt = out.at
 		}
-		c.changed = true
+		c.cycle.needed = true
 	}
-	delete(c.dependents, jobID)
+	delete(c.dependencies.dependents, jobID)
 }
 
 // cancelDependents cancels all jobs that need the one named, directly or through
@@ -67,15 +67,15 @@
 func (c *Leader) cancelDependents(jobID protocol.JobID, now time.Time) {
 	work := []protocol.JobID{jobID}
 	for len(work) > 0 {
-		names := c.dependents[work[0]]
+		names := c.dependencies.dependents[work[0]]
 		work = work[1:]
 		for _, name := range names {
-			job := c.jobs[name]
+			job := c.jobs.open[name]
 			if job == nil || job.cancelled {
 				continue
 			}
 			c.Log.Info("job cancelled with one that it needs", "job", name)
-			job.cancelled, c.changed = true, true
+			job.cancelled, c.cycle.needed = true, true
 			work = append(work, name)
 		}
 	}
@@ -84,11 +84,11 @@
 // dropDependent forgets what a job that is over was waiting for.
 func (c *Leader) dropDependent(job *jobState) {
 	for jobID := range job.pendingDependencies {
-		left := slices.DeleteFunc(c.dependents[jobID], func(name protocol.JobID) bool { return name == job.id })
+		left := slices.DeleteFunc(c.dependencies.dependents[jobID], func(name protocol.JobID) bool { return name == job.id })
 		if len(left) == 0 {
-			delete(c.dependents, jobID)
+			delete(c.dependencies.dependents, jobID)
 		} else {
-			c.dependents[jobID] = left
+			c.dependencies.dependents[jobID] = left
 		}
 	}
 }
@@ -97,20 +97,20 @@
 // One that is found neither there nor open is looked for again: its open record
 // may have been missed, and that it is not known never means that it is done.
 func (c *Leader) lookUpDependencies(now time.Time) {
-	if c.lookingUp || now.Before(c.lookupAt) {
+	if c.dependencies.lookupInFlight || now.Before(c.dependencies.nextLookup) {
 		return
 	}
 	var jobIDs []protocol.JobID
-	for jobID := range c.dependents {
-		_, known := c.outcomes[jobID]
-		if !known && c.jobs[jobID] == nil && len(jobIDs) < tuning.DependencyLookupBatch {
+	for jobID := range c.dependencies.dependents {
+		_, known := c.dependencies.outcomes[jobID]
+		if !known && c.jobs.open[jobID] == nil && len(jobIDs) < tuning.DependencyLookupBatch {
 			jobIDs = append(jobIDs, jobID)
 		}
 	}
 	if len(jobIDs) == 0 {
 		return
 	}
-	c.lookingUp, c.lookupBegan, c.lookupAt = true, now, now.Add(tuning.DependencyLookupInterval)
+	c.dependencies.lookupInFlight, c.dependencies.lookupBegan, c.dependencies.nextLookup = true, now, now.Add(tuning.DependencyLookupInterval)
 	go func() { c.post(c.readDependencyOutcomes(c.ctx, jobIDs)) }()
 }
 
@@ -142,7 +142,7 @@
 }
 
 func (c *Leader) onDependencyLookup(m dependencyLookup, now time.Time) {
-	c.lookingUp = false
+	c.dependencies.lookupInFlight = false
 	for _, entry := range m.open {
 		c.applyOpenRecord(entry.Key, entry.Value, entry.Version, now)
 	}
--- a/internal/leader/duewrites.go
+++ b/internal/leader/duewrites.go
@@ -22,7 +22,7 @@
 // wait, and a worker keeps them.
 func (c *Leader) pendingWrites(now time.Time) []pendingWrite {
 	var due []pendingWrite
-	for _, job := range c.jobs {
+	for _, job := range c.jobs.open {
 		if job.awaitsOpenRecord {
 			continue
 		}
@@ -50,7 +50,7 @@
 // shares the write of its job. Production's starts don't wait.
 func (c *Leader) awaitsBudget(due []pendingWrite, budget int) bool {
 	changes := 0
-	for _, request := range c.provisionRequests {
+	for _, request := range c.provisioner.requests {
 		if !request.recorded {
 			changes++
 		}
@@ -89,7 +89,7 @@
 	for _, d := range due {
 		if d.order == writeCompletions {
 			// A part of the budget is left for starts that come next.
-			batch.maxMutations = min(batch.maxMutations, budget-c.writeLimiter.Burst()/2)
+			batch.maxMutations = min(batch.maxMutations, budget-c.writer.limiter.Burst()/2)
 		}
 		if !batch.fits(1, 0) {
 			return
--- a/internal/leader/duewrites_test.go
+++ b/internal/leader/duewrites_test.go
@@ -17,30 +17,30 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, now := large(8, 2)
 		defer withSilentStore(t, c)()
-		over, busy := c.jobs["req-000000"], c.jobs["req-000001"]
+		over, busy := c.jobs.open["req-000000"], c.jobs.open["req-000001"]
 		dropAll(now, over, busy)
 		over.segment(0).version, busy.segment(0).version = 1, 1
 		over.doneCount = over.spec.Tasks
-		c.writeLimiter.AllowN(now, c.writeLimiter.Burst())
+		c.writer.limiter.AllowN(now, c.writer.limiter.Burst())
 		closed := func() bool {
-			return c.batchInFlight != nil && slices.ContainsFunc(c.batchInFlight.closed, func(cl jobClosing) bool { return cl.job == over })
+			return c.writer.inFlight != nil && slices.ContainsFunc(c.writer.inFlight.closed, func(cl jobClosing) bool { return cl.job == over })
 		}
-		refill := time.Duration(float64(time.Second) / float64(c.writeLimiter.Limit()))
+		refill := time.Duration(float64(time.Second) / float64(c.writer.limiter.Limit()))
 		for task := 0; !closed(); task++ {
 			if task > c.Store.MaxMutations() {
 				t.Fatalf("not closed when %d changes could have been written", task)
 			}
-			c.batchInFlight = nil
+			c.writer.inFlight = nil
 			now = now.Add(refill)
 			c.markDirty(busy, 0, true, now)
 			c.commit(now)
 		}
-		c.batchInFlight = nil
-		c.writeLimiter.AllowN(now, int(c.writeLimiter.TokensAt(now)))
+		c.writer.inFlight = nil
+		c.writer.limiter.AllowN(now, int(c.writer.limiter.TokensAt(now)))
 		busy.spec.Priority = protocol.PriorityProduction
 		now = now.Add(refill)
 		c.markDirty(busy, 0, true, now)
-		if c.commit(now); c.batchInFlight == nil || len(c.batchInFlight.segments) != 1 {
+		if c.commit(now); c.writer.inFlight == nil || len(c.writer.inFlight.segments) != 1 {
 			t.Error("a start of production waits for the budget of other writes")
 		}
 	})
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -53,18 +53,18 @@
 		c.Agents = agent.New(w, httpclient.NewMalformedLog(c.Log), 5000)
 		c.leadership.Term++ // a leader that has seen none of them yet
 		production := map[string]bool{}
-		for i, machine := range c.sorted {
+		for i, machine := range c.machines.sorted {
 			machine.Addr = machine.ID + ":1"
 			if i%50 == 49 {
 				production[machine.ID] = true
 				for k := range machine.Placements {
-					c.jobs[k.Job].spec.Priority = protocol.PriorityProduction
+					c.jobs.open[k.Job].spec.Priority = protocol.PriorityProduction
 				}
 			}
 		}
-		for _, machine := range c.sorted { // a job is on several machines
+		for _, machine := range c.machines.sorted { // a job is on several machines
 			for k := range machine.Placements {
-				production[machine.ID] = production[machine.ID] || c.jobs[k.Job].priority() == 0
+				production[machine.ID] = production[machine.ID] || c.jobs.open[k.Job].priority() == 0
 			}
 		}
 		c.planHandshakes(now)
@@ -79,7 +79,7 @@
 			}
 		}
 		// The first hang, and hold nothing up for longer than a command may take.
-		for len(c.handshakeQueue) > 0 || c.handshakesInFlight > 0 {
+		for len(c.dispatcher.handshakeQueue) > 0 || c.dispatcher.handshakesInFlight > 0 {
 			c.handle(<-c.inbox)
 		}
 		if n := len(w.seen()); n < 2100 {
@@ -87,8 +87,8 @@
 		}
 		c.planHandshakes(time.Now())
 		synctest.Wait()
-		if c.handshakesInFlight != tuning.HandshakesInFlight {
-			t.Errorf("%d handshakes again", c.handshakesInFlight)
+		if c.dispatcher.handshakesInFlight != tuning.HandshakesInFlight {
+			t.Errorf("%d handshakes again", c.dispatcher.handshakesInFlight)
 		}
 	})
 }
@@ -102,14 +102,14 @@
 		w := &calls{answer: make(chan struct{})}
 		c.Cloud = cloud.New("cloud:1", w, httpclient.NewMalformedLog(c.Log), 1000)
 		for i := 0; i < 350; i += 10 {
-			c.deprovision(c.sorted[i:i+10], "test", now)
+			c.deprovision(c.machines.sorted[i:i+10], "test", now)
 		}
 		synctest.Wait()
 		if n := len(w.seen()); n != 1 {
 			t.Fatalf("%d calls at once", n)
 		}
 		var idle []*cluster.Machine
-		for i, machine := range c.sorted[200:] {
+		for i, machine := range c.machines.sorted[200:] {
 			if i%2 == 0 {
 				clear(machine.Placements)
 				idle = append(idle, machine)
@@ -117,16 +117,16 @@
 		}
 		w.answer <- struct{}{}
 		c.handle(<-c.inbox) // failed: they are tried again after a while, with the rest
-		if len(c.deprovisionInFlight) > 0 {
+		if len(c.provisioner.deprovisionInFlight) > 0 {
 			t.Error("called again at once")
 		}
 		time.Sleep(tuning.MachineBackoff)
 		c.deprovisionNext(time.Now())
 		var order []*cluster.Machine
-		for len(c.machines) > 0 {
+		for len(c.machines.byID) > 0 {
 			synctest.Wait()
-			order = append(order, c.deprovisionInFlight...)
-			if n := len(c.deprovisionInFlight); n == 0 || n > tuning.DeprovisionMax {
+			order = append(order, c.provisioner.deprovisionInFlight...)
+			if n := len(c.provisioner.deprovisionInFlight); n == 0 || n > tuning.DeprovisionMax {
 				t.Fatalf("%d in a call", n)
 			}
 			c.onDeprovisionResult(deprovisionResult{}, time.Now())
@@ -146,15 +146,15 @@
 func TestOlderListProvesNothing(t *testing.T) {
 	c, now := large(2100, 200)
 	live := 0
-	for _, machine := range c.machines {
+	for _, machine := range c.machines.byID {
 		live += len(machine.Placements)
 	}
 	c.onMachineList(machineListResult{machines: []protocol.ListedMachine{{ID: "m-000007", State: protocol.MachineStarting}}}, now)
-	for _, machine := range c.machines {
+	for _, machine := range c.machines.byID {
 		live -= len(machine.Placements)
 	}
-	if len(c.machines) != 2100 || live != 0 || len(c.deprovisionQueue) > 0 || len(c.deprovisionInFlight) > 0 {
-		t.Errorf("%d machines are left, %d tasks less, %d to be returned", len(c.machines), live, len(c.deprovisionQueue))
+	if len(c.machines.byID) != 2100 || live != 0 || len(c.provisioner.deprovisionQueue) > 0 || len(c.provisioner.deprovisionInFlight) > 0 {
+		t.Errorf("%d machines are left, %d tasks less, %d to be returned", len(c.machines.byID), live, len(c.provisioner.deprovisionQueue))
 	}
 }
 
@@ -164,16 +164,16 @@
 // itself until the state service has spoken.
 func TestStandingStill(t *testing.T) {
 	free := func(c *Leader) {
-		for _, machine := range c.sorted[:50] {
+		for _, machine := range c.machines.sorted[:50] {
 			for _, placement := range machine.Placements {
-				delete(c.jobs[placement.Job].placements, placement.Task)
+				delete(c.jobs.open[placement.Job].placements, placement.Task)
 			}
 			clear(machine.Placements)
 		}
-		c.listInFlight, c.machinesListed, c.catalogAt, c.nextInventorySave = true, true, c.tookOverAt.Add(time.Hour), c.tookOverAt.Add(time.Hour)
+		c.provisioner.listInFlight, c.provisioner.listed, c.catalog.nextRead, c.images.nextSave = true, true, c.tookOverAt.Add(time.Hour), c.tookOverAt.Add(time.Hour)
 	}
 	placed := func(c *Leader) (n int) {
-		for _, machine := range c.sorted[:50] {
+		for _, machine := range c.machines.sorted[:50] {
 			n += len(machine.Placements)
 		}
 		return n
@@ -186,10 +186,10 @@
 	c, now = large(2100, 1000)
 	free(c)
 	resigned := false
-	c.Config.Peers, c.heardMajority = make([]config.Peer, 4), true
+	c.Config.Peers, c.lease.heardMajority = make([]config.Peer, 4), true
 	c.Resign = func() { resigned = true }
 	// One start was recorded and not yet sent: its job may be cancelled by now.
-	machine := c.sorted[100]
+	machine := c.machines.sorted[100]
 	var start *cluster.Placement
 	for _, start = range machine.Placements {
 		break
@@ -201,13 +201,13 @@
 		c.onTick(later)
 		c.runCycle(later)
 		calls := 0
-		for _, machine := range c.machines {
+		for _, machine := range c.machines.byID {
 			if machine.CommandInFlight {
 				calls++
 			}
 		}
-		if n := placed(c); n > 0 || len(c.deprovisionQueue)+len(c.deprovisionInFlight)+calls+len(c.provisionRequests) > 0 || c.batchInFlight != nil || resigned {
-			t.Errorf("after %d s: %d placed, %d to be returned, %d called, resigned %v", still, n, len(c.deprovisionQueue)+len(c.deprovisionInFlight), calls, resigned)
+		if n := placed(c); n > 0 || len(c.provisioner.deprovisionQueue)+len(c.provisioner.deprovisionInFlight)+calls+len(c.provisioner.requests) > 0 || c.writer.inFlight != nil || resigned {
+			t.Errorf("after %d s: %d placed, %d to be returned, %d called, resigned %v", still, n, len(c.provisioner.deprovisionQueue)+len(c.provisioner.deprovisionInFlight), calls, resigned)
 		}
 	}
 	// Once the state service has spoken the start goes out.
@@ -215,7 +215,7 @@
 	defer close(w.answer)
 	c.Agents = agent.New(w, httpclient.NewMalformedLog(c.Log), 5000)
 	later := now.Add(12 * time.Second)
-	c.confirmedByWatch, c.confirmedByTerm = later, later
+	c.lease.confirmedByWatch, c.lease.confirmedByTerm = later, later
 	if c.dispatch(machine, later); !start.Sent || len(machine.Outbox) > 0 {
 		t.Error("a start that waited for the state service was never sent")
 	}
@@ -227,16 +227,16 @@
 func TestLongListNamesReturnedMachine(t *testing.T) {
 	c, now := large(0, 1)
 	c.Config.Deployment.Cloud.ListLagS = 6
-	c.listInFlight, c.catalogAt = true, now.Add(2*time.Hour)
-	c.removedMachines["m-000007"] = now
+	c.provisioner.listInFlight, c.catalog.nextRead = true, now.Add(2*time.Hour)
+	c.machines.removed["m-000007"] = now
 	listed := []protocol.ListedMachine{{ID: "m-000007", Type: "big", State: protocol.MachineStarting}}
 	c.onTick(now.Add(time.Hour))
 	c.onMachineList(machineListResult{began: now.Add(time.Second), machines: listed}, now.Add(time.Hour))
-	if c.machines["m-000007"] != nil {
+	if c.machines.byID["m-000007"] != nil {
 		t.Error("a list that began just after a machine was given back revived it")
 	}
 	c.onMachineList(machineListResult{began: now.Add(time.Hour)}, now.Add(time.Hour))
-	if len(c.removedMachines) > 0 {
+	if len(c.machines.removed) > 0 {
 		t.Error("a machine is remembered that no list can name")
 	}
 }
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -17,17 +17,17 @@
 // A new leader that knew nothing of it would start services where their image
 // has to be fetched first. Losing a write does no harm.
 func (c *Leader) saveImageInventory(now time.Time) {
-	if now.Before(c.nextInventorySave) || len(c.sorted) == 0 || !c.writeLimiter.AllowN(now, 1) {
+	if now.Before(c.images.nextSave) || len(c.machines.sorted) == 0 || !c.writer.limiter.AllowN(now, 1) {
 		return
 	}
-	c.nextInventorySave = now.Add(tuning.ImageInventoryInterval)
-	if c.inventoryFrom >= len(c.sorted) {
-		c.inventoryFrom, c.inventoryPart = 0, 0
+	c.images.nextSave = now.Add(tuning.ImageInventoryInterval)
+	if c.images.nextMachine >= len(c.machines.sorted) {
+		c.images.nextMachine, c.images.nextPart = 0, 0
 	}
-	h, n := newImageInventory(c.sorted[c.inventoryFrom:], c.Config.Deployment.State.Smaller().ValueBytes())
-	key := fmt.Sprint(records.PrefixImages, c.inventoryPart)
-	c.inventoryFrom += n
-	c.inventoryPart++
+	h, n := newImageInventory(c.machines.sorted[c.images.nextMachine:], c.Config.Deployment.State.Smaller().ValueBytes())
+	key := fmt.Sprint(records.PrefixImages, c.images.nextPart)
+	c.images.nextMachine += n
+	c.images.nextPart++
 	go func() {
 		_, err := c.Store.Commit(c.ctx, protocol.Transaction{
 			Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: c.leadership.TermVersion}},
@@ -84,7 +84,7 @@
 		var h records.ImageInventory
 		if codec.Unmarshal(entry.Value, &h) == nil && len(h.Images) == len(h.SizesGB) {
 			for id := range h.Machines {
-				c.inheritedImages[id] = &h
+				c.images.inherited[id] = &h
 			}
 		}
 	}
@@ -92,22 +92,22 @@
 
 // adoptImageInventory notes what an inherited machine has when it is first heard from.
 func (c *Leader) adoptImageInventory(machine *cluster.Machine) {
-	i, known := c.typeIndex[machine.Type]
-	h := c.inheritedImages[machine.ID]
+	i, known := c.catalog.index[machine.Type]
+	h := c.images.inherited[machine.ID]
 	if !known {
 		return
 	}
-	touch := func(name string, gb float64) { machine.RecordImageUse(name, gb, c.machineTypes[i].CacheGB) }
+	touch := func(name string, gb float64) { machine.RecordImageUse(name, gb, c.catalog.types[i].CacheGB) }
 	if h != nil {
 		for _, k := range slices.Backward(h.Machines[machine.ID]) {
 			if k >= 0 && k < len(h.Images) {
 				touch(h.Images[k], h.SizesGB[k])
 			}
 		}
-		delete(c.inheritedImages, machine.ID)
+		delete(c.images.inherited, machine.ID)
 	}
 	for k, placement := range machine.Placements {
-		if job := c.jobs[k.Job]; job != nil && placement.State != "" && placement.State != protocol.TaskFetching {
+		if job := c.jobs.open[k.Job]; job != nil && placement.State != "" && placement.State != protocol.TaskFetching {
 			touch(job.spec.Image, job.spec.ImageGB)
 		}
 	}
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -47,7 +47,7 @@
 	c, now := large(0, 1)
 	c.Config.Deployment.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 1.5},
 		{Kind: "finished", Class: "c", WithinS: 500}, {Kind: "finished", Class: "other", WithinS: 1}}
-	job := c.jobs["req-000000"]
+	job := c.jobs.open["req-000000"]
 	job.spec.DeadlineS = 100
 	none := math.Inf(1)
 	for _, w := range []struct{ age, ready, est, inherited, due float64 }{
@@ -84,9 +84,9 @@
 // in between would leave nothing that shows it.
 func TestDoneIsRecordedBeforeReap(t *testing.T) {
 	now := time.Now()
-	c := &Leader{jobs: map[protocol.JobID]*jobState{}, leadership: election.Leadership{Term: 1}}
+	c := &Leader{jobs: jobTable{open: map[protocol.JobID]*jobState{}}, leadership: election.Leadership{Term: 1}}
 	job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 2}}, 1, now)
-	c.jobs["req-1"] = job
+	c.jobs.open["req-1"] = job
 	machine := cluster.NewMachine("m-1", c.termToken(), now, now.Add(time.Hour))
 	machine.ApplyStatus(&protocol.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, Token: c.termToken(), Tasks: []protocol.TaskStatus{
 		{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}}}, parseTask, now, now)
@@ -104,24 +104,24 @@
 // does not make it one to place work on.
 func TestReturnedMachineStaysGone(t *testing.T) {
 	c, now := large(2, 1)
-	machine := c.machines["m-000000"]
+	machine := c.machines.byID["m-000000"]
 	heartbeat := fullReport(c, 0, 7)
 	heartbeat.Token, heartbeat.Tasks = machine.IssuedToken, nil
 	c.onHeartbeat(heartbeat, now)
-	c.deprovisionInFlight = []*cluster.Machine{machine}
+	c.provisioner.deprovisionInFlight = []*cluster.Machine{machine}
 	c.onDeprovisionResult(deprovisionResult{}, now)
-	if c.onHeartbeat(heartbeat, now); c.machines["m-000000"] != nil {
+	if c.onHeartbeat(heartbeat, now); c.machines.byID["m-000000"] != nil {
 		t.Error("a copy revived a machine just given back")
 	}
-	clear(c.removedMachines)
+	clear(c.machines.removed)
 	c.onHeartbeat(heartbeat, now)
-	if machine := c.machines["m-000000"]; machine == nil || machine.Schedulable(now, time.Minute) {
+	if machine := c.machines.byID["m-000000"]; machine == nil || machine.Schedulable(now, time.Minute) {
 		t.Error("a copy made a machine usable that is gone")
 	}
 	r2 := fullReport(c, 0, 8)
-	r2.Token, r2.Tasks = c.machines["m-000000"].IssuedToken, nil
+	r2.Token, r2.Tasks = c.machines.byID["m-000000"].IssuedToken, nil
 	c.onHeartbeat(r2, now)
-	if !c.machines["m-000000"].Schedulable(now, time.Minute) {
+	if !c.machines.byID["m-000000"].Schedulable(now, time.Minute) {
 		t.Error("a machine that is there, and shows it, is not usable")
 	}
 }
@@ -129,20 +129,20 @@
 // A new leader knows from the hints of the last which images a machine has.
 func TestHints(t *testing.T) {
 	c, now := large(2, 1)
-	machine := c.machines["m-000001"]
+	machine := c.machines.byID["m-000001"]
 	for _, name := range []string{"a", "b", "c"} {
 		machine.RecordImageUse(name, 10, 40)
 	}
-	hint, _ := newImageInventory(c.sorted, 32<<10)
+	hint, _ := newImageInventory(c.machines.sorted, 32<<10)
 	raw, _ := codec.Marshal(hint)
 	next, _ := large(0, 1)
 	var h records.ImageInventory
 	if err := codec.Unmarshal(raw, &h); err != nil {
 		t.Fatal(err)
 	}
-	next.inheritedImages["m-000001"] = &h
+	next.images.inherited["m-000001"] = &h
 	next.onHeartbeat(&protocol.Heartbeat{Machine: "m-000001", Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: 9}, now)
-	if d := cmp.Diff(machine.Images(), next.machines["m-000001"].Images()); d != "" {
+	if d := cmp.Diff(machine.Images(), next.machines.byID["m-000001"].Images()); d != "" {
 		t.Error(d)
 	}
 }
@@ -154,7 +154,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, now := large(8, 2)
 		defer withSilentStore(t, c)()
-		named, other := c.jobs["req-000000"], c.jobs["req-000001"]
+		named, other := c.jobs.open["req-000000"], c.jobs.open["req-000001"]
 		dropAll(now, named, other)
 		late := now.Add(time.Minute)
 		c.Acknowledged = func(time.Time) (time.Time, []protocol.JobID, bool) { return late, []protocol.JobID{named.id}, true }
@@ -163,7 +163,7 @@
 			t.Fatalf("cancelled %v and %v, authority %v", named.cancelled, other.cancelled, c.lastProof().Sub(now))
 		}
 		c.commit(late)
-		if c.batchInFlight != nil {
+		if c.writer.inFlight != nil {
 			t.Error("a job was closed on a version that is behind")
 		}
 		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: named.spec, Cancelled: true}
@@ -171,7 +171,7 @@
 		c.applyOpenRecord(records.OpenKey(named.id), b, named.openVersion+1, late)
 		c.commit(late)
 		isNamed := func(cl jobClosing) bool { return cl.job == named }
-		if c.batchInFlight == nil || !slices.ContainsFunc(c.batchInFlight.closed, isNamed) {
+		if c.writer.inFlight == nil || !slices.ContainsFunc(c.writer.inFlight.closed, isNamed) {
 			t.Error("a job whose record was read is not closed")
 		}
 	})
@@ -182,11 +182,11 @@
 // others of the same commit. Once a later reading is in, nothing need be remembered.
 func TestReadingFromBeforeClosing(t *testing.T) {
 	c, now := large(0, 1)
-	job := c.jobs["req-000000"]
+	job := c.jobs.open["req-000000"]
 	raw, _ := codec.Marshal(records.OpenJob{AcceptedMS: now.UnixMilli(), Job: job.spec})
 	record := protocol.KeyValue{Key: records.OpenKey(job.id), Value: raw, Version: job.openVersion}
 	reading := watchResult{events: []protocol.WatchEvent{{Set: record.Key, Value: raw, Version: record.Version}}, asOf: now.Add(time.Second)}
-	c.lookingUp, c.lookupBegan = true, now.Add(time.Second)
+	c.dependencies.lookupInFlight, c.dependencies.lookupBegan = true, now.Add(time.Second)
 	c.onClosed(jobClosing{job, records.FinalRecord{Phase: protocol.PhaseDone, ClosedMS: now.UnixMilli()}}, now.Add(2*time.Second))
 	long := now.Add(2 * tuning.RereadInterval)
 	c.pruneClosedJobs()
@@ -195,10 +195,10 @@
 	c.onWatchResult(watchResult{asOf: now.Add(3 * time.Second)}, long)
 	c.pruneClosedJobs()
 	c.onDependencyLookup(dependencyLookup{open: []protocol.KeyValue{record}}, long)
-	if len(c.jobs) > 0 {
+	if len(c.jobs.open) > 0 {
 		t.Error("a closed job was opened again")
 	}
-	if c.pruneClosedJobs(); len(c.closedJobs) > 0 {
+	if c.pruneClosedJobs(); len(c.jobs.closed) > 0 {
 		t.Error("a closed job is remembered though no reading can name it")
 	}
 }
@@ -207,7 +207,7 @@
 // surely over, whatever becomes of the tasks that the rest names.
 func TestRestIsNotShortened(t *testing.T) {
 	c, now := large(1, 1)
-	job, machine := c.jobs["req-000000"], c.machines["m-000000"]
+	job, machine := c.jobs.open["req-000000"], c.machines.byID["m-000000"]
 	until := now.Add(time.Hour)
 	job.recordUnreadable = true
 	job.backOff(until)
@@ -243,12 +243,12 @@
 		{Task: stray.Task, Attempt: 9, State: protocol.TaskRunning, Machine: "m-000000", Job: "the task waits"},
 		{Task: "nonsense", Attempt: 1, State: protocol.TaskFetching, Machine: "m-000000", Job: "not open"},
 	}
-	if d := cmp.Diff(want, c.status.Unknown); d != "" || c.status.UnknownTasks != 2 {
-		t.Errorf("%d unknown tasks, %s", c.status.UnknownTasks, d)
+	if d := cmp.Diff(want, c.status.current.Unknown); d != "" || c.status.current.UnknownTasks != 2 {
+		t.Errorf("%d unknown tasks, %s", c.status.current.UnknownTasks, d)
 	}
 	c.onHeartbeat(fullReport(c, 0, 3), now)
-	c.lastSummary = time.Time{}
-	if c.schedule(now); c.status.UnknownTasks != 0 {
-		t.Errorf("%d unknown tasks after they have ended", c.status.UnknownTasks)
+	c.status.summarizedAt = time.Time{}
+	if c.schedule(now); c.status.current.UnknownTasks != 0 {
+		t.Errorf("%d unknown tasks after they have ended", c.status.current.UnknownTasks)
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -101,71 +101,118 @@
 	obsolete                    bool // its record may go
 }
 
-// Leader is the leader of one term.
+// Leader is the leader of one term. Its actor (Run) owns all the parts; the parts
+// own their state.
 type Leader struct {
 	Dependencies
 	leadership election.Leadership
-	inbox      chan any
+	tookOverAt time.Time
 	ctx        context.Context
+	inbox      chan any
+
+	lease        leaderLease
+	jobs         jobTable
+	dependencies dependencyTable
+	writer       recordWriter
+	formats      formatVersions
+	machines     machineTable
+	dispatcher   dispatcher
+	provisioner  provisioner
+	catalog      machineCatalog
+	images       imageInventory
+	estimator    estimator
+	cycle        schedulingCycle
+	status       statusReporter
+}
+
+type leaderLease struct {
+	answeringSince   time.Time // since when reports could have been answered all the time
+	heardMajority    bool      // most machines were heard at some time in this term
+	confirmedByWatch time.Time
+	confirmedByTerm  time.Time
+	confirmedByPeers time.Time // see extendAuthority
+}
+
+type jobTable struct {
+	open        map[protocol.JobID]*jobState
+	closed      map[protocol.JobID]time.Time // jobs closed lately, see forgetClosed
+	gpuPriority protocol.PriorityLevel       // see sched.Snapshot
+	gpuRequest  scheduler.Resources
+}
+
+type dependencyTable struct {
+	dependents     map[protocol.JobID][]protocol.JobID  // jobs that wait for the one named
+	outcomes       map[protocol.JobID]dependencyOutcome // final phases of jobs, as far as they were needed
+	lookupInFlight bool
+	lookupBegan    time.Time // of the lookup under way
+	nextLookup     time.Time // no lookup before
+}
+
+type recordWriter struct {
+	inFlight   *commitBatch
+	nextCommit time.Time
+	// failingSince is since when every commit has failed; zero: the last did not.
+	failingSince time.Time
+	orphans      []orphanedSegment // pieces of closed jobs that are to be removed
+	limiter      *rate.Limiter
+}
+
+type formatVersions struct {
+	cluster      int // the version of the formats that the whole cluster uses
+	byController map[string]int
+}
 
-	jobs              map[protocol.JobID]*jobState
-	machines          map[string]*cluster.Machine
-	sorted            []*cluster.Machine    // the same, by name
-	firstToken        protocol.FencingToken // the first token of a machine that becomes known
-	removedMachines   map[string]time.Time
-	closedJobs        map[protocol.JobID]time.Time // jobs closed lately, see forgetClosed
-	provisionRequests map[string]*provisioning
-	provisionSequence int
-	machineTypes      []protocol.MachineType
-	typeIndex         map[string]int
-	capacityBackoffs  map[capacityPool]*capacityBackoff
-	estimator         estimator
-
-	tookOverAt        time.Time
-	answeringSince    time.Time // since when reports could have been answered all the time
-	heardMajority     bool      // most machines were heard at some time in this term
-	confirmedByWatch  time.Time
-	confirmedByTerm   time.Time
-	confirmedByPeers  time.Time // see extendAuthority
-	batchInFlight     *commitBatch
-	nextCommit        time.Time
-	inheritedImages   map[string]*records.ImageInventory // of an earlier leader, by machine
-	nextInventorySave time.Time
-	inventoryPart     int // the next hint's number
-	inventoryFrom     int // the first machine, of the sorted ones, that it describes
-	// commitFailingSince is since when every commit has failed; zero: the last did not.
-	commitFailingSince time.Time
-	orphanedSegments   []orphanedSegment // pieces of closed jobs that are to be removed
-	format             int               // the version of the formats that the whole cluster uses
-	controllerFormats  map[string]int
-
-	dependents          map[protocol.JobID][]protocol.JobID  // jobs that wait for the one named
-	outcomes            map[protocol.JobID]dependencyOutcome // final phases of jobs, as far as they were needed
-	lookingUp           bool
-	lookupBegan         time.Time // of the lookup under way
-	lookupAt            time.Time // no lookup before
-	writeLimiter        *rate.Limiter
-	machinesListed      bool
+type machineTable struct {
+	byID       map[string]*cluster.Machine
+	sorted     []*cluster.Machine    // the same, by name
+	firstToken protocol.FencingToken // the first token of a machine that becomes known
+	removed    map[string]time.Time
+}
+
+type dispatcher struct {
+	pending            map[*cluster.Machine]bool // have something to be sent
+	handshakeQueue     []*cluster.Machine        // see planHandshakes
+	handshakesInFlight int                       // handshakes under way
+}
+
+type provisioner struct {
+	requests            map[string]*provisioning
+	sequence            int
+	backoffs            map[capacityPool]*capacityBackoff
+	deprovisionQueue    []*cluster.Machine // to be given back
+	deprovisionInFlight []*cluster.Machine // in the call that is under way
+	nextDeprovision     time.Time
+	listed              bool
 	listInFlight        bool
-	cloudOK             bool
 	nextList            time.Time
-	catalogAt           time.Time
-	typesLoaded         bool
-	lastCycle           time.Time                 // when the last pass ended
-	lastRunning         int                       // entries of the last snapshot's machines, for the next one's size
-	cycleTook           time.Duration             // how long it took
-	changed             bool                      // something that decisions depend on has changed
-	pendingDispatch     map[*cluster.Machine]bool // have something to be sent
-	handshakeQueue      []*cluster.Machine        // see planHandshakes
-	handshakesInFlight  int                       // handshakes under way
-	deprovisionQueue    []*cluster.Machine        // to be given back
-	deprovisionInFlight []*cluster.Machine        // in the call that is under way
-	nextDeprovision     time.Time
-	lastSummary         time.Time
-	lateLogged          time.Time
-	status              Status
-	gpuPriority         protocol.PriorityLevel // see sched.Snapshot
-	gpuRequest          scheduler.Resources
+	cloudAvailable      bool
+}
+
+type machineCatalog struct {
+	types    []protocol.MachineType
+	index    map[string]int
+	loaded   bool
+	nextRead time.Time
+}
+
+type imageInventory struct {
+	inherited   map[string]*records.ImageInventory // of an earlier leader, by machine
+	nextSave    time.Time
+	nextPart    int // the next hint's number
+	nextMachine int // the first machine, of the sorted ones, that it describes
+}
+
+type schedulingCycle struct {
+	lastEnd        time.Time     // when the last pass ended
+	runningEntries int           // entries of the last snapshot's machines, for the next one's size
+	took           time.Duration // how long it took
+	needed         bool          // something that decisions depend on has changed
+}
+
+type statusReporter struct {
+	current         Status
+	summarizedAt    time.Time
+	overdueLoggedAt time.Time
 }
 
 type capacityPool struct {
@@ -181,19 +228,23 @@
 // New makes the leader of a term.
 func New(d Dependencies, term election.Leadership) *Leader {
 	limits := d.Config.Deployment.State.Smaller()
-	floor := term.Term.FirstToken()
-	wr := limits.WriteRPS * tuning.LeaderWriteShare
+	writesPerSecond := limits.WriteRPS * tuning.LeaderWriteShare
 	return &Leader{
-		Dependencies: d, leadership: term,
+		Dependencies: d,
+		leadership:   term,
 		// A report that waits holds a connection, so that none is refused here:
 		// after a takeover all workers report at once.
-		inbox: make(chan any, d.Config.Deployment.Sockets(len(d.Config.Peers)).Incoming),
-		jobs:  map[protocol.JobID]*jobState{}, machines: map[string]*cluster.Machine{}, removedMachines: map[string]time.Time{}, closedJobs: map[protocol.JobID]time.Time{}, inheritedImages: map[string]*records.ImageInventory{}, pendingDispatch: map[*cluster.Machine]bool{},
-		firstToken: floor, gpuPriority: -1, provisionRequests: map[string]*provisioning{}, capacityBackoffs: map[capacityPool]*capacityBackoff{}, typeIndex: map[string]int{},
-		estimator:         estimator{off: d.Config.Operator.Estimator == "user", classes: map[string]*classRuns{}},
-		writeLimiter:      rate.NewLimiter(rate.Limit(wr), max(int(wr), limits.TxnOps)),
-		format:            records.FormatWhole,
-		controllerFormats: map[string]int{}, dependents: map[protocol.JobID][]protocol.JobID{}, outcomes: map[protocol.JobID]dependencyOutcome{},
+		inbox:        make(chan any, d.Config.Deployment.Sockets(len(d.Config.Peers)).Incoming),
+		jobs:         jobTable{open: map[protocol.JobID]*jobState{}, closed: map[protocol.JobID]time.Time{}, gpuPriority: -1},
+		dependencies: dependencyTable{dependents: map[protocol.JobID][]protocol.JobID{}, outcomes: map[protocol.JobID]dependencyOutcome{}},
+		writer:       recordWriter{limiter: rate.NewLimiter(rate.Limit(writesPerSecond), max(int(writesPerSecond), limits.TxnOps))},
+		formats:      formatVersions{cluster: records.FormatWhole, byController: map[string]int{}},
+		machines:     machineTable{byID: map[string]*cluster.Machine{}, firstToken: term.Term.FirstToken(), removed: map[string]time.Time{}},
+		dispatcher:   dispatcher{pending: map[*cluster.Machine]bool{}},
+		provisioner:  provisioner{requests: map[string]*provisioning{}, backoffs: map[capacityPool]*capacityBackoff{}},
+		catalog:      machineCatalog{index: map[string]int{}},
+		images:       imageInventory{inherited: map[string]*records.ImageInventory{}},
+		estimator:    estimator{off: d.Config.Operator.Estimator == "user", classes: map[string]*classRuns{}},
 	}
 }
 
@@ -244,12 +295,12 @@
 func (c *Leader) Run() {
 	ctx := c.ctx
 	c.tookOverAt = time.Now()
-	c.answeringSince = c.tookOverAt.Add(tuning.AgentRetry)
+	c.lease.answeringSince = c.tookOverAt.Add(tuning.AgentRetry)
 	rev, ok := c.load(ctx)
 	if !ok {
 		return
 	}
-	c.Log.Info("records read", "term", c.leadership.Term, "jobs", len(c.jobs), "machines", len(c.machines), "claims", len(c.provisionRequests))
+	c.Log.Info("records read", "term", c.leadership.Term, "jobs", len(c.jobs.open), "machines", len(c.machines.byID), "claims", len(c.provisioner.requests))
 	go c.watchOpenJobs(ctx, rev)
 	go c.confirmTerm(ctx)
 	go c.watchVersions(ctx)
@@ -280,13 +331,13 @@
 			armed = false
 			start := time.Now()
 			c.runCycle(start)
-			c.lastCycle = time.Now()
-			c.cycleTook = c.lastCycle.Sub(start)
+			c.cycle.lastEnd = time.Now()
+			c.cycle.took = c.cycle.lastEnd.Sub(start)
 			continue
 		}
-		if c.changed && !armed {
+		if c.cycle.needed && !armed {
 			armed = true
-			passTimer.Reset(c.cycleInterval() - time.Since(c.lastCycle))
+			passTimer.Reset(c.cycleInterval() - time.Since(c.cycle.lastEnd))
 		}
 	}
 }
@@ -294,7 +345,7 @@
 // cycleInterval is the least time between two passes. It grows with what a pass
 // takes, so that decisions never starve the answers to workers.
 func (c *Leader) cycleInterval() time.Duration {
-	return min(max(tuning.CycleInterval, tuning.CyclePauseFactor*c.cycleTook), tuning.CycleIntervalMax)
+	return min(max(tuning.CycleInterval, tuning.CyclePauseFactor*c.cycle.took), tuning.CycleIntervalMax)
 }
 
 func (c *Leader) handle(m any) {
@@ -309,7 +360,7 @@
 	case watchResult:
 		c.onWatchResult(m, now)
 	case termConfirmation:
-		c.confirmedByTerm = m.asOf
+		c.lease.confirmedByTerm = m.asOf
 	case dependencyLookup:
 		c.onDependencyLookup(m, now)
 	case versionsResult:
@@ -323,7 +374,7 @@
 	case deprovisionResult:
 		c.onDeprovisionResult(m, now)
 	case statusRequest:
-		m.reply <- c.status
+		m.reply <- c.status.current
 	}
 }
 
@@ -339,11 +390,11 @@
 func (c *Leader) termToken() protocol.FencingToken { return c.leadership.Term.FirstToken() }
 
 func (c *Leader) bootS(machine *cluster.Machine) float64 {
-	if i, ok := c.typeIndex[machine.Type]; ok {
-		return c.machineTypes[i].BootS
+	if i, ok := c.catalog.index[machine.Type]; ok {
+		return c.catalog.types[i].BootS
 	}
 	worst := 0.0
-	for _, t := range c.machineTypes {
+	for _, t := range c.catalog.types {
 		worst = math.Max(worst, t.BootS)
 	}
 	return worst
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -49,7 +49,7 @@
 		}
 		c.restore(&r, time.Now())
 		c.loadImageInventory(ctx)
-		c.confirmedByWatch, c.confirmedByTerm = start, start
+		c.lease.confirmedByWatch, c.lease.confirmedByTerm = start, start
 		return r.open.Revision, true
 	}
 	return 0, false
@@ -64,7 +64,7 @@
 	for _, entry := range r.claims.Entries {
 		var cl records.ProvisioningRequest
 		if err := codec.Unmarshal(entry.Value, &cl); err == nil {
-			c.provisionRequests[cl.ID] = &provisioning{ProvisioningRequest: cl, recorded: true}
+			c.provisioner.requests[cl.ID] = &provisioning{ProvisioningRequest: cl, recorded: true}
 		}
 	}
 	if r.catalog.Value == nil {
@@ -73,7 +73,7 @@
 	var types []protocol.MachineType
 	if codec.Unmarshal(r.catalog.Value, &types) == nil {
 		c.setTypes(types)
-		c.typesLoaded = true
+		c.catalog.loaded = true
 	}
 }
 
@@ -91,19 +91,19 @@
 		pieces[jobID] = append(pieces[jobID], entry)
 	}
 	for jobID, of := range pieces {
-		switch job := c.jobs[jobID]; {
+		switch job := c.jobs.open[jobID]; {
 		case job != nil:
 			c.restoreRun(job, of, now)
 		case !open[jobID]:
 			// The job was closed by a leader that came to no end with it.
 			for _, entry := range of {
-				c.orphanedSegments = append(c.orphanedSegments, orphanedSegment{entry.Key, entry.Version})
+				c.writer.orphans = append(c.writer.orphans, orphanedSegment{entry.Key, entry.Version})
 			}
 		}
 		// Otherwise its open record cannot be read: users are told it is queued.
 	}
 	// A job may have been cancelled while nobody led: no event will tell.
-	for _, job := range c.jobs {
+	for _, job := range c.jobs.open {
 		if job.cancelled {
 			c.cancelJob(job, now)
 		}
@@ -117,7 +117,7 @@
 		_, number := records.ParseOpenKey(entry.Key)
 		if number < 0 || number >= max(1, records.SegmentCount(job.spec.Tasks)) {
 			c.Log.Error("run record of no task", "key", entry.Key)
-			c.orphanedSegments = append(c.orphanedSegments, orphanedSegment{entry.Key, entry.Version})
+			c.writer.orphans = append(c.writer.orphans, orphanedSegment{entry.Key, entry.Version})
 			continue
 		}
 		job.segment(number).version = entry.Version
@@ -156,7 +156,7 @@
 // applyOpenRecord takes in an open job's record.
 func (c *Leader) applyOpenRecord(key string, value []byte, version protocol.Version, now time.Time) {
 	jobID, _ := records.ParseOpenKey(key)
-	job := c.jobs[jobID]
+	job := c.jobs.open[jobID]
 	var o records.OpenJob
 	if err := codec.Unmarshal(value, &o); err != nil {
 		c.Log.Error("unreadable job record", "job", jobID, "err", err)
@@ -167,7 +167,7 @@
 		c.onRecordRewritten(job, &o, version, now)
 		return
 	}
-	if _, over := c.closedJobs[jobID]; over {
+	if _, over := c.jobs.closed[jobID]; over {
 		return // read before it was closed
 	}
 	c.addJob(jobID, &o, version, now)
@@ -177,10 +177,10 @@
 // reading that began after a job was closed has been taken in, and readings of the same
 // kind come one after another.
 func (c *Leader) pruneClosedJobs() {
-	for jobID, at := range c.closedJobs {
-		lookup := c.lookingUp && !c.lookupBegan.After(at)
-		if c.confirmedByWatch.After(at) && !lookup {
-			delete(c.closedJobs, jobID)
+	for jobID, at := range c.jobs.closed {
+		lookup := c.dependencies.lookupInFlight && !c.dependencies.lookupBegan.After(at)
+		if c.lease.confirmedByWatch.After(at) && !lookup {
+			delete(c.jobs.closed, jobID)
 		}
 	}
 }
@@ -190,7 +190,7 @@
 	if !records.MarkedCancelled(value) {
 		return
 	}
-	if job := c.jobs[jobID]; job != nil && !job.cancelled {
+	if job := c.jobs.open[jobID]; job != nil && !job.cancelled {
 		c.cancelJob(job, now) // its user is told so
 	}
 	c.cancelDependents(jobID, now)
@@ -208,12 +208,12 @@
 
 func (c *Leader) addJob(jobID protocol.JobID, o *records.OpenJob, version protocol.Version, now time.Time) {
 	job := newJob(jobID, o, version, now)
-	c.jobs[jobID] = job
-	c.changed = true
+	c.jobs.open[jobID] = job
+	c.cycle.needed = true
 	c.Log.Debug("job known", "job", jobID, "class", o.Job.Class, "tasks", o.Job.Tasks, "age", now.Sub(job.acceptedAt))
 	c.addDependencies(job, now)
 	if n := job.request(); n.GPUs > 0 {
-		c.gpuPriority = max(c.gpuPriority, job.priority())
-		c.gpuRequest = scheduler.Resources{Cores: max(c.gpuRequest.Cores, n.Cores), GPUs: max(c.gpuRequest.GPUs, n.GPUs), MemGB: max(c.gpuRequest.MemGB, n.MemGB)}
+		c.jobs.gpuPriority = max(c.jobs.gpuPriority, job.priority())
+		c.jobs.gpuRequest = scheduler.Resources{Cores: max(c.jobs.gpuRequest.Cores, n.Cores), GPUs: max(c.jobs.gpuRequest.GPUs, n.GPUs), MemGB: max(c.jobs.gpuRequest.MemGB, n.MemGB)}
 	}
 }
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -26,7 +26,7 @@
 	c.planHandshakes(now)
 	c.deprovisionNext(now)
 	// Slack is spent and idle machines age by time alone.
-	c.changed = true
+	c.cycle.needed = true
 	c.deprovision(lost, "silent, taken or faulty", now)
 	c.deprovision(stuck, "never came up", now)
 	c.refreshList(now)
@@ -40,7 +40,7 @@
 // lost, and those that never came up.
 func (c *Leader) reviewMachines(now time.Time) (lost, stuck []*cluster.Machine) {
 	presumed := c.unreachableMachines(now)
-	for _, machine := range c.machines {
+	for _, machine := range c.machines.byID {
 		if machine.Incarnation > machine.ExpiredIncarnation || len(machine.Placements) > 0 {
 			if ended := machine.ExpireLease(now); len(ended) > 0 {
 				c.Log.Info("lease over", "machine", machine.ID, "tasks", len(ended))
@@ -53,7 +53,7 @@
 			lost = append(lost, machine)
 		case machine.Up && (now.After(machine.LeaseExpiry.Add(tuning.UnreachableGrace)) || now.Sub(machine.LastHeartbeat) > tuning.NoHeartbeatLimit):
 			lost = append(lost, machine)
-		case !machine.Up && len(machine.Placements) == 0 && c.typesLoaded &&
+		case !machine.Up && len(machine.Placements) == 0 && c.catalog.loaded &&
 			now.Sub(machine.ProvisionedAt) > seconds(tuning.BootGiveUp*c.bootS(machine)):
 			stuck = append(stuck, machine)
 		case machine.Up && machine.Quarantined && len(machine.Placements) == 0 && machine.CommandsResolved():
@@ -61,7 +61,7 @@
 		}
 		c.drain(machine, now)
 		if len(machine.Outbox) > 0 {
-			c.pendingDispatch[machine] = true
+			c.dispatcher.pending[machine] = true
 		}
 	}
 	return lost, stuck
@@ -69,11 +69,11 @@
 
 // refreshList reads the list of machines when it is due.
 func (c *Leader) refreshList(now time.Time) {
-	if c.listInFlight || !now.After(c.nextList) {
+	if c.provisioner.listInFlight || !now.After(c.provisioner.nextList) {
 		return
 	}
-	c.listInFlight = true
-	c.nextList = now.Add(c.listInterval())
+	c.provisioner.listInFlight = true
+	c.provisioner.nextList = now.Add(c.listInterval())
 	go func() {
 		machines, err := c.Cloud.ListMachines(c.ctx)
 		c.post(machineListResult{now, machines, err})
@@ -82,11 +82,11 @@
 
 // refreshCatalog reads the types of machines and their prices when that is due.
 func (c *Leader) refreshCatalog(now time.Time) {
-	if !now.After(c.catalogAt) {
+	if !now.After(c.catalog.nextRead) {
 		return
 	}
-	c.catalogAt = now.Add(tuning.CatalogInterval)
-	save := !c.typesLoaded
+	c.catalog.nextRead = now.Add(tuning.CatalogInterval)
+	save := !c.catalog.loaded
 	go func() {
 		types, err := c.Cloud.Catalog(c.ctx)
 		for err != nil && clock.Sleep(c.ctx, tuning.MachineBackoff) {
@@ -109,7 +109,7 @@
 	}
 	left := machine.PreemptionAt.Sub(now).Seconds()
 	for _, placement := range machine.Placements {
-		job := c.jobs[placement.Job]
+		job := c.jobs.open[placement.Job]
 		if job == nil || placement.Stopping || placement.State != protocol.TaskRunning || job.spec.CheckpointIntervalS <= 0 ||
 			left > job.spec.CheckpointSaveS+tuning.NoticeMargin {
 			continue
@@ -126,10 +126,10 @@
 
 // runCycle decides and writes.
 func (c *Leader) runCycle(now time.Time) {
-	if c.typesLoaded && now.Sub(c.lastConfirmation()) < tuning.StartConfirmationAge {
+	if c.catalog.loaded && now.Sub(c.lastConfirmation()) < tuning.StartConfirmationAge {
 		c.schedule(now)
 	}
-	c.changed = false
+	c.cycle.needed = false
 	c.commit(now)
 	c.dispatchAll(now)
 	c.callProvisioning(now)
@@ -137,9 +137,9 @@
 
 // dispatchAll sends what is due to the machines for which there is something.
 func (c *Leader) dispatchAll(now time.Time) {
-	for machine := range c.pendingDispatch {
+	for machine := range c.dispatcher.pending {
 		if !machine.CommandInFlight {
-			delete(c.pendingDispatch, machine)
+			delete(c.dispatcher.pending, machine)
 			c.dispatch(machine, now)
 		}
 	}
@@ -167,8 +167,8 @@
 		back = append(back, machines[i])
 	}
 	c.deprovision(back, "idle", now)
-	if now.Sub(c.lastSummary) >= tuning.StatusInterval {
-		c.lastSummary = now
+	if now.Sub(c.status.summarizedAt) >= tuning.StatusInterval {
+		c.status.summarizedAt = now
 		c.summarize(snap, jobs, plan, now)
 	}
 }
@@ -184,8 +184,8 @@
 		job.placements[task], machine.Placements[placement.TaskKey] = placement, placement
 		c.markDirty(job, task, true, now)
 	}
-	if i, ok := c.typeIndex[machine.Type]; ok {
-		machine.RecordImageUse(job.spec.Image, job.spec.ImageGB, c.machineTypes[i].CacheGB)
+	if i, ok := c.catalog.index[machine.Type]; ok {
+		machine.RecordImageUse(job.spec.Image, job.spec.ImageGB, c.catalog.types[i].CacheGB)
 	}
 	c.Log.Debug("placing", "job", job.id, "machine", machine.ID, "count", count)
 }
@@ -215,7 +215,7 @@
 // would queue at the cloud for half a minute and take the writes from the starts.
 func (c *Leader) scaleOut(snap *scheduler.Snapshot, rents []scheduler.ScaleOut, now time.Time) {
 	asked := map[capacityPool]bool{}
-	for _, request := range c.provisionRequests {
+	for _, request := range c.provisioner.requests {
 		if !request.resolved {
 			asked[capacityPool{request.Type, request.Zone, request.Spot}] = true
 		}
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -21,16 +21,16 @@
 // writes a minute went into claims that rented nothing.
 func (c *Leader) requestMachines(typ, zone string, spot bool, count int, now time.Time) {
 	count = min(count, tuning.ProvisionMax)
-	c.provisionSequence++
+	c.provisioner.sequence++
 	// The term makes the name unique over all leaders, for ever.
-	name := fmt.Sprintf("r-%d-%d", c.leadership.Term, c.provisionSequence)
-	c.provisionRequests[name] = &provisioning{ProvisioningRequest: records.ProvisioningRequest{ID: name, Type: typ, Zone: zone, Spot: spot, Count: count, RequestedMS: now.UnixMilli()}}
+	name := fmt.Sprintf("r-%d-%d", c.leadership.Term, c.provisioner.sequence)
+	c.provisioner.requests[name] = &provisioning{ProvisioningRequest: records.ProvisioningRequest{ID: name, Type: typ, Zone: zone, Spot: spot, Count: count, RequestedMS: now.UnixMilli()}}
 	c.Log.Info("renting", "claim", name, "type", typ, "zone", zone, "spot", spot, "count", count)
 }
 
 // callProvisioning calls the cloud for recorded claims whose outcome is not known.
 func (c *Leader) callProvisioning(now time.Time) {
-	for _, request := range c.provisionRequests {
+	for _, request := range c.provisioner.requests {
 		if !request.recorded || request.calling || request.resolved || now.Before(request.nextCall) {
 			continue
 		}
@@ -46,16 +46,16 @@
 func (c *Leader) onProvisionResult(m provisionResult, now time.Time) {
 	request := m.request
 	request.calling = false
-	c.changed = true
+	c.cycle.needed = true
 	switch {
 	case m.err == nil:
 		request.resolved, request.machineIDs = true, m.machineIDs
-		c.cloudOK = true
+		c.provisioner.cloudAvailable = true
 		for _, id := range m.machineIDs {
-			if _, ok := c.removedMachines[id]; ok {
+			if _, ok := c.machines.removed[id]; ok {
 				continue
 			}
-			if c.machines[id] == nil {
+			if c.machines.byID[id] == nil {
 				mc := c.machineByID(id, time.UnixMilli(request.RequestedMS))
 				mc.Type, mc.Zone, mc.Spot = request.Type, request.Zone, request.Spot
 				mc.ProvisionedAt = now
@@ -64,19 +64,19 @@
 		if len(m.machineIDs) < request.Count {
 			c.backOffPool(capacityPool{request.Type, request.Zone, request.Spot}, now)
 		} else {
-			delete(c.capacityBackoffs, capacityPool{request.Type, request.Zone, request.Spot})
+			delete(c.provisioner.backoffs, capacityPool{request.Type, request.Zone, request.Spot})
 		}
 		c.Log.Info("rented", "claim", request.ProvisioningRequest.ID, "got", len(m.machineIDs), "asked", request.Count)
 	case errors.Is(m.err, cloud.ErrNoCapacity):
 		request.resolved, request.obsolete = true, true
-		c.cloudOK = true
+		c.provisioner.cloudAvailable = true
 		c.backOffPool(capacityPool{request.Type, request.Zone, request.Spot}, now)
 		c.Log.Info("no capacity", "type", request.Type, "zone", request.Zone, "spot", request.Spot)
 	default:
 		// The outcome is unknown or the cloud is down: the same claim is
 		// called again, which rents at most once.
 		request.nextCall = now.Add(tuning.MachineBackoff)
-		c.cloudOK = false
+		c.provisioner.cloudAvailable = false
 		c.Log.Info("rental call failed", "claim", request.ProvisioningRequest.ID, "err", m.err)
 		if errors.Is(m.err, cloud.ErrInvalidRequest) {
 			request.resolved, request.obsolete = true, true
@@ -86,10 +86,10 @@
 }
 
 func (c *Leader) backOffPool(o capacityPool, now time.Time) {
-	r := c.capacityBackoffs[o]
+	r := c.provisioner.backoffs[o]
 	if r == nil {
 		r = &capacityBackoff{delay: tuning.NoCapacityBackoff}
-		c.capacityBackoffs[o] = r
+		c.provisioner.backoffs[o] = r
 	} else {
 		r.delay = min(2*r.delay, tuning.NoCapacityBackoffMax)
 	}
@@ -106,7 +106,7 @@
 		machine.Deprovisioning = true
 	}
 	c.Log.Info("returning machines", "why", why, "machines", machineNames(machines))
-	c.deprovisionQueue = append(c.deprovisionQueue, machines...)
+	c.provisioner.deprovisionQueue = append(c.provisioner.deprovisionQueue, machines...)
 	c.deprovisionNext(now)
 }
 
@@ -123,27 +123,27 @@
 // each returned and retried by itself, took the calls from the rentals. Those
 // with tasks go first, which start elsewhere only after the answer.
 func (c *Leader) deprovisionNext(now time.Time) {
-	if len(c.deprovisionInFlight) > 0 || len(c.deprovisionQueue) == 0 || now.Before(c.nextDeprovision) {
+	if len(c.provisioner.deprovisionInFlight) > 0 || len(c.provisioner.deprovisionQueue) == 0 || now.Before(c.provisioner.nextDeprovision) {
 		return
 	}
-	slices.SortStableFunc(c.deprovisionQueue, func(a, b *cluster.Machine) int {
+	slices.SortStableFunc(c.provisioner.deprovisionQueue, func(a, b *cluster.Machine) int {
 		return cmp.Compare(min(1, len(b.Placements)), min(1, len(a.Placements)))
 	})
-	n := min(len(c.deprovisionQueue), tuning.DeprovisionMax)
-	c.deprovisionInFlight, c.deprovisionQueue = c.deprovisionQueue[:n:n], slices.Clone(c.deprovisionQueue[n:])
-	ids := machineNames(c.deprovisionInFlight)
+	n := min(len(c.provisioner.deprovisionQueue), tuning.DeprovisionMax)
+	c.provisioner.deprovisionInFlight, c.provisioner.deprovisionQueue = c.provisioner.deprovisionQueue[:n:n], slices.Clone(c.provisioner.deprovisionQueue[n:])
+	ids := machineNames(c.provisioner.deprovisionInFlight)
 	go func() { c.post(deprovisionResult{c.Cloud.Deprovision(c.ctx, ids)}) }()
 }
 
 func (c *Leader) onDeprovisionResult(r deprovisionResult, now time.Time) {
-	machines := c.deprovisionInFlight
-	c.deprovisionInFlight = nil
+	machines := c.provisioner.deprovisionInFlight
+	c.provisioner.deprovisionInFlight = nil
 	defer c.deprovisionNext(now)
 	if r.err != nil {
 		// It may have been carried out; names that are gone are ignored.
 		c.Log.Info("returning machines failed", "machines", len(machines), "err", r.err)
-		c.deprovisionQueue = append(c.deprovisionQueue, machines...)
-		c.nextDeprovision = now.Add(tuning.MachineBackoff)
+		c.provisioner.deprovisionQueue = append(c.provisioner.deprovisionQueue, machines...)
+		c.provisioner.nextDeprovision = now.Add(tuning.MachineBackoff)
 		return
 	}
 	for _, machine := range machines {
@@ -153,27 +153,27 @@
 		}
 		c.endPlacements(ended, now)
 		c.forgetMachine(machine)
-		c.removedMachines[machine.ID] = now
+		c.machines.removed[machine.ID] = now
 	}
 }
 
 func (c *Leader) onMachineList(l machineListResult, now time.Time) {
-	c.listInFlight = false
-	c.cloudOK = l.err == nil
+	c.provisioner.listInFlight = false
+	c.provisioner.cloudAvailable = l.err == nil
 	if l.err != nil {
 		c.Log.Debug("machine list", "err", l.err)
 		return
 	}
-	c.changed = c.changed || !c.machinesListed
-	c.machinesListed = true
+	c.cycle.needed = c.cycle.needed || !c.provisioner.listed
+	c.provisioner.listed = true
 	var failed []*cluster.Machine
 	seen := map[string]bool{}
 	for _, lm := range l.machines {
 		seen[lm.ID] = true
-		if _, ok := c.removedMachines[lm.ID]; ok {
+		if _, ok := c.machines.removed[lm.ID]; ok {
 			continue
 		}
-		machine := c.machines[lm.ID]
+		machine := c.machines.byID[lm.ID]
 		if machine == nil {
 			machine = c.machineByID(lm.ID, now)
 			machine.ProvisionedAt = now.Add(-seconds(lm.AgeS))
@@ -192,15 +192,15 @@
 	c.deprovision(failed, "failed", now)
 	c.planHandshakes(now)
 	c.pruneRemovedMachines(l.began)
-	for _, request := range c.provisionRequests {
+	for _, request := range c.provisioner.requests {
 		if !request.resolved || request.obsolete {
 			continue
 		}
 		// The list has taken over: a new leader will find these there.
 		all := true
 		for _, id := range request.machineIDs {
-			_, gone := c.removedMachines[id]
-			machine := c.machines[id]
+			_, gone := c.machines.removed[id]
+			machine := c.machines.byID[id]
 			all = all && (seen[id] || gone || (machine != nil && machine.Up))
 		}
 		request.obsolete = all
@@ -213,9 +213,9 @@
 // among the cloud's calls.
 func (c *Leader) pruneRemovedMachines(listBegan time.Time) {
 	lagging := tuning.ListLags * seconds(c.Config.Deployment.Cloud.ListLagS)
-	for id, at := range c.removedMachines {
+	for id, at := range c.machines.removed {
 		if listBegan.Sub(at) > lagging {
-			delete(c.removedMachines, id)
+			delete(c.machines.removed, id)
 		}
 	}
 }
@@ -223,7 +223,7 @@
 // listInterval is the pause to the next list, of which each page is a call: at most
 // a part of the calls that may be made goes into lists.
 func (c *Leader) listInterval() time.Duration {
-	pages := float64(len(c.machines)/tuning.ListMax + 1)
+	pages := float64(len(c.machines.byID)/tuning.ListMax + 1)
 	calls := c.Config.Deployment.Cloud.RPS * c.Config.Operator.CallBudget
 	return max(tuning.ListInterval, seconds(pages/(calls*tuning.ListShare)))
 }
@@ -231,15 +231,15 @@
 func (c *Leader) onCatalog(m catalogResult, _ time.Time) {
 	if m.types != nil {
 		c.setTypes(m.types)
-		c.typesLoaded = true
+		c.catalog.loaded = true
 	}
 }
 
 func (c *Leader) setTypes(types []protocol.MachineType) {
-	c.machineTypes, c.changed = types, true
-	c.typeIndex = make(map[string]int, len(types))
+	c.catalog.types, c.cycle.needed = types, true
+	c.catalog.index = make(map[string]int, len(types))
 	for i, t := range types {
-		c.typeIndex[t.Name] = i
+		c.catalog.index[t.Name] = i
 	}
 }
 
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -13,28 +13,28 @@
 
 // machineByID finds a machine or makes one that is known by name only.
 func (c *Leader) machineByID(id string, now time.Time) *cluster.Machine {
-	machine := c.machines[id]
+	machine := c.machines.byID[id]
 	if machine == nil {
 		// An earlier leader may go on answering it for X, and then its lease
 		// runs: only after that its recorded tasks count as gone.
-		machine = cluster.NewMachine(id, c.firstToken, now, c.agentLeaseExpiry(c.tookOverAt.Add(c.leaseDuration())))
-		c.machines[id] = machine
-		i, _ := slices.BinarySearchFunc(c.sorted, id, func(machine *cluster.Machine, id string) int { return strings.Compare(machine.ID, id) })
-		c.sorted = slices.Insert(c.sorted, i, machine)
-		c.changed = true
+		machine = cluster.NewMachine(id, c.machines.firstToken, now, c.agentLeaseExpiry(c.tookOverAt.Add(c.leaseDuration())))
+		c.machines.byID[id] = machine
+		i, _ := slices.BinarySearchFunc(c.machines.sorted, id, func(machine *cluster.Machine, id string) int { return strings.Compare(machine.ID, id) })
+		c.machines.sorted = slices.Insert(c.machines.sorted, i, machine)
+		c.cycle.needed = true
 	}
 	return machine
 }
 
 // forgetMachine drops a machine that was given back.
 func (c *Leader) forgetMachine(machine *cluster.Machine) {
-	delete(c.machines, machine.ID)
-	delete(c.pendingDispatch, machine)
+	delete(c.machines.byID, machine.ID)
+	delete(c.dispatcher.pending, machine)
 	// Should a late report of it come when it is long forgotten, it must show a
 	// token that it cannot have seen, so that nothing is placed on it.
-	c.firstToken = max(c.firstToken, machine.IssuedToken+1)
-	c.sorted = slices.DeleteFunc(c.sorted, func(o *cluster.Machine) bool { return o == machine })
-	c.changed = true
+	c.machines.firstToken = max(c.machines.firstToken, machine.IssuedToken+1)
+	c.machines.sorted = slices.DeleteFunc(c.machines.sorted, func(o *cluster.Machine) bool { return o == machine })
+	c.cycle.needed = true
 }
 
 func (c *Leader) onHeartbeat(heartbeat *protocol.Heartbeat, now time.Time) *protocol.HeartbeatReply {
@@ -46,7 +46,7 @@
 	if now.Sub(c.lastProof()) > c.leaseDuration() {
 		return nil
 	}
-	if _, ok := c.removedMachines[heartbeat.Machine]; ok {
+	if _, ok := c.machines.removed[heartbeat.Machine]; ok {
 		return &protocol.HeartbeatReply{Token: c.termToken(), Commands: []protocol.Command{}}
 	}
 	machine := c.machineByID(heartbeat.Machine, now)
@@ -73,7 +73,7 @@
 		return
 	}
 	if usable := machine.Schedulable(now, c.schedulableSilence()); usable != machine.WasSchedulable {
-		machine.WasSchedulable, c.changed = usable, true
+		machine.WasSchedulable, c.cycle.needed = usable, true
 	}
 	if !wasUp {
 		machine.IdleSince, machine.GPUIdleSince = now, now
@@ -86,7 +86,7 @@
 	}
 	if c.Log.Enabled(c.ctx, slog.LevelDebug) {
 		for k, placement := range machine.Placements {
-			if job := c.jobs[k.Job]; job != nil && placement.State == protocol.TaskRunning && placement.Since.Equal(now) {
+			if job := c.jobs.open[k.Job]; job != nil && placement.State == protocol.TaskRunning && placement.Since.Equal(now) {
 				c.Log.Debug("task running", "task", taskName(k), "class", job.spec.Class, "machine", machine.ID, "age", now.Sub(job.acceptedAt))
 			}
 		}
@@ -100,7 +100,7 @@
 		t := &machine.ReportedTasks[i]
 		k, ok := t.Key, t.Parsed
 		placement := machine.Placements[k]
-		job := c.jobs[k.Job]
+		job := c.jobs.open[k.Job]
 		switch {
 		case t.State == protocol.TaskExited:
 			// To forget it earlier could make the worker run it again: a start
@@ -122,10 +122,10 @@
 // endPlacements draws the conclusions from placements that are over.
 func (c *Leader) endPlacements(ended []cluster.EndedPlacement, now time.Time) {
 	for _, e := range ended {
-		c.changed = true
+		c.cycle.needed = true
 		placement := e.Placement
 		placement.Machine.RemovePlacement(placement, now)
-		job := c.jobs[placement.Job]
+		job := c.jobs.open[placement.Job]
 		if job != nil && job.spec.GPUs > 0 {
 			placement.Machine.GPUIdleSince = now
 		}
--- a/internal/leader/runrecord.go
+++ b/internal/leader/runrecord.go
@@ -111,7 +111,7 @@
 // a value: each piece that changes is a write.
 func (c *Leader) markDirty(job *jobState, task int, urgent bool, now time.Time) {
 	number := records.SegmentOf(task)
-	undivided := c.format < records.FormatSegmented || job.spec.Tasks*tuning.RecordEntryBytes <= c.Store.MaxValueBytes()
+	undivided := c.formats.cluster < records.FormatSegmented || job.spec.Tasks*tuning.RecordEntryBytes <= c.Store.MaxValueBytes()
 	if undivided && !job.written(number) {
 		number = 0
 	}
--- a/internal/leader/runrecord_test.go
+++ b/internal/leader/runrecord_test.go
@@ -46,7 +46,7 @@
 	for range 200 {
 		tasks := 1 + rng.IntN(200)
 		job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: tasks}}, 1, time.Now())
-		c := &Leader{format: records.FormatWhole}
+		c := &Leader{formats: formatVersions{cluster: records.FormatWhole}}
 		c.Store = kvstore.New("state:1", &calls{}, nil, config.State{StateLimits: config.StateLimits{ValueKB: float64(1 + rng.IntN(8))}})
 		machine := &cluster.Machine{ID: "m-000001"}
 		stored := map[int]records.RunRecord{}
@@ -61,9 +61,9 @@
 				writePiece(job, rng, stored, model, protocol.Version(step+2))
 			case 3:
 				if rng.IntN(5) == 0 {
-					c.format = records.FormatSegmented
+					c.formats.cluster = records.FormatSegmented
 				}
-				if c.format >= records.FormatSegmented && rng.IntN(4) == 0 {
+				if c.formats.cluster >= records.FormatSegmented && rng.IntN(4) == 0 {
 					job.splitSegments(false, time.Now())
 				}
 			}
@@ -128,7 +128,7 @@
 	limits.Next.ValueKB = &value
 	c.Store = kvstore.New("state:1", &calls{}, httpclient.NewMalformedLog(c.Log), limits)
 	c.useFormat(records.FormatSegmented)
-	job := c.jobs["req-000000"]
+	job := c.jobs.open["req-000000"]
 	job.spec.Tasks = 300
 	machine := &cluster.Machine{ID: "m-000001", Placements: map[cluster.TaskKey]*cluster.Placement{}}
 	for task := range 300 {
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -35,7 +35,7 @@
 	var deaf, mute []*cluster.Machine
 	up := 0
 	inZone, silentIn := map[string]int{}, map[string]int{}
-	for _, machine := range c.machines {
+	for _, machine := range c.machines.byID {
 		if !expectedToReport(machine) {
 			continue
 		}
@@ -71,7 +71,7 @@
 		case machine.UnansweredCommands >= tuning.UnreachableCommands:
 			out[machine] = long || c.runsUrgentWork(machine)
 		case machine.Addr == "": // not listed either, so there is nothing to call
-			out[machine] = long && c.machinesListed
+			out[machine] = long && c.provisioner.listed
 		case !machine.CommandInFlight:
 			c.sendCommands(machine, nil, lastIncarnation(machine), false, false)
 		}
@@ -91,7 +91,7 @@
 // meanwhile and whose machines stand idle.
 func (c *Leader) runsUrgentWork(machine *cluster.Machine) bool {
 	for k := range machine.Placements {
-		if job := c.jobs[k.Job]; job != nil && job.isGang() && job.spec.Tasks > 1 {
+		if job := c.jobs.open[k.Job]; job != nil && job.isGang() && job.spec.Tasks > 1 {
 			return true
 		}
 	}
@@ -101,7 +101,7 @@
 // runsProduction tells whether the machine has player-facing services.
 func (c *Leader) runsProduction(machine *cluster.Machine) bool {
 	for k := range machine.Placements {
-		if job := c.jobs[k.Job]; job != nil && job.priority() == 0 {
+		if job := c.jobs.open[k.Job]; job != nil && job.priority() == 0 {
 			return true
 		}
 	}
@@ -114,15 +114,15 @@
 // must hear more of them than it does: where the machines themselves are gone one
 // leader after another would leave, and none would ever learn that they are.
 func (c *Leader) isolated(now time.Time) bool {
-	if now.Sub(c.lastConfirmation()) > tuning.StartConfirmationAge && now.After(c.answeringSince) {
-		c.answeringSince = now
+	if now.Sub(c.lastConfirmation()) > tuning.StartConfirmationAge && now.After(c.lease.answeringSince) {
+		c.lease.answeringSince = now
 	}
 	span := c.unreachableAfter()
-	if now.Sub(c.answeringSince) < span {
+	if now.Sub(c.lease.answeringSince) < span {
 		return false
 	}
 	known, heard := 0, 0
-	for _, machine := range c.machines {
+	for _, machine := range c.machines.byID {
 		if !expectedToReport(machine) {
 			continue
 		}
@@ -131,7 +131,7 @@
 			heard++
 		}
 	}
-	c.heardMajority = c.heardMajority || 2*heard > known
+	c.lease.heardMajority = c.lease.heardMajority || 2*heard > known
 	return known >= tuning.IsolationMinMachines && float64(heard) < float64(known)*tuning.IsolationShare &&
-		(c.heardMajority || c.Redirected() > max(heard, tuning.IsolationMinMachines))
+		(c.lease.heardMajority || c.Redirected() > max(heard, tuning.IsolationMinMachines))
 }
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -103,7 +103,7 @@
 func (c *Leader) snapshot(now time.Time) (*scheduler.Snapshot, []*jobState, []*cluster.Machine) {
 	b := &snapshotBuilder{Leader: c, now: now, teams: map[string]int{}, jobIndex: map[protocol.JobID]int{}, machineCounts: map[bool]float64{}, zones: 1}
 	op := c.Config.Operator
-	b.snap = &scheduler.Snapshot{Rho: op.Rho, GPUPriority: c.gpuPriority, GPURequest: c.gpuRequest, IdleBootFactor: op.GiveBackFactor,
+	b.snap = &scheduler.Snapshot{Rho: op.Rho, GPUPriority: c.jobs.gpuPriority, GPURequest: c.jobs.gpuRequest, IdleBootFactor: op.GiveBackFactor,
 		StarvationShare: tuning.StarvationShare, StarvationShareIdle: tuning.StarvationShareIdle, ExhaustedPools: map[scheduler.CapacityPool]bool{}}
 	b.addTypes()
 	b.addTeams()
@@ -115,13 +115,13 @@
 	// After a takeover nothing is rented or given back before the list and the
 	// reports are in: what runs already would be rented for again.
 	settledIn := now.Sub(c.tookOverAt) > 2*seconds(c.Config.Deployment.Workers.ReportS)
-	b.snap.MayScaleOut = c.machinesListed && (settledIn || b.unresolved == 0)
-	b.snap.MayScaleIn = c.machinesListed && settledIn
+	b.snap.MayScaleOut = c.provisioner.listed && (settledIn || b.unresolved == 0)
+	b.snap.MayScaleIn = c.provisioner.listed && settledIn
 	return b.snap, b.jobs, b.machines
 }
 
 func (b *snapshotBuilder) addTypes() {
-	for _, t := range b.machineTypes {
+	for _, t := range b.catalog.types {
 		b.snap.Types = append(b.snap.Types, scheduler.MachineType{Name: t.Name, Capacity: scheduler.Resources{Cores: t.Cores, GPUs: t.GPUs, MemGB: t.MemGB},
 			Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, FetchGBps: t.FetchGBps, Zones: t.Zones})
 	}
@@ -136,7 +136,7 @@
 
 // addJobs adds the jobs in the order of their acceptance.
 func (b *snapshotBuilder) addJobs() {
-	for _, job := range b.Leader.jobs {
+	for _, job := range b.Leader.jobs.open {
 		if _, ok := b.teams[job.spec.Team]; ok {
 			b.jobs = append(b.jobs, job)
 		}
@@ -233,15 +233,15 @@
 }
 
 func (b *snapshotBuilder) addMachines() {
-	b.machines = make([]*cluster.Machine, 0, len(b.sorted))
-	b.snap.Machines = make([]scheduler.Machine, 0, len(b.sorted))
-	b.running = make([]scheduler.RunningTasks, 0, b.lastRunning+len(b.sorted))
-	for _, machine := range b.sorted {
-		if typ, ok := b.typeIndex[machine.Type]; ok {
+	b.machines = make([]*cluster.Machine, 0, len(b.Leader.machines.sorted))
+	b.snap.Machines = make([]scheduler.Machine, 0, len(b.Leader.machines.sorted))
+	b.running = make([]scheduler.RunningTasks, 0, b.cycle.runningEntries+len(b.Leader.machines.sorted))
+	for _, machine := range b.Leader.machines.sorted {
+		if typ, ok := b.catalog.index[machine.Type]; ok {
 			b.addMachine(machine, typ)
 		}
 	}
-	b.lastRunning = len(b.running)
+	b.cycle.runningEntries = len(b.running)
 }
 
 func (b *snapshotBuilder) addMachine(machine *cluster.Machine, typ int) {
@@ -323,8 +323,8 @@
 // addProvisioning adds the machines that were asked for without an answer yet: their room
 // counts as coming.
 func (b *snapshotBuilder) addProvisioning() {
-	for _, request := range b.provisionRequests {
-		typ, ok := b.typeIndex[request.Type]
+	for _, request := range b.provisioner.requests {
+		typ, ok := b.catalog.index[request.Type]
 		if !ok || request.resolved {
 			continue
 		}
@@ -336,8 +336,8 @@
 }
 
 func (b *snapshotBuilder) addCapacityBackoffs() {
-	for o, r := range b.capacityBackoffs {
-		if typ, ok := b.typeIndex[o.machineType]; ok && b.now.Before(r.until) {
+	for o, r := range b.provisioner.backoffs {
+		if typ, ok := b.catalog.index[o.machineType]; ok && b.now.Before(r.until) {
 			b.snap.ExhaustedPools[scheduler.CapacityPool{Type: typ, Zone: o.zone, Spot: o.spot}] = true
 		}
 	}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -71,7 +71,7 @@
 }
 
 func (c *Leader) summarize(snapshot *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan, now time.Time) {
-	st := Status{Term: c.leadership.Term, CloudOK: c.cloudOK, Format: c.format, Versions: c.nodeVersions()}
+	st := Status{Term: c.leadership.Term, CloudOK: c.provisioner.cloudAvailable, Format: c.formats.cluster, Versions: c.nodeVersions()}
 	late := map[int]bool{}
 	for _, i := range plan.SlackSpent {
 		late[i] = true
@@ -107,7 +107,7 @@
 	}
 	slices.SortFunc(st.Classes, func(a, b ClassStatus) int { return cmp.Compare(a.Class, b.Class) })
 	counts := map[[2]any]*MachineCount{}
-	for _, machine := range c.machines {
+	for _, machine := range c.machines.byID {
 		key := [2]any{machine.Type, machine.Spot}
 		k := counts[key]
 		if k == nil {
@@ -125,16 +125,16 @@
 	}
 	c.addUnknown(&st)
 	slices.SortFunc(st.Machines, func(a, b MachineCount) int { return cmp.Compare(a.Type, b.Type) })
-	c.status = st
-	if len(st.Overdue) > 0 && now.Sub(c.lateLogged) > tuning.OverdueLogInterval {
-		c.lateLogged = now
+	c.status.current = st
+	if len(st.Overdue) > 0 && now.Sub(c.status.overdueLoggedAt) > tuning.OverdueLogInterval {
+		c.status.overdueLoggedAt = now
 		c.Log.Error("liaison: player-facing production work is behind", "jobs", len(st.Overdue), "first", st.Overdue[0].Job)
 	}
 }
 
 // addUnknown counts and names the tasks that no record names.
 func (c *Leader) addUnknown(st *Status) {
-	for _, machine := range c.sorted {
+	for _, machine := range c.machines.sorted {
 		if machine.UnknownTaskCount == 0 {
 			continue
 		}
@@ -157,7 +157,7 @@
 
 func (c *Leader) describeUnknown(machine *cluster.Machine, t *cluster.ReportedTask) UnknownTask {
 	u := UnknownTask{Task: t.Task, Attempt: t.Attempt, State: t.State, Machine: machine.ID, Job: "not open"}
-	job := c.jobs[t.Key.Job]
+	job := c.jobs.open[t.Key.Job]
 	switch {
 	case job == nil:
 	case job.placements[t.Key.Task] != nil:
@@ -181,7 +181,7 @@
 	slices.Sort(names)
 	out := make([]NodeVersion, len(names))
 	for i, name := range names {
-		out[i] = NodeVersion{name, max(records.FormatWhole, c.controllerFormats[name])}
+		out[i] = NodeVersion{name, max(records.FormatWhole, c.formats.byController[name])}
 	}
 	return out
 }
--- a/internal/leader/stop.go
+++ b/internal/leader/stop.go
@@ -16,15 +16,15 @@
 		return
 	}
 	placement.Stopping, placement.GracePeriodS, placement.StopOrderedAt = true, graceS, now
-	c.pendingDispatch[placement.Machine] = true
-	c.changed = true
+	c.dispatcher.pending[placement.Machine] = true
+	c.cycle.needed = true
 }
 
 // withdrawPlacement takes back a placement whose start was never sent.
 func (c *Leader) withdrawPlacement(placement *cluster.Placement, now time.Time) {
-	c.changed = true
+	c.cycle.needed = true
 	placement.Machine.RemovePlacement(placement, now)
-	if job := c.jobs[placement.Job]; job != nil && job.placements[placement.Task] == placement {
+	if job := c.jobs.open[placement.Job]; job != nil && job.placements[placement.Task] == placement {
 		delete(job.placements, placement.Task)
 		job.requeueTask(placement.Task)
 		if placement.Recorded {
@@ -36,7 +36,7 @@
 func (c *Leader) cancelJob(job *jobState, now time.Time) {
 	c.Log.Info("job cancelled", "job", job.id, "live", len(job.placements))
 	job.cancelled = true
-	c.changed = true
+	c.cycle.needed = true
 	for _, placement := range job.placements {
 		c.stopPlacement(placement, 0, now)
 	}
--- a/internal/leader/versions.go
+++ b/internal/leader/versions.go
@@ -81,7 +81,7 @@
 }
 
 func (c *Leader) onVersions(m versionsResult) {
-	c.controllerFormats = m.formats
+	c.formats.byController = m.formats
 	if m.committed {
 		c.useFormat(records.FormatSegmented)
 	}
@@ -89,11 +89,11 @@
 
 // useFormat writes records in a version of the formats from now on.
 func (c *Leader) useFormat(format int) {
-	if format <= c.format {
+	if format <= c.formats.cluster {
 		return
 	}
-	c.format = format
-	c.changed = true
+	c.formats.cluster = format
+	c.cycle.needed = true
 	c.Store.UseAnnouncedLimits()
 	c.Log.Info("cluster version", "format", format)
 }
@@ -101,7 +101,7 @@
 // maxPlacements is how many tasks of a job may be in flight: any number once its run
 // record is kept in pieces, otherwise what one record surely holds.
 func (c *Leader) maxPlacements() int {
-	if c.format >= records.FormatSegmented {
+	if c.formats.cluster >= records.FormatSegmented {
 		return tuning.MaxTasks
 	}
 	return max(1, c.Store.MaxValueBytes()/2/tuning.RecordEntryBytes)
