--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -36,7 +36,7 @@
 	c.Bind(context.Background())
 	now := time.Now()
 	c.tookOverAt, c.lease.confirmedByWatch, c.lease.confirmedByTerm = now, now, now
-	c.setTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
+	c.setMachineTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
 	c.catalog.loaded = true
 	for i := range jobs {
 		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: protocol.JobID(fmt.Sprintf("req-%06d", i)), Class: "c", Team: fmt.Sprint("t", i%10),
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -13,140 +13,176 @@
 	"marblehaven/internal/tuning"
 )
 
-// dependencyOutcome is the final phase of a job that others depend on, from its record.
+// dependencyTable knows which jobs wait for which others, and how those have ended as
+// far as that was needed.
+type dependencyTable struct {
+	dependents map[protocol.JobID][]protocol.JobID  // the jobs that wait for the one named
+	outcomes   map[protocol.JobID]dependencyOutcome // of closed jobs
+	// A lookup reads final records of dependencies; one is under way at a time.
+	lookupInFlight bool
+	lookupBegan    time.Time // of the lookup under way
+	nextLookup     time.Time // no lookup before
+}
+
+func newDependencyTable() dependencyTable {
+	return dependencyTable{
+		dependents: map[protocol.JobID][]protocol.JobID{},
+		outcomes:   map[protocol.JobID]dependencyOutcome{},
+	}
+}
+
+// dependencyOutcome is how a job that others depend on has ended, by its final record.
 type dependencyOutcome struct {
-	phase protocol.JobPhase
-	at    time.Time // when it was closed; zero: not recorded
+	phase    protocol.JobPhase
+	closedAt time.Time // zero: not recorded
+}
+
+// record remembers the outcome of a job. A full table is emptied: outcomes are read
+// again where they are needed.
+func (t *dependencyTable) record(jobID protocol.JobID, outcome dependencyOutcome) {
+	if len(t.outcomes) >= tuning.OutcomeCache {
+		clear(t.outcomes)
+	}
+	t.outcomes[jobID] = outcome
+}
+
+// removeDependent forgets what a job that is over was waiting for.
+func (t *dependencyTable) removeDependent(job *jobState) {
+	for dependency := range job.pendingDependencies {
+		others := slices.DeleteFunc(t.dependents[dependency], func(id protocol.JobID) bool { return id == job.id })
+		if len(others) == 0 {
+			delete(t.dependents, dependency)
+		} else {
+			t.dependents[dependency] = others
+		}
+	}
 }
 
 // addDependencies notes what a job that has become known waits for.
-func (c *Leader) addDependencies(job *jobState, now time.Time) {
-	for _, jobID := range job.spec.DependsOn {
+func (l *Leader) addDependencies(job *jobState, now time.Time) {
+	for _, dependency := range job.spec.DependsOn {
 		if job.pendingDependencies == nil {
 			job.pendingDependencies = map[protocol.JobID]bool{}
 		}
-		job.pendingDependencies[jobID] = true
-		c.dependencies.dependents[jobID] = append(c.dependencies.dependents[jobID], job.id)
+		job.pendingDependencies[dependency] = true
+		l.dependencies.dependents[dependency] = append(l.dependencies.dependents[dependency], job.id)
 	}
-	for _, jobID := range job.spec.DependsOn {
-		if out, known := c.dependencies.outcomes[jobID]; known {
-			c.resolveDependency(jobID, out, now)
-		} else if dependency := c.jobs.open[jobID]; dependency != nil && dependency.cancelled {
-			c.cancelDependents(jobID, now)
+	for _, dependency := range job.spec.DependsOn {
+		if outcome, known := l.dependencies.outcomes[dependency]; known {
+			l.resolveDependency(dependency, outcome, now)
+		} else if open := l.jobs.open[dependency]; open != nil && open.cancelled {
+			l.cancelDependents(dependency, now)
 		}
 	}
 }
 
-// resolveDependency draws the conclusions from the final record of a job: those that wait for
-// it go on, or are cancelled with it. Nothing else lets a job go on.
-func (c *Leader) resolveDependency(jobID protocol.JobID, out dependencyOutcome, now time.Time) {
-	if len(c.dependencies.outcomes) >= tuning.OutcomeCache {
-		clear(c.dependencies.outcomes) // they are read again where they are needed
-	}
-	c.dependencies.outcomes[jobID] = out
-	if out.phase == protocol.PhaseCancelled {
-		c.cancelDependents(jobID, now)
+// resolveDependency acts on the final record of a job: the jobs that wait for it go
+// on, or are cancelled with it. Nothing else lets a dependent job go on.
+func (l *Leader) resolveDependency(jobID protocol.JobID, outcome dependencyOutcome, now time.Time) {
+	l.dependencies.record(jobID, outcome)
+	if outcome.phase == protocol.PhaseCancelled {
+		l.cancelDependents(jobID, now)
 		return
 	}
-	for _, name := range c.dependencies.dependents[jobID] {
-		job := c.jobs.open[name]
+	for _, dependent := range l.dependencies.dependents[jobID] {
+		job := l.jobs.open[dependent]
 		if job == nil {
 			continue
 		}
 		delete(job.pendingDependencies, jobID)
-		if out.at.After(job.readyAt) {
-			job.readyAt = out.at
+		if outcome.closedAt.After(job.readyAt) {
+			job.readyAt = outcome.closedAt
 		}
-		c.cycle.needed = true
+		l.cycle.request()
 	}
-	delete(c.dependencies.dependents, jobID)
+	delete(l.dependencies.dependents, jobID)
 }
 
 // cancelDependents cancels all jobs that need the one named, directly or through
 // others. None of them has begun, and none ever can.
-func (c *Leader) cancelDependents(jobID protocol.JobID, now time.Time) {
-	work := []protocol.JobID{jobID}
-	for len(work) > 0 {
-		names := c.dependencies.dependents[work[0]]
-		work = work[1:]
-		for _, name := range names {
-			job := c.jobs.open[name]
+func (l *Leader) cancelDependents(jobID protocol.JobID, now time.Time) {
+	queue := []protocol.JobID{jobID}
+	for len(queue) > 0 {
+		dependents := l.dependencies.dependents[queue[0]]
+		queue = queue[1:]
+		for _, dependent := range dependents {
+			job := l.jobs.open[dependent]
 			if job == nil || job.cancelled {
 				continue
 			}
-			c.Log.Info("job cancelled with one that it needs", "job", name)
-			job.cancelled, c.cycle.needed = true, true
-			work = append(work, name)
+			l.Log.Info("job cancelled with a dependency", "job", dependent)
+			job.cancelled = true
+			l.cycle.request()
+			queue = append(queue, dependent)
 		}
 	}
 }
 
-// dropDependent forgets what a job that is over was waiting for.
-func (c *Leader) dropDependent(job *jobState) {
-	for jobID := range job.pendingDependencies {
-		left := slices.DeleteFunc(c.dependencies.dependents[jobID], func(name protocol.JobID) bool { return name == job.id })
-		if len(left) == 0 {
-			delete(c.dependencies.dependents, jobID)
-		} else {
-			c.dependencies.dependents[jobID] = left
-		}
-	}
+// dependencyLookup holds what was read of dependencies: the outcomes of closed jobs,
+// and the open records of jobs that were not known here.
+type dependencyLookup struct {
+	outcomes map[protocol.JobID]dependencyOutcome
+	open     []protocol.KeyValue
 }
 
-// lookUpDependencies reads the final records of dependencies that are not among the open jobs.
-// One that is found neither there nor open is looked for again: its open record
-// may have been missed, and that it is not known never means that it is done.
-func (c *Leader) lookUpDependencies(now time.Time) {
-	if c.dependencies.lookupInFlight || now.Before(c.dependencies.nextLookup) {
+// lookUpDependencies reads the final records of dependencies that are not among the
+// open jobs. A dependency found neither closed nor open is looked up again: its open
+// record may have been missed, and that it is not known never means that it is done.
+func (l *Leader) lookUpDependencies(now time.Time) {
+	if l.dependencies.lookupInFlight || now.Before(l.dependencies.nextLookup) {
 		return
 	}
 	var jobIDs []protocol.JobID
-	for jobID := range c.dependencies.dependents {
-		_, known := c.dependencies.outcomes[jobID]
-		if !known && c.jobs.open[jobID] == nil && len(jobIDs) < tuning.DependencyLookupBatch {
+	for jobID := range l.dependencies.dependents {
+		_, known := l.dependencies.outcomes[jobID]
+		if !known && l.jobs.open[jobID] == nil && len(jobIDs) < tuning.DependencyLookupBatch {
 			jobIDs = append(jobIDs, jobID)
 		}
 	}
 	if len(jobIDs) == 0 {
 		return
 	}
-	c.dependencies.lookupInFlight, c.dependencies.lookupBegan, c.dependencies.nextLookup = true, now, now.Add(tuning.DependencyLookupInterval)
-	go func() { c.post(c.readDependencyOutcomes(c.ctx, jobIDs)) }()
+	l.dependencies.lookupInFlight = true
+	l.dependencies.lookupBegan = now
+	l.dependencies.nextLookup = now.Add(tuning.DependencyLookupInterval)
+	go func() { l.post(l.readDependencies(l.ctx, jobIDs)) }()
 }
 
-func (c *Leader) readDependencyOutcomes(ctx context.Context, jobIDs []protocol.JobID) dependencyLookup {
-	m := dependencyLookup{outcomes: map[protocol.JobID]dependencyOutcome{}}
+func (l *Leader) readDependencies(ctx context.Context, jobIDs []protocol.JobID) dependencyLookup {
+	lookup := dependencyLookup{outcomes: map[protocol.JobID]dependencyOutcome{}}
 	for _, jobID := range jobIDs {
-		entry, err := c.Store.Get(ctx, records.FinalKey(jobID))
+		entry, err := l.Store.Get(ctx, records.FinalKey(jobID))
 		if errors.Is(err, kvstore.ErrNotFound) {
-			if entry, err = c.Store.Get(ctx, records.OpenKey(jobID)); err == nil {
-				m.open = append(m.open, entry)
+			if entry, err = l.Store.Get(ctx, records.OpenKey(jobID)); err == nil {
+				lookup.open = append(lookup.open, entry)
 			}
 			continue
 		}
 		if err != nil {
-			continue
+			continue // it is looked up again
 		}
-		var f records.FinalRecord
-		if err := codec.Unmarshal(entry.Value, &f); err != nil {
-			c.Log.Error("unreadable record of a dependency", "job", jobID, "err", err)
+		var final records.FinalRecord
+		if err := codec.Unmarshal(entry.Value, &final); err != nil {
+			l.Log.Error("unreadable final record of a dependency, its dependents wait", "job", jobID, "err", err)
 			continue
 		}
-		out := dependencyOutcome{phase: f.Phase}
-		if f.ClosedMS > 0 {
-			out.at = time.UnixMilli(f.ClosedMS)
+		outcome := dependencyOutcome{phase: final.Phase}
+		if final.ClosedMS > 0 {
+			outcome.closedAt = time.UnixMilli(final.ClosedMS)
 		}
-		m.outcomes[jobID] = out
+		lookup.outcomes[jobID] = outcome
 	}
-	return m
+	return lookup
 }
 
-func (c *Leader) onDependencyLookup(m dependencyLookup, now time.Time) {
-	c.dependencies.lookupInFlight = false
-	for _, entry := range m.open {
-		c.applyOpenRecord(entry.Key, entry.Value, entry.Version, now)
+func (d dependencyLookup) apply(l *Leader, now time.Time) { l.onDependencyLookup(d, now) }
+
+func (l *Leader) onDependencyLookup(lookup dependencyLookup, now time.Time) {
+	l.dependencies.lookupInFlight = false
+	for _, entry := range lookup.open {
+		l.applyOpenRecord(entry.Key, entry.Value, entry.Version, now)
 	}
-	for jobID, out := range m.outcomes {
-		c.resolveDependency(jobID, out, now)
+	for jobID, outcome := range lookup.outcomes {
+		l.resolveDependency(jobID, outcome, now)
 	}
 }
--- /dev/null
+++ b/internal/leader/dispatch.go
@@ -0,0 +1,220 @@
+package leader
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/tuning"
+)
+
+// dispatcher knows to which machines something is to be sent directly, without waiting
+// for their next heartbeat.
+type dispatcher struct {
+	pending            map[*cluster.Machine]bool
+	handshakeQueue     []*cluster.Machine // see planHandshakes
+	handshakesInFlight int
+}
+
+func newDispatcher() dispatcher { return dispatcher{pending: map[*cluster.Machine]bool{}} }
+
+func (d *dispatcher) add(machine *cluster.Machine) { d.pending[machine] = true }
+
+func (d *dispatcher) remove(machine *cluster.Machine) { delete(d.pending, machine) }
+
+// commandResult is the outcome of direct commands. Without an answer they may still be
+// executed, even minutes later.
+type commandResult struct {
+	machine   *cluster.Machine
+	status    *protocol.Heartbeat
+	starts    bool // starts were among the commands
+	handshake bool
+	err       error
+}
+
+// dispatchAll sends what is pending to the machines that can be sent to.
+func (l *Leader) dispatchAll(now time.Time) {
+	for machine := range l.dispatcher.pending {
+		if !machine.CommandInFlight {
+			l.dispatcher.remove(machine)
+			l.dispatch(machine, now)
+		}
+	}
+}
+
+// dispatch sends what is pending to a machine.
+func (l *Leader) dispatch(machine *cluster.Machine, now time.Time) {
+	if machine.CommandInFlight || !machine.Up || machine.Addr == "" || machine.Incarnation <= machine.ExpiredIncarnation {
+		return
+	}
+	commands := stopCommands(machine, now)
+	starts := l.startCommands(machine, now)
+	commands = append(commands, starts...)
+	if len(commands) > 0 {
+		l.sendCommands(machine, commands, machine.Incarnation, len(starts) > 0, false)
+	}
+}
+
+// stopCommands are the stops that were ordered and not sent yet. The answers to
+// heartbeats repeat them.
+func stopCommands(machine *cluster.Machine, now time.Time) (commands []protocol.Command) {
+	for _, placement := range machine.Placements {
+		if placement.Stopping && placement.Sent && now.Sub(placement.StopOrderedAt) < tuning.TickInterval {
+			commands = append(commands, protocol.Command{Verb: protocol.VerbStop, Task: taskName(placement.TaskKey),
+				Attempt: placement.Attempt, GracePeriodS: placement.GracePeriodS})
+			placement.StopOrderedAt = now.Add(-tuning.TickInterval)
+		}
+	}
+	return commands
+}
+
+// startCommands are the starts that are recorded and may be sent. What may no longer
+// be sent is withdrawn.
+func (l *Leader) startCommands(machine *cluster.Machine, now time.Time) (commands []protocol.Command) {
+	// Before an outage or a standstill the job of a start may have been cancelled.
+	mayStart := l.lease.mayStart(now)
+	waiting := machine.Outbox[:0]
+	for _, placement := range machine.Outbox {
+		switch {
+		case machine.Placements[placement.TaskKey] != placement || placement.Sent:
+		case placement.Stopping || placement.Incarnation != machine.Incarnation || machine.AcknowledgedToken < l.termToken():
+			l.withdrawPlacement(placement, now) // never sent
+		case !mayStart:
+			waiting = append(waiting, placement)
+		default:
+			machine.RecordStart(placement)
+			commands = append(commands, protocol.Command{Verb: protocol.VerbStart, Task: taskName(placement.TaskKey), Attempt: placement.Attempt})
+		}
+	}
+	machine.Outbox = waiting
+	return commands
+}
+
+func (l *Leader) sendCommands(machine *cluster.Machine, commands []protocol.Command, incarnation protocol.Incarnation, starts, handshake bool) {
+	machine.CommandInFlight = true
+	if commands == nil {
+		commands = []protocol.Command{}
+	}
+	request := protocol.CommandRequest{Token: machine.IssuedToken, Incarnation: incarnation, Commands: commands}
+	address := machine.Addr
+	go func() {
+		status, err := l.Agents.SendCommands(l.ctx, address, request)
+		l.post(commandResult{machine, status, starts, handshake, err})
+	}()
+}
+
+func (r commandResult) apply(l *Leader, now time.Time) { l.onCommandResult(r, now) }
+
+func (l *Leader) onCommandResult(result commandResult, now time.Time) {
+	machine := result.machine
+	machine.RecordCommandOutcome(result.starts, result.err == nil)
+	if result.handshake {
+		l.dispatcher.handshakesInFlight--
+		defer l.nextHandshakes(now)
+	}
+	l.dispatcher.add(machine)
+	if result.err != nil {
+		l.Log.Info("direct command unanswered, its outcome is unknown", "machine", machine.ID, "err", result.err)
+		return
+	}
+	if newer := result.status.Token.Term(); newer > l.leadership.Term {
+		l.OnNewerTerm(newer)
+		return
+	}
+	if result.status.Machine != machine.ID {
+		return
+	}
+	l.applyStatus(machine, result.status, now)
+	if machine.AcknowledgedToken < l.termToken() {
+		machine.NextHandshake = now // refused for its incarnation, which is known now
+		l.handshake(machine, now)
+	}
+}
+
+// Machines are handshaken with in this order.
+const (
+	handshakeProduction = iota
+	handshakeOtherTasks
+	handshakeWithoutTasks
+	handshakeGroups // machines that were tried already come behind all others
+)
+
+// planHandshakes lists the machines that are due for a handshake: those not tried yet
+// before the others, and of these the ones with production work first. After a
+// failover that is every machine, and one after another takes the processor's time
+// from the answers that renew leases.
+func (l *Leader) planHandshakes(now time.Time) {
+	type dueMachine struct {
+		machine *cluster.Machine
+		order   int
+	}
+	var due []dueMachine
+	for _, machine := range l.machines.sorted {
+		if !l.needsHandshake(machine, now) {
+			continue
+		}
+		order := handshakeWithoutTasks
+		switch {
+		case l.runsProduction(machine):
+			order = handshakeProduction
+		case len(machine.Placements) > 0:
+			order = handshakeOtherTasks
+		}
+		if !machine.NextHandshake.IsZero() {
+			order += handshakeGroups
+		}
+		due = append(due, dueMachine{machine, order})
+	}
+	slices.SortStableFunc(due, func(a, b dueMachine) int { return cmp.Compare(a.order, b.order) })
+	l.dispatcher.handshakeQueue = l.dispatcher.handshakeQueue[:0]
+	for _, d := range due {
+		l.dispatcher.handshakeQueue = append(l.dispatcher.handshakeQueue, d.machine)
+	}
+	l.nextHandshakes(now)
+}
+
+// nextHandshakes begins as many handshakes as may be in flight at once.
+func (l *Leader) nextHandshakes(now time.Time) {
+	for len(l.dispatcher.handshakeQueue) > 0 && l.dispatcher.handshakesInFlight < tuning.HandshakesInFlight {
+		machine := l.dispatcher.handshakeQueue[0]
+		l.dispatcher.handshakeQueue = l.dispatcher.handshakeQueue[1:]
+		l.handshake(machine, now)
+	}
+}
+
+// needsHandshake tells whether a machine is running and has not acknowledged the
+// term's token, or has been silent for the length of a lease, after which what ran
+// there is gone.
+func (l *Leader) needsHandshake(machine *cluster.Machine, now time.Time) bool {
+	if machine.CommandInFlight || machine.Deprovisioning || machine.Addr == "" || now.Before(machine.NextHandshake) {
+		return false
+	}
+	leaseOver := machine.Up && now.Sub(machine.LastContact) > seconds(l.Config.Deployment.Workers.LeaseS)
+	return machine.AcknowledgedToken < l.termToken() || leaseOver
+}
+
+// handshake shows the term's token to an agent with a request without commands, so
+// that a new leader need not wait for its next heartbeat. A first request with a wrong
+// incarnation is refused, and the refusal names the right one. A silent agent that
+// answers after its lease has begun a new incarnation: no heartbeat of it arrives, but
+// it is there.
+func (l *Leader) handshake(machine *cluster.Machine, now time.Time) {
+	if !l.needsHandshake(machine, now) {
+		return
+	}
+	machine.NextHandshake = now.Add(tuning.HandshakeInterval)
+	l.dispatcher.handshakesInFlight++
+	l.sendCommands(machine, nil, lastIncarnation(machine), false, true)
+}
+
+// lastIncarnation is the latest incarnation that is known of a machine's agent, from
+// its status or from the run records.
+func lastIncarnation(machine *cluster.Machine) protocol.Incarnation {
+	incarnation := max(machine.Incarnation, 1)
+	for _, placement := range machine.Placements {
+		incarnation = max(incarnation, placement.Incarnation)
+	}
+	return incarnation
+}
--- /dev/null
+++ b/internal/leader/format_versions.go
@@ -0,0 +1,137 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"marblehaven/internal/clock"
+	"marblehaven/internal/codec"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+	"marblehaven/internal/tuning"
+)
+
+// formatVersions knows which format of records the whole cluster uses, and which each
+// controller has recorded that it reads.
+type formatVersions struct {
+	cluster      int
+	byController map[string]int
+}
+
+func newFormatVersions() formatVersions {
+	return formatVersions{cluster: records.FormatWhole, byController: map[string]int{}}
+}
+
+// segmented tells whether run records may be divided into segments.
+func (f *formatVersions) segmented() bool { return f.cluster >= records.FormatSegmented }
+
+// versionsResult is what the controllers have recorded.
+type versionsResult struct {
+	byController map[string]int
+	committed    bool // the whole cluster uses records.FormatSupported
+}
+
+// watchVersions reads which format version each controller has recorded. Once all that
+// the settings name read the formats of this program, it records that the whole
+// cluster uses them, conditional on the term. A controller never goes back to an
+// earlier version, so that holds for good.
+func (l *Leader) watchVersions(ctx context.Context) {
+	for {
+		versions, err := l.readVersions(ctx)
+		if err == nil && !versions.committed && l.allControllersRead(versions.byController) {
+			versions.committed = l.commitFormat(ctx)
+		}
+		if err != nil {
+			l.Log.Debug("reading the controllers' versions failed, it is tried again", "err", err)
+		} else {
+			l.post(versions)
+		}
+		if versions.committed || !clock.Sleep(ctx, tuning.VersionCheckInterval) {
+			return
+		}
+	}
+}
+
+func (l *Leader) readVersions(ctx context.Context) (versions versionsResult, err error) {
+	versions.byController = map[string]int{}
+	page, err := l.Store.ListAll(ctx, records.PrefixNode)
+	if err != nil {
+		return versions, err
+	}
+	for _, entry := range page.Entries {
+		var version records.FormatVersion
+		if err := codec.Unmarshal(entry.Value, &version); err != nil {
+			l.Log.Error("unreadable version record, it counts as an earlier version", "key", entry.Key, "err", err)
+			continue
+		}
+		controller := entry.Key[len(records.PrefixNode):]
+		versions.byController[controller] = version.Format
+	}
+	_, err = l.Store.Get(ctx, records.KeyCluster)
+	versions.committed = err == nil
+	if errors.Is(err, kvstore.ErrNotFound) {
+		err = nil
+	}
+	return versions, err
+}
+
+// allControllersRead tells whether every controller of the settings reads what this
+// program writes.
+func (l *Leader) allControllersRead(byController map[string]int) bool {
+	if byController[l.Config.Node] < records.FormatSupported {
+		return false
+	}
+	for _, peer := range l.Config.Peers {
+		if byController[peer.Node] < records.FormatSupported {
+			return false
+		}
+	}
+	return true
+}
+
+func (l *Leader) commitFormat(ctx context.Context) bool {
+	err := l.putRecord(ctx, records.KeyCluster, records.FormatVersion{Format: records.FormatSupported})
+	if err != nil {
+		l.Log.Info("recording the cluster's version failed, it is read before the next try", "err", err)
+	}
+	return err == nil
+}
+
+// putRecord writes one record outside of the commits, conditional on the term. It is
+// for records that nothing waits for and that may be lost.
+func (l *Leader) putRecord(ctx context.Context, key string, value any) error {
+	_, err := l.Store.Commit(ctx, protocol.Transaction{
+		Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: l.leadership.TermVersion}},
+		Mutations:     []protocol.Mutation{{Set: key, Value: value}},
+	})
+	return err
+}
+
+func (v versionsResult) apply(l *Leader, _ time.Time) {
+	l.formats.byController = v.byController
+	if v.committed {
+		l.useFormat(records.FormatSegmented)
+	}
+}
+
+// useFormat writes records in a version of the formats from now on.
+func (l *Leader) useFormat(format int) {
+	if format <= l.formats.cluster {
+		return
+	}
+	l.formats.cluster = format
+	l.cycle.request()
+	l.Store.UseAnnouncedLimits()
+	l.Log.Info("cluster version", "format", format)
+}
+
+// maxPlacements is how many tasks of a job may be on machines at once: any number once
+// its run record is divided into segments, otherwise what one value surely holds.
+func (l *Leader) maxPlacements() int {
+	if l.formats.segmented() {
+		return tuning.MaxTasks
+	}
+	return max(1, l.Store.MaxValueBytes()/2/tuning.RecordEntryBytes)
+}
--- /dev/null
+++ b/internal/leader/heartbeat.go
@@ -0,0 +1,151 @@
+package leader
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
+)
+
+// heartbeatRequest asks for the answer to a heartbeat; the reply is nil if the leader
+// may not answer.
+type heartbeatRequest struct {
+	heartbeat *protocol.Heartbeat
+	reply     chan *protocol.HeartbeatReply
+}
+
+// Heartbeat answers an agent's heartbeat. It fails with ErrMayNotAnswer, or with the
+// context's error.
+func (l *Leader) Heartbeat(ctx context.Context, heartbeat *protocol.Heartbeat) (*protocol.HeartbeatReply, error) {
+	reply := make(chan *protocol.HeartbeatReply, 1)
+	select {
+	case l.inbox <- heartbeatRequest{heartbeat, reply}:
+	default:
+		return nil, ErrMayNotAnswer // overloaded: the agent tries again
+	}
+	select {
+	case answer := <-reply:
+		if answer == nil {
+			return nil, ErrMayNotAnswer
+		}
+		return answer, nil
+	case <-l.ctx.Done():
+		return nil, ErrMayNotAnswer
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+func (r heartbeatRequest) apply(l *Leader, now time.Time) { r.reply <- l.onHeartbeat(r.heartbeat, now) }
+
+// onHeartbeat takes in a heartbeat and returns its answer, nil if there may be none.
+func (l *Leader) onHeartbeat(heartbeat *protocol.Heartbeat, now time.Time) *protocol.HeartbeatReply {
+	if newer := heartbeat.Token.Term(); newer > l.leadership.Term {
+		l.Log.Info("an agent has seen a newer term, leaving this one", "machine", heartbeat.Machine, "term", newer)
+		l.OnNewerTerm(newer)
+		return nil
+	}
+	if !l.lease.mayAnswer(now) {
+		return nil
+	}
+	if l.machines.wasRemoved(heartbeat.Machine) {
+		return &protocol.HeartbeatReply{Token: l.termToken(), Commands: []protocol.Command{}}
+	}
+	machine := l.machineByID(heartbeat.Machine, now)
+	if !machine.AcceptHeartbeat(heartbeat) && !machine.DetectRestart(heartbeat) {
+		// This is a late copy: nobody takes its answer, so the answer renews no lease,
+		// and what the copy says is out of date. Or the agent has begun anew, which
+		// shows once it has seen the token of this answer.
+		return &protocol.HeartbeatReply{Token: machine.IssuedToken, Commands: []protocol.Command{}}
+	}
+	machine.LastHeartbeat = now
+	l.applyStatus(machine, heartbeat, now)
+	if expiry := l.agentLeaseExpiry(now); machine.AcknowledgedToken >= l.termToken() || expiry.After(machine.LeaseExpiry) {
+		machine.LeaseExpiry = expiry
+	}
+	machine.RecordAnswer()
+	return &protocol.HeartbeatReply{Token: machine.IssuedToken, Commands: l.reconcileCommands(machine)}
+}
+
+// applyStatus takes in an agent's status, from a heartbeat or from the answer to a
+// direct command.
+func (l *Leader) applyStatus(machine *cluster.Machine, status *protocol.Heartbeat, now time.Time) {
+	wasUp, unknownBefore := machine.Up, machine.UnknownTaskCount
+	ended, isNew := machine.ApplyStatus(status, parseTask, now, l.agentLeaseExpiry(now))
+	if !isNew {
+		return
+	}
+	if schedulable := machine.Schedulable(now, l.schedulableSilence()); schedulable != machine.WasSchedulable {
+		machine.WasSchedulable = schedulable
+		l.cycle.request()
+	}
+	if !wasUp {
+		l.onMachineUp(machine, now)
+	}
+	l.endPlacements(ended, now)
+	if machine.UnknownTaskCount > unknownBefore {
+		l.logUnknownTasks(machine)
+	}
+	if l.Log.Enabled(l.ctx, slog.LevelDebug) {
+		l.logStartedTasks(machine, now)
+	}
+}
+
+func (l *Leader) onMachineUp(machine *cluster.Machine, now time.Time) {
+	machine.IdleSince, machine.GPUIdleSince = now, now
+	l.adoptImages(machine)
+	l.Log.Info("machine up", "machine", machine.ID, "type", machine.Type, "zone", machine.Zone, "spot", machine.Spot)
+}
+
+// logStartedTasks logs the tasks that have just begun to run.
+func (l *Leader) logStartedTasks(machine *cluster.Machine, now time.Time) {
+	for key, placement := range machine.Placements {
+		job := l.jobs.open[key.Job]
+		if job != nil && placement.State == protocol.TaskRunning && placement.Since.Equal(now) {
+			l.Log.Debug("task running", "task", taskName(key), "class", job.spec.Class, "machine", machine.ID, "age", now.Sub(job.acceptedAt))
+		}
+	}
+}
+
+// reconcileCommands compares the tasks that an agent reports with what is to be there,
+// and returns the commands that make up the difference: what the agent is to stop and
+// which attempts it may forget. Both may be repeated.
+func (l *Leader) reconcileCommands(machine *cluster.Machine) []protocol.Command {
+	commands := []protocol.Command{}
+	for i := range machine.ReportedTasks {
+		if command, needed := l.reconcileTask(machine, &machine.ReportedTasks[i]); needed {
+			commands = append(commands, command)
+		}
+	}
+	return commands
+}
+
+func (l *Leader) reconcileTask(machine *cluster.Machine, reported *cluster.ReportedTask) (protocol.Command, bool) {
+	command := protocol.Command{Task: reported.Task, Attempt: reported.Attempt}
+	placement := machine.Placements[reported.Key]
+	isPlaced := placement != nil && placement.Attempt == reported.Attempt
+	switch {
+	case reported.State == protocol.TaskExited:
+		command.Verb = protocol.VerbRelease
+		return command, !isPlaced && l.mayRelease(machine, reported)
+	case !reported.Parsed || !isPlaced:
+		command.Verb = protocol.VerbStop
+		return command, machine.AcknowledgedToken >= l.termToken()
+	case placement.Stopping && (reported.State != protocol.TaskSaving || placement.GracePeriodS == 0):
+		command.Verb = protocol.VerbStop
+		command.GracePeriodS = placement.GracePeriodS
+		return command, true
+	}
+	return command, false
+}
+
+// mayRelease tells whether an agent may forget an exited attempt. Forgotten earlier,
+// the agent could run it again: a start may still arrive, or the completion is not
+// recorded yet.
+func (l *Leader) mayRelease(machine *cluster.Machine, reported *cluster.ReportedTask) bool {
+	job := l.jobs.open[reported.Key.Job]
+	awaitsRecord := job != nil && job.unrecordedDone[reported.Key.Task]
+	return !awaitsRecord && machine.MayRelease(reported.Key, reported.Attempt)
+}
--- /dev/null
+++ b/internal/leader/image_inventory.go
@@ -0,0 +1,129 @@
+package leader
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"time"
+
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/codec"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+	"marblehaven/internal/tuning"
+)
+
+// imageInventory passes on which images are cached on which machines to the next
+// leader. A new leader that knew nothing of it would start services where their image
+// has to be fetched first. Nothing else depends on it, so losing a write does no harm.
+type imageInventory struct {
+	inherited   map[string]*records.ImageInventory // of an earlier leader, by machine
+	nextSave    time.Time                          // no write before
+	nextPart    int                                // number of the next part
+	nextMachine int                                // the first of the sorted machines in it
+}
+
+func newImageInventoryKeeper() imageInventory {
+	return imageInventory{inherited: map[string]*records.ImageInventory{}}
+}
+
+// saveImageInventory writes the next part of the inventory when that is due and the
+// write budget allows it.
+func (l *Leader) saveImageInventory(now time.Time) {
+	if now.Before(l.images.nextSave) || len(l.machines.sorted) == 0 || !l.writer.limiter.AllowN(now, 1) {
+		return
+	}
+	l.images.nextSave = now.Add(tuning.ImageInventoryInterval)
+	if l.images.nextMachine >= len(l.machines.sorted) {
+		l.images.nextMachine, l.images.nextPart = 0, 0
+	}
+	maxBytes := l.Config.Deployment.State.Smaller().ValueBytes()
+	inventory, count := newImageInventory(l.machines.sorted[l.images.nextMachine:], maxBytes)
+	key := fmt.Sprint(records.PrefixImages, l.images.nextPart)
+	l.images.nextMachine += count
+	l.images.nextPart++
+	go func() {
+		if err := l.putRecord(l.ctx, key, inventory); err != nil {
+			l.Log.Debug("saving the image inventory failed, it is left", "err", err)
+		}
+	}()
+}
+
+// newImageInventory describes the images on the first of the machines, as many as
+// surely fit in a value of so many bytes as JSON, and returns how many machines these
+// are.
+func newImageInventory(machines []*cluster.Machine, maxBytes int) (inventory records.ImageInventory, count int) {
+	inventory.Machines = map[string][]int{}
+	bytes := tuning.ImageInventoryEntryBytes
+	for count = 0; count < min(len(machines), tuning.ImageInventoryMachines); count++ {
+		machine := machines[count]
+		bytes += tuning.ImageInventoryEntryBytes + len(machine.ID)
+		machine.EachImage(func(name string, _ float64) {
+			bytes += tuning.ImageInventoryIndexBytes
+			if !slices.Contains(inventory.Images, name) {
+				bytes += tuning.ImageInventoryEntryBytes + len(name)
+			}
+		})
+		if bytes > maxBytes && count > 0 {
+			break
+		}
+		addImages(&inventory, machine)
+	}
+	return inventory, count
+}
+
+func addImages(inventory *records.ImageInventory, machine *cluster.Machine) {
+	machine.EachImage(func(name string, sizeGB float64) {
+		i := slices.Index(inventory.Images, name)
+		if i < 0 {
+			i = len(inventory.Images)
+			inventory.Images = append(inventory.Images, name)
+			inventory.SizesGB = append(inventory.SizesGB, sizeGB)
+		}
+		if images := inventory.Machines[machine.ID]; len(images) < tuning.ImageInventoryImages {
+			inventory.Machines[machine.ID] = append(images, i)
+		}
+	})
+}
+
+// loadImageInventory reads what an earlier leader knew. Without it all goes on.
+func (l *Leader) loadImageInventory(ctx context.Context) {
+	page, err := l.Store.ListAll(ctx, records.PrefixImages)
+	if err != nil {
+		l.Log.Debug("reading the image inventory failed, going on without", "err", err)
+		return
+	}
+	for _, entry := range page.Entries {
+		var inventory records.ImageInventory
+		if codec.Unmarshal(entry.Value, &inventory) != nil || len(inventory.Images) != len(inventory.SizesGB) {
+			continue
+		}
+		for id := range inventory.Machines {
+			l.images.inherited[id] = &inventory
+		}
+	}
+}
+
+// adoptImages notes which images a machine has when it is first heard of: those of the
+// inherited inventory, and those of the tasks that run there.
+func (l *Leader) adoptImages(machine *cluster.Machine) {
+	typeIndex, known := l.catalog.index[machine.Type]
+	if !known {
+		return
+	}
+	cacheGB := l.catalog.types[typeIndex].CacheGB
+	if inventory := l.images.inherited[machine.ID]; inventory != nil {
+		for _, i := range slices.Backward(inventory.Machines[machine.ID]) {
+			if i >= 0 && i < len(inventory.Images) {
+				machine.RecordImageUse(inventory.Images[i], inventory.SizesGB[i], cacheGB)
+			}
+		}
+		delete(l.images.inherited, machine.ID)
+	}
+	for key, placement := range machine.Placements {
+		job := l.jobs.open[key.Job]
+		if job != nil && placement.State != "" && placement.State != protocol.TaskFetching {
+			machine.RecordImageUse(job.spec.Image, job.spec.ImageGB, cacheGB)
+		}
+	}
+}
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -16,69 +16,87 @@
 type jobState struct {
 	id          protocol.JobID
 	spec        protocol.Job
-	acceptedAt  time.Time // time of day of acceptance
+	acceptedAt  time.Time // by the time of day
 	cancelled   bool
 	openVersion protocol.Version
-	segments    []runSegment // of its run record, by number; see piece
+	segments    []runSegment // of the run record, by number; see segment
 
-	pendingDependencies map[protocol.JobID]bool // dependencies that are not known to be done
-	readyAt             time.Time               // when the last dependency was done; without any, at
+	pendingDependencies map[protocol.JobID]bool // not known to be done
+	readyAt             time.Time               // when the last dependency was done; without any, acceptedAt
 
-	nextAttempt uint64 // the next unused attempt
+	nextAttempt uint64 // the next unused attempt number
 	doneTasks   records.TaskRanges
 	doneCount   int
-	placements  map[int]*cluster.Placement
-	nextTask    int   // tasks from here on were never started
-	requeued    []int // tasks before the cursor that wait, sorted
-
-	unrecordedDone map[int]bool // done, not yet recorded: not to be reaped
-	// awaitsOpenRecord: a controller says that it is cancelled, but the record with that
-	// has not been read yet, so nothing can be written on its version.
+	placements  map[int]*cluster.Placement // by task
+	nextTask    int                        // tasks from here on were never started
+	requeued    []int                      // tasks before nextTask that wait, sorted
+
+	// unrecordedDone holds the tasks whose completion is not recorded yet. Their
+	// agents must not forget them.
+	unrecordedDone map[int]bool
+	// awaitsOpenRecord is set while a controller says that the job is cancelled and
+	// the record with that has not been read yet. The known version of the record is
+	// out of date, so nothing can be written under a condition on it.
 	awaitsOpenRecord bool
-	recordUnreadable bool // its run record could not be read
+	recordUnreadable bool // a segment of the run record could not be read
 	backoffUntil     time.Time
 	failures         int
-	knownSince       time.Time // when the leader learnt of it
+	knownSince       time.Time // when this leader learnt of the job
 }
 
-func newJob(jobID protocol.JobID, o *records.OpenJob, version protocol.Version, now time.Time) *jobState {
-	at := time.UnixMilli(o.AcceptedMS)
-	return &jobState{id: jobID, spec: o.Job, acceptedAt: at, readyAt: at, cancelled: o.Cancelled, openVersion: version,
-		nextAttempt: 1, placements: map[int]*cluster.Placement{}, unrecordedDone: map[int]bool{}, knownSince: now}
+func newJob(jobID protocol.JobID, open *records.OpenJob, version protocol.Version, now time.Time) *jobState {
+	acceptedAt := time.UnixMilli(open.AcceptedMS)
+	return &jobState{
+		id:             jobID,
+		spec:           open.Job,
+		acceptedAt:     acceptedAt,
+		readyAt:        acceptedAt,
+		cancelled:      open.Cancelled,
+		openVersion:    version,
+		nextAttempt:    1,
+		placements:     map[int]*cluster.Placement{},
+		unrecordedDone: map[int]bool{},
+		knownSince:     now,
+	}
 }
 
-// restore takes in the run record of an earlier leader.
-func (j *jobState) restore(r *records.RunRecord) {
-	j.nextAttempt, j.doneTasks = max(1, r.NextAttempt), r.Done
+// restore takes in the run record of an earlier leader. The placements are added by
+// restorePlacement.
+func (j *jobState) restore(record *records.RunRecord) {
+	j.nextAttempt = max(1, record.NextAttempt)
+	j.doneTasks = record.Done
 	j.doneCount = j.doneTasks.Count()
-	for _, e := range j.doneTasks {
-		j.nextTask = max(j.nextTask, e[1]+1)
+	for _, taskRange := range j.doneTasks {
+		j.nextTask = max(j.nextTask, taskRange[1]+1)
 	}
-	held := map[int]bool{}
-	for _, p := range r.Placements {
-		j.nextTask = max(j.nextTask, p.Task+1)
-		held[p.Task] = true
+	placed := map[int]bool{}
+	for _, placement := range record.Placements {
+		j.nextTask = max(j.nextTask, placement.Task+1)
+		placed[placement.Task] = true
 	}
-	for i := range j.nextTask {
-		if !held[i] && !j.doneTasks.Has(i) {
-			j.requeued = append(j.requeued, i)
+	for task := range j.nextTask {
+		if !placed[task] && !j.doneTasks.Has(task) {
+			j.requeued = append(j.requeued, task)
 		}
 	}
 }
 
 func (j *jobState) isGang() bool { return j.spec.Kind == protocol.KindGang }
 
-// waitingTasks is how many tasks may be started now. A gang starts whole: none while
-// anything of an earlier attempt may still be on a machine.
+// unstarted is how many tasks are neither done nor possibly on a machine.
+func (j *jobState) unstarted() int { return j.spec.Tasks - j.doneCount - len(j.placements) }
+
+// waitingTasks is how many tasks may be started now. A gang starts whole: none may
+// while anything of an earlier attempt may still be on a machine.
 func (j *jobState) waitingTasks() int {
 	if j.cancelled || len(j.pendingDependencies) > 0 || (j.isGang() && len(j.placements) > 0) {
 		return 0
 	}
-	return j.spec.Tasks - j.doneCount - len(j.placements)
+	return j.unstarted()
 }
 
-// fullyStarted tells whether all tasks have been started once, a gang's or service's
-// if they are on machines.
+// fullyStarted tells whether all tasks have been started once; of a gang or a service,
+// whether all are on machines.
 func (j *jobState) fullyStarted() bool {
 	if j.spec.Kind == protocol.KindArray {
 		return j.nextTask >= j.spec.Tasks
@@ -86,47 +104,32 @@
 	return len(j.placements) >= j.spec.Tasks
 }
 
-// The order in which records are written, the lowest first: production's starts,
-// what ends a job and other starts by their rank, and last what holds completions
-// only.
-const (
-	writeProductionStarts = 0
-	writeClosing          = 1
-	writeCompletions      = 10
-)
-
-func (j *jobState) writeOrder(segment *runSegment) int {
-	switch {
-	case !segment.holdsStarts:
-		return writeCompletions
-	case j.priority() == 0:
-		return writeProductionStarts
-	}
-	return writeClosing + int(j.priority())
-}
-
+// isOver tells whether the job can be closed: nothing of it can be on a machine, and
+// nothing is left to do.
 func (j *jobState) isOver() bool {
 	return len(j.placements) == 0 && (j.cancelled || j.doneCount >= j.spec.Tasks)
 }
 
+// takeTask returns the next task to start.
 func (j *jobState) takeTask() int {
 	if len(j.requeued) > 0 {
-		n := j.requeued[0]
+		task := j.requeued[0]
 		j.requeued = j.requeued[1:]
-		return n
+		return task
 	}
 	j.nextTask++
 	return j.nextTask - 1
 }
 
-func (j *jobState) requeueTask(n int) {
-	if i, ok := slices.BinarySearch(j.requeued, n); !ok {
-		j.requeued = slices.Insert(j.requeued, i, n)
+// requeueTask lets a task wait again.
+func (j *jobState) requeueTask(task int) {
+	if i, waits := slices.BinarySearch(j.requeued, task); !waits {
+		j.requeued = slices.Insert(j.requeued, i, task)
 	}
 }
 
-// backOff lets nothing of the job start before a time. It never shortens a rest: one may
-// last until what a lost record named is surely over.
+// backOff lets nothing of the job start before a time. It never shortens a back-off:
+// one may last until what an unreadable record named has surely ended.
 func (j *jobState) backOff(until time.Time) {
 	if until.After(j.backoffUntil) {
 		j.backoffUntil = until
@@ -137,10 +140,14 @@
 
 func (j *jobState) priority() protocol.PriorityLevel { return j.spec.Priority.Level() }
 
-func taskName(k cluster.TaskKey) string { return string(k.Job) + "/" + strconv.Itoa(k.Task) }
+func (j *jobState) isProduction() bool { return j.priority() == protocol.LevelProduction }
+
+// taskName spells a task as agents do.
+func taskName(key cluster.TaskKey) string { return string(key.Job) + "/" + strconv.Itoa(key.Task) }
 
-func parseTask(s string) (cluster.TaskKey, bool) {
-	jobID, num, ok := strings.Cut(s, "/")
-	n, err := strconv.Atoi(num)
-	return cluster.TaskKey{Job: protocol.JobID(jobID), Task: n}, ok && err == nil && n >= 0
+// parseTask reads a task's name; ok is false if it is none.
+func parseTask(name string) (key cluster.TaskKey, ok bool) {
+	jobID, number, found := strings.Cut(name, "/")
+	task, err := strconv.Atoi(number)
+	return cluster.TaskKey{Job: protocol.JobID(jobID), Task: task}, found && err == nil && task >= 0
 }
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -159,8 +159,8 @@
 		late := now.Add(time.Minute)
 		c.Acknowledged = func(time.Time) (time.Time, []protocol.JobID, bool) { return late, []protocol.JobID{named.id}, true }
 		c.confirmByPeers(late)
-		if !named.cancelled || other.cancelled || !c.lastProof().Equal(late) {
-			t.Fatalf("cancelled %v and %v, authority %v", named.cancelled, other.cancelled, c.lastProof().Sub(now))
+		if !named.cancelled || other.cancelled || !c.lease.lastProof().Equal(late) {
+			t.Fatalf("cancelled %v and %v, authority %v", named.cancelled, other.cancelled, c.lease.lastProof().Sub(now))
 		}
 		c.commit(late)
 		if c.writer.inFlight != nil {
@@ -187,7 +187,7 @@
 	record := protocol.KeyValue{Key: records.OpenKey(job.id), Value: raw, Version: job.openVersion}
 	reading := watchResult{events: []protocol.WatchEvent{{Set: record.Key, Value: raw, Version: record.Version}}, asOf: now.Add(time.Second)}
 	c.dependencies.lookupInFlight, c.dependencies.lookupBegan = true, now.Add(time.Second)
-	c.onClosed(jobClosing{job, records.FinalRecord{Phase: protocol.PhaseDone, ClosedMS: now.UnixMilli()}}, now.Add(2*time.Second))
+	c.onJobClosed(jobClosing{job, records.FinalRecord{Phase: protocol.PhaseDone, ClosedMS: now.UnixMilli()}}, now.Add(2*time.Second))
 	long := now.Add(2 * tuning.RereadInterval)
 	c.pruneClosedJobs()
 	c.onWatchResult(reading, long)
--- /dev/null
+++ b/internal/leader/machine_list.go
@@ -0,0 +1,102 @@
+package leader
+
+import (
+	"time"
+
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/tuning"
+)
+
+// machineListResult is the cloud's list of machines. It lags: new machines may be
+// missing, and machines that are gone may be named.
+type machineListResult struct {
+	began    time.Time
+	machines []protocol.ListedMachine
+	err      error
+}
+
+// refreshMachineList reads the cloud's list of machines when that is due.
+func (l *Leader) refreshMachineList(now time.Time) {
+	if l.provisioner.listInFlight || !now.After(l.provisioner.nextList) {
+		return
+	}
+	l.provisioner.listInFlight = true
+	l.provisioner.nextList = now.Add(l.listInterval())
+	go func() {
+		machines, err := l.Cloud.ListMachines(l.ctx)
+		l.post(machineListResult{now, machines, err})
+	}()
+}
+
+// listInterval is the pause to the next list, of which each page is a call: at most a
+// part of the calls that may be made goes into lists.
+func (l *Leader) listInterval() time.Duration {
+	pages := float64(len(l.machines.byID)/tuning.ListMax + 1)
+	callsPerSecond := l.Config.Deployment.Cloud.RPS * l.Config.Operator.CallBudget
+	return max(tuning.ListInterval, seconds(pages/(callsPerSecond*tuning.ListShare)))
+}
+
+func (r machineListResult) apply(l *Leader, now time.Time) { l.onMachineList(r, now) }
+
+func (l *Leader) onMachineList(result machineListResult, now time.Time) {
+	l.provisioner.listInFlight = false
+	l.provisioner.cloudAvailable = result.err == nil
+	if result.err != nil {
+		l.Log.Debug("reading the machine list failed, it is read again", "err", result.err)
+		return
+	}
+	if !l.provisioner.listed {
+		l.provisioner.listed = true
+		l.cycle.request()
+	}
+	var failed []*cluster.Machine
+	listed := map[string]bool{}
+	for i := range result.machines {
+		entry := &result.machines[i]
+		listed[entry.ID] = true
+		if l.machines.wasRemoved(entry.ID) {
+			continue
+		}
+		machine := l.applyListedMachine(entry, now)
+		if entry.State == protocol.MachineFailed && !machine.Deprovisioning {
+			failed = append(failed, machine)
+		}
+	}
+	l.deprovision(failed, "failed", now)
+	l.planHandshakes(now)
+	lag := tuning.ListLags * seconds(l.Config.Deployment.Cloud.ListLagS)
+	l.machines.pruneRemoved(result.began, lag)
+	l.markObsoleteRequests(listed)
+}
+
+// applyListedMachine takes in an entry of the list. It proves nothing of a machine
+// that is known already.
+func (l *Leader) applyListedMachine(entry *protocol.ListedMachine, now time.Time) *cluster.Machine {
+	isNew := l.machines.byID[entry.ID] == nil
+	machine := l.machineByID(entry.ID, now)
+	if isNew || machine.Type == "" {
+		machine.Type, machine.Zone, machine.Spot = entry.Type, entry.Zone, entry.Spot
+		machine.ProvisionedAt = now.Add(-seconds(entry.AgeS))
+	}
+	if !machine.Up && machine.Addr == "" && entry.Addr != "" && entry.State != protocol.MachineStarting {
+		machine.Addr = entry.Addr
+	}
+	return machine
+}
+
+// markObsoleteRequests marks the requests whose machines a new leader would find
+// without their records: in the list, or by their heartbeats.
+func (l *Leader) markObsoleteRequests(listed map[string]bool) {
+	for _, request := range l.provisioner.requests {
+		if !request.resolved || request.obsolete {
+			continue
+		}
+		found := true
+		for _, id := range request.machineIDs {
+			machine := l.machines.byID[id]
+			found = found && (listed[id] || l.machines.wasRemoved(id) || (machine != nil && machine.Up))
+		}
+		request.obsolete = found
+	}
+}
--- /dev/null
+++ b/internal/leader/pending_writes.go
@@ -0,0 +1,128 @@
+package leader
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+	"marblehaven/internal/tuning"
+)
+
+// writeOrder tells which records are written first: the lowest.
+type writeOrder int
+
+// Starts of production come first, then what ends a job, then other starts by their
+// priority, and last what holds completions only.
+const (
+	writeProductionStarts writeOrder = 0
+	writeClosing          writeOrder = 1
+	writeCompletions      writeOrder = 10
+)
+
+// pendingWrite is a job to be closed, or a segment of its run record to be written.
+type pendingWrite struct {
+	job    *jobState
+	number int // of the segment; records.NoSegment: the job is to be closed
+	order  writeOrder
+	since  time.Time
+}
+
+// closeMutations is how many mutations move a job from its open to its final record.
+const closeMutations = 2
+
+// mutations is how many mutations of a transaction the write takes.
+func (w pendingWrite) mutations() int {
+	if w.number != records.NoSegment {
+		return 1
+	}
+	mutations := closeMutations
+	for _, segment := range w.job.segments {
+		if segment.version > 0 {
+			mutations++
+		}
+	}
+	return mutations
+}
+
+func (j *jobState) writeOrder(segment *runSegment) writeOrder {
+	switch {
+	case !segment.holdsStarts:
+		return writeCompletions
+	case j.isProduction():
+		return writeProductionStarts
+	}
+	return writeClosing + writeOrder(j.priority())
+}
+
+// pendingWrites lists what is to be written of jobs, in order. Starts wait for their
+// records, so they go first; then what users wait to be told; completions of parts of
+// a job can wait, since agents keep them.
+func (l *Leader) pendingWrites(now time.Time) []pendingWrite {
+	var pending []pendingWrite
+	for _, job := range l.jobs.open {
+		if job.awaitsOpenRecord {
+			continue
+		}
+		if job.isOver() {
+			pending = append(pending, pendingWrite{job, records.NoSegment, writeClosing, job.knownSince})
+			continue
+		}
+		for number := range job.segments {
+			segment := &job.segments[number]
+			if segment.dirty && (segment.holdsStarts || now.Sub(segment.dirtySince) >= tuning.CompletionDelay) {
+				pending = append(pending, pendingWrite{job, number, job.writeOrder(segment), segment.dirtySince})
+			}
+		}
+	}
+	slices.SortFunc(pending, func(a, b pendingWrite) int {
+		return cmp.Or(cmp.Compare(a.order, b.order), a.since.Compare(b.since),
+			cmp.Compare(a.job.id, b.job.id), cmp.Compare(a.number, b.number))
+	})
+	return pending
+}
+
+// awaitsBudget tells whether to wait until the write budget allows a whole transaction
+// of what is pending. Written one by one as the budget is refilled, single mutations
+// would for ever keep out what takes several, such as closing a job; and what is
+// placed meanwhile shares the write of its job. Starts of production don't wait.
+func (l *Leader) awaitsBudget(pending []pendingWrite, budget int) bool {
+	mutations := l.provisioner.unrecorded()
+	for _, write := range pending {
+		switch write.order {
+		case writeProductionStarts:
+			return false
+		case writeCompletions:
+		default:
+			mutations += write.mutations()
+		}
+	}
+	return budget < min(mutations, l.Store.MaxMutations())
+}
+
+// addPendingWrites adds what is pending to a commit, as far as it fits.
+func (l *Leader) addPendingWrites(batch *commitBatch, pending []pendingWrite, budget int, now time.Time) {
+	for _, write := range pending {
+		if write.order == writeCompletions {
+			// A part of the budget is left for starts that come next.
+			batch.maxMutations = min(batch.maxMutations, budget-l.writer.limiter.Burst()/2)
+		}
+		if !batch.fits(1, 0) {
+			return
+		}
+		if write.number == records.NoSegment {
+			batch.closeJob(write.job, now)
+		} else {
+			l.addSegment(batch, write.job, write.number, now)
+		}
+	}
+}
+
+// closingPhase is the final phase of a job that is over.
+func (j *jobState) closingPhase() protocol.JobPhase {
+	if j.cancelled {
+		return protocol.PhaseCancelled
+	}
+	return protocol.PhaseDone
+}
--- /dev/null
+++ b/internal/leader/run_record.go
@@ -0,0 +1,122 @@
+package leader
+
+import (
+	"slices"
+	"time"
+
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+	"marblehaven/internal/tuning"
+)
+
+// runSegment is what the leader knows of one segment of a job's run record.
+type runSegment struct {
+	version     protocol.Version // 0: not written yet
+	dirty       bool             // the stored segment lags behind
+	dirtySince  time.Time
+	holdsStarts bool // starts wait for it to be written
+	removed     bool // the commit in flight closes the job and removes the segment
+}
+
+// markDirty notes that the stored segment lags behind what must be in it.
+func (s *runSegment) markDirty(holdsStarts bool, now time.Time) {
+	if !s.dirty {
+		s.dirty, s.dirtySince = true, now
+	}
+	s.holdsStarts = s.holdsStarts || holdsStarts
+}
+
+// segment returns a segment of the run record by its number.
+func (j *jobState) segment(number int) *runSegment {
+	for len(j.segments) <= number {
+		j.segments = append(j.segments, runSegment{})
+	}
+	return &j.segments[number]
+}
+
+func (j *jobState) isWritten(number int) bool {
+	return number < len(j.segments) && j.segments[number].version > 0
+}
+
+// owns tells whether a task is kept in the segment with the number. The first segment
+// also keeps the tasks of segments that were not written yet (see
+// records.JoinSegments).
+func (j *jobState) owns(number, task int) bool {
+	own := records.SegmentOf(task)
+	if number != 0 {
+		return own == number
+	}
+	return own == 0 || !j.isWritten(own)
+}
+
+// segmentRecord is a segment of the run record in the present state.
+func (j *jobState) segmentRecord(number int) records.RunRecord {
+	record := records.RunRecord{NextAttempt: j.nextAttempt, Done: j.doneInSegment(number), Placements: []records.Placement{}}
+	for task, placement := range j.placements {
+		if !j.owns(number, task) {
+			continue
+		}
+		stored := records.Placement{Task: task, Attempt: placement.Attempt, Machine: placement.Machine.ID, Incarnation: placement.Incarnation}
+		if j.spec.Spread || j.spec.OneZone {
+			stored.Zone = placement.Machine.Zone
+		}
+		record.Placements = append(record.Placements, stored)
+	}
+	slices.SortFunc(record.Placements, func(a, b records.Placement) int { return a.Task - b.Task })
+	return record
+}
+
+// doneInSegment is the part of the done tasks that is kept in a segment.
+func (j *jobState) doneInSegment(number int) records.TaskRanges {
+	if number != 0 {
+		first := number * tuning.SegmentTasks
+		return j.doneTasks.Within(first, first+tuning.SegmentTasks-1)
+	}
+	done := records.TaskRanges{}
+	for _, taskRange := range j.doneTasks {
+		for first := taskRange[0]; first <= taskRange[1]; {
+			endOfSegment := (records.SegmentOf(first)+1)*tuning.SegmentTasks - 1
+			last := min(taskRange[1], endOfSegment)
+			if j.owns(0, first) {
+				done.Append(first, last)
+			}
+			first = last + 1
+		}
+	}
+	return done
+}
+
+// splitSegments marks the segments that only the first one holds as yet to be
+// written. It returns false if there are none.
+func (j *jobState) splitSegments(holdStarts bool, now time.Time) bool {
+	inUse := map[int]bool{}
+	for task := range j.placements {
+		inUse[records.SegmentOf(task)] = true
+	}
+	for _, taskRange := range j.doneTasks {
+		for number := records.SegmentOf(taskRange[0]); number <= records.SegmentOf(taskRange[1]); number++ {
+			inUse[number] = true
+		}
+	}
+	split := false
+	for number := range inUse {
+		if number > 0 && !j.isWritten(number) {
+			j.segment(number).markDirty(holdStarts, now)
+			split = true
+		}
+	}
+	return split
+}
+
+// markDirty notes that the record of a task lags behind. The first segment holds the
+// whole job until all controllers read segments, and where the whole surely fits in a
+// value: each segment that changes is a write.
+func (l *Leader) markDirty(job *jobState, task int, holdsStart bool, now time.Time) {
+	number := records.SegmentOf(task)
+	fitsInOneValue := job.spec.Tasks*tuning.RecordEntryBytes <= l.Store.MaxValueBytes()
+	undivided := !l.formats.segmented() || fitsInOneValue
+	if undivided && !job.isWritten(number) {
+		number = 0
+	}
+	job.segment(number).markDirty(holdsStart, now)
+}
--- a/internal/leader/runrecord_test.go
+++ b/internal/leader/run_record_test.go
@@ -146,7 +146,7 @@
 		now = now.Add(time.Second)
 		batch := &commitBatch{maxMutations: 6}
 		later := now.Add(time.Minute)
-		c.addJobs(batch, c.pendingWrites(later), 1000, later)
+		c.addPendingWrites(batch, c.pendingWrites(later), 1000, later)
 		for i, w := range batch.segments {
 			raw := batch.transaction.Mutations[i].Value.(msgpack.RawMessage)
 			if size, err := codec.JSONSize(raw); err != nil || size > c.Store.MaxValueBytes() {
@@ -157,7 +157,7 @@
 				t.Fatal(err)
 			}
 			stored[w.number] = r
-			c.onRunWritten(w, protocol.Revision(commits+2))
+			c.onSegmentWritten(w, protocol.Revision(commits+2))
 		}
 	}
 	whole := records.JoinSegments(stored)
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -12,99 +12,36 @@
 	"marblehaven/internal/tuning"
 )
 
-// jobDeadline is a time by which a job should be complete, counted from when it could
-// begin, and whether it stands for an aim on the start, which counts tasks.
-type jobDeadline struct {
-	seconds     float64
-	countsTasks bool
-}
-
-// deadlineFor is the time until D_k and the latest moment for the first start, if an
-// objective sets one, in seconds, and whether it is an aim on the start, which
-// counts tasks. inherited is the time until the jobs that need this one must have
-// it, in seconds.
-func (c *Leader) deadlineFor(job *jobState, est, inherited float64, guaranteed bool, now time.Time) (due float64, onStart bool) {
-	age := now.Sub(job.readyAt).Seconds()
-	dues := c.deadlines(job, est, guaranteed)
-	if !math.IsInf(inherited, 1) {
-		dues = append(dues, jobDeadline{age + inherited, false})
-	}
-	if len(dues) == 0 {
-		dues = append(dues, jobDeadline{c.Config.Operator.DeadlineFactor * est, false})
-	}
-	// The earliest that can still be kept; a job that has missed all of them
-	// is held to the last.
-	slices.SortStableFunc(dues, func(a, b jobDeadline) int { return cmp.Compare(a.seconds, b.seconds) })
-	for _, d := range dues {
-		if d.seconds-age >= est {
-			return d.seconds - age, d.countsTasks
-		}
-	}
-	last := dues[len(dues)-1]
-	return last.seconds - age, last.countsTasks
-}
-
-// deadlines lists the job's own deadline and what the objectives ask for it.
-func (c *Leader) deadlines(job *jobState, est float64, guaranteed bool) []jobDeadline {
-	var dues []jobDeadline
-	due := job.spec.DeadlineS > 0
-	// It counts from the submission, however long the job has waited for others.
-	waited := job.readyAt.Sub(job.acceptedAt).Seconds()
-	if due {
-		dues = append(dues, jobDeadline{job.spec.DeadlineS - waited, false})
-	}
-	begun := len(job.placements) > 0
-	for _, o := range c.Config.Deployment.Objectives {
-		ofClass := o.Class == job.spec.Class
-		switch {
-		case o.Kind == "deadline" && ofClass && due && o.Times > 1:
-			dues = append(dues, jobDeadline{o.Times*job.spec.DeadlineS - waited, false})
-		case o.WithinS <= 0:
-		case o.Kind == "finished" && ofClass:
-			dues = append(dues, jobDeadline{o.WithinS, false})
-		case o.Kind == "wait" && ofClass && !begun:
-			dues = append(dues, jobDeadline{o.WithinS + est, true})
-		case o.Kind == "guarantee" && guaranteed && !begun:
-			dues = append(dues, jobDeadline{o.WithinS + est, false})
-		}
-	}
-	return dues
-}
-
-// starvationBoundS is how long a job may wait for its first start, in seconds, before it
-// goes first: early enough that even the largest begins in time. Room for a gang
-// falls free in one zone, a machine after another, and other gangs gather too.
-func starvationBoundS(job *jobState, est, slots float64, zones int) float64 {
-	gather := 0.0
-	if job.isGang() && job.spec.Tasks > 1 && slots > 0 {
-		gather = tuning.GangSlackFactor * est * float64(job.spec.Tasks) * float64(zones) / slots
-	}
-	return max(tuning.StarvationMinS, tuning.MaxStartWaitS-tuning.StarvationMarginS-gather)
-}
-
-// snapshotBuilder builds the snapshot that decisions are made from.
+// snapshotBuilder builds the snapshot that the scheduler decides from.
 type snapshotBuilder struct {
-	*Leader
+	leader   *Leader
 	now      time.Time
-	snap     *scheduler.Snapshot
-	jobs     []*jobState              // in the order of snap.Jobs
-	jobIndex map[protocol.JobID]int   // of snap.Jobs
-	teams    map[string]int           // index of snap.Teams
-	machines []*cluster.Machine       // in the order of snap.Machines; nil: asked for
-	running  []scheduler.RunningTasks // backs the machines' tasks
-	// machineCounts are the machines that gangs gather on, with GPUs and without, and
-	// zones in how many zones they are.
+	snapshot *scheduler.Snapshot
+	jobs     []*jobState            // in the order of snapshot.Jobs
+	jobIndex map[protocol.JobID]int // of snapshot.Jobs
+	teams    map[string]int         // index of snapshot.Teams
+	machines []*cluster.Machine     // in the order of snapshot.Machines; nil: requested
+	running  []scheduler.RunningTasks
+	// machineCounts counts the machines that gangs gather on, with GPUs (true) and
+	// without, and zones is in how many zones they are.
 	machineCounts map[bool]float64
 	zones         int
-	// unresolved counts the machines that may not be used yet.
+	// unresolved counts the machines that are up and may not be used yet.
 	unresolved int
 }
 
-func (c *Leader) snapshot(now time.Time) (*scheduler.Snapshot, []*jobState, []*cluster.Machine) {
-	b := &snapshotBuilder{Leader: c, now: now, teams: map[string]int{}, jobIndex: map[protocol.JobID]int{}, machineCounts: map[bool]float64{}, zones: 1}
-	op := c.Config.Operator
-	b.snap = &scheduler.Snapshot{Rho: op.Rho, GPUPriority: c.jobs.gpuPriority, GPURequest: c.jobs.gpuRequest, IdleBootFactor: op.GiveBackFactor,
-		StarvationShare: tuning.StarvationShare, StarvationShareIdle: tuning.StarvationShareIdle, ExhaustedPools: map[scheduler.CapacityPool]bool{}}
+// snapshot returns what the scheduler decides from, with the jobs and machines that
+// its indices stand for.
+func (l *Leader) snapshot(now time.Time) (*scheduler.Snapshot, []*jobState, []*cluster.Machine) {
+	b := &snapshotBuilder{
+		leader:        l,
+		now:           now,
+		snapshot:      l.emptySnapshot(),
+		teams:         map[string]int{},
+		jobIndex:      map[protocol.JobID]int{},
+		machineCounts: map[bool]float64{},
+		zones:         1,
+	}
 	b.addTypes()
 	b.addTeams()
 	b.addJobs()
@@ -112,31 +49,51 @@
 	b.markStarved()
 	b.addProvisioning()
 	b.addCapacityBackoffs()
-	// After a takeover nothing is rented or given back before the list and the
-	// reports are in: what runs already would be rented for again.
-	settledIn := now.Sub(c.tookOverAt) > 2*seconds(c.Config.Deployment.Workers.ReportS)
-	b.snap.MayScaleOut = c.provisioner.listed && (settledIn || b.unresolved == 0)
-	b.snap.MayScaleIn = c.provisioner.listed && settledIn
-	return b.snap, b.jobs, b.machines
+	// After a failover nothing is scaled out or in before the machine list and the
+	// heartbeats have come: what runs already would be provisioned once more.
+	settled := now.Sub(l.tookOverAt) > l.heartbeatIntervals(2)
+	b.snapshot.MayScaleOut = l.provisioner.listed && (settled || b.unresolved == 0)
+	b.snapshot.MayScaleIn = l.provisioner.listed && settled
+	return b.snapshot, b.jobs, b.machines
+}
+
+func (l *Leader) emptySnapshot() *scheduler.Snapshot {
+	return &scheduler.Snapshot{
+		Rho:                 l.Config.Operator.Rho,
+		IdleBootFactor:      l.Config.Operator.GiveBackFactor,
+		GPUPriority:         l.jobs.gpuPriority,
+		GPURequest:          l.jobs.gpuRequest,
+		StarvationShare:     tuning.StarvationShare,
+		StarvationShareIdle: tuning.StarvationShareIdle,
+		ExhaustedPools:      map[scheduler.CapacityPool]bool{},
+	}
 }
 
 func (b *snapshotBuilder) addTypes() {
-	for _, t := range b.catalog.types {
-		b.snap.Types = append(b.snap.Types, scheduler.MachineType{Name: t.Name, Capacity: scheduler.Resources{Cores: t.Cores, GPUs: t.GPUs, MemGB: t.MemGB},
-			Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, FetchGBps: t.FetchGBps, Zones: t.Zones})
+	for _, t := range b.leader.catalog.types {
+		b.snapshot.Types = append(b.snapshot.Types, scheduler.MachineType{
+			Name:      t.Name,
+			Capacity:  scheduler.Resources{Cores: t.Cores, GPUs: t.GPUs, MemGB: t.MemGB},
+			Price:     t.Price,
+			SpotPrice: t.SpotPrice,
+			BootS:     t.BootS,
+			FetchGBps: t.FetchGBps,
+			Zones:     t.Zones,
+		})
 	}
 }
 
 func (b *snapshotBuilder) addTeams() {
-	for i, t := range b.Config.Deployment.Teams {
-		b.teams[t.Name] = i
-		b.snap.Teams = append(b.snap.Teams, scheduler.Team{Max: scheduler.Resources{Cores: t.CoresMax, GPUs: t.GPUsMax}})
+	for i, team := range b.leader.Config.Deployment.Teams {
+		b.teams[team.Name] = i
+		limit := scheduler.Resources{Cores: team.CoresMax, GPUs: team.GPUsMax}
+		b.snapshot.Teams = append(b.snapshot.Teams, scheduler.Team{Max: limit})
 	}
 }
 
 // addJobs adds the jobs in the order of their acceptance.
 func (b *snapshotBuilder) addJobs() {
-	for _, job := range b.Leader.jobs.open {
+	for _, job := range b.leader.jobs.open {
 		if _, ok := b.teams[job.spec.Team]; ok {
 			b.jobs = append(b.jobs, job)
 		}
@@ -147,198 +104,237 @@
 	for i, job := range b.jobs {
 		b.jobIndex[job.id] = i
 	}
-	chained := b.chained()
-	demand := make([]scheduler.Resources, len(b.snap.Teams))
-	b.snap.Jobs = make([]scheduler.Job, 0, len(b.jobs))
+	chained := b.chainedJobs()
+	demand := make([]scheduler.Resources, len(b.snapshot.Teams))
+	b.snapshot.Jobs = make([]scheduler.Job, 0, len(b.jobs))
 	for i, job := range b.jobs {
 		b.addJob(job, &chained[i], demand)
 	}
 }
 
-// chained describes the jobs with those that they wait for, after priorities and
-// deadlines have been passed on along the chains.
-func (b *snapshotBuilder) chained() []scheduler.ChainedJob {
-	out := make([]scheduler.ChainedJob, len(b.jobs))
-	any := false
+// chainedJobs describes the jobs with those that they wait for, after priorities and
+// deadlines have been propagated along the chains.
+func (b *snapshotBuilder) chainedJobs() []scheduler.ChainedJob {
+	chained := make([]scheduler.ChainedJob, len(b.jobs))
+	hasChains := false
 	for i, job := range b.jobs {
-		out[i] = scheduler.ChainedJob{Priority: job.priority(), DeadlineS: math.Inf(1), EstimateS: b.estimator.estimate(&job.spec)}
+		chained[i] = scheduler.ChainedJob{Priority: job.priority(), DeadlineS: math.Inf(1), EstimateS: b.leader.estimator.estimate(&job.spec)}
 		if job.spec.DeadlineS > 0 {
-			out[i].DeadlineS = job.spec.DeadlineS - b.now.Sub(job.acceptedAt).Seconds()
+			chained[i].DeadlineS = job.spec.DeadlineS - b.now.Sub(job.acceptedAt).Seconds()
 		}
 		if job.cancelled {
 			continue
 		}
-		for jobID := range job.pendingDependencies {
-			if need, ok := b.jobIndex[jobID]; ok {
-				out[i].DependsOn = append(out[i].DependsOn, need)
-				any = true
+		for dependency := range job.pendingDependencies {
+			if index, ok := b.jobIndex[dependency]; ok {
+				chained[i].DependsOn = append(chained[i].DependsOn, index)
+				hasChains = true
 			}
 		}
 	}
-	if any {
-		scheduler.PropagateDeadlines(out)
+	if hasChains {
+		scheduler.PropagateDeadlines(chained)
 	}
-	return out
+	return chained
 }
 
-// addJob adds a job; demand is what the jobs before it take of each team.
+// addJob adds a job. demand is what the jobs before it take of each team, and is
+// added to.
 func (b *snapshotBuilder) addJob(job *jobState, chained *scheduler.ChainedJob, demand []scheduler.Resources) {
 	team := b.teams[job.spec.Team]
-	need := job.request()
-	left := job.spec.Tasks - job.doneCount
+	request := job.request()
+	unfinished := job.spec.Tasks - job.doneCount
 	guaranteed := false
-	// A job that waits for others holds no part of its team's guarantee.
+	// A job that waits for others holds no part of its team's guaranteed quota.
 	if !job.cancelled && len(job.pendingDependencies) == 0 {
-		demand[team] = demand[team].Minus(need, -left)
-		guaranteed = withinGuarantee(need, demand[team], b.guarantee(team))
+		demand[team] = demand[team].Minus(request, -unfinished)
+		guaranteed = withinGuarantee(request, demand[team], b.guaranteedQuota(team))
 	}
-	sj := scheduler.Job{ID: job.id, Spec: &job.spec, Request: need, Priority: chained.Priority, Guaranteed: guaranteed, EstimateS: chained.EstimateS,
-		Waiting: job.waitingTasks(), Running: len(job.placements), Team: team, BackingOff: b.now.Before(job.backoffUntil), Weight: 1}
-	var onStart bool
-	if sj.DeadlineS, onStart = b.deadlineFor(job, sj.EstimateS, chained.DeadlineS, guaranteed, b.now); onStart {
-		sj.Weight = float64(job.spec.Tasks)
+	entry := scheduler.Job{
+		ID:         job.id,
+		Spec:       &job.spec,
+		Request:    request,
+		Priority:   chained.Priority,
+		Guaranteed: guaranteed,
+		EstimateS:  chained.EstimateS,
+		Waiting:    b.waitingTasks(job),
+		Running:    len(job.placements),
+		Team:       team,
+		BackingOff: b.now.Before(job.backoffUntil),
+		Weight:     1,
 	}
-	if room := b.maxPlacements() - len(job.placements); sj.Waiting > room {
-		// More would not fit into the run record, and a gang starts whole.
-		sj.Waiting = max(0, room)
-		if job.isGang() {
-			sj.Waiting = 0
-		}
+	var countsTasks bool
+	entry.DeadlineS, countsTasks = b.leader.deadlineFor(job, entry.EstimateS, chained.DeadlineS, guaranteed, b.now)
+	if countsTasks {
+		entry.Weight = float64(job.spec.Tasks)
 	}
-	if sj.Waiting > 0 && (job.spec.Spread || job.spec.OneZone) {
-		sj.RunningByZone = map[string]int{}
+	if entry.Waiting > 0 && (job.spec.Spread || job.spec.OneZone) {
+		entry.RunningByZone = map[string]int{}
 		for _, placement := range job.placements {
-			sj.RunningByZone[placement.Machine.Zone]++
+			entry.RunningByZone[placement.Machine.Zone]++
 		}
 	}
-	used := len(job.placements)
+	inUse := len(job.placements)
 	if job.recordUnreadable && b.now.Before(job.backoffUntil) {
-		used = left // any of them may run
+		inUse = unfinished // any of them may run
+	}
+	b.snapshot.Teams[team].Used = b.snapshot.Teams[team].Used.Minus(request, -inUse)
+	b.snapshot.Jobs = append(b.snapshot.Jobs, entry)
+}
+
+// waitingTasks is how many tasks of a job may be started, as far as its run record
+// holds them. A gang starts whole.
+func (b *snapshotBuilder) waitingTasks(job *jobState) int {
+	waiting := job.waitingTasks()
+	room := b.leader.maxPlacements() - len(job.placements)
+	switch {
+	case waiting <= room:
+		return waiting
+	case job.isGang():
+		return 0
 	}
-	b.snap.Teams[team].Used = b.snap.Teams[team].Used.Minus(need, -used)
-	b.snap.Jobs = append(b.snap.Jobs, sj)
+	return max(0, room)
 }
 
-// guarantee is what a team is guaranteed.
-func (b *snapshotBuilder) guarantee(team int) scheduler.Resources {
-	t := b.Config.Deployment.Teams[team]
+func (b *snapshotBuilder) guaranteedQuota(team int) scheduler.Resources {
+	t := b.leader.Config.Deployment.Teams[team]
 	return scheduler.Resources{Cores: t.Cores, GPUs: t.GPUs}
 }
 
-// withinGuarantee tells whether a demand is within a guarantee in what a task needs.
-func withinGuarantee(need, demand, guarantee scheduler.Resources) bool {
+// withinGuarantee tells whether a demand is within a guaranteed quota in what a task
+// requests.
+func withinGuarantee(request, demand, guaranteed scheduler.Resources) bool {
 	const tolerance = 1e-9
-	return (need.Cores <= 0 || demand.Cores <= guarantee.Cores+tolerance) &&
-		(need.GPUs <= 0 || demand.GPUs <= guarantee.GPUs+tolerance)
+	return (request.Cores <= 0 || demand.Cores <= guaranteed.Cores+tolerance) &&
+		(request.GPUs <= 0 || demand.GPUs <= guaranteed.GPUs+tolerance)
 }
 
 func (b *snapshotBuilder) addMachines() {
-	b.machines = make([]*cluster.Machine, 0, len(b.Leader.machines.sorted))
-	b.snap.Machines = make([]scheduler.Machine, 0, len(b.Leader.machines.sorted))
-	b.running = make([]scheduler.RunningTasks, 0, b.cycle.runningEntries+len(b.Leader.machines.sorted))
-	for _, machine := range b.Leader.machines.sorted {
-		if typ, ok := b.catalog.index[machine.Type]; ok {
-			b.addMachine(machine, typ)
+	sorted := b.leader.machines.sorted
+	b.machines = make([]*cluster.Machine, 0, len(sorted))
+	b.snapshot.Machines = make([]scheduler.Machine, 0, len(sorted))
+	b.running = make([]scheduler.RunningTasks, 0, b.leader.cycle.runningEntries+len(sorted))
+	for _, machine := range sorted {
+		if typeIndex, ok := b.leader.catalog.index[machine.Type]; ok {
+			b.addMachine(machine, typeIndex)
 		}
 	}
-	b.cycle.runningEntries = len(b.running)
+	b.leader.cycle.runningEntries = len(b.running)
 }
 
-func (b *snapshotBuilder) addMachine(machine *cluster.Machine, typ int) {
-	machineType := &b.snap.Types[typ]
-	sm := scheduler.Machine{ID: machine.ID, Type: typ, Zone: machine.Zone, Spot: machine.Spot, Free: machineType.Capacity,
-		Schedulable: machine.Schedulable(b.now, b.schedulableSilence()), Empty: len(machine.Placements) == 0 && len(machine.Outbox) == 0, IdleS: b.now.Sub(machine.IdleSince).Seconds(),
-		GPUIdleS: b.now.Sub(machine.GPUIdleSince).Seconds()}
-	sm.Booting = !machine.Up && !machine.Deprovisioning && b.now.Sub(machine.ProvisionedAt) < seconds(tuning.BootSlow*machineType.BootS)
-	if machine.Up && !sm.Schedulable && !machine.Deprovisioning && machine.PreemptionAt.IsZero() {
+func (b *snapshotBuilder) addMachine(machine *cluster.Machine, typeIndex int) {
+	machineType := &b.snapshot.Types[typeIndex]
+	entry := scheduler.Machine{
+		ID:          machine.ID,
+		Type:        typeIndex,
+		Zone:        machine.Zone,
+		Spot:        machine.Spot,
+		Free:        machineType.Capacity,
+		Schedulable: machine.Schedulable(b.now, b.leader.schedulableSilence()),
+		Empty:       len(machine.Placements) == 0 && len(machine.Outbox) == 0,
+		IdleS:       b.now.Sub(machine.IdleSince).Seconds(),
+		GPUIdleS:    b.now.Sub(machine.GPUIdleSince).Seconds(),
+	}
+	bootLimit := seconds(tuning.BootSlow * machineType.BootS)
+	entry.Booting = !machine.Up && !machine.Deprovisioning && b.now.Sub(machine.ProvisionedAt) < bootLimit
+	if machine.Up && !entry.Schedulable && !machine.Deprovisioning && machine.PreemptionAt.IsZero() {
 		b.unresolved++
 	}
 	if !machine.Deprovisioning {
 		b.machineCounts[machineType.Capacity.GPUs > 0]++
 		b.zones = max(b.zones, len(machineType.Zones))
 	}
-	b.addRunning(&sm, machine, machineType)
-	sm.Images = machine.Images()
-	b.snap.Machines = append(b.snap.Machines, sm)
+	b.addRunning(&entry, machine, machineType)
+	entry.Images = machine.Images()
+	b.snapshot.Machines = append(b.snapshot.Machines, entry)
 	b.machines = append(b.machines, machine)
 }
 
-// addRunning takes what is on a machine off its room, and sums it up by jobs.
-func (b *snapshotBuilder) addRunning(sm *scheduler.Machine, machine *cluster.Machine, machineType *scheduler.MachineType) {
+// addRunning takes what is on a machine off its free capacity, and sums it up by jobs.
+func (b *snapshotBuilder) addRunning(entry *scheduler.Machine, machine *cluster.Machine, machineType *scheduler.MachineType) {
 	first := len(b.running)
 	var fetching []string
-	for k, placement := range machine.Placements {
-		jobIndex, ok := b.jobIndex[k.Job]
+	for key, placement := range machine.Placements {
+		jobIndex, ok := b.jobIndex[key.Job]
 		if !ok {
-			sm.Schedulable = false
+			entry.Schedulable = false
 			continue
 		}
-		job := &b.snap.Jobs[jobIndex]
-		sm.Free = sm.Free.Minus(job.Request, 1)
+		job := &b.snapshot.Jobs[jobIndex]
+		entry.Free = entry.Free.Minus(job.Request, 1)
 		i := slices.IndexFunc(b.running[first:], func(r scheduler.RunningTasks) bool { return r.Job == jobIndex })
 		if i < 0 {
 			i = len(b.running) - first
 			b.running = append(b.running, scheduler.RunningTasks{Job: jobIndex})
 		}
 		b.addPlacement(&b.running[first+i], placement, job)
-		if (placement.State == "" || placement.State == protocol.TaskFetching) && !slices.Contains(fetching, job.Spec.Image) {
+		isFetching := placement.State == "" || placement.State == protocol.TaskFetching
+		if isFetching && !slices.Contains(fetching, job.Spec.Image) {
 			fetching = append(fetching, job.Spec.Image)
-			sm.PendingFetchGB += max(0, job.Spec.ImageGB-machineType.FetchGBps*b.now.Sub(placement.Since).Seconds())
+			fetchedGB := machineType.FetchGBps * b.now.Sub(placement.Since).Seconds()
+			entry.PendingFetchGB += max(0, job.Spec.ImageGB-fetchedGB)
 		}
 	}
-	sm.Tasks = b.running[first:len(b.running):len(b.running)]
+	entry.Tasks = b.running[first:len(b.running):len(b.running)]
 }
 
-func (b *snapshotBuilder) addPlacement(r *scheduler.RunningTasks, placement *cluster.Placement, job *scheduler.Job) {
-	r.Count++
+func (b *snapshotBuilder) addPlacement(running *scheduler.RunningTasks, placement *cluster.Placement, job *scheduler.Job) {
+	running.Count++
 	if placement.Stopping {
-		r.Stopping++
+		running.Stopping++
 	}
-	r.RemainingS = max(r.RemainingS, job.EstimateS)
+	running.RemainingS = max(running.RemainingS, job.EstimateS)
 	if placement.State != protocol.TaskRunning {
 		return
 	}
-	ran := b.now.Sub(placement.Since).Seconds()
-	r.RemainingS = max(0, job.EstimateS-ran)
-	lost := ran
+	ranS := b.now.Sub(placement.Since).Seconds()
+	running.RemainingS = max(0, job.EstimateS-ranS)
+	lostS := ranS
 	if interval := job.Spec.CheckpointIntervalS; interval > 0 {
-		lost = min(lost, interval)
+		lostS = min(lostS, interval)
 	}
-	r.LostWorkS += lost
+	running.LostWorkS += lostS
 }
 
-// markStarved marks the jobs that have waited longer than any may.
+// markStarved marks the jobs that have waited longer than their starvation bound.
 func (b *snapshotBuilder) markStarved() {
 	for i, job := range b.jobs {
 		if job.fullyStarted() || len(job.pendingDependencies) > 0 {
 			continue
 		}
-		sj := &b.snap.Jobs[i]
-		age := b.now.Sub(job.readyAt).Seconds()
-		sj.StarvedS = max(0, age-starvationBoundS(job, sj.EstimateS, b.machineCounts[sj.Request.GPUs > 0], b.zones))
-		sj.MaxWaitExceeded = age > tuning.MaxStartWaitS
+		entry := &b.snapshot.Jobs[i]
+		waitedS := b.now.Sub(job.readyAt).Seconds()
+		machines := b.machineCounts[entry.Request.GPUs > 0]
+		entry.StarvedS = max(0, waitedS-starvationBoundS(job, entry.EstimateS, machines, b.zones))
+		entry.MaxWaitExceeded = waitedS > tuning.MaxStartWaitS
 	}
 }
 
-// addProvisioning adds the machines that were asked for without an answer yet: their room
-// counts as coming.
+// addProvisioning adds the machines that were requested without an answer yet: their
+// capacity counts as booting.
 func (b *snapshotBuilder) addProvisioning() {
-	for _, request := range b.provisioner.requests {
-		typ, ok := b.catalog.index[request.Type]
+	for _, request := range b.leader.provisioner.requests {
+		typeIndex, ok := b.leader.catalog.index[request.Type]
 		if !ok || request.resolved {
 			continue
 		}
 		for range request.Count {
-			b.snap.Machines = append(b.snap.Machines, scheduler.Machine{Type: typ, Zone: request.Zone, Spot: request.Spot, Free: b.snap.Types[typ].Capacity, Booting: true})
+			b.snapshot.Machines = append(b.snapshot.Machines, scheduler.Machine{
+				Type:    typeIndex,
+				Zone:    request.Zone,
+				Spot:    request.Spot,
+				Free:    b.snapshot.Types[typeIndex].Capacity,
+				Booting: true,
+			})
 			b.machines = append(b.machines, nil)
 		}
 	}
 }
 
 func (b *snapshotBuilder) addCapacityBackoffs() {
-	for o, r := range b.provisioner.backoffs {
-		if typ, ok := b.catalog.index[o.machineType]; ok && b.now.Before(r.until) {
-			b.snap.ExhaustedPools[scheduler.CapacityPool{Type: typ, Zone: o.zone, Spot: o.spot}] = true
+	for pool, backoff := range b.leader.provisioner.backoffs {
+		if typeIndex, ok := b.leader.catalog.index[pool.machineType]; ok && b.now.Before(backoff.until) {
+			b.snapshot.ExhaustedPools[scheduler.CapacityPool{Type: typeIndex, Zone: pool.zone, Spot: pool.spot}] = true
 		}
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"context"
 	"slices"
 	"time"
 
@@ -70,122 +71,199 @@
 	SinceS  float64        `msgpack:"s"`
 }
 
-func (c *Leader) summarize(snapshot *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan, now time.Time) {
-	st := Status{Term: c.leadership.Term, CloudOK: c.provisioner.cloudAvailable, Format: c.formats.cluster, Versions: c.nodeVersions()}
-	late := map[int]bool{}
+// statusReporter makes the summary for the status page.
+type statusReporter struct {
+	current         Status
+	summarizedAt    time.Time
+	overdueLoggedAt time.Time
+}
+
+// due tells whether the summary is to be made anew, and notes that it is.
+func (r *statusReporter) due(now time.Time) bool {
+	if now.Sub(r.summarizedAt) < tuning.StatusInterval {
+		return false
+	}
+	r.summarizedAt = now
+	return true
+}
+
+// statusRequest asks for the latest summary.
+type statusRequest struct{ reply chan Status }
+
+func (r statusRequest) apply(l *Leader, _ time.Time) { r.reply <- l.status.current }
+
+// Status returns the latest summary; ok is false if the term or ctx ends before.
+func (l *Leader) Status(ctx context.Context) (status Status, ok bool) {
+	reply := make(chan Status, 1)
+	select {
+	case l.inbox <- statusRequest{reply}:
+	case <-l.ctx.Done():
+		return Status{}, false
+	case <-ctx.Done():
+		return Status{}, false
+	}
+	select {
+	case status := <-reply:
+		return status, true
+	case <-l.ctx.Done():
+	case <-ctx.Done():
+	}
+	return Status{}, false
+}
+
+// summarize makes the summary, and tells the liaison of overdue player-facing work.
+func (l *Leader) summarize(snapshot *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan, now time.Time) {
+	status := Status{
+		Term:     l.leadership.Term,
+		CloudOK:  l.provisioner.cloudAvailable,
+		Format:   l.formats.cluster,
+		Versions: l.controllerVersions(),
+		Classes:  classStatuses(snapshot, jobs, plan),
+		Overdue:  overdueJobs(snapshot, jobs, now),
+		Machines: l.countMachines(now),
+	}
+	l.addUnknownTasks(&status)
+	l.status.current = status
+	if len(status.Overdue) > 0 && now.Sub(l.status.overdueLoggedAt) > tuning.OverdueLogInterval {
+		l.status.overdueLoggedAt = now
+		l.Log.Error("liaison: player-facing production work is behind", "jobs", len(status.Overdue), "first", status.Overdue[0].Job)
+	}
+}
+
+// classStatuses counts the open jobs by class.
+func classStatuses(snapshot *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan) []ClassStatus {
+	slackSpent := map[int]bool{}
 	for _, i := range plan.SlackSpent {
-		late[i] = true
+		slackSpent[i] = true
 	}
-	classes := map[string]*ClassStatus{}
+	byClass := map[string]*ClassStatus{}
 	for i, job := range jobs {
 		if job.cancelled {
 			continue
 		}
-		k := classes[job.spec.Class]
-		if k == nil {
-			k = &ClassStatus{Class: job.spec.Class}
-			classes[job.spec.Class] = k
+		class := byClass[job.spec.Class]
+		if class == nil {
+			class = &ClassStatus{Class: job.spec.Class}
+			byClass[job.spec.Class] = class
 		}
-		waiting := job.spec.Tasks - job.doneCount - len(job.placements)
 		switch {
 		case len(job.pendingDependencies) > 0:
-			k.Blocked++
-		case waiting > 0 && len(job.placements) == 0:
-			k.Waiting++
+			class.Blocked++
+		case job.unstarted() > 0 && len(job.placements) == 0:
+			class.Waiting++
 		default:
-			k.Running++
+			class.Running++
+		}
+		entry := &snapshot.Jobs[i]
+		missedDeadline := entry.DeadlineS < 0 && entry.Priority > protocol.LevelProduction
+		if missedDeadline || slackSpent[i] {
+			class.Late++
 		}
-		if snapshot.Jobs[i].DeadlineS < 0 && snapshot.Jobs[i].Priority > 0 || late[i] {
-			k.Late++
+	}
+	var classes []ClassStatus
+	for _, class := range byClass {
+		classes = append(classes, *class)
+	}
+	slices.SortFunc(classes, func(a, b ClassStatus) int { return cmp.Compare(a.Class, b.Class) })
+	return classes
+}
+
+// overdueJobs lists the production jobs that have waited too long for some of their
+// replicas.
+func overdueJobs(snapshot *scheduler.Snapshot, jobs []*jobState, now time.Time) (overdue []OverdueJob) {
+	for i, job := range jobs {
+		if job.cancelled || snapshot.Jobs[i].Priority != protocol.LevelProduction {
+			continue
 		}
-		if snapshot.Jobs[i].Priority == 0 && waiting > 0 && len(job.pendingDependencies) == 0 && now.Sub(job.readyAt) > tuning.ErrorLogInterval {
-			st.Overdue = append(st.Overdue, OverdueJob{job.id, job.spec.Class, waiting, now.Sub(job.readyAt).Seconds()})
+		waited := now.Sub(job.readyAt)
+		if job.unstarted() > 0 && len(job.pendingDependencies) == 0 && waited > tuning.ErrorLogInterval {
+			overdue = append(overdue, OverdueJob{job.id, job.spec.Class, job.unstarted(), waited.Seconds()})
 		}
 	}
-	for _, k := range classes {
-		st.Classes = append(st.Classes, *k)
-	}
-	slices.SortFunc(st.Classes, func(a, b ClassStatus) int { return cmp.Compare(a.Class, b.Class) })
-	counts := map[[2]any]*MachineCount{}
-	for _, machine := range c.machines.byID {
-		key := [2]any{machine.Type, machine.Spot}
-		k := counts[key]
-		if k == nil {
-			k = &MachineCount{Type: machine.Type, Spot: machine.Spot}
-			counts[key] = k
+	return overdue
+}
+
+// countMachines counts the machines by type and by whether they are up.
+func (l *Leader) countMachines(now time.Time) []MachineCount {
+	type kind struct {
+		machineType string
+		spot        bool
+	}
+	byKind := map[kind]*MachineCount{}
+	for _, machine := range l.machines.byID {
+		key := kind{machine.Type, machine.Spot}
+		count := byKind[key]
+		if count == nil {
+			count = &MachineCount{Type: machine.Type, Spot: machine.Spot}
+			byKind[key] = count
 		}
-		if c.up(machine, now) {
-			k.Up++
+		if machine.Up && now.Sub(machine.LastContact) <= l.schedulableSilence() {
+			count.Up++
 		} else {
-			k.Other++
+			count.Other++
 		}
 	}
-	for _, k := range counts {
-		st.Machines = append(st.Machines, *k)
-	}
-	c.addUnknown(&st)
-	slices.SortFunc(st.Machines, func(a, b MachineCount) int { return cmp.Compare(a.Type, b.Type) })
-	c.status.current = st
-	if len(st.Overdue) > 0 && now.Sub(c.status.overdueLoggedAt) > tuning.OverdueLogInterval {
-		c.status.overdueLoggedAt = now
-		c.Log.Error("liaison: player-facing production work is behind", "jobs", len(st.Overdue), "first", st.Overdue[0].Job)
+	var counts []MachineCount
+	for _, count := range byKind {
+		counts = append(counts, *count)
 	}
+	slices.SortFunc(counts, func(a, b MachineCount) int { return cmp.Compare(a.Type, b.Type) })
+	return counts
 }
 
-// addUnknown counts and names the tasks that no record names.
-func (c *Leader) addUnknown(st *Status) {
-	for _, machine := range c.machines.sorted {
+// addUnknownTasks counts and names the tasks that no record names.
+func (l *Leader) addUnknownTasks(status *Status) {
+	for _, machine := range l.machines.sorted {
 		if machine.UnknownTaskCount == 0 {
 			continue
 		}
-		st.UnknownTasks += machine.UnknownTaskCount
-		for _, t := range machine.UnknownTasks() {
-			if len(st.Unknown) < tuning.UnknownTasksShown {
-				st.Unknown = append(st.Unknown, c.describeUnknown(machine, &t))
+		status.UnknownTasks += machine.UnknownTaskCount
+		for _, reported := range machine.UnknownTasks() {
+			if len(status.Unknown) < tuning.UnknownTasksShown {
+				status.Unknown = append(status.Unknown, l.describeUnknown(machine, &reported))
 			}
 		}
 	}
 }
 
-// logUnknown logs the tasks of a machine that no record names.
-func (c *Leader) logUnknown(machine *cluster.Machine) {
-	for _, t := range machine.UnknownTasks() {
-		u := c.describeUnknown(machine, &t)
-		c.Log.Error("unknown task", "task", u.Task, "try", u.Attempt, "state", u.State, "machine", u.Machine, "session", machine.Incarnation, "job", u.Job)
+// logUnknownTasks logs the tasks of a machine that no record names. They are stopped
+// with the answer to the next heartbeat.
+func (l *Leader) logUnknownTasks(machine *cluster.Machine) {
+	for _, reported := range machine.UnknownTasks() {
+		unknown := l.describeUnknown(machine, &reported)
+		l.Log.Error("unknown task", "task", unknown.Task, "attempt", unknown.Attempt, "state", unknown.State,
+			"machine", unknown.Machine, "incarnation", machine.Incarnation, "job", unknown.Job)
 	}
 }
 
-func (c *Leader) describeUnknown(machine *cluster.Machine, t *cluster.ReportedTask) UnknownTask {
-	u := UnknownTask{Task: t.Task, Attempt: t.Attempt, State: t.State, Machine: machine.ID, Job: "not open"}
-	job := c.jobs.open[t.Key.Job]
+func (l *Leader) describeUnknown(machine *cluster.Machine, reported *cluster.ReportedTask) UnknownTask {
+	unknown := UnknownTask{Task: reported.Task, Attempt: reported.Attempt, State: reported.State, Machine: machine.ID, Job: "not open"}
+	job := l.jobs.open[reported.Key.Job]
 	switch {
 	case job == nil:
-	case job.placements[t.Key.Task] != nil:
-		u.Job = "the task is elsewhere or another try"
-	case job.doneTasks.Has(t.Key.Task):
-		u.Job = "the task is done"
+	case job.placements[reported.Key.Task] != nil:
+		unknown.Job = "the task is elsewhere or another try"
+	case job.doneTasks.Has(reported.Key.Task):
+		unknown.Job = "the task is done"
 	case job.cancelled:
-		u.Job = "cancelled"
+		unknown.Job = "cancelled"
 	default:
-		u.Job = "the task waits"
+		unknown.Job = "the task waits"
 	}
-	return u
+	return unknown
 }
 
-// nodeVersions lists the controllers of the settings with what they have recorded.
-func (c *Leader) nodeVersions() []NodeVersion {
-	names := []string{c.Config.Node}
-	for _, p := range c.Config.Peers {
-		names = append(names, p.Node)
+// controllerVersions lists the controllers of the settings with what they have
+// recorded.
+func (l *Leader) controllerVersions() []NodeVersion {
+	names := []string{l.Config.Node}
+	for _, peer := range l.Config.Peers {
+		names = append(names, peer.Node)
 	}
 	slices.Sort(names)
-	out := make([]NodeVersion, len(names))
+	versions := make([]NodeVersion, len(names))
 	for i, name := range names {
-		out[i] = NodeVersion{name, max(records.FormatWhole, c.formats.byController[name])}
+		versions[i] = NodeVersion{name, max(records.FormatWhole, l.formats.byController[name])}
 	}
-	return out
-}
-
-func (c *Leader) up(machine *cluster.Machine, now time.Time) bool {
-	return machine.Up && now.Sub(machine.LastContact) <= c.schedulableSilence()
+	return versions
 }
--- /dev/null
+++ b/internal/leader/tick.go
@@ -0,0 +1,106 @@
+package leader
+
+import (
+	"time"
+
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/tuning"
+)
+
+// onTick does what depends on time alone.
+func (l *Leader) onTick(now time.Time) {
+	l.confirmByPeers(now)
+	if len(l.Config.Peers) > 0 && l.isolated(now) {
+		l.Log.Error("hearing of next to none of the machines, leaving the term to another controller")
+		l.Resign()
+		return
+	}
+	l.pruneClosedJobs()
+	unreachable, neverUp := l.reviewMachines(now)
+	l.dispatchAll(now)
+	l.planHandshakes(now)
+	l.deprovisionNext(now)
+	l.cycle.request() // slack is spent and idle machines age by time alone
+	l.deprovision(unreachable, "unreachable, preempted or quarantined", now)
+	l.deprovision(neverUp, "never came up", now)
+	l.refreshMachineList(now)
+	l.refreshCatalog(now)
+	l.callProvisioning(now)
+	l.lookUpDependencies(now)
+	l.saveImageInventory(now)
+}
+
+// reviewMachines ends what expired leases held, and picks the machines to be given
+// back: those that are lost, and those that never came up.
+func (l *Leader) reviewMachines(now time.Time) (lost, neverUp []*cluster.Machine) {
+	unreachable := l.unreachableMachines(now)
+	for _, machine := range l.machines.byID {
+		l.expireLease(machine, now)
+		switch {
+		case machine.Deprovisioning:
+		case unreachable[machine], silentForTooLong(machine, now), isQuarantinedAndEmpty(machine):
+			lost = append(lost, machine)
+		case l.neverCameUp(machine, now):
+			neverUp = append(neverUp, machine)
+		}
+		l.drain(machine, now)
+		if len(machine.Outbox) > 0 {
+			l.dispatcher.add(machine)
+		}
+	}
+	return lost, neverUp
+}
+
+// expireLease ends the placements of a machine whose agent's lease has surely expired.
+func (l *Leader) expireLease(machine *cluster.Machine, now time.Time) {
+	if machine.Incarnation <= machine.ExpiredIncarnation && len(machine.Placements) == 0 {
+		return
+	}
+	ended := machine.ExpireLease(now)
+	if len(ended) == 0 {
+		return
+	}
+	l.Log.Info("lease expired, its tasks are started again", "machine", machine.ID, "tasks", len(ended))
+	l.endPlacements(ended, now)
+}
+
+// silentForTooLong tells whether a machine that was up has said nothing for long after
+// its lease, or answers commands and sends no heartbeats.
+func silentForTooLong(machine *cluster.Machine, now time.Time) bool {
+	longAfterLease := now.After(machine.LeaseExpiry.Add(tuning.UnreachableGrace))
+	withoutHeartbeats := now.Sub(machine.LastHeartbeat) > tuning.NoHeartbeatLimit
+	return machine.Up && (longAfterLease || withoutHeartbeats)
+}
+
+func isQuarantinedAndEmpty(machine *cluster.Machine) bool {
+	return machine.Up && machine.Quarantined && len(machine.Placements) == 0 && machine.CommandsResolved()
+}
+
+func (l *Leader) neverCameUp(machine *cluster.Machine, now time.Time) bool {
+	return !machine.Up && len(machine.Placements) == 0 && l.catalog.loaded &&
+		now.Sub(machine.ProvisionedAt) > seconds(tuning.BootGiveUp*l.bootTimeS(machine))
+}
+
+// drain saves in time what can be saved on a machine that the cloud takes away.
+func (l *Leader) drain(machine *cluster.Machine, now time.Time) {
+	if machine.PreemptionAt.IsZero() || machine.AcknowledgedToken < l.termToken() {
+		return // a copy of a heartbeat from before this term proves no notice
+	}
+	leftS := machine.PreemptionAt.Sub(now).Seconds()
+	for _, placement := range machine.Placements {
+		job := l.jobs.open[placement.Job]
+		if job == nil || placement.Stopping || placement.State != protocol.TaskRunning || job.spec.CheckpointIntervalS <= 0 ||
+			leftS > job.spec.CheckpointSaveS+tuning.NoticeMargin {
+			continue
+		}
+		gracePeriodS := job.spec.CheckpointSaveS + tuning.SaveMargin
+		l.stopPlacement(placement, gracePeriodS, now)
+		if !job.isGang() {
+			continue
+		}
+		for _, member := range job.placements { // a gang saves together
+			l.stopPlacement(member, gracePeriodS, now)
+		}
+	}
+}
