--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -2,14 +2,51 @@
 
 import (
 	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"slices"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/codec"
+	"marblehaven/internal/config"
+	"marblehaven/internal/election"
 	"marblehaven/internal/httpclient"
 	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
 )
 
+// calls notes the calls that come and answers when told to.
+type calls struct {
+	mu     sync.Mutex
+	hosts  []string
+	answer chan struct{}
+}
+
+func (c *calls) RoundTrip(r *http.Request) (*http.Response, error) {
+	c.mu.Lock()
+	c.hosts = append(c.hosts, r.URL.Hostname())
+	c.mu.Unlock()
+	select {
+	case <-c.answer:
+		return &http.Response{StatusCode: 503, Body: http.NoBody}, nil
+	case <-r.Context().Done():
+		return nil, r.Context().Err()
+	}
+}
+
+func (c *calls) seen() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.hosts)
+}
+
 // withSilentStore gives a leader a state service that never answers, so that a commit
 // stays under way. The returned function ends its calls.
 func withSilentStore(t *testing.T, c *Leader) (end func()) {
@@ -32,3 +69,51 @@
 		clear(job.placements)
 	}
 }
+
+// large is a leader with many machines, all full, and many jobs that wait.
+func large(machines, jobs int) (*Leader, time.Time) {
+	cfg := &config.Config{Operator: config.DefaultOperator()}
+	d := &cfg.Deployment
+	d.Workers = config.Workers{ReportS: 2.5, LeaseS: 12, GangWaitS: 35, GangPeerS: 4, CancelS: 37}
+	d.State = config.State{StateLimits: config.StateLimits{RPS: 250, WriteRPS: 25, ValueKB: 32, TxnOps: 20}}
+	d.Cloud = config.Cloud{RPS: 4, ListLagS: 10}
+	d.Limits = config.Limits{CPUShare: 0.1, MemoryMB: 200, Sockets: 4000}
+	for i := range 10 {
+		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprint("t", i), Cores: 900, CoresMax: 10000})
+	}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	store := kvstore.New("state:1", &calls{}, httpclient.NewMalformedLog(log), d.State)
+	c := New(Dependencies{Config: cfg, Store: store, Log: log, OnNewerTerm: func(protocol.Term) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
+	c.Bind(context.Background())
+	now := time.Now()
+	c.tookOverAt, c.lease.confirmedByWatch, c.lease.confirmedByTerm = now, now, now
+	c.setMachineTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
+	c.catalog.loaded = true
+	for i := range jobs {
+		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: protocol.JobID(fmt.Sprintf("req-%06d", i)), Class: "c", Team: fmt.Sprint("t", i%10),
+			Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
+		b, _ := codec.Marshal(o)
+		c.applyOpenRecord(records.OpenKey(o.Job.ID), b, 1, now)
+	}
+	for i := range machines {
+		machine := c.machineByID(fmt.Sprintf("m-%06d", i), now)
+		heartbeat := fullReport(c, i, 1)
+		for _, t := range heartbeat.Tasks {
+			k, _ := parseTask(t.Task)
+			placement := &cluster.Placement{TaskKey: k, Attempt: 1, Incarnation: 1, Machine: machine, Recorded: true, Sent: true, Since: now}
+			machine.Placements[k] = placement
+			c.jobs.open[k.Job].placements[k.Task] = placement
+		}
+		c.onHeartbeat(heartbeat, now)
+	}
+	return c, now
+}
+
+func fullReport(c *Leader, i int, seq uint64) *protocol.Heartbeat {
+	heartbeat := &protocol.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: seq, Token: c.termToken()}
+	for t := range 4 {
+		n := i*4 + t
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("req-%06d/%d", n/60, n%60), Attempt: 1, State: protocol.TaskRunning})
+	}
+	return heartbeat
+}
--- /dev/null
+++ b/internal/leader/image_inventory_test.go
@@ -0,0 +1,32 @@
+package leader
+
+import (
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"marblehaven/internal/codec"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+)
+
+// A new leader knows from the hints of the last which images a machine has.
+func TestHints(t *testing.T) {
+	c, now := large(2, 1)
+	machine := c.machines.byID["m-000001"]
+	for _, name := range []string{"a", "b", "c"} {
+		machine.RecordImageUse(name, 10, 40)
+	}
+	hint, _ := newImageInventory(c.machines.sorted, 32<<10)
+	raw, _ := codec.Marshal(hint)
+	next, _ := large(0, 1)
+	var h records.ImageInventory
+	if err := codec.Unmarshal(raw, &h); err != nil {
+		t.Fatal(err)
+	}
+	next.images.inherited["m-000001"] = &h
+	next.onHeartbeat(&protocol.Heartbeat{Machine: "m-000001", Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: 9}, now)
+	if d := cmp.Diff(machine.Images(), next.machines.byID["m-000001"].Images()); d != "" {
+		t.Error(d)
+	}
+}
