--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -10,10 +10,10 @@
 	"marblehaven/internal/tuning"
 )
 
-// A report that says nothing new, at the size of the grown deployments.
-func BenchmarkReport(b *testing.B) {
-	c, now := large(1000, 300)
-	raw, _ := codec.Marshal(fullReport(c, 0, 2))
+// A heartbeat without news, at the size of a thousand machines.
+func BenchmarkHeartbeat(b *testing.B) {
+	leader, now := newLoadedLeader(1000, 300)
+	raw, _ := codec.Marshal(fullHeartbeat(leader, 0, 2))
 	b.ReportAllocs()
 	for i := range b.N {
 		var r protocol.Heartbeat
@@ -21,34 +21,34 @@
 			b.Fatal(err)
 		}
 		r.Sequence = uint64(2 + i)
-		codec.Marshal(c.onHeartbeat(&r, now))
+		codec.Marshal(leader.onHeartbeat(&r, now))
 	}
 }
 
-// A decision pass in which nothing can be placed: every machine is full.
-func BenchmarkPassFull(b *testing.B) {
+// A scheduling cycle in which nothing can be placed: every machine is full.
+func BenchmarkScheduleFull(b *testing.B) {
 	for _, machines := range []int{1000, 2100, 4000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			c, now := large(machines, 300+machines/10)
+			leader, now := newLoadedLeader(machines, 300+machines/10)
 			b.ReportAllocs()
 			for range b.N {
-				c.schedule(now)
+				leader.schedule(now)
 			}
 		})
 	}
 }
 
-// What is done twice a second whatever happens, and handshakes with all machines at a
-// takeover, but for the calls themselves.
+// The work of a tick, and of planning handshakes with all machines after a failover,
+// without the calls themselves.
 func BenchmarkTick(b *testing.B) {
 	for _, machines := range []int{1000, 2100, 4000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			c, now := large(machines, 300+machines/10)
-			c.provisioner.listInFlight, c.catalog.nextRead, c.images.nextSave = true, now.Add(time.Hour), now.Add(time.Hour)
-			c.dispatcher.handshakesInFlight = tuning.HandshakesInFlight
+			leader, now := newLoadedLeader(machines, 300+machines/10)
+			leader.provisioner.listInFlight, leader.catalog.nextRead, leader.images.nextSave = true, now.Add(time.Hour), now.Add(time.Hour)
+			leader.dispatcher.handshakesInFlight = tuning.HandshakesInFlight
 			b.ReportAllocs()
 			for range b.N {
-				c.onTick(now)
+				leader.onTick(now)
 			}
 		})
 	}
--- a/internal/leader/deadlines_test.go
+++ b/internal/leader/deadlines_test.go
@@ -8,13 +8,13 @@
 )
 
 // The deadline counts from the submission, what objectives ask from when the last job
-// that it needs was done. A job that can no longer keep its deadline is held to the
-// multiple of it that an objective names, and then to nothing earlier.
-func TestDueIn(t *testing.T) {
-	c, now := large(0, 1)
-	c.Config.Deployment.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 1.5},
+// that the job depends on was done. A job that can no longer keep its deadline is held to the
+// multiple of its deadline that an objective names, and then to nothing earlier.
+func TestDeadlineFor(t *testing.T) {
+	leader, now := newLoadedLeader(0, 1)
+	leader.Config.Deployment.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 1.5},
 		{Kind: "finished", Class: "c", WithinS: 500}, {Kind: "finished", Class: "other", WithinS: 1}}
-	job := c.jobs.open["req-000000"]
+	job := leader.jobs.open["req-000000"]
 	job.spec.DeadlineS = 100
 	none := math.Inf(1)
 	for _, w := range []struct{ age, ready, est, inherited, due float64 }{
@@ -23,13 +23,13 @@
 		{140, 140, 20, none, 360}, // held to the objective
 		{90, 5, 20, none, 60},     // ready late, due as before
 		{140, 5, 20, none, 495},   // the objective counts from then
-		{10, 10, 20, 50, 50},      // needed earlier by another
+		{10, 10, 20, 50, 50},      // needed earlier by a dependent
 		{10, 10, 20, 15, 90},      // which cannot be kept
 		{900, 900, 20, none, -400},
 	} {
 		job.acceptedAt = now.Add(-seconds(w.age))
 		job.readyAt = now.Add(-seconds(w.ready))
-		if due, _ := c.deadlineFor(job, w.est, w.inherited, false, now); math.Abs(due-w.due) > 1e-6 {
+		if due, _ := leader.deadlineFor(job, w.est, w.inherited, false, now); math.Abs(due-w.due) > 1e-6 {
 			t.Errorf("%+v: due in %v", w, due)
 		}
 	}
--- a/internal/leader/dispatch_test.go
+++ b/internal/leader/dispatch_test.go
@@ -11,32 +11,32 @@
 	"marblehaven/internal/tuning"
 )
 
-// A new leader handshake thousands of machines: not all at once, which would take
-// the processor's time from the answers that hold their leases, and those with
-// production first.
-func TestGreetsAreBounded(t *testing.T) {
+// A new leader makes handshakes with thousands of machines: not all at once, which would
+// take the processor's time from the answers that renew leases, and with machines that
+// run production first.
+func TestHandshakesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, now := large(2100, 1000)
-		w := &calls{answer: make(chan struct{})}
+		leader, now := newLoadedLeader(2100, 1000)
+		w := &recordedCalls{answer: make(chan struct{})}
 		defer close(w.answer)
-		c.Agents = agent.New(w, httpclient.NewMalformedLog(c.Log), 5000)
-		c.leadership.Term++ // a leader that has seen none of them yet
+		leader.Agents = agent.New(w, httpclient.NewMalformedLog(leader.Log), 5000)
+		leader.leadership.Term++ // a leader that has seen none of them yet
 		production := map[string]bool{}
-		for i, machine := range c.machines.sorted {
+		for i, machine := range leader.machines.sorted {
 			machine.Addr = machine.ID + ":1"
 			if i%50 == 49 {
 				production[machine.ID] = true
 				for k := range machine.Placements {
-					c.jobs.open[k.Job].spec.Priority = protocol.PriorityProduction
+					leader.jobs.open[k.Job].spec.Priority = protocol.PriorityProduction
 				}
 			}
 		}
-		for _, machine := range c.machines.sorted { // a job is on several machines
+		for _, machine := range leader.machines.sorted { // a job is on several machines
 			for k := range machine.Placements {
-				production[machine.ID] = production[machine.ID] || c.jobs.open[k.Job].priority() == 0
+				production[machine.ID] = production[machine.ID] || leader.jobs.open[k.Job].priority() == 0
 			}
 		}
-		c.planHandshakes(now)
+		leader.planHandshakes(now)
 		synctest.Wait()
 		first := w.seen()
 		if len(first) != tuning.HandshakesInFlight {
@@ -48,16 +48,16 @@
 			}
 		}
 		// The first hang, and hold nothing up for longer than a command may take.
-		for len(c.dispatcher.handshakeQueue) > 0 || c.dispatcher.handshakesInFlight > 0 {
-			c.handle(<-c.inbox)
+		for len(leader.dispatcher.handshakeQueue) > 0 || leader.dispatcher.handshakesInFlight > 0 {
+			leader.handle(<-leader.inbox)
 		}
 		if n := len(w.seen()); n < 2100 {
 			t.Errorf("handshakes with %d of 2100", n)
 		}
-		c.planHandshakes(time.Now())
+		leader.planHandshakes(time.Now())
 		synctest.Wait()
-		if c.dispatcher.handshakesInFlight != tuning.HandshakesInFlight {
-			t.Errorf("%d handshakes again", c.dispatcher.handshakesInFlight)
+		if leader.dispatcher.handshakesInFlight != tuning.HandshakesInFlight {
+			t.Errorf("%d handshakes again", leader.dispatcher.handshakesInFlight)
 		}
 	})
 }
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -22,14 +22,14 @@
 	"marblehaven/internal/records"
 )
 
-// calls notes the calls that come and answers when told to.
-type calls struct {
+// recordedCalls records the calls that come, and answers them when told to.
+type recordedCalls struct {
 	mu     sync.Mutex
 	hosts  []string
 	answer chan struct{}
 }
 
-func (c *calls) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *recordedCalls) RoundTrip(r *http.Request) (*http.Response, error) {
 	c.mu.Lock()
 	c.hosts = append(c.hosts, r.URL.Hostname())
 	c.mu.Unlock()
@@ -41,26 +41,26 @@
 	}
 }
 
-func (c *calls) seen() []string {
+func (c *recordedCalls) seen() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.hosts)
 }
 
-// withSilentStore gives a leader a state service that never answers, so that a commit
-// stays under way. The returned function ends its calls.
-func withSilentStore(t *testing.T, c *Leader) (end func()) {
+// withSilentStore gives a leader a key-value store that never answers, so that a commit
+// stays in flight. The returned function ends its calls.
+func withSilentStore(t *testing.T, leader *Leader) (end func()) {
 	t.Helper()
-	c.Store = kvstore.New("state:1", &calls{}, httpclient.NewMalformedLog(c.Log), c.Config.Deployment.State)
+	leader.Store = kvstore.New("state:1", &recordedCalls{}, httpclient.NewMalformedLog(leader.Log), leader.Config.Deployment.State)
 	ctx, cancel := context.WithCancel(t.Context())
-	c.Bind(ctx)
+	leader.Bind(ctx)
 	return func() {
 		cancel()
 		synctest.Wait()
 	}
 }
 
-// dropAll takes everything of some jobs off its machines.
+// dropAll removes all placements of some jobs.
 func dropAll(now time.Time, jobs ...*jobState) {
 	for _, job := range jobs {
 		for _, placement := range job.placements {
@@ -70,8 +70,8 @@
 	}
 }
 
-// large is a leader with many machines, all full, and many jobs that wait.
-func large(machines, jobs int) (*Leader, time.Time) {
+// newLoadedLeader returns a leader with many machines, all full, and many jobs that wait.
+func newLoadedLeader(machines, jobs int) (*Leader, time.Time) {
 	cfg := &config.Config{Operator: config.DefaultOperator()}
 	d := &cfg.Deployment
 	d.Workers = config.Workers{ReportS: 2.5, LeaseS: 12, GangWaitS: 35, GangPeerS: 4, CancelS: 37}
@@ -82,35 +82,35 @@
 		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprint("t", i), Cores: 900, CoresMax: 10000})
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	store := kvstore.New("state:1", &calls{}, httpclient.NewMalformedLog(log), d.State)
-	c := New(Dependencies{Config: cfg, Store: store, Log: log, OnNewerTerm: func(protocol.Term) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
-	c.Bind(context.Background())
+	store := kvstore.New("state:1", &recordedCalls{}, httpclient.NewMalformedLog(log), d.State)
+	leader := New(Dependencies{Config: cfg, Store: store, Log: log, OnNewerTerm: func(protocol.Term) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
+	leader.Bind(context.Background())
 	now := time.Now()
-	c.tookOverAt, c.lease.confirmedByWatch, c.lease.confirmedByTerm = now, now, now
-	c.setMachineTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
-	c.catalog.loaded = true
+	leader.tookOverAt, leader.lease.confirmedByWatch, leader.lease.confirmedByTerm = now, now, now
+	leader.setMachineTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
+	leader.catalog.loaded = true
 	for i := range jobs {
 		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: protocol.JobID(fmt.Sprintf("req-%06d", i)), Class: "c", Team: fmt.Sprint("t", i%10),
 			Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
-		b, _ := codec.Marshal(o)
-		c.applyOpenRecord(records.OpenKey(o.Job.ID), b, 1, now)
+		raw, _ := codec.Marshal(o)
+		leader.applyOpenRecord(records.OpenKey(o.Job.ID), raw, 1, now)
 	}
 	for i := range machines {
-		machine := c.machineByID(fmt.Sprintf("m-%06d", i), now)
-		heartbeat := fullReport(c, i, 1)
+		machine := leader.machineByID(fmt.Sprintf("m-%06d", i), now)
+		heartbeat := fullHeartbeat(leader, i, 1)
 		for _, t := range heartbeat.Tasks {
 			k, _ := parseTask(t.Task)
 			placement := &cluster.Placement{TaskKey: k, Attempt: 1, Incarnation: 1, Machine: machine, Recorded: true, Sent: true, Since: now}
 			machine.Placements[k] = placement
-			c.jobs.open[k.Job].placements[k.Task] = placement
+			leader.jobs.open[k.Job].placements[k.Task] = placement
 		}
-		c.onHeartbeat(heartbeat, now)
+		leader.onHeartbeat(heartbeat, now)
 	}
-	return c, now
+	return leader, now
 }
 
-func fullReport(c *Leader, i int, seq uint64) *protocol.Heartbeat {
-	heartbeat := &protocol.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: seq, Token: c.termToken()}
+func fullHeartbeat(leader *Leader, i int, seq uint64) *protocol.Heartbeat {
+	heartbeat := &protocol.Heartbeat{Machine: fmt.Sprintf("m-%06d", i), Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: seq, Token: leader.termToken()}
 	for t := range 4 {
 		n := i*4 + t
 		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("req-%06d/%d", n/60, n%60), Attempt: 1, State: protocol.TaskRunning})
--- a/internal/leader/image_inventory_test.go
+++ b/internal/leader/image_inventory_test.go
@@ -10,16 +10,16 @@
 	"marblehaven/internal/records"
 )
 
-// A new leader knows from the hints of the last which images a machine has.
-func TestHints(t *testing.T) {
-	c, now := large(2, 1)
-	machine := c.machines.byID["m-000001"]
+// A new leader knows from the inventory of the last one which images a machine has.
+func TestImageInventoryIsInherited(t *testing.T) {
+	leader, now := newLoadedLeader(2, 1)
+	machine := leader.machines.byID["m-000001"]
 	for _, name := range []string{"a", "b", "c"} {
 		machine.RecordImageUse(name, 10, 40)
 	}
-	hint, _ := newImageInventory(c.machines.sorted, 32<<10)
+	hint, _ := newImageInventory(leader.machines.sorted, 32<<10)
 	raw, _ := codec.Marshal(hint)
-	next, _ := large(0, 1)
+	next, _ := newLoadedLeader(0, 1)
 	var h records.ImageInventory
 	if err := codec.Unmarshal(raw, &h); err != nil {
 		t.Fatal(err)
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -13,7 +13,7 @@
 
 // A job restored from its records waits for exactly what is neither done nor
 // possibly on a machine, the lowest numbers first.
-func TestRestore(t *testing.T) {
+func TestRestoredJobWaits(t *testing.T) {
 	now := time.Now()
 	o := &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 10}}
 	job := newJob("req-1", o, 1, now)
@@ -34,7 +34,7 @@
 }
 
 // A gang starts whole: nothing waits while a member may be on a machine.
-func TestGangWaitsWhole(t *testing.T) {
+func TestGangStartsWhole(t *testing.T) {
 	job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindGang, Tasks: 3}}, 1, time.Now())
 	if job.waitingTasks() != 3 {
 		t.Errorf("%d wait", job.waitingTasks())
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -8,21 +8,21 @@
 	"marblehaven/internal/protocol"
 )
 
-// A job of whose run record a part can't be read rests until what that may have named is
-// surely over, whatever becomes of the tasks that the rest names.
-func TestRestIsNotShortened(t *testing.T) {
-	c, now := large(1, 1)
-	job, machine := c.jobs.open["req-000000"], c.machines.byID["m-000000"]
+// A job with an unreadable segment of its run record backs off until what the segment may
+// have named has surely ended, whatever becomes of the tasks that other segments name.
+func TestBackoffIsNotShortened(t *testing.T) {
+	leader, now := newLoadedLeader(1, 1)
+	job, machine := leader.jobs.open["req-000000"], leader.machines.byID["m-000000"]
 	until := now.Add(time.Hour)
 	job.recordUnreadable = true
 	job.backOff(until)
 	for _, cause := range []protocol.ExitReason{protocol.ExitError, protocol.ExitUnknownTask} {
 		for _, placement := range machine.Placements {
-			c.endPlacements([]cluster.EndedPlacement{{Placement: placement, ExitReason: cause}}, now)
+			leader.endPlacements([]cluster.EndedPlacement{{Placement: placement, ExitReason: cause}}, now)
 			break
 		}
 	}
 	if !job.backoffUntil.Equal(until) {
-		t.Errorf("a rest of an hour became one of %v", job.backoffUntil.Sub(now))
+		t.Errorf("a back-off of an hour became one of %v", job.backoffUntil.Sub(now))
 	}
 }
--- a/internal/leader/run_record_test.go
+++ b/internal/leader/run_record_test.go
@@ -38,16 +38,16 @@
 	return out
 }
 
-// Pieces of a run record are written in any order, from before they are divided on,
+// Segments of a run record are written in any order, from before the record is split on,
 // and read at any moment. Each task is then as the last write that held it said:
 // nothing that was recorded is missing, and nothing older comes back.
-func TestPiecesComparedWithModel(t *testing.T) {
+func TestSegmentsComparedWithModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range 200 {
 		tasks := 1 + rng.IntN(200)
 		job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: tasks}}, 1, time.Now())
-		c := &Leader{formats: formatVersions{cluster: records.FormatWhole}}
-		c.Store = kvstore.New("state:1", &calls{}, nil, config.State{StateLimits: config.StateLimits{ValueKB: float64(1 + rng.IntN(8))}})
+		leader := &Leader{formats: formatVersions{cluster: records.FormatWhole}}
+		leader.Store = kvstore.New("state:1", &recordedCalls{}, nil, config.State{StateLimits: config.StateLimits{ValueKB: float64(1 + rng.IntN(8))}})
 		machine := &cluster.Machine{ID: "m-000001"}
 		stored := map[int]records.RunRecord{}
 		model := make([]taskState, tasks)
@@ -56,14 +56,14 @@
 			case 0, 1:
 				task := rng.IntN(tasks)
 				changeTask(job, task, machine, rng)
-				c.markDirty(job, task, rng.IntN(2) == 0, time.Now())
+				leader.markDirty(job, task, rng.IntN(2) == 0, time.Now())
 			case 2:
-				writePiece(job, rng, stored, model, protocol.Version(step+2))
+				writeSegment(job, rng, stored, model, protocol.Version(step+2))
 			case 3:
 				if rng.IntN(5) == 0 {
-					c.formats.cluster = records.FormatSegmented
+					leader.formats.cluster = records.FormatSegmented
 				}
-				if c.formats.cluster >= records.FormatSegmented && rng.IntN(4) == 0 {
+				if leader.formats.cluster >= records.FormatSegmented && rng.IntN(4) == 0 {
 					job.splitSegments(false, time.Now())
 				}
 			}
@@ -90,8 +90,8 @@
 	}
 }
 
-// writePiece writes one of the pieces that lag behind.
-func writePiece(job *jobState, rng *rand.Rand, stored map[int]records.RunRecord, model []taskState, version protocol.Version) {
+// writeSegment writes one of the segments that lag behind.
+func writeSegment(job *jobState, rng *rand.Rand, stored map[int]records.RunRecord, model []taskState, version protocol.Version) {
 	var dirty []int
 	for number := range job.segments {
 		if job.segments[number].dirty {
@@ -119,16 +119,16 @@
 	segment.version, segment.dirty, segment.holdsStarts = version, false, false
 }
 
-// A record of the whole job that is beyond the limits by now is divided, its other
-// pieces first, without taking back what runs, and each fits.
-func TestDivideLargeRecord(t *testing.T) {
-	c, now := large(0, 1)
-	limits := c.Config.Deployment.State
+// A record of the whole job that is beyond the limits by now is split, its other
+// segments first, without withdrawing what runs, and each fits.
+func TestSplitLargeRecord(t *testing.T) {
+	leader, now := newLoadedLeader(0, 1)
+	limits := leader.Config.Deployment.State
 	value := tuning.ValueMinKB
 	limits.Next.ValueKB = &value
-	c.Store = kvstore.New("state:1", &calls{}, httpclient.NewMalformedLog(c.Log), limits)
-	c.useFormat(records.FormatSegmented)
-	job := c.jobs.open["req-000000"]
+	leader.Store = kvstore.New("state:1", &recordedCalls{}, httpclient.NewMalformedLog(leader.Log), limits)
+	leader.useFormat(records.FormatSegmented)
+	job := leader.jobs.open["req-000000"]
 	job.spec.Tasks = 300
 	machine := &cluster.Machine{ID: "m-000001", Placements: map[cluster.TaskKey]*cluster.Placement{}}
 	for task := range 300 {
@@ -137,7 +137,7 @@
 		job.nextAttempt++
 	}
 	job.segment(0).version = 1
-	c.endPlacements([]cluster.EndedPlacement{{Placement: job.placements[3], ExitReason: protocol.ExitDone}}, now)
+	leader.endPlacements([]cluster.EndedPlacement{{Placement: job.placements[3], ExitReason: protocol.ExitDone}}, now)
 	stored := map[int]records.RunRecord{0: {NextAttempt: job.nextAttempt}}
 	for commits := 0; job.segment(0).dirty; commits++ {
 		if commits > 20 {
@@ -146,18 +146,18 @@
 		now = now.Add(time.Second)
 		batch := &commitBatch{maxMutations: 6}
 		later := now.Add(time.Minute)
-		c.addPendingWrites(batch, c.pendingWrites(later), 1000, later)
+		leader.addPendingWrites(batch, leader.pendingWrites(later), 1000, later)
 		for i, w := range batch.segments {
 			raw := batch.transaction.Mutations[i].Value.(msgpack.RawMessage)
-			if size, err := codec.JSONSize(raw); err != nil || size > c.Store.MaxValueBytes() {
-				t.Errorf("piece %d of %d bytes, %v", w.number, size, err)
+			if size, err := codec.JSONSize(raw); err != nil || size > leader.Store.MaxValueBytes() {
+				t.Errorf("segment %d of %d bytes, %v", w.number, size, err)
 			}
 			var r records.RunRecord
 			if err := codec.Unmarshal(raw, &r); err != nil {
 				t.Fatal(err)
 			}
 			stored[w.number] = r
-			c.onSegmentWritten(w, protocol.Revision(commits+2))
+			leader.onSegmentWritten(w, protocol.Revision(commits+2))
 		}
 	}
 	whole := records.JoinSegments(stored)
@@ -166,8 +166,8 @@
 	}
 }
 
-// A piece fits in the smallest value that is served with, whatever its tasks are at.
-func TestPieceFits(t *testing.T) {
+// A segment fits in the smallest value that is served with, whatever its tasks are at.
+func TestSegmentFits(t *testing.T) {
 	for _, share := range []int{0, 2, 3, 1000} {
 		job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Tasks: tuning.MaxTasks, Spread: true}}, 1, time.Now())
 		job.nextAttempt = 900 << tuning.TermShift
