--- /dev/null
+++ b/internal/leader/provisioner_test.go
@@ -0,0 +1,65 @@
+package leader
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"marblehaven/internal/cloud"
+	"marblehaven/internal/httpclient"
+	"marblehaven/internal/tuning"
+)
+
+// A pool that is refused again and again rests for longer each time, up to a limit.
+func TestCapacityBackoffGrows(t *testing.T) {
+	provisioner, now := newProvisioner(), time.Now()
+	pool := capacityPool{machineType: "big", zone: "a"}
+	want := tuning.NoCapacityBackoff
+	for range 10 {
+		provisioner.backOff(pool, now)
+		if got := provisioner.backoffs[pool].until.Sub(now); got != want {
+			t.Fatalf("rests for %v instead of %v", got, want)
+		}
+		want = min(2*want, tuning.NoCapacityBackoffMax)
+	}
+}
+
+// A request is sent only once it is recorded: a leader that ends in between would leave
+// machines that no record names. Without an answer it is sent again, unchanged.
+func TestRequestIsRecordedBeforeItIsSent(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		leader, now := newLoadedLeader(1, 1)
+		calls := &recordedCalls{answer: make(chan struct{})}
+		leader.Cloud = cloud.New("cloud:1", calls, httpclient.NewMalformedLog(leader.Log), 1000)
+		leader.requestMachines(capacityPool{machineType: "big", zone: "a"}, 3, now)
+		leader.callProvisioning(now)
+		synctest.Wait()
+		if n := len(calls.seen()); n != 0 {
+			t.Fatalf("%d calls before the request was recorded", n)
+		}
+		for _, request := range leader.provisioner.requests {
+			request.recorded = true
+		}
+		leader.callProvisioning(now)
+		leader.callProvisioning(now) // one call is in flight
+		synctest.Wait()
+		if n := len(calls.seen()); n != 1 {
+			t.Fatalf("%d calls once it was recorded", n)
+		}
+		close(calls.answer)
+		leader.handle(<-leader.inbox)
+		leader.callProvisioning(time.Now())
+		if n := len(calls.seen()); n != 1 {
+			t.Fatalf("repeated at once: %d calls", n)
+		}
+		time.Sleep(tuning.MachineBackoff)
+		leader.callProvisioning(time.Now())
+		synctest.Wait()
+		if n := len(calls.seen()); n != 2 {
+			t.Errorf("%d calls after the back-off", n)
+		}
+		if len(leader.provisioner.requests) != 1 {
+			t.Errorf("%d requests", len(leader.provisioner.requests))
+		}
+	})
+}
