--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -13,15 +13,16 @@
 	"marblehaven/internal/tuning"
 )
 
-// Status is the summary on the status page.
+// Status is the leader's summary for the status page. It travels between controllers
+// under the short names of its tags.
 type Status struct {
 	Term     protocol.Term  `msgpack:"t"`
-	CloudOK  bool           `msgpack:"c"`
+	CloudOK  bool           `msgpack:"c"` // the cloud answered the latest call
 	Classes  []ClassStatus  `msgpack:"k"`
 	Machines []MachineCount `msgpack:"m"`
 	Overdue  []OverdueJob   `msgpack:"b"`
-	// Format is the version of the formats that the whole cluster uses, and
-	// Versions what each controller reads.
+	// Format is the version of the formats of records that the whole cluster uses, and
+	// Versions lists what each controller reads.
 	Format   int           `msgpack:"f,omitempty"`
 	Versions []NodeVersion `msgpack:"v,omitempty"`
 	// UnknownTasks counts the tasks on machines that no record names, and Unknown
@@ -30,13 +31,14 @@
 	Unknown      []UnknownTask `msgpack:"x,omitempty"`
 }
 
-// UnknownTask is a task that a worker reports and no record names. It is stopped.
+// UnknownTask is a task that an agent reports and that no record names. The agent is
+// told to stop it.
 type UnknownTask struct {
 	Task    string             `msgpack:"t"`
 	Attempt uint64             `msgpack:"a"`
 	State   protocol.TaskState `msgpack:"s"`
 	Machine string             `msgpack:"m"`
-	// Job is what is known of its job.
+	// Job says, for people, what is known of the task's job.
 	Job string `msgpack:"j"`
 }
 
@@ -49,26 +51,26 @@
 // ClassStatus counts the open jobs of a class.
 type ClassStatus struct {
 	Class   string `msgpack:"c"`
-	Waiting int    `msgpack:"w"`
+	Waiting int    `msgpack:"w"`           // no task is on a machine
 	Blocked int    `msgpack:"b,omitempty"` // wait for other jobs
 	Running int    `msgpack:"r"`
-	Late    int    `msgpack:"l"`
+	Late    int    `msgpack:"l"` // the deadline is missed or the slack spent
 }
 
-// MachineCount counts machines of a type.
+// MachineCount counts the machines of a type.
 type MachineCount struct {
 	Type  string `msgpack:"t"`
 	Spot  bool   `msgpack:"s"`
 	Up    int    `msgpack:"u"`
-	Other int    `msgpack:"o"`
+	Other int    `msgpack:"o"` // starting or silent
 }
 
-// OverdueJob is player-facing production work that waits longer than it should.
+// OverdueJob is a production job whose replicas wait longer than they should.
 type OverdueJob struct {
 	Job     protocol.JobID `msgpack:"j"`
 	Class   string         `msgpack:"c"`
-	Missing int            `msgpack:"m"`
-	SinceS  float64        `msgpack:"s"`
+	Missing int            `msgpack:"m"` // replicas that are on no machine
+	SinceS  float64        `msgpack:"s"` // seconds since the job could begin
 }
 
 // statusReporter makes the summary for the status page.
