--- /dev/null
+++ b/internal/leader/deprovisioning_test.go
@@ -0,0 +1,87 @@
+package leader
+
+import (
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"marblehaven/internal/cloud"
+	"marblehaven/internal/cluster"
+	"marblehaven/internal/httpclient"
+	"marblehaven/internal/tuning"
+)
+
+// Hundreds of machines to be deprovisioned, some at a time, take one call at a time,
+// with what came meanwhile in the next, and machines with tasks first: each by itself,
+// retried by itself, would take all calls from provisioning.
+func TestDeprovisioningTakesFewCalls(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		leader, now := newLoadedLeader(350, 30)
+		w := &recordedCalls{answer: make(chan struct{})}
+		leader.Cloud = cloud.New("cloud:1", w, httpclient.NewMalformedLog(leader.Log), 1000)
+		for i := 0; i < 350; i += 10 {
+			leader.deprovision(leader.machines.sorted[i:i+10], "test", now)
+		}
+		synctest.Wait()
+		if n := len(w.seen()); n != 1 {
+			t.Fatalf("%d calls at once", n)
+		}
+		var idle []*cluster.Machine
+		for i, machine := range leader.machines.sorted[200:] {
+			if i%2 == 0 {
+				clear(machine.Placements)
+				idle = append(idle, machine)
+			}
+		}
+		w.answer <- struct{}{}
+		leader.handle(<-leader.inbox) // failed: they are tried again after a while, with the rest
+		if len(leader.provisioner.deprovisionInFlight) > 0 {
+			t.Error("called again at once")
+		}
+		time.Sleep(tuning.MachineBackoff)
+		leader.deprovisionNext(time.Now())
+		var order []*cluster.Machine
+		for len(leader.machines.byID) > 0 {
+			synctest.Wait()
+			order = append(order, leader.provisioner.deprovisionInFlight...)
+			if n := len(leader.provisioner.deprovisionInFlight); n == 0 || n > tuning.DeprovisionMax {
+				t.Fatalf("%d in a call", n)
+			}
+			leader.onDeprovisionResult(deprovisionResult{}, time.Now())
+		}
+		if slices.ContainsFunc(order[:350-len(idle)], func(machine *cluster.Machine) bool { return slices.Contains(idle, machine) }) {
+			t.Error("idle machines went before machines with tasks")
+		}
+		if len(order) != 350 {
+			t.Errorf("%d deprovisioned", len(order))
+		}
+		close(w.answer)
+	})
+}
+
+// A late heartbeat of a machine that was deprovisioned, long after that was forgotten,
+// does not make the machine one to place work on.
+func TestRemovedMachineStaysRemoved(t *testing.T) {
+	leader, now := newLoadedLeader(2, 1)
+	machine := leader.machines.byID["m-000000"]
+	heartbeat := fullHeartbeat(leader, 0, 7)
+	heartbeat.Token, heartbeat.Tasks = machine.IssuedToken, nil
+	leader.onHeartbeat(heartbeat, now)
+	leader.provisioner.deprovisionInFlight = []*cluster.Machine{machine}
+	leader.onDeprovisionResult(deprovisionResult{}, now)
+	if leader.onHeartbeat(heartbeat, now); leader.machines.byID["m-000000"] != nil {
+		t.Error("a copy revived a machine just deprovisioned")
+	}
+	clear(leader.machines.removed)
+	leader.onHeartbeat(heartbeat, now)
+	if machine := leader.machines.byID["m-000000"]; machine == nil || machine.Schedulable(now, time.Minute) {
+		t.Error("a copy made a machine schedulable that is gone")
+	}
+	r2 := fullHeartbeat(leader, 0, 8)
+	r2.Token, r2.Tasks = leader.machines.byID["m-000000"].IssuedToken, nil
+	leader.onHeartbeat(r2, now)
+	if !leader.machines.byID["m-000000"].Schedulable(now, time.Minute) {
+		t.Error("a machine that is there, and shows it, is not schedulable")
+	}
+}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"context"
 	"slices"
 	"time"
 
@@ -12,15 +13,16 @@
 	"marblehaven/internal/tuning"
 )
 
-// Status is the summary on the status page.
+// Status is the leader's summary for the status page. It travels between controllers
+// under the short names of its tags.
 type Status struct {
 	Term     protocol.Term  `msgpack:"t"`
-	CloudOK  bool           `msgpack:"c"`
+	CloudOK  bool           `msgpack:"c"` // the cloud answered the latest call
 	Classes  []ClassStatus  `msgpack:"k"`
 	Machines []MachineCount `msgpack:"m"`
 	Overdue  []OverdueJob   `msgpack:"b"`
-	// Format is the version of the formats that the whole cluster uses, and
-	// Versions what each controller reads.
+	// Format is the version of the formats of records that the whole cluster uses, and
+	// Versions lists what each controller reads.
 	Format   int           `msgpack:"f,omitempty"`
 	Versions []NodeVersion `msgpack:"v,omitempty"`
 	// UnknownTasks counts the tasks on machines that no record names, and Unknown
@@ -29,13 +31,14 @@
 	Unknown      []UnknownTask `msgpack:"x,omitempty"`
 }
 
-// UnknownTask is a task that a worker reports and no record names. It is stopped.
+// UnknownTask is a task that an agent reports and that no record names. The agent is
+// told to stop it.
 type UnknownTask struct {
 	Task    string             `msgpack:"t"`
 	Attempt uint64             `msgpack:"a"`
 	State   protocol.TaskState `msgpack:"s"`
 	Machine string             `msgpack:"m"`
-	// Job is what is known of its job.
+	// Job says, for people, what is known of the task's job.
 	Job string `msgpack:"j"`
 }
 
@@ -48,144 +51,221 @@
 // ClassStatus counts the open jobs of a class.
 type ClassStatus struct {
 	Class   string `msgpack:"c"`
-	Waiting int    `msgpack:"w"`
+	Waiting int    `msgpack:"w"`           // no task is on a machine
 	Blocked int    `msgpack:"b,omitempty"` // wait for other jobs
 	Running int    `msgpack:"r"`
-	Late    int    `msgpack:"l"`
+	Late    int    `msgpack:"l"` // the deadline is missed or the slack spent
 }
 
-// MachineCount counts machines of a type.
+// MachineCount counts the machines of a type.
 type MachineCount struct {
 	Type  string `msgpack:"t"`
 	Spot  bool   `msgpack:"s"`
 	Up    int    `msgpack:"u"`
-	Other int    `msgpack:"o"`
+	Other int    `msgpack:"o"` // starting or silent
 }
 
-// OverdueJob is player-facing production work that waits longer than it should.
+// OverdueJob is a production job whose replicas wait longer than they should.
 type OverdueJob struct {
 	Job     protocol.JobID `msgpack:"j"`
 	Class   string         `msgpack:"c"`
-	Missing int            `msgpack:"m"`
-	SinceS  float64        `msgpack:"s"`
+	Missing int            `msgpack:"m"` // replicas that are on no machine
+	SinceS  float64        `msgpack:"s"` // seconds since the job could begin
 }
 
-func (c *Leader) summarize(snapshot *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan, now time.Time) {
-	st := Status{Term: c.leadership.Term, CloudOK: c.cloudOK, Format: c.format, Versions: c.nodeVersions()}
-	late := map[int]bool{}
+// statusReporter makes the summary for the status page.
+type statusReporter struct {
+	current         Status
+	summarizedAt    time.Time
+	overdueLoggedAt time.Time
+}
+
+// due tells whether the summary is to be made anew, and notes that it is.
+func (r *statusReporter) due(now time.Time) bool {
+	if now.Sub(r.summarizedAt) < tuning.StatusInterval {
+		return false
+	}
+	r.summarizedAt = now
+	return true
+}
+
+// statusRequest asks for the latest summary.
+type statusRequest struct{ reply chan Status }
+
+func (r statusRequest) apply(l *Leader, _ time.Time) { r.reply <- l.status.current }
+
+// Status returns the latest summary; ok is false if the term or ctx ends before.
+func (l *Leader) Status(ctx context.Context) (status Status, ok bool) {
+	reply := make(chan Status, 1)
+	select {
+	case l.inbox <- statusRequest{reply}:
+	case <-l.ctx.Done():
+		return Status{}, false
+	case <-ctx.Done():
+		return Status{}, false
+	}
+	select {
+	case status := <-reply:
+		return status, true
+	case <-l.ctx.Done():
+	case <-ctx.Done():
+	}
+	return Status{}, false
+}
+
+// summarize makes the summary, and tells the liaison of overdue player-facing work.
+func (l *Leader) summarize(snapshot *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan, now time.Time) {
+	status := Status{
+		Term:     l.leadership.Term,
+		CloudOK:  l.provisioner.cloudAvailable,
+		Format:   l.formats.cluster,
+		Versions: l.controllerVersions(),
+		Classes:  classStatuses(snapshot, jobs, plan),
+		Overdue:  overdueJobs(snapshot, jobs, now),
+		Machines: l.countMachines(now),
+	}
+	l.addUnknownTasks(&status)
+	l.status.current = status
+	if len(status.Overdue) > 0 && now.Sub(l.status.overdueLoggedAt) > tuning.OverdueLogInterval {
+		l.status.overdueLoggedAt = now
+		l.Log.Error("liaison: player-facing production work is behind", "jobs", len(status.Overdue), "first", status.Overdue[0].Job)
+	}
+}
+
+// classStatuses counts the open jobs by class.
+func classStatuses(snapshot *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan) []ClassStatus {
+	slackSpent := map[int]bool{}
 	for _, i := range plan.SlackSpent {
-		late[i] = true
+		slackSpent[i] = true
 	}
-	classes := map[string]*ClassStatus{}
+	byClass := map[string]*ClassStatus{}
 	for i, job := range jobs {
 		if job.cancelled {
 			continue
 		}
-		k := classes[job.spec.Class]
-		if k == nil {
-			k = &ClassStatus{Class: job.spec.Class}
-			classes[job.spec.Class] = k
+		class := byClass[job.spec.Class]
+		if class == nil {
+			class = &ClassStatus{Class: job.spec.Class}
+			byClass[job.spec.Class] = class
 		}
-		waiting := job.spec.Tasks - job.doneCount - len(job.placements)
 		switch {
 		case len(job.pendingDependencies) > 0:
-			k.Blocked++
-		case waiting > 0 && len(job.placements) == 0:
-			k.Waiting++
+			class.Blocked++
+		case job.unstarted() > 0 && len(job.placements) == 0:
+			class.Waiting++
 		default:
-			k.Running++
+			class.Running++
+		}
+		entry := &snapshot.Jobs[i]
+		missedDeadline := entry.DeadlineS < 0 && entry.Priority > protocol.LevelProduction
+		if missedDeadline || slackSpent[i] {
+			class.Late++
 		}
-		if snapshot.Jobs[i].DeadlineS < 0 && snapshot.Jobs[i].Priority > 0 || late[i] {
-			k.Late++
+	}
+	var classes []ClassStatus
+	for _, class := range byClass {
+		classes = append(classes, *class)
+	}
+	slices.SortFunc(classes, func(a, b ClassStatus) int { return cmp.Compare(a.Class, b.Class) })
+	return classes
+}
+
+// overdueJobs lists the production jobs that have waited too long for some of their
+// replicas.
+func overdueJobs(snapshot *scheduler.Snapshot, jobs []*jobState, now time.Time) (overdue []OverdueJob) {
+	for i, job := range jobs {
+		if job.cancelled || snapshot.Jobs[i].Priority != protocol.LevelProduction {
+			continue
 		}
-		if snapshot.Jobs[i].Priority == 0 && waiting > 0 && len(job.pendingDependencies) == 0 && now.Sub(job.readyAt) > tuning.ErrorLogInterval {
-			st.Overdue = append(st.Overdue, OverdueJob{job.id, job.spec.Class, waiting, now.Sub(job.readyAt).Seconds()})
+		waited := now.Sub(job.readyAt)
+		if job.unstarted() > 0 && len(job.pendingDependencies) == 0 && waited > tuning.ErrorLogInterval {
+			overdue = append(overdue, OverdueJob{job.id, job.spec.Class, job.unstarted(), waited.Seconds()})
 		}
 	}
-	for _, k := range classes {
-		st.Classes = append(st.Classes, *k)
-	}
-	slices.SortFunc(st.Classes, func(a, b ClassStatus) int { return cmp.Compare(a.Class, b.Class) })
-	counts := map[[2]any]*MachineCount{}
-	for _, machine := range c.machines {
-		key := [2]any{machine.Type, machine.Spot}
-		k := counts[key]
-		if k == nil {
-			k = &MachineCount{Type: machine.Type, Spot: machine.Spot}
-			counts[key] = k
+	return overdue
+}
+
+// countMachines counts the machines by type and by whether they are up.
+func (l *Leader) countMachines(now time.Time) []MachineCount {
+	type kind struct {
+		machineType string
+		spot        bool
+	}
+	byKind := map[kind]*MachineCount{}
+	for _, machine := range l.machines.byID {
+		key := kind{machine.Type, machine.Spot}
+		count := byKind[key]
+		if count == nil {
+			count = &MachineCount{Type: machine.Type, Spot: machine.Spot}
+			byKind[key] = count
 		}
-		if c.up(machine, now) {
-			k.Up++
+		if machine.Up && now.Sub(machine.LastContact) <= l.schedulableSilence() {
+			count.Up++
 		} else {
-			k.Other++
+			count.Other++
 		}
 	}
-	for _, k := range counts {
-		st.Machines = append(st.Machines, *k)
-	}
-	c.addUnknown(&st)
-	slices.SortFunc(st.Machines, func(a, b MachineCount) int { return cmp.Compare(a.Type, b.Type) })
-	c.status = st
-	if len(st.Overdue) > 0 && now.Sub(c.lateLogged) > tuning.OverdueLogInterval {
-		c.lateLogged = now
-		c.Log.Error("liaison: player-facing production work is behind", "jobs", len(st.Overdue), "first", st.Overdue[0].Job)
+	var counts []MachineCount
+	for _, count := range byKind {
+		counts = append(counts, *count)
 	}
+	slices.SortFunc(counts, func(a, b MachineCount) int { return cmp.Compare(a.Type, b.Type) })
+	return counts
 }
 
-// addUnknown counts and names the tasks that no record names.
-func (c *Leader) addUnknown(st *Status) {
-	for _, machine := range c.sorted {
+// addUnknownTasks counts and names the tasks that no record names.
+func (l *Leader) addUnknownTasks(status *Status) {
+	for _, machine := range l.machines.sorted {
 		if machine.UnknownTaskCount == 0 {
 			continue
 		}
-		st.UnknownTasks += machine.UnknownTaskCount
-		for _, t := range machine.UnknownTasks() {
-			if len(st.Unknown) < tuning.UnknownTasksShown {
-				st.Unknown = append(st.Unknown, c.describeUnknown(machine, &t))
+		status.UnknownTasks += machine.UnknownTaskCount
+		for _, reported := range machine.UnknownTasks() {
+			if len(status.Unknown) < tuning.UnknownTasksShown {
+				status.Unknown = append(status.Unknown, l.describeUnknown(machine, &reported))
 			}
 		}
 	}
 }
 
-// logUnknown logs the tasks of a machine that no record names.
-func (c *Leader) logUnknown(machine *cluster.Machine) {
-	for _, t := range machine.UnknownTasks() {
-		u := c.describeUnknown(machine, &t)
-		c.Log.Error("unknown task", "task", u.Task, "try", u.Attempt, "state", u.State, "machine", u.Machine, "session", machine.Incarnation, "job", u.Job)
+// logUnknownTasks logs the tasks of a machine that no record names. They are stopped
+// with the answer to the next heartbeat.
+func (l *Leader) logUnknownTasks(machine *cluster.Machine) {
+	for _, reported := range machine.UnknownTasks() {
+		unknown := l.describeUnknown(machine, &reported)
+		l.Log.Error("unknown task", "task", unknown.Task, "attempt", unknown.Attempt, "state", unknown.State,
+			"machine", unknown.Machine, "incarnation", machine.Incarnation, "job", unknown.Job)
 	}
 }
 
-func (c *Leader) describeUnknown(machine *cluster.Machine, t *cluster.ReportedTask) UnknownTask {
-	u := UnknownTask{Task: t.Task, Attempt: t.Attempt, State: t.State, Machine: machine.ID, Job: "not open"}
-	job := c.jobs[t.Key.Job]
+func (l *Leader) describeUnknown(machine *cluster.Machine, reported *cluster.ReportedTask) UnknownTask {
+	unknown := UnknownTask{Task: reported.Task, Attempt: reported.Attempt, State: reported.State, Machine: machine.ID, Job: "not open"}
+	job := l.jobs.open[reported.Key.Job]
 	switch {
 	case job == nil:
-	case job.placements[t.Key.Task] != nil:
-		u.Job = "the task is elsewhere or another try"
-	case job.doneTasks.Has(t.Key.Task):
-		u.Job = "the task is done"
+	case job.placements[reported.Key.Task] != nil:
+		unknown.Job = "the task is elsewhere or another try"
+	case job.doneTasks.Has(reported.Key.Task):
+		unknown.Job = "the task is done"
 	case job.cancelled:
-		u.Job = "cancelled"
+		unknown.Job = "cancelled"
 	default:
-		u.Job = "the task waits"
+		unknown.Job = "the task waits"
 	}
-	return u
+	return unknown
 }
 
-// nodeVersions lists the controllers of the settings with what they have recorded.
-func (c *Leader) nodeVersions() []NodeVersion {
-	names := []string{c.Config.Node}
-	for _, p := range c.Config.Peers {
-		names = append(names, p.Node)
+// controllerVersions lists the controllers of the settings with what they have
+// recorded.
+func (l *Leader) controllerVersions() []NodeVersion {
+	names := []string{l.Config.Node}
+	for _, peer := range l.Config.Peers {
+		names = append(names, peer.Node)
 	}
 	slices.Sort(names)
-	out := make([]NodeVersion, len(names))
+	versions := make([]NodeVersion, len(names))
 	for i, name := range names {
-		out[i] = NodeVersion{name, max(records.FormatWhole, c.controllerFormats[name])}
+		versions[i] = NodeVersion{name, max(records.FormatWhole, l.formats.byController[name])}
 	}
-	return out
-}
-
-func (c *Leader) up(machine *cluster.Machine, now time.Time) bool {
-	return machine.Up && now.Sub(machine.LastContact) <= c.schedulableSilence()
+	return versions
 }
