--- a/internal/protocol/decode_job.go
+++ b/internal/protocol/decode_job.go
@@ -19,11 +19,11 @@
 // of range. It reads the map field by field, because decoding into a generic map would trust
 // lengths claimed in the body, and decoding into a struct would accept mistyped fields.
 func DecodeJob(body []byte) (*Job, error) {
-	r := newJobReader(body)
-	if err := r.readAll(); err != nil {
+	reader := newJobReader(body)
+	if err := reader.readAll(); err != nil {
 		return nil, err
 	}
-	job := r.job()
+	job := reader.job()
 	if err := job.check(); err != nil {
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 
 // jobReader holds the decoded fields of a submission, by their type and spelling.
 type jobReader struct {
-	d       *msgpack.Decoder
+	decoder *msgpack.Decoder
 	texts   map[string]string
 	amounts map[string]float64
 	bools   map[string]bool
@@ -70,26 +70,32 @@
 }
 
 func newJobReader(body []byte) *jobReader {
-	return &jobReader{d: msgpack.NewDecoder(bytes.NewReader(body)), texts: map[string]string{}, amounts: map[string]float64{},
-		bools: map[string]bool{}, lists: map[string][]string{}, seen: map[string]bool{}}
+	return &jobReader{
+		decoder: msgpack.NewDecoder(bytes.NewReader(body)),
+		texts:   map[string]string{},
+		amounts: map[string]float64{},
+		bools:   map[string]bool{},
+		lists:   map[string][]string{},
+		seen:    map[string]bool{},
+	}
 }
 
 // readAll reads the whole body and checks that no required field is missing.
 func (r *jobReader) readAll() error {
-	c, err := r.d.PeekCode()
-	if err != nil || !(msgpcode.IsFixedMap(c) || c == msgpcode.Map16 || c == msgpcode.Map32) {
+	code, err := r.decoder.PeekCode()
+	if err != nil || !isMap(code) {
 		return errors.New("not a map")
 	}
-	n, err := r.d.DecodeMapLen()
+	length, err := r.decoder.DecodeMapLen()
 	if err != nil {
 		return err
 	}
-	for range n {
+	for range length {
 		if err := r.readField(); err != nil {
 			return err
 		}
 	}
-	if _, err := r.d.PeekCode(); err != io.EOF {
+	if _, err := r.decoder.PeekCode(); err != io.EOF {
 		return errors.New("trailing bytes")
 	}
 	for key, kind := range jobFields {
@@ -102,91 +108,131 @@
 
 // readField reads a key and its value. It skips unknown fields.
 func (r *jobReader) readField() error {
-	c, err := r.d.PeekCode()
-	if err != nil {
-		return err
-	}
-	if !msgpcode.IsString(c) {
-		return errors.New("key is not text")
-	}
-	key, err := r.d.DecodeString()
+	key, err := r.readKey()
 	if err != nil {
 		return err
 	}
 	kind, known := jobFields[key]
 	if !known {
-		return r.d.Skip()
+		return r.decoder.Skip()
 	}
 	if r.seen[key] {
 		return fmt.Errorf("field %s occurs twice", key)
 	}
-	if c, err = r.d.PeekCode(); err != nil {
+	code, err := r.decoder.PeekCode()
+	if err != nil {
 		return err
 	}
-	if c == msgpcode.Nil {
+	if code == msgpcode.Nil {
 		if kind.required() {
 			return fmt.Errorf("field %s is null", key)
 		}
-		return r.d.DecodeNil()
+		return r.decoder.DecodeNil()
 	}
 	r.seen[key] = true
-	ok, err := r.readValue(key, kind, c)
+	valid, err := r.readValue(key, kind, code)
 	if err != nil {
 		return err
 	}
-	if !ok {
+	if !valid {
 		return fmt.Errorf("field %s is invalid", key)
 	}
 	return nil
 }
 
-// readValue reads a value that begins with the MessagePack code c. It returns false if a field of
-// this kind may not have the value.
-func (r *jobReader) readValue(key string, kind fieldKind, c byte) (ok bool, err error) {
-	isInt := msgpcode.IsFixedNum(c) || (c >= msgpcode.Uint8 && c <= msgpcode.Int64)
+// readKey reads the key of a field.
+func (r *jobReader) readKey() (string, error) {
+	code, err := r.decoder.PeekCode()
+	if err != nil {
+		return "", err
+	}
+	if !msgpcode.IsString(code) {
+		return "", errors.New("key is not text")
+	}
+	return r.decoder.DecodeString()
+}
+
+// readValue reads a value that begins with the given MessagePack code. It returns false if a
+// field of this kind may not have the value.
+func (r *jobReader) readValue(key string, kind fieldKind, code byte) (valid bool, err error) {
 	switch kind {
 	case requiredText, optionalText:
-		if !msgpcode.IsString(c) {
-			return false, nil
-		}
-		s, err := r.d.DecodeString()
-		r.texts[key] = s
-		return s != "" && len(s) <= tuning.MaxName, err
+		return r.readText(key, code)
 	case requiredCount:
-		if !isInt {
-			return false, nil
-		}
-		v, err := r.d.DecodeInt64()
-		r.tasks = int(v)
-		return v >= 1 && v <= tuning.MaxTasks, err
+		return r.readTaskCount(code)
 	case requiredAmount, optionalAmount:
-		if !isInt && c != msgpcode.Float && c != msgpcode.Double {
-			return false, nil
-		}
-		v, err := r.d.DecodeFloat64()
-		r.amounts[key] = v
-		return v >= 0 && !math.IsInf(v, 0), err // false for NaN as well
+		return r.readAmount(key, code)
 	case requiredBool:
-		if c != msgpcode.True && c != msgpcode.False {
-			return false, nil
-		}
-		r.bools[key], err = r.d.DecodeBool()
-		return true, err
+		return r.readBool(key, code)
 	}
-	list, ok, err := decodeStrings(r.d, c)
+	list, valid, err := decodeStrings(r.decoder, code)
 	r.lists[key] = list
-	return ok && (kind != optionalTypes || len(list) > 0), err
+	return valid && (kind != optionalTypes || len(list) > 0), err
+}
+
+// readText reads a name that is neither empty nor too long.
+func (r *jobReader) readText(key string, code byte) (valid bool, err error) {
+	if !msgpcode.IsString(code) {
+		return false, nil
+	}
+	text, err := r.decoder.DecodeString()
+	r.texts[key] = text
+	return text != "" && len(text) <= tuning.MaxName, err
+}
+
+// readTaskCount reads the number of tasks, the only count in a submission.
+func (r *jobReader) readTaskCount(code byte) (valid bool, err error) {
+	if !isInteger(code) {
+		return false, nil
+	}
+	count, err := r.decoder.DecodeInt64()
+	r.tasks = int(count)
+	return count >= 1 && count <= tuning.MaxTasks, err
+}
+
+// readAmount reads a number that is finite and not negative.
+func (r *jobReader) readAmount(key string, code byte) (valid bool, err error) {
+	if !isInteger(code) && code != msgpcode.Float && code != msgpcode.Double {
+		return false, nil
+	}
+	amount, err := r.decoder.DecodeFloat64()
+	r.amounts[key] = amount
+	return amount >= 0 && !math.IsInf(amount, 0), err // false for NaN as well
+}
+
+// readBool reads a truth value.
+func (r *jobReader) readBool(key string, code byte) (valid bool, err error) {
+	if code != msgpcode.True && code != msgpcode.False {
+		return false, nil
+	}
+	r.bools[key], err = r.decoder.DecodeBool()
+	return true, err
 }
 
 // job returns the job that the fields describe.
 func (r *jobReader) job() *Job {
 	return &Job{
-		ID: JobID(r.texts["ref"]), Class: r.texts["workload"], Team: r.texts["owner"], Kind: JobKind(r.texts["shape"]), Priority: Priority(r.texts["rank"]),
-		Tasks: r.tasks, Cores: r.amounts["cores"], GPUs: r.amounts["cards"], MemGB: r.amounts["memGb"],
-		Image: r.texts["bundle"], ImageGB: r.amounts["imageGb"], MachineTypes: r.lists["flavors"], Zone: r.texts["quarry"],
-		OneZone: r.bools["samePlace"], Spread: r.bools["spread"], Spot: r.bools["loaners"],
-		EstimateS: r.amounts["guessS"], CheckpointIntervalS: r.amounts["snapshotS"], CheckpointSaveS: r.amounts["flushS"],
-		DeadlineS: r.amounts["dueS"], DependsOn: jobIDs(r.lists["awaits"]),
+		ID:                  JobID(r.texts["ref"]),
+		Class:               r.texts["workload"],
+		Team:                r.texts["owner"],
+		Kind:                JobKind(r.texts["shape"]),
+		Priority:            Priority(r.texts["rank"]),
+		Tasks:               r.tasks,
+		Cores:               r.amounts["cores"],
+		GPUs:                r.amounts["cards"],
+		MemGB:               r.amounts["memGb"],
+		Image:               r.texts["bundle"],
+		ImageGB:             r.amounts["imageGb"],
+		MachineTypes:        r.lists["flavors"],
+		Zone:                r.texts["quarry"],
+		OneZone:             r.bools["samePlace"],
+		Spread:              r.bools["spread"],
+		Spot:                r.bools["loaners"],
+		EstimateS:           r.amounts["guessS"],
+		CheckpointIntervalS: r.amounts["snapshotS"],
+		CheckpointSaveS:     r.amounts["flushS"],
+		DeadlineS:           r.amounts["dueS"],
+		DependsOn:           jobIDs(r.lists["awaits"]),
 	}
 }
 
@@ -224,28 +270,43 @@
 
 // decodeStrings reads a list of names. It returns false if the value is not a list, or if a name
 // is empty or too long.
-func decodeStrings(d *msgpack.Decoder, c byte) (list []string, ok bool, err error) {
-	if !(msgpcode.IsFixedArray(c) || c == msgpcode.Array16 || c == msgpcode.Array32) {
+func decodeStrings(decoder *msgpack.Decoder, code byte) (list []string, valid bool, err error) {
+	if !isArray(code) {
 		return nil, false, nil
 	}
-	n, err := d.DecodeArrayLen()
+	length, err := decoder.DecodeArrayLen()
 	if err != nil {
 		return nil, false, err
 	}
-	for range n {
-		c, err := d.PeekCode()
-		if err != nil || !msgpcode.IsString(c) {
+	for range length {
+		code, err := decoder.PeekCode()
+		if err != nil || !msgpcode.IsString(code) {
 			return nil, false, err
 		}
-		s, err := d.DecodeString()
-		if err != nil || s == "" || len(s) > tuning.MaxName {
+		name, err := decoder.DecodeString()
+		if err != nil || name == "" || len(name) > tuning.MaxName {
 			return nil, false, err
 		}
-		list = append(list, s)
+		list = append(list, name)
 	}
 	return list, true, nil
 }
 
+// isMap reports whether a MessagePack code begins a map.
+func isMap(code byte) bool {
+	return msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
+}
+
+// isArray reports whether a MessagePack code begins an array.
+func isArray(code byte) bool {
+	return msgpcode.IsFixedArray(code) || code == msgpcode.Array16 || code == msgpcode.Array32
+}
+
+// isInteger reports whether a MessagePack code begins an integer.
+func isInteger(code byte) bool {
+	return msgpcode.IsFixedNum(code) || (code >= msgpcode.Uint8 && code <= msgpcode.Int64)
+}
+
 // jobIDs converts names to job IDs.
 func jobIDs(names []string) []JobID {
 	if names == nil {
