--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -17,9 +17,12 @@
 // MarkedCancelled reports whether an encoded OpenJob says that the job is cancelled. It is for
 // records that cannot be decoded as a whole: a cancellation must be respected in these, too.
 func MarkedCancelled(value []byte) bool {
-	var m map[string]msgpack.RawMessage
-	var c bool
-	return codec.Unmarshal(value, &m) == nil && codec.Unmarshal(m["c"], &c) == nil && c
+	var fields map[string]msgpack.RawMessage
+	if codec.Unmarshal(value, &fields) != nil {
+		return false
+	}
+	var cancelled bool
+	return codec.Unmarshal(fields["c"], &cancelled) == nil && cancelled
 }
 
 // FinalRecord is the record of a finished job. It is never changed or deleted.
--- a/internal/records/placement.go
+++ b/internal/records/placement.go
@@ -22,46 +22,46 @@
 const placementFields = 5
 
 // EncodeMsgpack writes the fields as a list, in the order in which they are declared.
-func (p Placement) EncodeMsgpack(e *msgpack.Encoder) error {
-	if err := e.EncodeArrayLen(placementFields); err != nil {
+func (p Placement) EncodeMsgpack(encoder *msgpack.Encoder) error {
+	if err := encoder.EncodeArrayLen(placementFields); err != nil {
 		return err
 	}
-	if err := e.EncodeInt(int64(p.Task)); err != nil {
+	if err := encoder.EncodeInt(int64(p.Task)); err != nil {
 		return err
 	}
-	if err := e.EncodeUint64(p.Attempt); err != nil {
+	if err := encoder.EncodeUint64(p.Attempt); err != nil {
 		return err
 	}
-	if err := e.EncodeString(p.Machine); err != nil {
+	if err := encoder.EncodeString(p.Machine); err != nil {
 		return err
 	}
-	if err := e.EncodeUint64(uint64(p.Incarnation)); err != nil {
+	if err := encoder.EncodeUint64(uint64(p.Incarnation)); err != nil {
 		return err
 	}
-	return e.EncodeString(p.Zone)
+	return encoder.EncodeString(p.Zone)
 }
 
 // DecodeMsgpack reads the list that EncodeMsgpack writes. Missing fields are zero, and further
 // fields, which a later version may add, are ignored.
-func (p *Placement) DecodeMsgpack(d *msgpack.Decoder) error {
-	n, err := d.DecodeArrayLen()
+func (p *Placement) DecodeMsgpack(decoder *msgpack.Decoder) error {
+	length, err := decoder.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
 	*p = Placement{}
 	fields := []func() error{
-		func() (err error) { p.Task, err = d.DecodeInt(); return err },
-		func() (err error) { p.Attempt, err = d.DecodeUint64(); return err },
-		func() (err error) { p.Machine, err = d.DecodeString(); return err },
+		func() (err error) { p.Task, err = decoder.DecodeInt(); return err },
+		func() (err error) { p.Attempt, err = decoder.DecodeUint64(); return err },
+		func() (err error) { p.Machine, err = decoder.DecodeString(); return err },
 		func() error {
-			incarnation, err := d.DecodeUint64()
+			incarnation, err := decoder.DecodeUint64()
 			p.Incarnation = protocol.Incarnation(incarnation)
 			return err
 		},
-		func() (err error) { p.Zone, err = d.DecodeString(); return err },
+		func() (err error) { p.Zone, err = decoder.DecodeString(); return err },
 	}
-	for i := range n {
-		read := d.Skip
+	for i := range length {
+		read := decoder.Skip
 		if i < len(fields) {
 			read = fields[i]
 		}
--- a/internal/records/segments.go
+++ b/internal/records/segments.go
@@ -29,8 +29,8 @@
 				whole.Placements = append(whole.Placements, placement)
 			}
 		}
-		for _, r := range segment.Done.Within(0, tuning.MaxTasks-1) {
-			for task := r[0]; task <= r[1]; task++ {
+		for _, taskRange := range segment.Done.Within(0, tuning.MaxTasks-1) {
+			for task := taskRange[0]; task <= taskRange[1]; task++ {
 				if counts(task) {
 					whole.Done.Add(task)
 				}
--- a/internal/records/task_ranges.go
+++ b/internal/records/task_ranges.go
@@ -6,53 +6,56 @@
 // job of 100,000 finished tasks takes a few bytes.
 type TaskRanges [][2]int
 
-// find returns the index of the range that holds n, or else the index of the first range
-// behind n.
-func (r TaskRanges) find(n int) (int, bool) {
-	return slices.BinarySearchFunc(r, n, func(e [2]int, n int) int {
+// find returns the index of the range that holds the task, or else the index of the first range
+// behind it.
+func (r TaskRanges) find(task int) (index int, found bool) {
+	return slices.BinarySearchFunc(r, task, func(taskRange [2]int, task int) int {
 		switch {
-		case e[1] < n:
+		case taskRange[1] < task:
 			return -1
-		case e[0] > n:
+		case taskRange[0] > task:
 			return 1
 		}
 		return 0
 	})
 }
 
-// Has reports whether n is in the set.
-func (r TaskRanges) Has(n int) bool { _, ok := r.find(n); return ok }
+// Has reports whether the task is in the set.
+func (r TaskRanges) Has(task int) bool {
+	_, found := r.find(task)
+	return found
+}
 
-// Add puts n into the set, and joins ranges that touch.
-func (r *TaskRanges) Add(n int) {
-	i, ok := r.find(n)
-	if ok {
+// Add puts the task into the set, and joins ranges that touch.
+func (r *TaskRanges) Add(task int) {
+	index, found := r.find(task)
+	if found {
 		return
 	}
-	s := *r
-	left := i > 0 && s[i-1][1] == n-1
-	right := i < len(s) && s[i][0] == n+1
+	ranges := *r
+	touchesLeft := index > 0 && ranges[index-1][1] == task-1
+	touchesRight := index < len(ranges) && ranges[index][0] == task+1
 	switch {
-	case left && right:
-		s[i-1][1] = s[i][1]
-		s = slices.Delete(s, i, i+1)
-	case left:
-		s[i-1][1] = n
-	case right:
-		s[i][0] = n
+	case touchesLeft && touchesRight:
+		ranges[index-1][1] = ranges[index][1]
+		ranges = slices.Delete(ranges, index, index+1)
+	case touchesLeft:
+		ranges[index-1][1] = task
+	case touchesRight:
+		ranges[index][0] = task
 	default:
-		s = slices.Insert(s, i, [2]int{n, n})
+		ranges = slices.Insert(ranges, index, [2]int{task, task})
 	}
-	*r = s
+	*r = ranges
 }
 
 // Count returns the size of the set.
 func (r TaskRanges) Count() int {
-	n := 0
-	for _, e := range r {
-		n += e[1] - e[0] + 1
+	count := 0
+	for _, taskRange := range r {
+		count += taskRange[1] - taskRange[0] + 1
 	}
-	return n
+	return count
 }
 
 // Append adds the range from first to last, which must lie behind all members of the set.
@@ -66,12 +69,12 @@
 
 // Within returns the members of the set from first to last, both included.
 func (r TaskRanges) Within(first, last int) TaskRanges {
-	out := TaskRanges{}
-	for _, e := range r {
-		low, high := max(e[0], first), min(e[1], last)
+	within := TaskRanges{}
+	for _, taskRange := range r {
+		low, high := max(taskRange[0], first), min(taskRange[1], last)
 		if low <= high {
-			out = append(out, [2]int{low, high})
+			within = append(within, [2]int{low, high})
 		}
 	}
-	return out
+	return within
 }
