--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -34,7 +34,6 @@
 	Stopping      bool               // a stop was ordered
 	GracePeriodS  float64            // the stop's, in seconds
 	StopOrderedAt time.Time          // when the stop was first ordered
-	ByCommand     bool               // ended because we stopped it
 }
 
 // Machine is a rented machine. The leader's actor owns it.
@@ -200,8 +199,7 @@
 // it is gone without a word.
 type EndedPlacement struct {
 	*Placement
-	ExitReason   protocol.ExitReason
-	Checkpointed bool
+	ExitReason protocol.ExitReason
 }
 
 // ApplyStatus takes in a report and returns the placements that it ends. A report
@@ -306,7 +304,7 @@
 		case t != nil && t.State == protocol.TaskExited:
 			// The worker ignores a repeated start as long as it lists the
 			// attempt, so the placement is over although a start may be late.
-			ended = append(ended, EndedPlacement{Placement: placement, ExitReason: t.ExitReason, Checkpointed: t.Checkpointed})
+			ended = append(ended, EndedPlacement{Placement: placement, ExitReason: t.ExitReason})
 		case t != nil:
 			placement.Sent = true
 			if placement.State != t.State {
