--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -86,8 +86,8 @@
 	sequence    uint64
 }
 
-func (s heartbeatID) before(o heartbeatID) bool {
-	return s.incarnation < o.incarnation || (s.incarnation == o.incarnation && s.sequence < o.sequence)
+func (id heartbeatID) before(other heartbeatID) bool {
+	return id.incarnation < other.incarnation || (id.incarnation == other.incarnation && id.sequence < other.sequence)
 }
 
 // ReportedTask is a task in a worker's newest report.
@@ -119,8 +119,8 @@
 // that began anew, counting from the start. A worker has one report under way at
 // a time, so between reports that came by themselves there is no other reason.
 func (m *Machine) AcceptHeartbeat(heartbeat *protocol.Heartbeat) bool {
-	at := heartbeatID{heartbeat.Incarnation, heartbeat.Sequence}
-	if !m.lastAccepted.before(at) {
+	id := heartbeatID{heartbeat.Incarnation, heartbeat.Sequence}
+	if !m.lastAccepted.before(id) {
 		return false
 	}
 	// A worker that hears us shows a higher token soon after it was answered.
@@ -129,7 +129,7 @@
 	} else {
 		m.unacknowledged = 0
 	}
-	m.lastAccepted, m.lastAcceptedToken = at, heartbeat.Token
+	m.lastAccepted, m.lastAcceptedToken = id, heartbeat.Token
 	if heartbeat.Token >= m.probeToken {
 		m.probeToken = 0 // the worker we know has seen it, so it proves nothing more
 	}
@@ -178,8 +178,8 @@
 
 // MayRelease tells whether an ended attempt may be forgotten by the worker: not
 // while a start of it could still arrive, late or as a copy, and run it again.
-func (m *Machine) MayRelease(k TaskKey, n uint64) bool {
-	return !m.CommandInFlight && m.AcknowledgedToken >= m.firstTokenOfTerm() && m.AcknowledgedToken > m.startTokens[attemptKey{k, n}]
+func (m *Machine) MayRelease(key TaskKey, attempt uint64) bool {
+	return !m.CommandInFlight && m.AcknowledgedToken >= m.firstTokenOfTerm() && m.AcknowledgedToken > m.startTokens[attemptKey{key, attempt}]
 }
 
 // firstTokenOfTerm is the first token of the present term.
@@ -190,9 +190,9 @@
 // Schedulable tells whether new work may be placed. A machine that answers commands but
 // reports nothing by itself is answered nothing, so its lease runs out whatever is
 // started there.
-func (m *Machine) Schedulable(now time.Time, silent time.Duration) bool {
+func (m *Machine) Schedulable(now time.Time, maxSilence time.Duration) bool {
 	return m.CommandsResolved() && !m.OneWayPartitioned() && !m.Deprovisioning && !m.Quarantined && m.UnknownTaskCount == 0 && m.Incarnation > m.ExpiredIncarnation &&
-		m.PreemptionAt.IsZero() && now.After(m.BackoffUntil) && now.Sub(m.LastContact) <= silent && now.Sub(m.LastHeartbeat) <= silent
+		m.PreemptionAt.IsZero() && now.After(m.BackoffUntil) && now.Sub(m.LastContact) <= maxSilence && now.Sub(m.LastHeartbeat) <= maxSilence
 }
 
 // EndedPlacement is a placement that is over, with the cause the worker gave, or "" when
@@ -209,45 +209,45 @@
 // A placement ends on one of these proofs only: the worker lists its attempt as exited;
 // a later session, or a new life; or its absence, once no start of it can arrive any
 // more.
-func (m *Machine) ApplyStatus(heartbeat *protocol.Heartbeat, parse func(string) (TaskKey, bool), now, leaseEnd time.Time) (ended []EndedPlacement, fresh bool) {
-	if heartbeat.Incarnation < m.Incarnation || (heartbeat.Incarnation == m.Incarnation && heartbeat.Sequence <= m.Sequence) || heartbeat.Incarnation <= m.ExpiredIncarnation {
+func (m *Machine) ApplyStatus(status *protocol.Heartbeat, parse func(string) (TaskKey, bool), now, leaseEnd time.Time) (ended []EndedPlacement, fresh bool) {
+	if status.Incarnation < m.Incarnation || (status.Incarnation == m.Incarnation && status.Sequence <= m.Sequence) || status.Incarnation <= m.ExpiredIncarnation {
 		return nil, false
 	}
-	newSession := heartbeat.Incarnation > m.Incarnation
-	known := m.Incarnation > 0
-	if heartbeat.Token >= m.probeToken {
+	newIncarnation := status.Incarnation > m.Incarnation
+	hadIncarnation := m.Incarnation > 0
+	if status.Token >= m.probeToken {
 		m.probeToken = 0
 	}
-	same := !newSession && m.statusMatches && heartbeat.Token == m.AcknowledgedToken && m.sameTasks(heartbeat.Tasks)
-	m.applyHeader(heartbeat, now)
-	if same {
+	unchanged := !newIncarnation && m.statusMatches && status.Token == m.AcknowledgedToken && m.matchesTasks(status.Tasks)
+	m.applyHeader(status, now)
+	if unchanged {
 		return nil, true // most reports: hundreds a second at a large site
 	}
-	if newSession {
-		ended = m.beginIncarnation(heartbeat.Incarnation, known, leaseEnd)
+	if newIncarnation {
+		ended = m.beginIncarnation(status.Incarnation, hadIncarnation, leaseEnd)
 	}
-	shown := m.indexTasks(heartbeat, parse)
-	ended = append(ended, m.endedPlacements(shown, now)...)
+	listed := m.indexTasks(status, parse)
+	ended = append(ended, m.endedPlacements(listed, now)...)
 	m.pruneStartTokens()
 	return ended, true
 }
 
 // applyHeader takes in what a report says of the machine itself.
-func (m *Machine) applyHeader(heartbeat *protocol.Heartbeat, now time.Time) {
-	m.Addr, m.Type, m.Zone, m.Spot = heartbeat.Addr, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot
-	m.Incarnation, m.Sequence, m.Up, m.LastContact, m.UnansweredCommands = heartbeat.Incarnation, heartbeat.Sequence, true, now, 0
-	m.AcknowledgedToken = max(m.AcknowledgedToken, heartbeat.Token)
+func (m *Machine) applyHeader(status *protocol.Heartbeat, now time.Time) {
+	m.Addr, m.Type, m.Zone, m.Spot = status.Addr, status.MachineType, status.Zone, status.Spot
+	m.Incarnation, m.Sequence, m.Up, m.LastContact, m.UnansweredCommands = status.Incarnation, status.Sequence, true, now, 0
+	m.AcknowledgedToken = max(m.AcknowledgedToken, status.Token)
 	m.PreemptionAt = time.Time{}
-	if heartbeat.PreemptionNoticeS != nil {
-		m.PreemptionAt = now.Add(time.Duration(*heartbeat.PreemptionNoticeS * float64(time.Second)))
+	if status.PreemptionNoticeS != nil {
+		m.PreemptionAt = now.Add(time.Duration(*status.PreemptionNoticeS * float64(time.Second)))
 	}
 }
 
 // beginIncarnation ends what earlier sessions ran: a higher tenure proves that all of that
 // is gone and that commands still under way for it will be refused. So does a new life,
 // whatever its count: the token that it shows was not sent before, and commands of the
-// former life carry lower ones. known tells whether there was a session before.
-func (m *Machine) beginIncarnation(incarnation protocol.Incarnation, known bool, leaseEnd time.Time) (ended []EndedPlacement) {
+// former life carry lower ones. hadIncarnation tells whether there was a session before.
+func (m *Machine) beginIncarnation(incarnation protocol.Incarnation, hadIncarnation bool, leaseEnd time.Time) (ended []EndedPlacement) {
 	for _, placement := range m.Placements {
 		if placement.Incarnation < incarnation || (m.restarted && placement.Incarnation > incarnation) {
 			ended = append(ended, EndedPlacement{Placement: placement})
@@ -260,7 +260,7 @@
 	}
 	// That it lost its lease although its reports were answered shows that
 	// answers do not reach it: it must show a new token before new work.
-	if known || m.restarted {
+	if hadIncarnation || m.restarted {
 		m.IssuedToken++
 		m.RequiredToken = m.IssuedToken
 	}
@@ -275,40 +275,40 @@
 }
 
 // indexTasks takes in the tasks that a report lists and returns those that are known.
-func (m *Machine) indexTasks(heartbeat *protocol.Heartbeat, parse func(string) (TaskKey, bool)) map[TaskKey]*protocol.TaskStatus {
-	m.ReportedTasks = make([]ReportedTask, len(heartbeat.Tasks))
+func (m *Machine) indexTasks(status *protocol.Heartbeat, parse func(string) (TaskKey, bool)) map[TaskKey]*protocol.TaskStatus {
+	m.ReportedTasks = make([]ReportedTask, len(status.Tasks))
 	m.UnknownTaskCount = 0
-	shown := make(map[TaskKey]*protocol.TaskStatus, len(heartbeat.Tasks))
-	for i := range heartbeat.Tasks {
-		key, ok := parse(heartbeat.Tasks[i].Task)
-		m.ReportedTasks[i] = ReportedTask{heartbeat.Tasks[i], key, ok}
+	listed := make(map[TaskKey]*protocol.TaskStatus, len(status.Tasks))
+	for i := range status.Tasks {
+		key, parsed := parse(status.Tasks[i].Task)
+		m.ReportedTasks[i] = ReportedTask{status.Tasks[i], key, parsed}
 		if m.isRecorded(&m.ReportedTasks[i]) {
-			shown[key] = &heartbeat.Tasks[i]
-		} else if heartbeat.Tasks[i].State != protocol.TaskExited {
+			listed[key] = &status.Tasks[i]
+		} else if status.Tasks[i].State != protocol.TaskExited {
 			m.UnknownTaskCount++
 		}
 	}
-	return shown
+	return listed
 }
 
 // endedPlacements draws the conclusions from the known tasks of the newest report for the
 // placements of its session.
-func (m *Machine) endedPlacements(shown map[TaskKey]*protocol.TaskStatus, now time.Time) (ended []EndedPlacement) {
+func (m *Machine) endedPlacements(listed map[TaskKey]*protocol.TaskStatus, now time.Time) (ended []EndedPlacement) {
 	m.statusMatches = true
 	for key, placement := range m.Placements {
 		if placement.Incarnation != m.Incarnation {
 			continue
 		}
-		t := shown[key]
+		status := listed[key]
 		switch {
-		case t != nil && t.State == protocol.TaskExited:
+		case status != nil && status.State == protocol.TaskExited:
 			// The worker ignores a repeated start as long as it lists the
 			// attempt, so the placement is over although a start may be late.
-			ended = append(ended, EndedPlacement{Placement: placement, ExitReason: t.ExitReason})
-		case t != nil:
+			ended = append(ended, EndedPlacement{Placement: placement, ExitReason: status.ExitReason})
+		case status != nil:
 			placement.Sent = true
-			if placement.State != t.State {
-				placement.State, placement.Since = t.State, now
+			if placement.State != status.State {
+				placement.State, placement.Since = status.State, now
 			}
 		case placement.Sent && !m.CommandInFlight && m.AcknowledgedToken > placement.StartToken:
 			// Absent: proof only once no start of it can arrive any more.
@@ -322,33 +322,35 @@
 
 // pruneStartTokens forgets the tokens of starts of what is neither live nor listed.
 func (m *Machine) pruneStartTokens() {
-	for a := range m.startTokens {
-		listed := func(t ReportedTask) bool { return t.Parsed && t.Key == a.TaskKey && t.Attempt == a.attempt }
-		if m.Placements[a.TaskKey] == nil && !slices.ContainsFunc(m.ReportedTasks, listed) {
-			delete(m.startTokens, a)
+	for start := range m.startTokens {
+		listed := func(task ReportedTask) bool {
+			return task.Parsed && task.Key == start.TaskKey && task.Attempt == start.attempt
+		}
+		if m.Placements[start.TaskKey] == nil && !slices.ContainsFunc(m.ReportedTasks, listed) {
+			delete(m.startTokens, start)
 		}
 	}
 }
 
 // isRecorded tells whether a reported task is one that the records place here.
-func (m *Machine) isRecorded(t *ReportedTask) bool {
-	placement := m.Placements[t.Key]
-	return t.Parsed && placement != nil && placement.Attempt == t.Attempt && placement.Incarnation == m.Incarnation
+func (m *Machine) isRecorded(task *ReportedTask) bool {
+	placement := m.Placements[task.Key]
+	return task.Parsed && placement != nil && placement.Attempt == task.Attempt && placement.Incarnation == m.Incarnation
 }
 
 // UnknownTasks lists the tasks in the newest report that still run and that no record
 // places here.
-func (m *Machine) UnknownTasks() (out []ReportedTask) {
+func (m *Machine) UnknownTasks() (unknown []ReportedTask) {
 	for i := range m.ReportedTasks {
-		if t := &m.ReportedTasks[i]; t.State != protocol.TaskExited && !m.isRecorded(t) {
-			out = append(out, *t)
+		if task := &m.ReportedTasks[i]; task.State != protocol.TaskExited && !m.isRecorded(task) {
+			unknown = append(unknown, *task)
 		}
 	}
-	return out
+	return unknown
 }
 
-func (m *Machine) sameTasks(ts []protocol.TaskStatus) bool {
-	return slices.EqualFunc(m.ReportedTasks, ts, func(a ReportedTask, b protocol.TaskStatus) bool { return a.TaskStatus == b })
+func (m *Machine) matchesTasks(tasks []protocol.TaskStatus) bool {
+	return slices.EqualFunc(m.ReportedTasks, tasks, func(known ReportedTask, task protocol.TaskStatus) bool { return known.TaskStatus == task })
 }
 
 // ExpireLease ends everything of a session whose lease is surely over.
@@ -378,14 +380,14 @@
 // RecordCommandOutcome notes how a direct command with or without starts went. The higher
 // token that follows makes the worker refuse late ones and copies of it once it
 // was shown. If the outcome is unknown, no new work is given before that.
-func (m *Machine) RecordCommandOutcome(starts, known bool) {
+func (m *Machine) RecordCommandOutcome(hadStarts, known bool) {
 	m.CommandInFlight = false
 	if known {
 		m.UnansweredCommands = 0
 	} else {
 		m.UnansweredCommands++
 	}
-	if starts || !known {
+	if hadStarts || !known {
 		m.IssuedToken++
 	}
 	if !known {
@@ -395,23 +397,23 @@
 
 // RecordTaskFailure notes that a task of a job failed here. Different jobs failing on one
 // machine show that it is the machine.
-func (m *Machine) RecordTaskFailure(job protocol.JobID) {
-	m.failedJobs[job] = true
+func (m *Machine) RecordTaskFailure(jobID protocol.JobID) {
+	m.failedJobs[jobID] = true
 	m.Quarantined = len(m.failedJobs) >= tuning.QuarantineJobs
 }
 
 // RecordImageUse notes that an image is on the machine, and forgets the least
 // recently used ones beyond the cache's size.
-func (m *Machine) RecordImageUse(name string, gb, cacheGB float64) {
+func (m *Machine) RecordImageUse(name string, sizeGB, cacheGB float64) {
 	if len(m.images) > 0 && m.images[0].name == name {
 		return
 	}
-	kept := append(make([]cachedImage, 0, len(m.images)+1), cachedImage{name, gb})
-	sum := gb
-	for _, im := range m.images {
-		if im.name != name && sum+im.sizeGB <= cacheGB {
-			sum += im.sizeGB
-			kept = append(kept, im)
+	kept := append(make([]cachedImage, 0, len(m.images)+1), cachedImage{name, sizeGB})
+	usedGB := sizeGB
+	for _, image := range m.images {
+		if image.name != name && usedGB+image.sizeGB <= cacheGB {
+			usedGB += image.sizeGB
+			kept = append(kept, image)
 		}
 	}
 	m.images = kept
@@ -421,10 +423,10 @@
 	}
 }
 
-// EachImage calls f for every image believed to be cached, the most recent first.
-func (m *Machine) EachImage(f func(name string, gb float64)) {
-	for _, im := range m.images {
-		f(im.name, im.sizeGB)
+// EachImage calls visit for every image believed to be cached, the most recent first.
+func (m *Machine) EachImage(visit func(name string, sizeGB float64)) {
+	for _, image := range m.images {
+		visit(image.name, image.sizeGB)
 	}
 }
 
--- a/internal/cluster/machine_test.go
+++ b/internal/cluster/machine_test.go
@@ -10,25 +10,25 @@
 	"marblehaven/internal/tuning"
 )
 
-func parse(s string) (TaskKey, bool) {
-	jobID, num, ok := strings.Cut(s, "/")
-	n, _ := strconv.Atoi(num)
-	return TaskKey{protocol.JobID(jobID), n}, ok
+func parseTask(name string) (TaskKey, bool) {
+	jobID, number, found := strings.Cut(name, "/")
+	task, _ := strconv.Atoi(number)
+	return TaskKey{protocol.JobID(jobID), task}, found
 }
 
-const lease = 12 * time.Second
+const leaseDuration = 12 * time.Second
 
-const base = protocol.FencingToken(3) << tuning.TermShift
+const firstToken = protocol.FencingToken(3) << tuning.TermShift
 
-func report(session protocol.Incarnation, seq uint64, token protocol.FencingToken, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
-	return &protocol.Heartbeat{Machine: "m-1", Incarnation: session, Sequence: seq, Token: token, Tasks: tasks}
+func newHeartbeat(incarnation protocol.Incarnation, sequence uint64, token protocol.FencingToken, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+	return &protocol.Heartbeat{Machine: "m-1", Incarnation: incarnation, Sequence: sequence, Token: token, Tasks: tasks}
 }
 
-// start makes a machine with one placement whose start is under way.
-func start(t *testing.T) (*Machine, *Placement, time.Time) {
+// machineWithStart makes a machine with one placement whose start is under way.
+func machineWithStart(t *testing.T) (*Machine, *Placement, time.Time) {
 	now := time.Now()
-	machine := NewMachine("m-1", base, now, now.Add(time.Hour))
-	machine.ApplyStatus(report(1, 1, base), parse, now, now.Add(lease))
+	machine := NewMachine("m-1", firstToken, now, now.Add(time.Hour))
+	machine.ApplyStatus(newHeartbeat(1, 1, firstToken), parseTask, now, now.Add(leaseDuration))
 	placement := &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 1, Incarnation: 1, Machine: machine, Recorded: true}
 	machine.Placements[placement.TaskKey] = placement
 	machine.CommandInFlight = true
@@ -37,170 +37,170 @@
 }
 
 // A placement is released on proof only; each step lacks it but the last.
-func TestRelease(t *testing.T) {
-	machine, placement, now := start(t)
-	expect := func(what string, heartbeat *protocol.Heartbeat, over bool) {
+func TestPlacementIsReleasedOnProofOnly(t *testing.T) {
+	machine, placement, now := machineWithStart(t)
+	expect := func(situation string, status *protocol.Heartbeat, over bool) {
 		t.Helper()
-		ended, _ := machine.ApplyStatus(heartbeat, parse, now, now.Add(lease))
+		ended, _ := machine.ApplyStatus(status, parseTask, now, now.Add(leaseDuration))
 		if (len(ended) == 1) != over {
-			t.Errorf("%s: ended %v", what, ended)
+			t.Errorf("%s: ended %v", situation, ended)
 		}
 	}
-	expect("absent while the command is under way", report(1, 2, base), false)
+	expect("absent while the command is under way", newHeartbeat(1, 2, firstToken), false)
 	machine.RecordCommandOutcome(true, false)
 	if machine.Schedulable(now, time.Minute) {
-		t.Error("usable while an outcome is unknown")
+		t.Error("schedulable while the outcome of a command is unknown")
 	}
-	expect("absent, but the start may run late", report(1, 3, base), false)
-	expect("an older report", report(1, 2, base+1), false)
-	expect("running", report(1, 4, base, protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskRunning}), false)
+	expect("absent, but the start may run late", newHeartbeat(1, 3, firstToken), false)
+	expect("an older status", newHeartbeat(1, 2, firstToken+1), false)
+	expect("running", newHeartbeat(1, 4, firstToken, protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskRunning}), false)
 	if placement.State != protocol.TaskRunning {
-		t.Error("state not taken in")
+		t.Error("the state of a reported task was not applied")
 	}
-	expect("another attempt of it", report(1, 5, base, protocol.TaskStatus{Task: "req-1/0", Attempt: 2, State: protocol.TaskRunning}), false)
+	expect("another attempt of the task", newHeartbeat(1, 5, firstToken, protocol.TaskStatus{Task: "req-1/0", Attempt: 2, State: protocol.TaskRunning}), false)
 	if machine.UnknownTaskCount != 1 || len(machine.UnknownTasks()) != 1 || machine.UnknownTasks()[0].Attempt != 2 {
-		t.Error("what is not in the records was not seen")
+		t.Error("an attempt without a placement was not counted as unknown")
 	}
-	expect("absent after the higher token was shown", report(1, 6, base+1), true)
+	expect("absent after the higher token was acknowledged", newHeartbeat(1, 6, firstToken+1), true)
 	if !machine.Schedulable(now, time.Minute) {
-		t.Error("not usable after the outcome is settled")
+		t.Error("not schedulable although the outcomes of all commands are known")
 	}
 }
 
 // An attempt is not reaped while a copy of its start could run it again.
-func TestReap(t *testing.T) {
-	machine, placement, now := start(t)
+func TestExitedAttemptIsNotReleasedWhileStartMayArrive(t *testing.T) {
+	machine, placement, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
 	done := protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}
-	ended, _ := machine.ApplyStatus(report(1, 2, base, done), parse, now, now.Add(lease))
+	ended, _ := machine.ApplyStatus(newHeartbeat(1, 2, firstToken, done), parseTask, now, now.Add(leaseDuration))
 	if len(ended) != 1 || ended[0].ExitReason != protocol.ExitDone {
 		t.Fatalf("ended %v", ended)
 	}
 	machine.RemovePlacement(placement, now)
 	if machine.MayRelease(placement.TaskKey, 1) {
-		t.Error("reaped while a copy of the start would be executed")
+		t.Error("released while a copy of the start would be executed")
 	}
-	machine.ApplyStatus(report(1, 3, base+1, done), parse, now, now.Add(lease))
+	machine.ApplyStatus(newHeartbeat(1, 3, firstToken+1, done), parseTask, now, now.Add(leaseDuration))
 	if !machine.MayRelease(placement.TaskKey, 1) {
-		t.Error("not reaped although copies are refused")
+		t.Error("not released although copies of the start are refused")
 	}
 }
 
 // The lease of a session counts from its beginning, not from the last answer
 // to a report of the session before.
-func TestNewSessionKeepsItsLease(t *testing.T) {
-	machine, _, now := start(t)
+func TestLeaseOfNewIncarnationCountsFromItsBeginning(t *testing.T) {
+	machine, _, now := machineWithStart(t)
 	machine.LeaseExpiry = now.Add(time.Second)
 	machine.RecordCommandOutcome(true, true)
-	machine.ApplyStatus(report(2, 2, base+1), parse, now, now.Add(lease))
+	machine.ApplyStatus(newHeartbeat(2, 2, firstToken+1), parseTask, now, now.Add(leaseDuration))
 	placement := &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 2, Incarnation: 2, Machine: machine, Recorded: true}
 	machine.Placements[placement.TaskKey] = placement
 	if ended := machine.ExpireLease(now.Add(2 * time.Second)); len(ended) > 0 {
-		t.Error("a session was over before its lease")
+		t.Error("an incarnation ended before its lease expired")
 	}
-	if ended := machine.ExpireLease(now.Add(lease + time.Second)); len(ended) == 0 {
-		t.Error("a session without answers lasts beyond its lease")
+	if ended := machine.ExpireLease(now.Add(leaseDuration + time.Second)); len(ended) == 0 {
+		t.Error("an incarnation without replies lasts beyond its lease")
 	}
 }
 
-func TestNewSessionAndLapse(t *testing.T) {
-	machine, placement, now := start(t)
+func TestNewIncarnationOrExpiredLeaseEndsPlacements(t *testing.T) {
+	machine, placement, now := machineWithStart(t)
 	if ended := machine.ExpireLease(now); len(ended) > 0 {
-		t.Error("lapsed before the lease is over")
+		t.Error("placements ended before the lease expired")
 	}
-	if ended, _ := machine.ApplyStatus(report(2, 2, base), parse, now, now.Add(lease)); len(ended) != 1 || ended[0].Placement != placement {
-		t.Error("a new tenure did not release")
+	if ended, _ := machine.ApplyStatus(newHeartbeat(2, 2, firstToken), parseTask, now, now.Add(leaseDuration)); len(ended) != 1 || ended[0].Placement != placement {
+		t.Error("a new incarnation did not end the placement")
 	}
-	machine, placement, _ = start(t)
+	machine, placement, _ = machineWithStart(t)
 	after := machine.LeaseExpiry.Add(time.Millisecond)
 	if ended := machine.ExpireLease(after); len(ended) != 1 || ended[0].Placement != placement {
-		t.Error("a lease that is over did not release")
+		t.Error("an expired lease did not end the placement")
 	}
 	machine.RecordCommandOutcome(true, true)
-	if _, fresh := machine.ApplyStatus(report(1, 9, base), parse, after, after.Add(lease)); fresh || machine.Schedulable(after, time.Minute) {
-		t.Error("a report of a session that is over was taken in")
+	if _, fresh := machine.ApplyStatus(newHeartbeat(1, 9, firstToken), parseTask, after, after.Add(leaseDuration)); fresh || machine.Schedulable(after, time.Minute) {
+		t.Error("a status of an expired incarnation was applied")
 	}
 }
 
 // A late copy of a report proves nothing: it does not count as heard, at no age,
 // and does not make the worker's newest report look old. Only a worker that
 // began anew can show a token that was sent in answer to a report that looks old.
-func TestLateCopies(t *testing.T) {
-	machine, placement, now := start(t)
+func TestLateCopyOfHeartbeatProvesNothing(t *testing.T) {
+	machine, placement, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
 	running := protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskRunning}
-	take := func(heartbeat *protocol.Heartbeat) bool {
+	accept := func(heartbeat *protocol.Heartbeat) bool {
 		t.Helper()
 		if !machine.AcceptHeartbeat(heartbeat) && !machine.DetectRestart(heartbeat) {
 			return false
 		}
-		machine.ApplyStatus(heartbeat, parse, now, now.Add(lease))
+		machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration))
 		machine.RecordAnswer()
 		return true
 	}
-	for seq := uint64(2); seq < 6; seq++ {
-		if !take(report(1, seq, base+1, running)) {
-			t.Fatal("a new report was taken for a copy")
+	for sequence := uint64(2); sequence < 6; sequence++ {
+		if !accept(newHeartbeat(1, sequence, firstToken+1, running)) {
+			t.Fatal("a new heartbeat was taken for a copy")
 		}
 	}
-	for _, seq := range []uint64{1, 3, 5, 5, 2} {
-		if take(report(1, seq, base+1)) {
-			t.Errorf("a copy of report %d was taken in", seq)
+	for _, sequence := range []uint64{1, 3, 5, 5, 2} {
+		if accept(newHeartbeat(1, sequence, firstToken+1)) {
+			t.Errorf("a copy of heartbeat %d was accepted", sequence)
 		}
 	}
 	if len(machine.Placements) != 1 || placement.State != protocol.TaskRunning {
-		t.Error("a copy released a placement")
+		t.Error("a copy of a heartbeat released a placement")
 	}
-	if !take(report(1, 6, machine.IssuedToken, running)) {
-		t.Error("the newest report looks old after copies")
+	if !accept(newHeartbeat(1, 6, machine.IssuedToken, running)) {
+		t.Error("the newest heartbeat was rejected after copies")
 	}
 	// Copies of what it said since it has seen the token prove nothing either.
-	if take(report(1, 6, machine.IssuedToken, running)) || take(report(1, 4, base+1)) {
-		t.Error("a copy was taken in")
+	if accept(newHeartbeat(1, 6, machine.IssuedToken, running)) || accept(newHeartbeat(1, 4, firstToken+1)) {
+		t.Error("a copy was accepted")
 	}
 	// It began anew: first nothing is believed, then the token proves it.
-	if take(report(1, 1, 0)) {
-		t.Error("a report without proof was taken in")
+	if accept(newHeartbeat(1, 1, 0)) {
+		t.Error("a heartbeat without proof of a restart was accepted")
 	}
 	ended, _ := []EndedPlacement(nil), false
-	heartbeat := report(1, 2, machine.IssuedToken)
+	heartbeat := newHeartbeat(1, 2, machine.IssuedToken)
 	if machine.AcceptHeartbeat(heartbeat) || !machine.DetectRestart(heartbeat) {
-		t.Fatal("a worker that began anew is not known as such")
+		t.Fatal("a restarted agent was not detected")
 	}
-	if ended, _ = machine.ApplyStatus(heartbeat, parse, now, now.Add(lease)); len(ended) != 1 {
-		t.Error("what its former life ran is not over")
+	if ended, _ = machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration)); len(ended) != 1 {
+		t.Error("the placements of the former life did not end")
 	}
 	if machine.Schedulable(now, time.Minute) {
-		t.Error("usable before it has shown that commands of the former life are refused")
+		t.Error("schedulable before the agent refuses the commands of its former life")
 	}
 }
 
 // That a worker's reports come does not show that it hears: one that never shows
 // the token it was answered with is deaf, one that does now and then is not.
-func TestDeaf(t *testing.T) {
-	machine, _, now := start(t)
+func TestOneWayPartition(t *testing.T) {
+	machine, _, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
-	for seq := uint64(2); seq < 10; seq++ {
-		if seq >= 2+1+tuning.OneWayPartitionHeartbeats && !machine.OneWayPartitioned() {
-			t.Errorf("not deaf at report %d", seq)
+	for sequence := uint64(2); sequence < 10; sequence++ {
+		if sequence >= 2+1+tuning.OneWayPartitionHeartbeats && !machine.OneWayPartitioned() {
+			t.Errorf("no one-way partition at heartbeat %d", sequence)
 		}
-		heartbeat := report(1, seq, base)
+		heartbeat := newHeartbeat(1, sequence, firstToken)
 		machine.AcceptHeartbeat(heartbeat)
-		machine.ApplyStatus(heartbeat, parse, now, now.Add(lease))
+		machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration))
 		machine.RecordAnswer()
 	}
 	if machine.Schedulable(now, time.Minute) {
-		t.Error("a deaf machine is usable")
+		t.Error("schedulable during a one-way partition")
 	}
-	heartbeat := report(1, 10, machine.IssuedToken)
+	heartbeat := newHeartbeat(1, 10, machine.IssuedToken)
 	machine.AcceptHeartbeat(heartbeat)
-	machine.ApplyStatus(heartbeat, parse, now, now.Add(lease))
+	machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration))
 	if machine.OneWayPartitioned() {
-		t.Error("deaf although it has shown the token")
+		t.Error("one-way partition although the token was acknowledged")
 	}
 	// A lease lost although reports were answered is the same sign.
-	machine.ApplyStatus(report(2, 11, machine.IssuedToken), parse, now, now.Add(lease))
+	machine.ApplyStatus(newHeartbeat(2, 11, machine.IssuedToken), parseTask, now, now.Add(leaseDuration))
 	if machine.Schedulable(now, time.Minute) {
-		t.Error("usable before it has shown that it hears")
+		t.Error("schedulable before the new token was acknowledged")
 	}
 }
