--- /dev/null
+++ b/internal/cluster/agent_lease_test.go
@@ -0,0 +1,42 @@
+package cluster
+
+import (
+	"testing"
+	"time"
+)
+
+// The lease of a session counts from its beginning, not from the last answer
+// to a report of the session before.
+func TestLeaseOfNewIncarnationCountsFromItsBeginning(t *testing.T) {
+	machine, _, now := machineWithStart(t)
+	machine.LeaseExpiry = now.Add(time.Second)
+	machine.RecordCommandOutcome(true, true)
+	machine.ApplyStatus(newHeartbeat(2, 2, firstToken+1), parseTask, now, now.Add(leaseDuration))
+	placement := &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 2, Incarnation: 2, Machine: machine, Recorded: true}
+	machine.Placements[placement.TaskKey] = placement
+	if ended := machine.ExpireLease(now.Add(2 * time.Second)); len(ended) > 0 {
+		t.Error("an incarnation ended before its lease expired")
+	}
+	if ended := machine.ExpireLease(now.Add(leaseDuration + time.Second)); len(ended) == 0 {
+		t.Error("an incarnation without replies lasts beyond its lease")
+	}
+}
+
+func TestNewIncarnationOrExpiredLeaseEndsPlacements(t *testing.T) {
+	machine, placement, now := machineWithStart(t)
+	if ended := machine.ExpireLease(now); len(ended) > 0 {
+		t.Error("placements ended before the lease expired")
+	}
+	if ended, _ := machine.ApplyStatus(newHeartbeat(2, 2, firstToken), parseTask, now, now.Add(leaseDuration)); len(ended) != 1 || ended[0].Placement != placement {
+		t.Error("a new incarnation did not end the placement")
+	}
+	machine, placement, _ = machineWithStart(t)
+	after := machine.LeaseExpiry.Add(time.Millisecond)
+	if ended := machine.ExpireLease(after); len(ended) != 1 || ended[0].Placement != placement {
+		t.Error("an expired lease did not end the placement")
+	}
+	machine.RecordCommandOutcome(true, true)
+	if _, fresh := machine.ApplyStatus(newHeartbeat(1, 9, firstToken), parseTask, after, after.Add(leaseDuration)); fresh || machine.Schedulable(after, time.Minute) {
+		t.Error("a status of an expired incarnation was applied")
+	}
+}
--- /dev/null
+++ b/internal/cluster/one_way_partition_test.go
@@ -0,0 +1,38 @@
+package cluster
+
+import (
+	"testing"
+	"time"
+
+	"marblehaven/internal/tuning"
+)
+
+// That a worker's reports come does not show that it hears: one that never shows
+// the token it was answered with is deaf, one that does now and then is not.
+func TestOneWayPartition(t *testing.T) {
+	machine, _, now := machineWithStart(t)
+	machine.RecordCommandOutcome(true, true)
+	for sequence := uint64(2); sequence < 10; sequence++ {
+		if sequence >= 2+1+tuning.OneWayPartitionHeartbeats && !machine.OneWayPartitioned() {
+			t.Errorf("no one-way partition at heartbeat %d", sequence)
+		}
+		heartbeat := newHeartbeat(1, sequence, firstToken)
+		machine.AcceptHeartbeat(heartbeat)
+		machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration))
+		machine.RecordAnswer()
+	}
+	if machine.Schedulable(now, time.Minute) {
+		t.Error("schedulable during a one-way partition")
+	}
+	heartbeat := newHeartbeat(1, 10, machine.IssuedToken)
+	machine.AcceptHeartbeat(heartbeat)
+	machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration))
+	if machine.OneWayPartitioned() {
+		t.Error("one-way partition although the token was acknowledged")
+	}
+	// A lease lost although reports were answered is the same sign.
+	machine.ApplyStatus(newHeartbeat(2, 11, machine.IssuedToken), parseTask, now, now.Add(leaseDuration))
+	if machine.Schedulable(now, time.Minute) {
+		t.Error("schedulable before the new token was acknowledged")
+	}
+}
--- /dev/null
+++ b/internal/cluster/placement.go
@@ -0,0 +1,40 @@
+package cluster
+
+import (
+	"time"
+
+	"marblehaven/internal/protocol"
+)
+
+// TaskKey names a task of a job.
+type TaskKey struct {
+	Job  protocol.JobID
+	Task int
+}
+
+// Placement is a task that may be on a machine.
+type Placement struct {
+	TaskKey
+	Attempt     uint64
+	Incarnation protocol.Incarnation
+	Machine     *Machine
+	// Recorded: it is in the ledger, so its start may be sent.
+	Recorded bool
+	// Sent: its start may have left this or an earlier leader.
+	Sent bool
+	// StartToken is the token that its start was sent with. Copies of the start
+	// may arrive at any time until the worker has seen a higher one.
+	StartToken    protocol.FencingToken
+	State         protocol.TaskState // as last reported
+	Since         time.Time          // of the last change of State
+	Stopping      bool               // a stop was ordered
+	GracePeriodS  float64            // the stop's, in seconds
+	StopOrderedAt time.Time          // when the stop was first ordered
+}
+
+// EndedPlacement is a placement that is over, with the cause the worker gave, or "" when
+// it is gone without a word.
+type EndedPlacement struct {
+	*Placement
+	ExitReason protocol.ExitReason
+}
