--- a/internal/cluster/image_cache.go
+++ b/internal/cluster/image_cache.go
@@ -1,5 +1,15 @@
 package cluster
 
+// ImageCache is the leader's belief about the images that a machine has cached. The
+// agent reports no images, so the leader models the machine's cache: the least
+// recently used image is evicted first. A wrong belief costs a fetch and nothing
+// else.
+type ImageCache struct {
+	images     []cachedImage // the most recently used first
+	imageNames []string      // the names of images, in the same order
+}
+
+// cachedImage is an image that is believed to be cached.
 type cachedImage struct {
 	name   string
 	sizeGB float64
@@ -7,32 +17,37 @@
 
 // RecordImageUse notes that an image is on the machine, and forgets the least
 // recently used ones beyond the cache's size.
-func (m *Machine) RecordImageUse(name string, sizeGB, cacheGB float64) {
-	if len(m.images) > 0 && m.images[0].name == name {
+func (c *ImageCache) RecordImageUse(name string, sizeGB, cacheGB float64) {
+	if len(c.images) > 0 && c.images[0].name == name {
 		return
 	}
-	kept := append(make([]cachedImage, 0, len(m.images)+1), cachedImage{name, sizeGB})
+	kept := append(make([]cachedImage, 0, len(c.images)+1), cachedImage{name, sizeGB})
 	usedGB := sizeGB
-	for _, image := range m.images {
+	for _, image := range c.images {
 		if image.name != name && usedGB+image.sizeGB <= cacheGB {
 			usedGB += image.sizeGB
 			kept = append(kept, image)
 		}
 	}
-	m.images = kept
-	m.imageNames = make([]string, len(kept))
+	c.images = kept
+	c.imageNames = make([]string, len(kept))
 	for i := range kept {
-		m.imageNames[i] = kept[i].name
+		c.imageNames[i] = kept[i].name
 	}
 }
 
 // EachImage calls visit for every image believed to be cached, the most recent first.
-func (m *Machine) EachImage(visit func(name string, sizeGB float64)) {
-	for _, image := range m.images {
+func (c *ImageCache) EachImage(visit func(name string, sizeGB float64)) {
+	for _, image := range c.images {
 		visit(image.name, image.sizeGB)
 	}
 }
 
 // Images names the images that are believed to be cached. The result is not
 // changed later.
-func (m *Machine) Images() []string { return m.imageNames }
+func (c *ImageCache) Images() []string { return c.imageNames }
+
+// forgetImages drops the belief about all images.
+func (c *ImageCache) forgetImages() {
+	c.images, c.imageNames = nil, nil
+}
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -46,8 +46,8 @@
 	statusMatches bool                                 // the newest report lists just what is live, and nothing of it has changed since
 	startTokens   map[attemptKey]protocol.FencingToken // tokens of the starts of what is listed or live
 	failedJobs    map[protocol.JobID]bool
-	images        []cachedImage // most recent first
-	imageNames    []string
+
+	ImageCache
 }
 
 // NewMachine makes a machine known by its name only.
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -60,7 +60,7 @@
 	// A session that ends takes the tasks, not the images, but a new life may
 	// be an empty machine's.
 	if m.restarted {
-		m.images, m.imageNames = nil, nil
+		m.forgetImages()
 	}
 	// That it lost its lease although its reports were answered shows that
 	// answers do not reach it: it must show a new token before new work.
