--- a/internal/cluster/heartbeat_order.go
+++ b/internal/cluster/heartbeat_order.go
@@ -44,8 +44,7 @@
 func (m *Machine) DetectRestart(heartbeat *protocol.Heartbeat) bool {
 	switch {
 	case m.probeToken == 0:
-		m.IssuedToken++
-		m.probeToken = m.IssuedToken
+		m.probeToken = m.issueNextToken()
 		return false
 	case heartbeat.Token < m.probeToken:
 		return false
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -18,9 +18,6 @@
 	probeToken         protocol.FencingToken // see Again; 0: none
 	unacknowledged     int                   // reports in a row that show nothing of what was answered
 	answeredToken      protocol.FencingToken // the token in our last answer to a report
-	AcknowledgedToken  protocol.FencingToken // the highest token that the worker has shown
-	IssuedToken        protocol.FencingToken // the token we use towards this worker
-	RequiredToken      protocol.FencingToken // the token that it must have shown before it gets new work
 	LastContact        time.Time             // a report or a direct command's answer
 	LastHeartbeat      time.Time             // a report that came by itself, or when it became known
 	LeaseExpiry        time.Time             // after it, what was on it in its session is gone
@@ -33,7 +30,6 @@
 	NextHandshake      time.Time // no handshake before
 	Up                 bool      // has reported
 	Deprovisioning     bool      // is being given back
-	CommandInFlight    bool      // a direct command is under way
 	UnansweredCommands int       // direct commands in a row without an answer or a report since
 	UnknownTaskCount   int       // reported tasks that we have no record of and that still run
 	Quarantined        bool
@@ -41,25 +37,25 @@
 
 	Placements    map[TaskKey]*Placement
 	ReportedTasks []ReportedTask
-	Outbox        []*Placement                         // recorded, to be sent
-	restarted     bool                                 // its next report is the first of a new life
-	statusMatches bool                                 // the newest report lists just what is live, and nothing of it has changed since
-	startTokens   map[attemptKey]protocol.FencingToken // tokens of the starts of what is listed or live
+	Outbox        []*Placement // recorded, to be sent
+	restarted     bool         // its next report is the first of a new life
+	statusMatches bool         // the newest report lists just what is live, and nothing of it has changed since
 	failedJobs    map[protocol.JobID]bool
 
+	Fencing
 	ImageCache
 }
 
 // NewMachine makes a machine known by its name only.
 // The token is the first of the present term.
 func NewMachine(id string, token protocol.FencingToken, now time.Time, leaseEnd time.Time) *Machine {
-	return &Machine{ID: id, IssuedToken: token, RequiredToken: token, startTokens: map[attemptKey]protocol.FencingToken{}, ProvisionedAt: now, LastHeartbeat: now, IdleSince: now, GPUIdleSince: now, LeaseExpiry: leaseEnd,
+	return &Machine{ID: id, Fencing: newFencing(token), ProvisionedAt: now, LastHeartbeat: now, IdleSince: now, GPUIdleSince: now, LeaseExpiry: leaseEnd,
 		Placements: map[TaskKey]*Placement{}, failedJobs: map[protocol.JobID]bool{}}
 }
 
 // CommandsResolved tells whether the outcomes of all commands sent here are known.
 func (m *Machine) CommandsResolved() bool {
-	return !m.CommandInFlight && m.Up && m.AcknowledgedToken >= m.RequiredToken
+	return m.Up && m.tokenRequirementMet()
 }
 
 // Schedulable tells whether new work may be placed. A machine that answers commands but
@@ -80,3 +76,22 @@
 		}
 	}
 }
+
+// RecordStart notes that a placement's start is about to be sent.
+func (m *Machine) RecordStart(placement *Placement) {
+	m.statusMatches = false
+	placement.Sent, placement.StartToken = true, m.IssuedToken
+	m.recordStartToken(placement.TaskKey, placement.Attempt)
+}
+
+// RecordCommandOutcome notes how a direct command with or without starts went. The higher
+// token that follows makes the worker refuse late ones and copies of it once it
+// was shown. If the outcome is unknown, no new work is given before that.
+func (m *Machine) RecordCommandOutcome(hadStarts, known bool) {
+	m.finishCommand(hadStarts, known)
+	if known {
+		m.UnansweredCommands = 0
+	} else {
+		m.UnansweredCommands++
+	}
+}
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -32,7 +32,7 @@
 	}
 	listed := m.indexTasks(status, parse)
 	ended = append(ended, m.endedPlacements(listed, now)...)
-	m.pruneStartTokens()
+	m.pruneStartTokens(m.needsStartToken)
 	return ended, true
 }
 
@@ -40,7 +40,7 @@
 func (m *Machine) applyHeader(status *protocol.Heartbeat, now time.Time) {
 	m.Addr, m.Type, m.Zone, m.Spot = status.Addr, status.MachineType, status.Zone, status.Spot
 	m.Incarnation, m.Sequence, m.Up, m.LastContact, m.UnansweredCommands = status.Incarnation, status.Sequence, true, now, 0
-	m.AcknowledgedToken = max(m.AcknowledgedToken, status.Token)
+	m.acknowledge(status.Token)
 	m.PreemptionAt = time.Time{}
 	if status.PreemptionNoticeS != nil {
 		m.PreemptionAt = now.Add(time.Duration(*status.PreemptionNoticeS * float64(time.Second)))
@@ -65,8 +65,8 @@
 	// That it lost its lease although its reports were answered shows that
 	// answers do not reach it: it must show a new token before new work.
 	if hadIncarnation || m.restarted {
-		m.IssuedToken++
-		m.RequiredToken = m.IssuedToken
+		m.issueNextToken()
+		m.requireIssuedToken()
 	}
 	m.restarted = false
 	// The lease of a new session counts from its beginning. Without this a
@@ -97,7 +97,7 @@
 			if placement.State != status.State {
 				placement.State, placement.Since = status.State, now
 			}
-		case placement.Sent && !m.CommandInFlight && m.AcknowledgedToken > placement.StartToken:
+		case placement.Sent && m.refusesStart(placement.StartToken):
 			// Absent: proof only once no start of it can arrive any more.
 			ended = append(ended, EndedPlacement{Placement: placement})
 		default:
--- a/internal/cluster/task_statuses.go
+++ b/internal/cluster/task_statuses.go
@@ -50,3 +50,11 @@
 func (m *Machine) matchesTasks(tasks []protocol.TaskStatus) bool {
 	return slices.EqualFunc(m.ReportedTasks, tasks, func(known ReportedTask, task protocol.TaskStatus) bool { return known.TaskStatus == task })
 }
+
+// needsStartToken tells whether an attempt is live or listed in the newest report.
+func (m *Machine) needsStartToken(start attemptKey) bool {
+	listed := func(task ReportedTask) bool {
+		return task.Parsed && task.Key == start.TaskKey && task.Attempt == start.attempt
+	}
+	return m.Placements[start.TaskKey] != nil || slices.ContainsFunc(m.ReportedTasks, listed)
+}
