--- a/internal/cluster/heartbeat_order.go
+++ b/internal/cluster/heartbeat_order.go
@@ -1,55 +1,93 @@
 package cluster
 
-import (
-	"marblehaven/internal/protocol"
-)
+import "marblehaven/internal/protocol"
 
-// heartbeatID orders the reports of a worker.
+// heartbeatOrder tells the newest heartbeat of an agent from late copies of earlier
+// ones, and both from the heartbeats of an agent that has restarted and counts from
+// the beginning again.
+//
+// An agent sends its heartbeats one after another, so a heartbeat that is not newer
+// than the last accepted one has no third explanation. Statuses in the answers to
+// direct commands are not heartbeats and are not ordered here.
+type heartbeatOrder struct {
+	lastAccepted heartbeatID // the newest accepted heartbeat
+	// probeToken is a token that no earlier message to the agent carried. It goes
+	// out in the reply to a heartbeat that looks old; 0 means that none is out.
+	probeToken protocol.FencingToken
+	// restarted tells that the agent has proved a restart and that the next status
+	// to be applied is the first one since.
+	restarted bool
+}
+
+// heartbeatID orders the heartbeats of one life of an agent.
 type heartbeatID struct {
 	incarnation protocol.Incarnation
 	sequence    uint64
 }
 
+func heartbeatIDOf(heartbeat *protocol.Heartbeat) heartbeatID {
+	return heartbeatID{heartbeat.Incarnation, heartbeat.Sequence}
+}
+
 func (id heartbeatID) before(other heartbeatID) bool {
 	return id.incarnation < other.incarnation || (id.incarnation == other.incarnation && id.sequence < other.sequence)
 }
 
-// AcceptHeartbeat tells whether a report that came by itself is newer than all before it.
-// One that is not is a late copy, which proves nothing, or comes from a worker
-// that began anew, counting from the start. A worker has one report under way at
-// a time, so between reports that came by themselves there is no other reason.
-func (m *Machine) AcceptHeartbeat(heartbeat *protocol.Heartbeat) bool {
-	id := heartbeatID{heartbeat.Incarnation, heartbeat.Sequence}
-	if !m.lastAccepted.before(id) {
+// accept tells whether the heartbeat is newer than all before, and if so records it.
+func (o *heartbeatOrder) accept(heartbeat *protocol.Heartbeat) bool {
+	id := heartbeatIDOf(heartbeat)
+	if !o.lastAccepted.before(id) {
 		return false
 	}
-	// A worker that hears us shows a higher token soon after it was answered.
-	if m.answeredToken > heartbeat.Token && m.lastAcceptedToken == heartbeat.Token {
-		m.unacknowledged++
-	} else {
-		m.unacknowledged = 0
+	o.lastAccepted = id
+	o.withdrawProbe(heartbeat.Token)
+	return true
+}
+
+// withdrawProbe takes the probe back when a status in the known order carries it: the
+// agent that is known has received the token, so that late copies of its heartbeats
+// carry it too and the token proves no restart any more.
+func (o *heartbeatOrder) withdrawProbe(token protocol.FencingToken) {
+	if token >= o.probeToken {
+		o.probeToken = 0
 	}
-	m.lastAccepted, m.lastAcceptedToken = id, heartbeat.Token
-	if heartbeat.Token >= m.probeToken {
-		m.probeToken = 0 // the worker we know has seen it, so it proves nothing more
+}
+
+// restartAt makes the heartbeat of a restarted agent the first of a new order.
+func (o *heartbeatOrder) restartAt(heartbeat *protocol.Heartbeat) {
+	o.lastAccepted = heartbeatIDOf(heartbeat)
+	o.probeToken = 0
+	o.restarted = true
+}
+
+// AcceptHeartbeat tells whether a heartbeat is newer than all before. A heartbeat that
+// is not newer must not be applied, must not renew the lease and does not count as
+// contact; it goes to DetectRestart.
+func (m *Machine) AcceptHeartbeat(heartbeat *protocol.Heartbeat) bool {
+	if !m.heartbeatOrder.accept(heartbeat) {
+		return false
 	}
+	m.observeHeartbeat(heartbeat.Token)
 	return true
 }
 
-// DetectRestart takes in a report that is not newer than others. To tell a late copy
-// from a worker that began anew, the answer carries a token never sent before;
-// only a worker that is there and counts from the start can show it in a report
-// that looks old. It returns true if that is proved: then all that its former
-// life ran is gone, and its counters count from here.
+// DetectRestart takes a heartbeat that AcceptHeartbeat has refused, and tells whether it
+// proves that the agent has restarted. The first such heartbeat proves nothing, but the
+// reply to it carries a probe token. A late copy was sent before the probe token was
+// issued; only an agent that is there now, and counts from the beginning, can carry
+// that token in a heartbeat that looks old.
+//
+// After a proved restart the incarnation and the sequence count anew, and the next
+// status ends what ran in the former life.
 func (m *Machine) DetectRestart(heartbeat *protocol.Heartbeat) bool {
-	switch {
-	case m.probeToken == 0:
+	if m.probeToken == 0 {
 		m.probeToken = m.issueNextToken()
 		return false
-	case heartbeat.Token < m.probeToken:
+	}
+	if heartbeat.Token < m.probeToken {
 		return false
 	}
-	m.Incarnation, m.Sequence, m.ExpiredIncarnation, m.lastAccepted, m.probeToken = 0, 0, 0, heartbeatID{heartbeat.Incarnation, heartbeat.Sequence}, 0
-	m.restarted = true
+	m.restartAt(heartbeat)
+	m.Incarnation, m.Sequence, m.ExpiredIncarnation = 0, 0, 0
 	return true
 }
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -11,18 +11,13 @@
 	ID, Addr, Type, Zone string
 	Spot                 bool
 
-	Incarnation        protocol.Incarnation  // of the newest status
-	Sequence           uint64                // of the newest status
-	lastAccepted       heartbeatID           // of the newest report that came by itself
-	lastAcceptedToken  protocol.FencingToken // the token that it showed
-	probeToken         protocol.FencingToken // see Again; 0: none
-	unacknowledged     int                   // reports in a row that show nothing of what was answered
-	answeredToken      protocol.FencingToken // the token in our last answer to a report
-	LastContact        time.Time             // a report or a direct command's answer
-	LastHeartbeat      time.Time             // a report that came by itself, or when it became known
-	LeaseExpiry        time.Time             // after it, what was on it in its session is gone
-	ExpiredIncarnation protocol.Incarnation  // the session that has surely ended
-	PreemptionAt       time.Time             // when the cloud takes it; zero: no notice
+	Incarnation        protocol.Incarnation // of the newest status
+	Sequence           uint64               // of the newest status
+	LastContact        time.Time            // a report or a direct command's answer
+	LastHeartbeat      time.Time            // a report that came by itself, or when it became known
+	LeaseExpiry        time.Time            // after it, what was on it in its session is gone
+	ExpiredIncarnation protocol.Incarnation // the session that has surely ended
+	PreemptionAt       time.Time            // when the cloud takes it; zero: no notice
 	ProvisionedAt      time.Time
 	IdleSince          time.Time
 	GPUIdleSince       time.Time // since when no GPU has been in use
@@ -38,10 +33,11 @@
 	Placements    map[TaskKey]*Placement
 	ReportedTasks []ReportedTask
 	Outbox        []*Placement // recorded, to be sent
-	restarted     bool         // its next report is the first of a new life
 	statusMatches bool         // the newest report lists just what is live, and nothing of it has changed since
 	failedJobs    map[protocol.JobID]bool
 
+	heartbeatOrder
+	oneWayPartition
 	Fencing
 	ImageCache
 }
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -19,9 +19,7 @@
 	}
 	newIncarnation := status.Incarnation > m.Incarnation
 	hadIncarnation := m.Incarnation > 0
-	if status.Token >= m.probeToken {
-		m.probeToken = 0
-	}
+	m.withdrawProbe(status.Token)
 	unchanged := !newIncarnation && m.statusMatches && status.Token == m.AcknowledgedToken && m.matchesTasks(status.Tasks)
 	m.applyHeader(status, now)
 	if unchanged {
