--- a/internal/cluster/heartbeat_order.go
+++ b/internal/cluster/heartbeat_order.go
@@ -88,6 +88,6 @@
 		return false
 	}
 	m.restartAt(heartbeat)
-	m.Incarnation, m.Sequence, m.ExpiredIncarnation = 0, 0, 0
+	m.forgetIncarnations()
 	return true
 }
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -11,42 +11,41 @@
 	ID, Addr, Type, Zone string
 	Spot                 bool
 
-	Incarnation        protocol.Incarnation // of the newest status
-	Sequence           uint64               // of the newest status
-	LastContact        time.Time            // a report or a direct command's answer
-	LastHeartbeat      time.Time            // a report that came by itself, or when it became known
-	LeaseExpiry        time.Time            // after it, what was on it in its session is gone
-	ExpiredIncarnation protocol.Incarnation // the session that has surely ended
-	PreemptionAt       time.Time            // when the cloud takes it; zero: no notice
-	ProvisionedAt      time.Time
-	IdleSince          time.Time
-	GPUIdleSince       time.Time // since when no GPU has been in use
-	BackoffUntil       time.Time
-	NextHandshake      time.Time // no handshake before
-	Up                 bool      // has reported
-	Deprovisioning     bool      // is being given back
-	UnansweredCommands int       // direct commands in a row without an answer or a report since
-	UnknownTaskCount   int       // reported tasks that we have no record of and that still run
-	Quarantined        bool
-	WasSchedulable     bool // as last looked at
+	PreemptionAt     time.Time // when the cloud takes it; zero: no notice
+	ProvisionedAt    time.Time
+	IdleSince        time.Time
+	GPUIdleSince     time.Time // since when no GPU has been in use
+	Deprovisioning   bool      // is being given back
+	UnknownTaskCount int       // reported tasks that we have no record of and that still run
+	WasSchedulable   bool      // as last looked at
 
 	Placements    map[TaskKey]*Placement
 	ReportedTasks []ReportedTask
 	Outbox        []*Placement // recorded, to be sent
 	statusMatches bool         // the newest report lists just what is live, and nothing of it has changed since
-	failedJobs    map[protocol.JobID]bool
 
 	heartbeatOrder
-	oneWayPartition
 	Fencing
+	AgentLease
+	FailureDetector
+	MachineHealth
 	ImageCache
 }
 
 // NewMachine makes a machine known by its name only.
 // The token is the first of the present term.
 func NewMachine(id string, token protocol.FencingToken, now time.Time, leaseEnd time.Time) *Machine {
-	return &Machine{ID: id, Fencing: newFencing(token), ProvisionedAt: now, LastHeartbeat: now, IdleSince: now, GPUIdleSince: now, LeaseExpiry: leaseEnd,
-		Placements: map[TaskKey]*Placement{}, failedJobs: map[protocol.JobID]bool{}}
+	return &Machine{
+		ID:              id,
+		ProvisionedAt:   now,
+		IdleSince:       now,
+		GPUIdleSince:    now,
+		Placements:      map[TaskKey]*Placement{},
+		Fencing:         newFencing(token),
+		AgentLease:      AgentLease{LeaseExpiry: leaseEnd},
+		FailureDetector: FailureDetector{LastHeartbeat: now},
+		MachineHealth:   newMachineHealth(),
+	}
 }
 
 // CommandsResolved tells whether the outcomes of all commands sent here are known.
@@ -58,8 +57,8 @@
 // reports nothing by itself is answered nothing, so its lease runs out whatever is
 // started there.
 func (m *Machine) Schedulable(now time.Time, maxSilence time.Duration) bool {
-	return m.CommandsResolved() && !m.OneWayPartitioned() && !m.Deprovisioning && !m.Quarantined && m.UnknownTaskCount == 0 && m.Incarnation > m.ExpiredIncarnation &&
-		m.PreemptionAt.IsZero() && now.After(m.BackoffUntil) && now.Sub(m.LastContact) <= maxSilence && now.Sub(m.LastHeartbeat) <= maxSilence
+	return m.CommandsResolved() && m.incarnationMayLast() && m.inContact(now, maxSilence) && m.acceptsWork(now) &&
+		!m.Deprovisioning && m.PreemptionAt.IsZero() && m.UnknownTaskCount == 0
 }
 
 // RemovePlacement forgets a placement that is over.
@@ -85,9 +84,5 @@
 // was shown. If the outcome is unknown, no new work is given before that.
 func (m *Machine) RecordCommandOutcome(hadStarts, known bool) {
 	m.finishCommand(hadStarts, known)
-	if known {
-		m.UnansweredCommands = 0
-	} else {
-		m.UnansweredCommands++
-	}
+	m.recordCommandAnswer(known)
 }
--- a/internal/cluster/machine_health.go
+++ b/internal/cluster/machine_health.go
@@ -1,13 +1,35 @@
 package cluster
 
 import (
+	"time"
+
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
 )
 
-// RecordTaskFailure notes that a task of a job failed here. Different jobs failing on one
-// machine show that it is the machine.
-func (m *Machine) RecordTaskFailure(jobID protocol.JobID) {
-	m.failedJobs[jobID] = true
-	m.Quarantined = len(m.failedJobs) >= tuning.QuarantineJobs
+// MachineHealth keeps work away from a machine on which tasks fail.
+type MachineHealth struct {
+	// Quarantined tells that the machine itself is taken for faulty.
+	Quarantined bool
+	// BackoffUntil is when the machine may be given work again after it has refused
+	// a start.
+	BackoffUntil time.Time
+
+	failedJobs map[protocol.JobID]bool
+}
+
+func newMachineHealth() MachineHealth {
+	return MachineHealth{failedJobs: map[protocol.JobID]bool{}}
+}
+
+// RecordTaskFailure records that a task of a job failed on the machine. One failing job
+// may be at fault itself; when different jobs fail, the machine is quarantined.
+func (h *MachineHealth) RecordTaskFailure(jobID protocol.JobID) {
+	h.failedJobs[jobID] = true
+	h.Quarantined = len(h.failedJobs) >= tuning.QuarantineJobs
+}
+
+// acceptsWork tells whether the machine is neither quarantined nor backing off.
+func (h *MachineHealth) acceptsWork(now time.Time) bool {
+	return !h.Quarantined && now.After(h.BackoffUntil)
 }
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -14,7 +14,7 @@
 // a later session, or a new life; or its absence, once no start of it can arrive any
 // more.
 func (m *Machine) ApplyStatus(status *protocol.Heartbeat, parse func(string) (TaskKey, bool), now, leaseEnd time.Time) (ended []EndedPlacement, fresh bool) {
-	if status.Incarnation < m.Incarnation || (status.Incarnation == m.Incarnation && status.Sequence <= m.Sequence) || status.Incarnation <= m.ExpiredIncarnation {
+	if !m.isNewer(status) {
 		return nil, false
 	}
 	newIncarnation := status.Incarnation > m.Incarnation
@@ -37,7 +37,8 @@
 // applyHeader takes in what a report says of the machine itself.
 func (m *Machine) applyHeader(status *protocol.Heartbeat, now time.Time) {
 	m.Addr, m.Type, m.Zone, m.Spot = status.Addr, status.MachineType, status.Zone, status.Spot
-	m.Incarnation, m.Sequence, m.Up, m.LastContact, m.UnansweredCommands = status.Incarnation, status.Sequence, true, now, 0
+	m.advanceTo(status)
+	m.recordContact(now)
 	m.acknowledge(status.Token)
 	m.PreemptionAt = time.Time{}
 	if status.PreemptionNoticeS != nil {
@@ -70,9 +71,7 @@
 	// The lease of a new session counts from its beginning. Without this a
 	// worker that was reached by direct commands only had its new session
 	// taken for over with the old one, and its tasks were started twice.
-	if leaseEnd.After(m.LeaseExpiry) {
-		m.LeaseExpiry = leaseEnd
-	}
+	m.extendLease(leaseEnd)
 	return ended
 }
 
