--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -11,23 +11,21 @@
 	ID, Addr, Type, Zone string
 	Spot                 bool
 
-	PreemptionAt     time.Time // when the cloud takes it; zero: no notice
-	ProvisionedAt    time.Time
-	IdleSince        time.Time
-	GPUIdleSince     time.Time // since when no GPU has been in use
-	Deprovisioning   bool      // is being given back
-	UnknownTaskCount int       // reported tasks that we have no record of and that still run
-	WasSchedulable   bool      // as last looked at
+	PreemptionAt   time.Time // when the cloud takes it; zero: no notice
+	ProvisionedAt  time.Time
+	IdleSince      time.Time
+	GPUIdleSince   time.Time // since when no GPU has been in use
+	Deprovisioning bool      // is being given back
+	WasSchedulable bool      // as last looked at
 
-	Placements    map[TaskKey]*Placement
-	ReportedTasks []ReportedTask
-	Outbox        []*Placement // recorded, to be sent
-	statusMatches bool         // the newest report lists just what is live, and nothing of it has changed since
+	Placements PlacementTable
+	Outbox     []*Placement // recorded, to be sent
 
 	heartbeatOrder
 	Fencing
 	AgentLease
 	FailureDetector
+	TaskStatuses
 	MachineHealth
 	ImageCache
 }
@@ -40,7 +38,7 @@
 		ProvisionedAt:   now,
 		IdleSince:       now,
 		GPUIdleSince:    now,
-		Placements:      map[TaskKey]*Placement{},
+		Placements:      PlacementTable{},
 		Fencing:         newFencing(token),
 		AgentLease:      AgentLease{LeaseExpiry: leaseEnd},
 		FailureDetector: FailureDetector{LastHeartbeat: now},
@@ -64,7 +62,7 @@
 // RemovePlacement forgets a placement that is over.
 func (m *Machine) RemovePlacement(placement *Placement, now time.Time) {
 	if m.Placements[placement.TaskKey] == placement {
-		m.statusMatches = false
+		m.placementsChanged()
 		delete(m.Placements, placement.TaskKey)
 		if len(m.Placements) == 0 {
 			m.IdleSince = now
@@ -74,8 +72,8 @@
 
 // RecordStart notes that a placement's start is about to be sent.
 func (m *Machine) RecordStart(placement *Placement) {
-	m.statusMatches = false
-	placement.Sent, placement.StartToken = true, m.IssuedToken
+	m.placementsChanged()
+	placement.markSent(m.IssuedToken)
 	m.recordStartToken(placement.TaskKey, placement.Attempt)
 }
 
--- a/internal/cluster/placement.go
+++ b/internal/cluster/placement.go
@@ -38,3 +38,27 @@
 	*Placement
 	ExitReason protocol.ExitReason
 }
+
+// PlacementTable holds the placements of a machine.
+type PlacementTable map[TaskKey]*Placement
+
+// include tells whether a task of a status belongs to a placement: the same attempt, in the
+// incarnation that the status is of.
+func (t PlacementTable) include(task *ReportedTask, incarnation protocol.Incarnation) bool {
+	placement := t[task.Key]
+	return task.Parsed && placement != nil && placement.Attempt == task.Attempt && placement.Incarnation == incarnation
+}
+
+// markSent records that the placement's start is about to be sent with a token.
+func (p *Placement) markSent(token protocol.FencingToken) {
+	p.Sent, p.StartToken = true, token
+}
+
+// applyState takes in the state that a status lists. A listed task was started, even if
+// an earlier leader sent the start.
+func (p *Placement) applyState(state protocol.TaskState, now time.Time) {
+	p.Sent = true
+	if p.State != state {
+		p.State, p.Since = state, now
+	}
+}
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -13,14 +13,14 @@
 // A placement ends on one of these proofs only: the worker lists its attempt as exited;
 // a later session, or a new life; or its absence, once no start of it can arrive any
 // more.
-func (m *Machine) ApplyStatus(status *protocol.Heartbeat, parse func(string) (TaskKey, bool), now, leaseEnd time.Time) (ended []EndedPlacement, fresh bool) {
+func (m *Machine) ApplyStatus(status *protocol.Heartbeat, parse ParseTaskName, now, leaseEnd time.Time) (ended []EndedPlacement, fresh bool) {
 	if !m.isNewer(status) {
 		return nil, false
 	}
 	newIncarnation := status.Incarnation > m.Incarnation
 	hadIncarnation := m.Incarnation > 0
 	m.withdrawProbe(status.Token)
-	unchanged := !newIncarnation && m.statusMatches && status.Token == m.AcknowledgedToken && m.matchesTasks(status.Tasks)
+	unchanged := !newIncarnation && status.Token == m.AcknowledgedToken && m.saysNothingNew(status.Tasks)
 	m.applyHeader(status, now)
 	if unchanged {
 		return nil, true // most reports: hundreds a second at a large site
@@ -28,9 +28,9 @@
 	if newIncarnation {
 		ended = m.beginIncarnation(status.Incarnation, hadIncarnation, leaseEnd)
 	}
-	listed := m.indexTasks(status, parse)
+	listed := m.index(status.Tasks, parse, m.isPlaced)
 	ended = append(ended, m.endedPlacements(listed, now)...)
-	m.pruneStartTokens(m.needsStartToken)
+	m.pruneStartTokens(func(start attemptKey) bool { return m.Placements[start.TaskKey] != nil || m.lists(start) })
 	return ended, true
 }
 
@@ -90,10 +90,7 @@
 			// attempt, so the placement is over although a start may be late.
 			ended = append(ended, EndedPlacement{Placement: placement, ExitReason: status.ExitReason})
 		case status != nil:
-			placement.Sent = true
-			if placement.State != status.State {
-				placement.State, placement.Since = status.State, now
-			}
+			placement.applyState(status.State, now)
 		case placement.Sent && m.refusesStart(placement.StartToken):
 			// Absent: proof only once no start of it can arrive any more.
 			ended = append(ended, EndedPlacement{Placement: placement})
