--- a/internal/cluster/placement.go
+++ b/internal/cluster/placement.go
@@ -49,6 +49,19 @@
 	return task.Parsed && placement != nil && placement.Attempt == task.Attempt && placement.Incarnation == incarnation
 }
 
+// endedByIncarnation returns the placements that the beginning of an incarnation proves to
+// be gone: those of earlier incarnations and, if the agent has restarted and counts
+// anew, those of higher ones too. A restarted agent's first status decides on
+// placements of the same number as on any other of its incarnation.
+func (t PlacementTable) endedByIncarnation(incarnation protocol.Incarnation, restarted bool) (ended []EndedPlacement) {
+	for _, placement := range t {
+		if placement.Incarnation < incarnation || (restarted && placement.Incarnation > incarnation) {
+			ended = append(ended, EndedPlacement{Placement: placement})
+		}
+	}
+	return ended
+}
+
 // markSent records that the placement's start is about to be sent with a token.
 func (p *Placement) markSent(token protocol.FencingToken) {
 	p.Sent, p.StartToken = true, token
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -51,11 +51,7 @@
 // whatever its count: the token that it shows was not sent before, and commands of the
 // former life carry lower ones. hadIncarnation tells whether there was a session before.
 func (m *Machine) beginIncarnation(incarnation protocol.Incarnation, hadIncarnation bool, leaseEnd time.Time) (ended []EndedPlacement) {
-	for _, placement := range m.Placements {
-		if placement.Incarnation < incarnation || (m.restarted && placement.Incarnation > incarnation) {
-			ended = append(ended, EndedPlacement{Placement: placement})
-		}
-	}
+	ended = m.Placements.endedByIncarnation(incarnation, m.restarted)
 	// A session that ends takes the tasks, not the images, but a new life may
 	// be an empty machine's.
 	if m.restarted {
@@ -85,17 +81,17 @@
 		}
 		status := listed[key]
 		switch {
-		case status != nil && status.State == protocol.TaskExited:
+		case status == nil && placement.Sent && m.refusesStart(placement.StartToken):
+			// Absent: proof only once no start of it can arrive any more.
+			ended = append(ended, EndedPlacement{Placement: placement})
+		case status == nil:
+			m.statusMatches = false // its absence may come to prove something
+		case status.State == protocol.TaskExited:
 			// The worker ignores a repeated start as long as it lists the
 			// attempt, so the placement is over although a start may be late.
 			ended = append(ended, EndedPlacement{Placement: placement, ExitReason: status.ExitReason})
-		case status != nil:
-			placement.applyState(status.State, now)
-		case placement.Sent && m.refusesStart(placement.StartToken):
-			// Absent: proof only once no start of it can arrive any more.
-			ended = append(ended, EndedPlacement{Placement: placement})
 		default:
-			m.statusMatches = false // its absence may come to prove something
+			placement.applyState(status.State, now)
 		}
 	}
 	return ended
