--- a/internal/cluster/agent_lease.go
+++ b/internal/cluster/agent_lease.go
@@ -18,7 +18,8 @@
 	Incarnation protocol.Incarnation
 	Sequence    uint64
 	// LeaseExpiry is when everything that runs in the incarnation is gone, unless
-	// the lease is renewed before.
+	// the lease is renewed before. The leader sets it when it replies to a
+	// heartbeat.
 	LeaseExpiry time.Time
 	// ExpiredIncarnation is the highest incarnation that has surely ended. A status
 	// of such an incarnation is out of date and is not applied.
--- a/internal/cluster/agent_lease_test.go
+++ b/internal/cluster/agent_lease_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The lease of a session counts from its beginning, not from the last answer
-// to a report of the session before.
+// The lease of an incarnation counts from the beginning of the incarnation, not from the
+// last reply to a heartbeat of the one before.
 func TestLeaseOfNewIncarnationCountsFromItsBeginning(t *testing.T) {
 	machine, _, now := machineWithStart(t)
 	machine.LeaseExpiry = now.Add(time.Second)
--- a/internal/cluster/fencing_test.go
+++ b/internal/cluster/fencing_test.go
@@ -6,7 +6,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// An attempt is not reaped while a copy of its start could run it again.
+// An agent must not forget an exited attempt while a copy of its start could run the
+// attempt again.
 func TestExitedAttemptIsNotReleasedWhileStartMayArrive(t *testing.T) {
 	machine, placement, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
--- a/internal/cluster/heartbeat_order_test.go
+++ b/internal/cluster/heartbeat_order_test.go
@@ -7,9 +7,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// A late copy of a report proves nothing: it does not count as heard, at no age,
-// and does not make the worker's newest report look old. Only a worker that
-// began anew can show a token that was sent in answer to a report that looks old.
+// A late copy of a heartbeat proves nothing, however old it is: it does not count as
+// contact and does not make the agent's newest heartbeat look old. Only an agent that has
+// restarted can carry a token that was sent in reply to a heartbeat that looks old.
 func TestLateCopyOfHeartbeatProvesNothing(t *testing.T) {
 	machine, placement, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
@@ -39,11 +39,13 @@
 	if !accept(newHeartbeat(1, 6, machine.IssuedToken, running)) {
 		t.Error("the newest heartbeat was rejected after copies")
 	}
-	// Copies of what it said since it has seen the token prove nothing either.
+	// Copies of heartbeats that the agent sent after it received the token prove nothing
+	// either.
 	if accept(newHeartbeat(1, 6, machine.IssuedToken, running)) || accept(newHeartbeat(1, 4, firstToken+1)) {
 		t.Error("a copy was accepted")
 	}
-	// It began anew: first nothing is believed, then the token proves it.
+	// The agent has restarted: its first heartbeat is refused, and the token in the next
+	// one proves the restart.
 	if accept(newHeartbeat(1, 1, 0)) {
 		t.Error("a heartbeat without proof of a restart was accepted")
 	}
--- a/internal/cluster/helpers_test.go
+++ b/internal/cluster/helpers_test.go
@@ -24,7 +24,7 @@
 	return &protocol.Heartbeat{Machine: "m-1", Incarnation: incarnation, Sequence: sequence, Token: token, Tasks: tasks}
 }
 
-// machineWithStart makes a machine with one placement whose start is under way.
+// machineWithStart returns a machine with one placement whose start is in flight.
 func machineWithStart(t *testing.T) (*Machine, *Placement, time.Time) {
 	now := time.Now()
 	machine := NewMachine("m-1", firstToken, now, now.Add(time.Hour))
--- a/internal/cluster/image_cache.go
+++ b/internal/cluster/image_cache.go
@@ -15,8 +15,9 @@
 	sizeGB float64
 }
 
-// RecordImageUse notes that an image is on the machine, and forgets the least
-// recently used ones beyond the cache's size.
+// RecordImageUse records that an image is on the machine and was used last, and evicts the
+// least recently used images that exceed the size of the cache. The image itself stays
+// even if it alone is larger.
 func (c *ImageCache) RecordImageUse(name string, sizeGB, cacheGB float64) {
 	if len(c.images) > 0 && c.images[0].name == name {
 		return
@@ -36,15 +37,16 @@
 	}
 }
 
-// EachImage calls visit for every image believed to be cached, the most recent first.
+// EachImage calls visit for every image that is believed to be cached, the most recently
+// used first.
 func (c *ImageCache) EachImage(visit func(name string, sizeGB float64)) {
 	for _, image := range c.images {
 		visit(image.name, image.sizeGB)
 	}
 }
 
-// Images names the images that are believed to be cached. The result is not
-// changed later.
+// Images returns the names of the images that are believed to be cached, the most recently
+// used first. The returned slice is never changed afterwards, so callers may keep it.
 func (c *ImageCache) Images() []string { return c.imageNames }
 
 // forgetImages drops the belief about all images.
--- a/internal/cluster/one_way_partition_test.go
+++ b/internal/cluster/one_way_partition_test.go
@@ -7,8 +7,9 @@
 	"marblehaven/internal/tuning"
 )
 
-// That a worker's reports come does not show that it hears: one that never shows
-// the token it was answered with is deaf, one that does now and then is not.
+// Arriving heartbeats do not show that replies reach the agent. An agent whose heartbeats
+// never carry the token of a reply is in a one-way partition; an agent that acknowledges
+// one now and then is not.
 func TestOneWayPartition(t *testing.T) {
 	machine, _, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
@@ -30,7 +31,7 @@
 	if machine.OneWayPartitioned() {
 		t.Error("one-way partition although the token was acknowledged")
 	}
-	// A lease lost although reports were answered is the same sign.
+	// A lease that expired although heartbeats were replied to is the same sign.
 	machine.ApplyStatus(newHeartbeat(2, 11, machine.IssuedToken), parseTask, now, now.Add(leaseDuration))
 	if machine.Schedulable(now, time.Minute) {
 		t.Error("schedulable before the new token was acknowledged")
--- a/internal/cluster/placement.go
+++ b/internal/cluster/placement.go
@@ -12,34 +12,41 @@
 	Task int
 }
 
-// Placement is a task that may be on a machine.
+// Placement is one attempt of a task that runs on a machine, is to be started there, or may
+// run there because nothing has proved otherwise.
+//
+// The order of effects is: the placement is recorded in the store, its start is sent, a
+// proof of its end arrives, and only then may the task be placed again.
 type Placement struct {
 	TaskKey
 	Attempt     uint64
-	Incarnation protocol.Incarnation
+	Incarnation protocol.Incarnation // of the agent that the attempt is placed with
 	Machine     *Machine
-	// Recorded: it is in the ledger, so its start may be sent.
+	// Recorded tells that the placement is in the stored run record. Its start must
+	// not be sent before, or the next leader would not know of the task.
 	Recorded bool
-	// Sent: its start may have left this or an earlier leader.
+	// Sent tells that this leader or an earlier one may have sent the start.
 	Sent bool
-	// StartToken is the token that its start was sent with. Copies of the start
-	// may arrive at any time until the worker has seen a higher one.
-	StartToken    protocol.FencingToken
-	State         protocol.TaskState // as last reported
-	Since         time.Time          // of the last change of State
-	Stopping      bool               // a stop was ordered
-	GracePeriodS  float64            // the stop's, in seconds
-	StopOrderedAt time.Time          // when the stop was first ordered
+	// StartToken is the token that the start was sent with. Copies of the start may
+	// arrive at any time until the agent has acknowledged a higher token.
+	StartToken protocol.FencingToken
+	// State is the state in the newest status that lists the attempt; "" if none has.
+	State         protocol.TaskState
+	Since         time.Time // when State last changed, or when the task was placed
+	Stopping      bool      // a stop was ordered
+	GracePeriodS  float64   // the grace period of the stop, in seconds
+	StopOrderedAt time.Time // when the stop was ordered; decides whether a direct command is due
 }
 
-// EndedPlacement is a placement that is over, with the cause the worker gave, or "" when
-// it is gone without a word.
+// EndedPlacement is a placement that has provably ended. ExitReason is what the agent
+// gave as the reason, or "" if the placement ended without a listed exit.
 type EndedPlacement struct {
 	*Placement
 	ExitReason protocol.ExitReason
 }
 
-// PlacementTable holds the placements of a machine.
+// PlacementTable holds the placements of a machine by task. A task has one placement at a
+// time.
 type PlacementTable map[TaskKey]*Placement
 
 // include tells whether a task of a status belongs to a placement: the same attempt, in the
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -6,13 +6,19 @@
 	"marblehaven/internal/protocol"
 )
 
-// ApplyStatus takes in a report and returns the placements that it ends. A report
-// that is not newer than the last one changes nothing: fresh is false. A session
-// that began by now may last until leaseEnd without any answer of ours.
+// ApplyStatus applies an agent's status, from an accepted heartbeat or from the answer to
+// a direct command, and returns the placements that the status proves to have ended. A
+// status that is not newer than the applied ones changes nothing, and fresh is false. If
+// the status begins an incarnation, that incarnation may last until leaseEnd without any
+// reply.
 //
-// A placement ends on one of these proofs only: the worker lists its attempt as exited;
-// a later session, or a new life; or its absence, once no start of it can arrive any
-// more.
+// A placement ends on one of these proofs only:
+//   - The agent lists the attempt as exited.
+//   - The agent is in a later incarnation, or has restarted.
+//   - The agent does not list the attempt, and refuses every start of it that could
+//     still arrive.
+//
+// The caller removes the returned placements with RemovePlacement.
 func (m *Machine) ApplyStatus(status *protocol.Heartbeat, parse ParseTaskName, now, leaseEnd time.Time) (ended []EndedPlacement, fresh bool) {
 	if !m.isNewer(status) {
 		return nil, false
@@ -23,7 +29,7 @@
 	unchanged := !newIncarnation && status.Token == m.AcknowledgedToken && m.saysNothingNew(status.Tasks)
 	m.applyHeader(status, now)
 	if unchanged {
-		return nil, true // most reports: hundreds a second at a large site
+		return nil, true // as do most statuses, of which a large site sends hundreds a second
 	}
 	if newIncarnation {
 		ended = m.beginIncarnation(status.Incarnation, hadIncarnation, leaseEnd)
@@ -34,7 +40,7 @@
 	return ended, true
 }
 
-// applyHeader takes in what a report says of the machine itself.
+// applyHeader applies what a status says of the machine and the agent themselves.
 func (m *Machine) applyHeader(status *protocol.Heartbeat, now time.Time) {
 	m.Addr, m.Type, m.Zone, m.Spot = status.Addr, status.MachineType, status.Zone, status.Spot
 	m.advanceTo(status)
@@ -46,33 +52,36 @@
 	}
 }
 
-// beginIncarnation ends what earlier sessions ran: a higher tenure proves that all of that
-// is gone and that commands still under way for it will be refused. So does a new life,
-// whatever its count: the token that it shows was not sent before, and commands of the
-// former life carry lower ones. hadIncarnation tells whether there was a session before.
+// beginIncarnation ends what ran in earlier incarnations. A later incarnation proves that
+// all of that is gone, and that the agent refuses commands for earlier ones. A restart
+// proves the same whatever the incarnation's number: the agent has acknowledged the
+// probe token, and commands to its former life carry lower tokens.
+//
+// hadIncarnation tells whether a status of an earlier incarnation was applied.
 func (m *Machine) beginIncarnation(incarnation protocol.Incarnation, hadIncarnation bool, leaseEnd time.Time) (ended []EndedPlacement) {
 	ended = m.Placements.endedByIncarnation(incarnation, m.restarted)
-	// A session that ends takes the tasks, not the images, but a new life may
-	// be an empty machine's.
+	// The images survive the end of a lease. After a restart the machine may be
+	// empty.
 	if m.restarted {
 		m.forgetImages()
 	}
-	// That it lost its lease although its reports were answered shows that
-	// answers do not reach it: it must show a new token before new work.
+	// The agent lost its lease although its heartbeats were replied to, which means
+	// that replies do not reach it. It gets no new work before it has acknowledged
+	// a new token.
 	if hadIncarnation || m.restarted {
 		m.issueNextToken()
 		m.requireIssuedToken()
 	}
 	m.restarted = false
-	// The lease of a new session counts from its beginning. Without this a
-	// worker that was reached by direct commands only had its new session
-	// taken for over with the old one, and its tasks were started twice.
+	// The lease of an incarnation counts from its beginning. With the expiry of the
+	// one before, an agent reached by direct commands only would have its new
+	// incarnation taken for ended, and its tasks would be started twice.
 	m.extendLease(leaseEnd)
 	return ended
 }
 
-// endedPlacements draws the conclusions from the known tasks of the newest report for the
-// placements of its session.
+// endedPlacements reconciles the placements of the present incarnation with the tasks that
+// the newest status lists, and returns the placements that have ended.
 func (m *Machine) endedPlacements(listed map[TaskKey]*protocol.TaskStatus, now time.Time) (ended []EndedPlacement) {
 	m.statusMatches = true
 	for key, placement := range m.Placements {
@@ -82,13 +91,16 @@
 		status := listed[key]
 		switch {
 		case status == nil && placement.Sent && m.refusesStart(placement.StartToken):
-			// Absent: proof only once no start of it can arrive any more.
+			// Absence is a proof only because no start can arrive any more.
 			ended = append(ended, EndedPlacement{Placement: placement})
 		case status == nil:
-			m.statusMatches = false // its absence may come to prove something
+			// An equal status may prove the end later, once a token is
+			// acknowledged or the command in flight has ended.
+			m.statusMatches = false
 		case status.State == protocol.TaskExited:
-			// The worker ignores a repeated start as long as it lists the
-			// attempt, so the placement is over although a start may be late.
+			// A start may still arrive, but the agent ignores the start of an
+			// attempt that it lists, and is told to forget the attempt only
+			// after MayRelease.
 			ended = append(ended, EndedPlacement{Placement: placement, ExitReason: status.ExitReason})
 		default:
 			placement.applyState(status.State, now)
--- a/internal/cluster/status_test.go
+++ b/internal/cluster/status_test.go
@@ -7,7 +7,7 @@
 	"marblehaven/internal/protocol"
 )
 
-// A placement is released on proof only; each step lacks it but the last.
+// A placement ends on proof only: every status but the last one lacks the proof.
 func TestPlacementIsReleasedOnProofOnly(t *testing.T) {
 	machine, placement, now := machineWithStart(t)
 	expect := func(situation string, status *protocol.Heartbeat, over bool) {
