--- a/internal/cluster/agent_lease_test.go
+++ b/internal/cluster/agent_lease_test.go
@@ -40,3 +40,45 @@
 		t.Error("a status of an expired incarnation was applied")
 	}
 }
+
+// A new incarnation never shortens the lease: a reply that is still on the way may renew it.
+func TestNewIncarnationDoesNotShortenLease(t *testing.T) {
+	machine, _, now := machineWithStart(t)
+	expiry := now.Add(time.Hour)
+	machine.LeaseExpiry = expiry
+	machine.ApplyStatus(newHeartbeat(2, 2, firstToken), parseTask, now, now.Add(leaseDuration))
+	if !machine.LeaseExpiry.Equal(expiry) {
+		t.Errorf("the expiry of the lease moved by %v", machine.LeaseExpiry.Sub(expiry))
+	}
+}
+
+// Once the lease has expired the incarnation counts as ended, so that its statuses are not
+// applied, but those of the next incarnation are.
+func TestNextIncarnationIsAppliedAfterLeaseExpired(t *testing.T) {
+	machine, placement, now := machineWithStart(t)
+	machine.RemovePlacement(placement, now)
+	after := machine.LeaseExpiry.Add(time.Millisecond)
+	machine.ExpireLease(after)
+	if _, fresh := machine.ApplyStatus(newHeartbeat(1, 9, firstToken), parseTask, after, after.Add(leaseDuration)); fresh {
+		t.Error("a status of an expired incarnation was applied")
+	}
+	if _, fresh := machine.ApplyStatus(newHeartbeat(2, 10, firstToken), parseTask, after, after.Add(leaseDuration)); !fresh {
+		t.Error("a status of the next incarnation was not applied")
+	}
+}
+
+// A recorded placement names the incarnation that it belongs to, also on a machine whose agent
+// has sent this leader nothing: after the lease that incarnation has ended.
+func TestExpiredLeaseEndsIncarnationOfInheritedPlacement(t *testing.T) {
+	now := time.Now()
+	machine := NewMachine("m-1", firstToken, now, now.Add(leaseDuration))
+	placement := &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 1, Incarnation: 3, Machine: machine, Recorded: true, Sent: true, StartToken: firstToken - 1}
+	machine.Placements[placement.TaskKey] = placement
+	after := now.Add(leaseDuration + time.Millisecond)
+	if ended := machine.ExpireLease(after); len(ended) != 1 {
+		t.Errorf("the expired lease ended %v", ended)
+	}
+	if _, fresh := machine.ApplyStatus(newHeartbeat(3, 9, firstToken), parseTask, after, after.Add(leaseDuration)); fresh {
+		t.Error("a status of the expired incarnation was applied")
+	}
+}
--- a/internal/cluster/heartbeat_order_test.go
+++ b/internal/cluster/heartbeat_order_test.go
@@ -61,3 +61,58 @@
 		t.Error("schedulable before the agent refuses the commands of its former life")
 	}
 }
+
+// A probe proves nothing once the known agent has acknowledged it, be it in the answer to a
+// direct command: later copies of its heartbeats carry the probe token as well.
+func TestStatusInKnownOrderWithdrawsProbe(t *testing.T) {
+	machine, _, now := machineWithStart(t)
+	machine.RecordCommandOutcome(true, true)
+	machine.AcceptHeartbeat(newHeartbeat(1, 2, firstToken+1))
+	if machine.DetectRestart(newHeartbeat(1, 1, firstToken)) {
+		t.Fatal("a restart was detected before a probe was sent")
+	}
+	probe := machine.IssuedToken
+	machine.ApplyStatus(newHeartbeat(1, 3, probe), parseTask, now, now.Add(leaseDuration))
+	if copied := newHeartbeat(1, 2, probe); machine.AcceptHeartbeat(copied) || machine.DetectRestart(copied) {
+		t.Error("a copy with an acknowledged probe token proved a restart")
+	}
+	if machine.IssuedToken <= probe {
+		t.Error("the next probe is a token that was sent before")
+	}
+}
+
+// A proved restart ends the placements of higher incarnations too, and the cached images are
+// forgotten; a new incarnation alone leaves the images.
+func TestRestartEndsHigherIncarnationsAndForgetsImages(t *testing.T) {
+	machine, placement, now := machineWithStart(t)
+	machine.RecordCommandOutcome(true, true)
+	machine.RecordImageUse("image", 1, 10)
+	machine.AcceptHeartbeat(newHeartbeat(5, 2, firstToken+1))
+	machine.ApplyStatus(newHeartbeat(5, 2, firstToken+1), parseTask, now, now.Add(leaseDuration))
+	if len(machine.Images()) != 1 {
+		t.Error("a new incarnation forgot the images")
+	}
+	machine.RemovePlacement(placement, now)
+	placement = &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 2, Incarnation: 5, Machine: machine, Recorded: true, Sent: true, StartToken: machine.IssuedToken}
+	machine.Placements[placement.TaskKey] = placement
+	machine.DetectRestart(newHeartbeat(1, 1, 0))
+	restarted := newHeartbeat(1, 2, machine.IssuedToken)
+	if !machine.DetectRestart(restarted) {
+		t.Fatal("the restart was not detected")
+	}
+	ended, fresh := machine.ApplyStatus(restarted, parseTask, now, now.Add(leaseDuration))
+	if !fresh || len(ended) != 1 || ended[0].Placement != placement {
+		t.Errorf("the restart ended %v", ended)
+	}
+	if len(machine.Images()) != 0 {
+		t.Error("the images of the former life are still believed to be cached")
+	}
+	if machine.RequiredToken != machine.IssuedToken || machine.AcknowledgedToken >= machine.RequiredToken {
+		t.Error("no new token is required after the restart")
+	}
+	machine.RecordImageUse("image", 1, 10)
+	machine.ApplyStatus(newHeartbeat(2, 3, machine.IssuedToken), parseTask, now, now.Add(leaseDuration))
+	if len(machine.Images()) != 1 {
+		t.Error("the incarnation after a restart was taken for another restart")
+	}
+}
--- a/internal/cluster/status_test.go
+++ b/internal/cluster/status_test.go
@@ -37,3 +37,64 @@
 		t.Error("not schedulable although the outcomes of all commands are known")
 	}
 }
+
+// A placement whose start was never sent does not end by its absence.
+func TestAbsenceDoesNotEndUnsentPlacement(t *testing.T) {
+	now := time.Now()
+	machine := NewMachine("m-1", firstToken, now, now.Add(time.Hour))
+	placement := &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 1, Incarnation: 1, Machine: machine, Recorded: true}
+	machine.Placements[placement.TaskKey] = placement
+	if ended, _ := machine.ApplyStatus(newHeartbeat(1, 1, firstToken), parseTask, now, now.Add(leaseDuration)); len(ended) > 0 {
+		t.Error("a placement ended before its start was sent")
+	}
+}
+
+// A start by an earlier leader may arrive until the agent has acknowledged the first token
+// of the present term; until then the absence of the task proves nothing.
+func TestAbsenceEndsInheritedPlacementAfterFirstTokenOfTerm(t *testing.T) {
+	now := time.Now()
+	machine := NewMachine("m-1", firstToken, now, now.Add(time.Hour))
+	placement := &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 1, Incarnation: 1, Machine: machine,
+		Recorded: true, Sent: true, StartToken: firstToken - 1}
+	machine.Placements[placement.TaskKey] = placement
+	if ended, _ := machine.ApplyStatus(newHeartbeat(1, 1, firstToken-1), parseTask, now, now.Add(leaseDuration)); len(ended) > 0 {
+		t.Error("an inherited placement ended while its start would be executed")
+	}
+	if ended, _ := machine.ApplyStatus(newHeartbeat(1, 2, firstToken), parseTask, now, now.Add(leaseDuration)); len(ended) != 1 {
+		t.Error("an inherited placement did not end although its start is refused")
+	}
+}
+
+// An equal status is skipped only as long as no placement has changed: a task whose placement
+// was removed is unknown from the next status on.
+func TestEqualStatusIsAppliedAfterPlacementsChanged(t *testing.T) {
+	machine, placement, now := machineWithStart(t)
+	machine.RecordCommandOutcome(true, true)
+	running := protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskRunning}
+	for sequence := uint64(2); sequence < 4; sequence++ {
+		machine.ApplyStatus(newHeartbeat(1, sequence, firstToken+1, running), parseTask, now, now.Add(leaseDuration))
+	}
+	if machine.UnknownTaskCount != 0 {
+		t.Fatal("a placed task was counted as unknown")
+	}
+	machine.RemovePlacement(placement, now)
+	machine.ApplyStatus(newHeartbeat(1, 4, firstToken+1, running), parseTask, now, now.Add(leaseDuration))
+	if machine.UnknownTaskCount != 1 || machine.Schedulable(now, time.Minute) {
+		t.Error("a running task without a placement was not counted as unknown")
+	}
+}
+
+// The end of a command in flight can turn absence into proof although the next status equals
+// the one before.
+func TestEqualStatusEndsPlacementAfterCommandInFlight(t *testing.T) {
+	machine, _, now := machineWithStart(t)
+	for sequence := uint64(2); sequence < 4; sequence++ {
+		if ended, _ := machine.ApplyStatus(newHeartbeat(1, sequence, firstToken+1), parseTask, now, now.Add(leaseDuration)); len(ended) > 0 {
+			t.Error("a placement ended while a command is in flight")
+		}
+	}
+	machine.RecordCommandOutcome(true, true)
+	if ended, _ := machine.ApplyStatus(newHeartbeat(1, 4, firstToken+1), parseTask, now, now.Add(leaseDuration)); len(ended) != 1 {
+		t.Error("a placement did not end although its start is refused")
+	}
+}
