--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -10,5 +10,6 @@
 // not run and that no start of the attempt can arrive any more and run it. The leader
 // starts an ended task elsewhere, and a task must not run twice at a time. A missing
 // heartbeat, a late copy of a heartbeat and an unanswered command prove nothing. The
-// proofs are listed at Machine.ApplyStatus and Machine.ExpireLease.
+// proofs are listed at Machine.ApplyStatus and Machine.ExpireLease. The leader has one
+// more, the cloud's answer that a machine was returned.
 package cluster
