--- a/internal/cluster/heartbeat_order_test.go
+++ b/internal/cluster/heartbeat_order_test.go
@@ -49,12 +49,11 @@
 	if accept(newHeartbeat(1, 1, 0)) {
 		t.Error("a heartbeat without proof of a restart was accepted")
 	}
-	ended, _ := []EndedPlacement(nil), false
 	heartbeat := newHeartbeat(1, 2, machine.IssuedToken)
 	if machine.AcceptHeartbeat(heartbeat) || !machine.DetectRestart(heartbeat) {
 		t.Fatal("a restarted agent was not detected")
 	}
-	if ended, _ = machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration)); len(ended) != 1 {
+	if ended, _ := machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration)); len(ended) != 1 {
 		t.Error("the placements of the former life did not end")
 	}
 	if machine.Schedulable(now, time.Minute) {
