--- a/internal/scheduler/fit.go
+++ b/internal/scheduler/eligibility.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"math"
 	"slices"
 
 	"marblehaven/internal/protocol"
@@ -48,24 +47,6 @@
 	return spec.Tasks
 }
 
-func bootTimeS(snapshot *Snapshot, job *Job) float64 {
-	best, boot := math.Inf(1), 0.0
-	for i := range snapshot.Types {
-		machineType := &snapshot.Types[i]
-		if TypeFits(machineType, job.Spec) && machineType.Price < best {
-			best, boot = machineType.Price, machineType.BootS+fetchTimeS(machineType, job.Spec)
-		}
-	}
-	return boot
-}
-
-func fetchTimeS(machineType *MachineType, spec *protocol.Job) float64 {
-	if machineType.FetchGBps <= 0 {
-		return 0
-	}
-	return spec.ImageGB / machineType.FetchGBps
-}
-
 func (p *planner) allowed(machine *Machine, spec *protocol.Job) bool {
 	return (len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, p.snapshot.Types[machine.Type].Name)) && (!machine.Spot || spec.Spot)
 }
--- a/internal/scheduler/rent.go
+++ b/internal/scheduler/scaleout.go
@@ -1,8 +1,14 @@
 package scheduler
 
-import (
-	"math"
-)
+import "math"
+
+// addHeadroom rents half as many machines again for production: boots vary by more
+// than its aims allow, and the images of a first fleet come sooner over more machines.
+func (p *planner) addHeadroom() {
+	for i := range p.plan.ScaleOuts {
+		p.plan.ScaleOuts[i].Count += p.productionScaleOuts[p.plan.ScaleOuts[i].CapacityPool] / 2
+	}
+}
 
 // scaleOut asks for the cheapest offers that hold n tasks (P2), sized to them; what
 // a rented machine has left over counts as coming room for the jobs behind.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -4,9 +4,7 @@
 
 import (
 	"maps"
-	"math"
 	"slices"
-	"strings"
 
 	"marblehaven/internal/protocol"
 )
@@ -39,49 +37,6 @@
 	heldCores, heldGPUs     float64
 }
 
-// taskKind is what the search for room depends on. Only kinds without
-// conditions on zones and numbers are remembered.
-type taskKind struct {
-	request  Resources
-	types    string
-	spot     bool
-	priority protocol.PriorityLevel
-	service  bool
-	target   int
-	image    string
-}
-
-func (p *planner) taskKind(job *Job, kind int, plain bool) (taskKind, bool) {
-	spec := job.Spec
-	if spec.OneZone || spec.Spread || spec.Zone != "" || !plain {
-		return taskKind{}, false
-	}
-	k := taskKind{request: job.Request, types: strings.Join(spec.MachineTypes, " "), spot: spec.Spot, priority: job.Priority, service: spec.Kind == protocol.KindService, target: kind}
-	if kind == targetCached || kind == targetReady {
-		k.image = spec.Image // a machine takes only so many images at once
-	}
-	return k, true
-}
-
-// indexMachines finds the machines that matter to this plan.
-func (p *planner) indexMachines() {
-	least := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
-	for i := range p.snapshot.Jobs {
-		if job := &p.snapshot.Jobs[i]; job.Waiting > 0 && !job.BackingOff {
-			least = Resources{math.Min(least.Cores, job.Request.Cores), math.Min(least.GPUs, job.Request.GPUs), math.Min(least.MemGB, job.Request.MemGB)}
-		}
-	}
-	for i := range p.pool {
-		machine := &p.pool[i]
-		if (machine.Schedulable || machine.Booting) && machine.Free.Cores >= least.Cores-eps && machine.Free.GPUs >= least.GPUs-eps && machine.Free.MemGB >= least.MemGB-eps {
-			p.withCapacity = append(p.withCapacity, i)
-		}
-		if machine.Schedulable && slices.ContainsFunc(machine.Tasks, func(r RunningTasks) bool { return p.snapshot.Jobs[r.Job].Priority > 0 }) {
-			p.preemptible = append(p.preemptible, i)
-		}
-	}
-}
-
 // Decide makes the plan.
 func Decide(snapshot *Snapshot) Plan {
 	p := &planner{snapshot: snapshot, pool: slices.Clone(snapshot.Machines), exhaustedKinds: map[taskKind]bool{}, productionScaleOuts: map[CapacityPool]int{}, teams: slices.Clone(snapshot.Teams)}
@@ -166,56 +121,3 @@
 	p.chargeQuota(&p.snapshot.Jobs[jobIndex], got)
 	return got + p.preempt(jobIndex, n-got, zones, keepOff, true)
 }
-
-// chargeQuota counts started tasks against the team's limit.
-func (p *planner) chargeQuota(job *Job, tasks int) {
-	p.teams[job.Team].Used = p.teams[job.Team].Used.Minus(job.Request, -tasks)
-}
-
-// slack is W_k of a job of which n tasks find no room, with the boot that a rental
-// would take. The estimate includes what waits ahead for the same held room, so that
-// W_k is spent while renting still helps.
-func (p *planner) slack(job *Job, n int, boot float64) float64 {
-	const longest = 1e6 // seconds; without held machines the queue has no end
-	work := float64(n) * job.EstimateS
-	queue := 0.0
-	if job.Request.GPUs > 0 {
-		p.queuedGPUs += work * job.Request.GPUs
-		queue = p.queuedGPUs / math.Max(p.heldGPUs, eps)
-	} else {
-		p.queuedCores += work * job.Request.Cores
-		queue = p.queuedCores / math.Max(p.heldCores, eps)
-	}
-	return math.Max(0, job.DeadlineS-p.snapshot.Rho*(job.EstimateS+math.Min(queue, longest))-boot)
-}
-
-// addHeadroom rents half as many machines again for production: boots vary by more
-// than its aims allow, and the images of a first fleet come sooner over more machines.
-func (p *planner) addHeadroom() {
-	for i := range p.plan.ScaleOuts {
-		p.plan.ScaleOuts[i].Count += p.productionScaleOuts[p.plan.ScaleOuts[i].CapacityPool] / 2
-	}
-}
-
-// scaleIn returns the machines that have been idle for long enough.
-func (p *planner) scaleIn() {
-	taken := make([]bool, len(p.snapshot.Machines))
-	for _, st := range p.plan.Starts {
-		taken[st.Machine] = true
-	}
-	for _, i := range p.reserved {
-		if i < len(taken) {
-			taken[i] = true
-		}
-	}
-	for i := range p.snapshot.Machines {
-		machine := &p.snapshot.Machines[i]
-		idle := machine.IdleS
-		if p.snapshot.Types[machine.Type].Capacity.GPUs > 0 {
-			idle = machine.GPUIdleS
-		}
-		if machine.Schedulable && machine.Empty && !taken[i] && idle >= p.snapshot.idleTimeout(machine) {
-			p.plan.ScaleIns = append(p.plan.ScaleIns, i)
-		}
-	}
-}
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -1,37 +1,14 @@
 package scheduler
 
 import (
-	"math"
 	"slices"
 
 	"marblehaven/internal/protocol"
 )
 
-const eps = 1e-9
-
 // LowestPriority is the rank that everything else may stop.
 const LowestPriority = protocol.LevelLowest
 
-// Resources is an amount of machine resources.
-type Resources struct{ Cores, GPUs, MemGB float64 }
-
-// Minus takes n times r away.
-func (a Resources) Minus(r Resources, n int) Resources {
-	f := float64(n)
-	return Resources{a.Cores - f*r.Cores, a.GPUs - f*r.GPUs, a.MemGB - f*r.MemGB}
-}
-
-// CapacityFor is how often need fits into a.
-func (a Resources) CapacityFor(need Resources) int {
-	n := math.MaxInt32
-	for _, p := range [][2]float64{{a.Cores, need.Cores}, {a.GPUs, need.GPUs}, {a.MemGB, need.MemGB}} {
-		if p[1] > 0 {
-			n = min(n, int(math.Floor(p[0]/p[1]+eps)))
-		}
-	}
-	return max(0, n)
-}
-
 // MachineType is a machine type with its current prices per hour.
 type MachineType struct {
 	Name             string
@@ -130,56 +107,3 @@
 	GPUPriority protocol.PriorityLevel
 	GPURequest  Resources
 }
-
-// Start puts Count tasks of a job on a machine.
-type Start struct{ Job, Machine, Count int }
-
-// ScaleOut asks for Count machines.
-type ScaleOut struct {
-	CapacityPool
-	Count int
-}
-
-// Preemption makes room: Count tasks of Job on Machine are stopped, at once.
-type Preemption struct{ Machine, Job, Count int }
-
-// Plan is what to do.
-type Plan struct {
-	Starts      []Start
-	Preemptions []Preemption
-	ScaleOuts   []ScaleOut
-	ScaleIns    []int
-	// SlackSpent marks jobs (by index) whose slack is spent while tasks wait.
-	SlackSpent []int
-}
-
-// remainingWork is what is left to do of the job, in need times seconds.
-func (j *Job) remainingWork(need float64) float64 {
-	return (float64(j.Waiting) + float64(j.Running)/2) * j.EstimateS * need
-}
-
-// RequestOf is what a task takes.
-func RequestOf(job *protocol.Job) Resources { return Resources{job.Cores, job.GPUs, job.MemGB} }
-
-// idleTimeout is how long a machine is kept idle: a number of boots, which is what
-// having it again would take, the fewer the dearer it is against the cheapest
-// way to have its type.
-func (s *Snapshot) idleTimeout(machine *Machine) float64 {
-	machineType := &s.Types[machine.Type]
-	price := machineType.HourlyPrice(machine.Spot)
-	low := math.Min(price, machineType.Price)
-	if machineType.SpotPrice > 0 {
-		low = math.Min(low, machineType.SpotPrice)
-	}
-	return s.IdleBootFactor * machineType.BootS * low / price
-}
-
-func tasksWithinQuota(t *Team, need Resources) int {
-	n := math.MaxInt32
-	for _, q := range [][3]float64{{t.Max.Cores, t.Used.Cores, need.Cores}, {t.Max.GPUs, t.Used.GPUs, need.GPUs}} {
-		if q[0] > 0 && q[2] > 0 {
-			n = min(n, int(math.Floor((q[0]-q[1])/q[2]+eps)))
-		}
-	}
-	return max(0, n)
-}
