--- a/internal/scheduler/chain.go
+++ b/internal/scheduler/chain.go
@@ -15,28 +15,28 @@
 // deadlines to be kept: a deadline less the estimates on the longest path (the
 // critical path) from the job to the one that is due.
 func PropagateDeadlines(jobs []ChainedJob) {
-	open := make([]int, len(jobs)) // jobs that need it and have not passed on yet
+	dependents := make([]int, len(jobs)) // jobs that need it and have not passed on yet
 	for i := range jobs {
-		for _, need := range jobs[i].DependsOn {
-			open[need]++
+		for _, dependencyIndex := range jobs[i].DependsOn {
+			dependents[dependencyIndex]++
 		}
 	}
 	var ready []int
-	for i, n := range open {
+	for i, n := range dependents {
 		if n == 0 {
 			ready = append(ready, i)
 		}
 	}
 	for len(ready) > 0 {
 		last := len(ready) - 1
-		from := &jobs[ready[last]]
+		dependent := &jobs[ready[last]]
 		ready = ready[:last]
-		for _, need := range from.DependsOn {
-			to := &jobs[need]
-			to.Priority = min(to.Priority, from.Priority)
-			to.DeadlineS = min(to.DeadlineS, from.DeadlineS-from.EstimateS)
-			if open[need]--; open[need] == 0 {
-				ready = append(ready, need)
+		for _, dependencyIndex := range dependent.DependsOn {
+			dependency := &jobs[dependencyIndex]
+			dependency.Priority = min(dependency.Priority, dependent.Priority)
+			dependency.DeadlineS = min(dependency.DeadlineS, dependent.DeadlineS-dependent.EstimateS)
+			if dependents[dependencyIndex]--; dependents[dependencyIndex] == 0 {
+				ready = append(ready, dependencyIndex)
 			}
 		}
 	}
--- a/internal/scheduler/eligibility.go
+++ b/internal/scheduler/eligibility.go
@@ -28,13 +28,13 @@
 }
 
 // ZoneCapacity is how many more tasks of the job may be in the zone.
-func ZoneCapacity(spec *protocol.Job, zoneLive map[string]int, zone string) int {
+func ZoneCapacity(spec *protocol.Job, tasksByZone map[string]int, zone string) int {
 	if spec.Zone != "" && spec.Zone != zone {
 		return 0
 	}
 	if spec.OneZone {
-		for z, n := range zoneLive {
-			if n > 0 && z != zone {
+		for other, running := range tasksByZone {
+			if running > 0 && other != zone {
 				return 0
 			}
 		}
@@ -42,7 +42,7 @@
 	if spec.Spread {
 		// A task on a machine whose zone is not known yet, as after a takeover,
 		// may be in any.
-		return max(0, (spec.Tasks+1)/2-zoneLive[zone]-zoneLive[""])
+		return max(0, (spec.Tasks+1)/2-tasksByZone[zone]-tasksByZone[""])
 	}
 	return spec.Tasks
 }
@@ -53,8 +53,8 @@
 
 // eligible tells whether tasks of the job may be on the machine, where those it
 // has are in the given zones and need a machine of their own.
-func (p *planner) eligible(machine *Machine, spec *protocol.Job, zones map[string]int, keepOff bool) bool {
-	return p.allowed(machine, spec) && ZoneCapacity(spec, zones, machine.Zone) > 0 && !(keepOff && p.snapshot.Types[machine.Type].Capacity.GPUs > 0)
+func (p *planner) eligible(machine *Machine, spec *protocol.Job, tasksByZone map[string]int, avoidGPUs bool) bool {
+	return p.allowed(machine, spec) && ZoneCapacity(spec, tasksByZone, machine.Zone) > 0 && !(avoidGPUs && p.snapshot.Types[machine.Type].Capacity.GPUs > 0)
 }
 
 // capacityOn is how many tasks of the job the machine takes now. Work that does not
@@ -62,9 +62,9 @@
 // no GPU is in use it gets all, if it ranks below the work with GPUs and can
 // be stopped for it. Only work that ends by itself may go there, and none once
 // the machine is to be given back: it must not keep a dear machine.
-func (p *planner) capacityOn(machine *Machine, job *Job, keepOff bool) int {
+func (p *planner) capacityOn(machine *Machine, job *Job, avoidGPUs bool) int {
 	machineType := &p.snapshot.Types[machine.Type]
-	if keepOff && machineType.Capacity.GPUs > 0 {
+	if avoidGPUs && machineType.Capacity.GPUs > 0 {
 		switch {
 		case job.Spec.Kind == protocol.KindService:
 			return 0
--- a/internal/scheduler/exhausted.go
+++ b/internal/scheduler/exhausted.go
@@ -18,14 +18,14 @@
 	image    string
 }
 
-func (p *planner) taskKind(job *Job, kind int, plain bool) (taskKind, bool) {
+func (p *planner) taskKind(job *Job, target int, unconditional bool) (taskKind, bool) {
 	spec := job.Spec
-	if spec.OneZone || spec.Spread || spec.Zone != "" || !plain {
+	if spec.OneZone || spec.Spread || spec.Zone != "" || !unconditional {
 		return taskKind{}, false
 	}
-	k := taskKind{request: job.Request, types: strings.Join(spec.MachineTypes, " "), spot: spec.Spot, priority: job.Priority, service: spec.Kind == protocol.KindService, target: kind}
-	if kind == targetCached || kind == targetReady {
-		k.image = spec.Image // a machine takes only so many images at once
+	kind := taskKind{request: job.Request, types: strings.Join(spec.MachineTypes, " "), spot: spec.Spot, priority: job.Priority, service: spec.Kind == protocol.KindService, target: target}
+	if target == targetCached || target == targetReady {
+		kind.image = spec.Image // a machine takes only so many images at once
 	}
-	return k, true
+	return kind, true
 }
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -10,42 +10,42 @@
 // orderByFeasibility puts the jobs of a group that can be in time first, in the order they
 // are given, then the others, the smallest for what it counts first. It returns
 // the load after it. Where the order is fixed nothing is put behind.
-func orderByFeasibility(snapshot *Snapshot, idx []int, load float64, fixed bool, takes func(*Job) float64) float64 {
-	by := make(loadHeap, 0, len(idx))
-	late := make([]bool, len(idx))
-	var later []int
-	for k, jobIndex := range idx {
+func orderByFeasibility(snapshot *Snapshot, group []int, load float64, fixedOrder bool, loadOf func(*Job) float64) float64 {
+	feasible := make(loadHeap, 0, len(group))
+	isPostponed := make([]bool, len(group))
+	var postponed []int
+	for k, jobIndex := range group {
 		job := &snapshot.Jobs[jobIndex]
-		t := takes(job)
-		load += t
-		if fixed {
+		jobLoad := loadOf(job)
+		load += jobLoad
+		if fixedOrder {
 			continue
 		}
-		heap.Push(&by, heapEntry{k, t, t / math.Max(job.Weight, 1)})
+		heap.Push(&feasible, heapEntry{k, jobLoad, jobLoad / math.Max(job.Weight, 1)})
 		if load+job.EstimateS <= job.DeadlineS {
 			continue
 		}
-		big := heap.Pop(&by).(heapEntry)
-		load -= big.load
-		late[big.index] = true
-		later = append(later, big.index)
+		largest := heap.Pop(&feasible).(heapEntry)
+		load -= largest.load
+		isPostponed[largest.index] = true
+		postponed = append(postponed, largest.index)
 	}
-	if len(later) == 0 {
+	if len(postponed) == 0 {
 		return load
 	}
-	per := func(k int) float64 { job := &snapshot.Jobs[idx[k]]; return takes(job) / math.Max(job.Weight, 1) }
-	slices.SortFunc(later, func(a, b int) int { return cmp.Or(cmp.Compare(per(a), per(b)), cmp.Compare(a, b)) })
-	out := make([]int, 0, len(idx))
-	for k, jobIndex := range idx {
-		if !late[k] {
+	loadPerWeight := func(k int) float64 { job := &snapshot.Jobs[group[k]]; return loadOf(job) / math.Max(job.Weight, 1) }
+	slices.SortFunc(postponed, func(a, b int) int { return cmp.Or(cmp.Compare(loadPerWeight(a), loadPerWeight(b)), cmp.Compare(a, b)) })
+	out := make([]int, 0, len(group))
+	for k, jobIndex := range group {
+		if !isPostponed[k] {
 			out = append(out, jobIndex)
 		}
 	}
-	for _, k := range later {
-		out = append(out, idx[k])
-		load += takes(&snapshot.Jobs[idx[k]])
+	for _, k := range postponed {
+		out = append(out, group[k])
+		load += loadOf(&snapshot.Jobs[group[k]])
 	}
-	copy(idx, out)
+	copy(group, out)
 	return load
 }
 
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -13,11 +13,11 @@
 // is counted against the gang. If the gang has waited too long, what is free and
 // coming is kept for it: otherwise smaller ones take every machine that falls
 // free, and it never starts (all its machines must be free at once).
-func (p *planner) reserveForGang(jobIndex, n int, keepOff bool) (zone string, missing int) {
+func (p *planner) reserveForGang(jobIndex, tasks int, avoidGPUs bool) (zone string, unplaced int) {
 	job := &p.snapshot.Jobs[jobIndex]
 	spec := job.Spec
-	free, comes, whole := map[string]int{}, map[string]int{}, map[string]int{}
-	key := func(machine *Machine) string {
+	free, booting, total := map[string]int{}, map[string]int{}, map[string]int{}
+	zoneOf := func(machine *Machine) string {
 		if spec.OneZone {
 			return machine.Zone
 		}
@@ -25,60 +25,60 @@
 	}
 	for i := range p.pool {
 		machine := &p.pool[i]
-		if !p.eligible(machine, spec, nil, keepOff) {
+		if !p.eligible(machine, spec, nil, avoidGPUs) {
 			continue
 		}
-		whole[key(machine)] += p.snapshot.Types[machine.Type].Capacity.CapacityFor(job.Request)
+		total[zoneOf(machine)] += p.snapshot.Types[machine.Type].Capacity.CapacityFor(job.Request)
 		switch {
 		case machine.Schedulable:
-			free[key(machine)] += machine.Free.CapacityFor(job.Request)
+			free[zoneOf(machine)] += machine.Free.CapacityFor(job.Request)
 		case machine.Booting:
-			comes[key(machine)] += machine.Free.CapacityFor(job.Request)
+			booting[zoneOf(machine)] += machine.Free.CapacityFor(job.Request)
 		}
 	}
 	// Where the machines are too few for all of it, there must be more to rent.
-	can := map[string]bool{}
-	for z, k := range whole {
-		can[z] = k >= n
+	mayHost := map[string]bool{}
+	for candidateZone, count := range total {
+		mayHost[candidateZone] = count >= tasks
 	}
-	for ti := range p.snapshot.Types {
-		machineType := &p.snapshot.Types[ti]
-		if !TypeFits(machineType, spec) || (keepOff && machineType.Capacity.GPUs > 0) {
+	for typeIndex := range p.snapshot.Types {
+		machineType := &p.snapshot.Types[typeIndex]
+		if !TypeFits(machineType, spec) || (avoidGPUs && machineType.Capacity.GPUs > 0) {
 			continue
 		}
-		for _, z := range machineType.Zones {
-			if !p.snapshot.ExhaustedPools[CapacityPool{ti, z, false}] || (spec.Spot && !p.snapshot.ExhaustedPools[CapacityPool{ti, z, true}]) {
-				can[key(&Machine{Zone: z})] = true
+		for _, candidateZone := range machineType.Zones {
+			if !p.snapshot.ExhaustedPools[CapacityPool{typeIndex, candidateZone, false}] || (spec.Spot && !p.snapshot.ExhaustedPools[CapacityPool{typeIndex, candidateZone, true}]) {
+				mayHost[zoneOf(&Machine{Zone: candidateZone})] = true
 			}
 		}
 	}
-	best := -1
-	for _, z := range slices.Sorted(maps.Keys(can)) {
-		if got := min(n, free[z]+comes[z]); can[z] && (z == anyZone || ZoneCapacity(spec, nil, z) > 0) && (got > best || (got == best && whole[z] > whole[zone])) {
-			zone, best = z, got
+	bestCapacity := -1
+	for _, candidateZone := range slices.Sorted(maps.Keys(mayHost)) {
+		if capacity := min(tasks, free[candidateZone]+booting[candidateZone]); mayHost[candidateZone] && (candidateZone == anyZone || ZoneCapacity(spec, nil, candidateZone) > 0) && (capacity > bestCapacity || (capacity == bestCapacity && total[candidateZone] > total[zone])) {
+			zone, bestCapacity = candidateZone, capacity
 		}
 	}
-	if best <= 0 {
-		return "", n
+	if bestCapacity <= 0 {
+		return "", tasks
 	}
-	keep := job.StarvedS > 0
-	left := n
+	starved := job.StarvedS > 0
+	missing := tasks
 	for i := range p.pool {
 		machine := &p.pool[i]
-		if left == 0 {
+		if missing == 0 {
 			break
 		}
-		if key(machine) != zone || !(machine.Schedulable || machine.Booting) || !p.eligible(machine, spec, nil, keepOff) {
+		if zoneOf(machine) != zone || !(machine.Schedulable || machine.Booting) || !p.eligible(machine, spec, nil, avoidGPUs) {
 			continue
 		}
-		k := min(left, machine.Free.CapacityFor(job.Request))
-		if machine.Booting || keep {
-			machine.Free = machine.Free.Minus(job.Request, k)
+		count := min(missing, machine.Free.CapacityFor(job.Request))
+		if machine.Booting || starved {
+			machine.Free = machine.Free.Minus(job.Request, count)
 		}
-		if k > 0 && machine.Schedulable && keep {
+		if count > 0 && machine.Schedulable && starved {
 			p.reserved = append(p.reserved, i)
 		}
-		left -= k
+		missing -= count
 	}
-	return zone, left
+	return zone, missing
 }
--- a/internal/scheduler/invariants_test.go
+++ b/internal/scheduler/invariants_test.go
@@ -54,12 +54,12 @@
 			}
 		}
 		for k, f := range free {
-			if f.Cores < -eps || f.GPUs < -eps || f.MemGB < -eps {
+			if f.Cores < -epsilon || f.GPUs < -epsilon || f.MemGB < -epsilon {
 				t.Fatalf("snapshot %d: machine %d is overfull: %+v", i, k, f)
 			}
 		}
 		for k, u := range used {
-			if u.Max.Cores > 0 && u.Used.Cores > max(u.Max.Cores, snapshot.Teams[k].Used.Cores)+eps || u.Max.GPUs > 0 && u.Used.GPUs > max(u.Max.GPUs, snapshot.Teams[k].Used.GPUs)+eps {
+			if u.Max.Cores > 0 && u.Used.Cores > max(u.Max.Cores, snapshot.Teams[k].Used.Cores)+epsilon || u.Max.GPUs > 0 && u.Used.GPUs > max(u.Max.GPUs, snapshot.Teams[k].Used.GPUs)+epsilon {
 				t.Fatalf("snapshot %d: team %d uses %+v", i, k, u)
 			}
 		}
--- a/internal/scheduler/machinepool.go
+++ b/internal/scheduler/machinepool.go
@@ -15,7 +15,7 @@
 	}
 	for i := range p.pool {
 		machine := &p.pool[i]
-		if (machine.Schedulable || machine.Booting) && machine.Free.Cores >= least.Cores-eps && machine.Free.GPUs >= least.GPUs-eps && machine.Free.MemGB >= least.MemGB-eps {
+		if (machine.Schedulable || machine.Booting) && machine.Free.Cores >= least.Cores-epsilon && machine.Free.GPUs >= least.GPUs-epsilon && machine.Free.MemGB >= least.MemGB-epsilon {
 			p.withCapacity = append(p.withCapacity, i)
 		}
 		if machine.Schedulable && slices.ContainsFunc(machine.Tasks, func(r RunningTasks) bool { return p.snapshot.Jobs[r.Job].Priority > 0 }) {
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -12,55 +12,55 @@
 // time, the jobs that take the most room for what they count go behind the
 // others, so that the most are (Moore's rule).
 func Order(snapshot *Snapshot) []int {
-	idx := make([]int, len(snapshot.Jobs))
-	for i := range idx {
-		idx[i] = i
+	order := make([]int, len(snapshot.Jobs))
+	for i := range order {
+		order[i] = i
 	}
-	cores, gpus := heldCapacity(snapshot)
-	first := starvedFirst(snapshot, cores, gpus)
-	group := func(a, b int) int {
+	cores, gpus := provisionedCapacity(snapshot)
+	promoted := promoteStarved(snapshot, cores, gpus)
+	compareGroups := func(a, b int) int {
 		x, y := &snapshot.Jobs[a], &snapshot.Jobs[b]
 		return cmp.Or(
 			compareTrueFirst(x.Priority == 0, y.Priority == 0),
-			compareTrueFirst(first[a], first[b]),
+			compareTrueFirst(promoted[a], promoted[b]),
 			compareTrueFirst(x.Guaranteed, y.Guaranteed),
 			cmp.Compare(x.Priority, y.Priority),
 			compareTrueFirst(x.Request.GPUs > 0, y.Request.GPUs > 0))
 	}
-	slices.SortStableFunc(idx, func(a, b int) int {
+	slices.SortStableFunc(order, func(a, b int) int {
 		x, y := &snapshot.Jobs[a], &snapshot.Jobs[b]
-		if first[a] && first[b] {
+		if promoted[a] && promoted[b] {
 			return compareStarved(x, y) // production is never among them
 		}
-		return cmp.Or(group(a, b), cmp.Compare(x.DeadlineS, y.DeadlineS), cmp.Compare(x.ID, y.ID))
+		return cmp.Or(compareGroups(a, b), cmp.Compare(x.DeadlineS, y.DeadlineS), cmp.Compare(x.ID, y.ID))
 	})
 	load := 0.0 // time that the held machines need for what goes before
 	loadGPUs := 0.0
-	for i := 0; i < len(idx); {
-		n := i + 1
-		for n < len(idx) && group(idx[i], idx[n]) == 0 {
-			n++
+	for i := 0; i < len(order); {
+		end := i + 1
+		for end < len(order) && compareGroups(order[i], order[end]) == 0 {
+			end++
 		}
-		if snapshot.Jobs[idx[i]].Request.GPUs > 0 {
-			loadGPUs = orderByFeasibility(snapshot, idx[i:n], loadGPUs, first[idx[i]], func(job *Job) float64 { return job.remainingWork(job.Request.GPUs) / math.Max(gpus, 1) })
+		if snapshot.Jobs[order[i]].Request.GPUs > 0 {
+			loadGPUs = orderByFeasibility(snapshot, order[i:end], loadGPUs, promoted[order[i]], func(job *Job) float64 { return job.remainingWork(job.Request.GPUs) / math.Max(gpus, 1) })
 		} else {
-			load = orderByFeasibility(snapshot, idx[i:n], load, first[idx[i]], func(job *Job) float64 { return job.remainingWork(job.Request.Cores) / math.Max(cores, 1) })
+			load = orderByFeasibility(snapshot, order[i:end], load, promoted[order[i]], func(job *Job) float64 { return job.remainingWork(job.Request.Cores) / math.Max(cores, 1) })
 		}
-		i = n
+		i = end
 	}
-	return idx
+	return order
 }
 
 // heldCapacity is the size of the held machines: cores of those without GPUs, and
 // GPUs.
-func heldCapacity(snapshot *Snapshot) (cores, gpus float64) {
+func provisionedCapacity(snapshot *Snapshot) (cores, gpus float64) {
 	for i := range snapshot.Machines {
 		machine := &snapshot.Machines[i]
 		if machine.Schedulable || machine.Booting || len(machine.Tasks) > 0 {
-			t := snapshot.Types[machine.Type].Capacity
-			gpus += t.GPUs
-			if t.GPUs == 0 {
-				cores += t.Cores
+			capacity := snapshot.Types[machine.Type].Capacity
+			gpus += capacity.GPUs
+			if capacity.GPUs == 0 {
+				cores += capacity.Cores
 			}
 		}
 	}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -27,41 +27,41 @@
 
 // place puts up to n tasks on machines of the kind and returns how many found
 // room.
-func (p *planner) place(jobIndex, n int, zones map[string]int, keepOff, gang bool, kind int) int {
-	if n == 0 {
+func (p *planner) place(jobIndex, tasks int, tasksByZone map[string]int, avoidGPUs, gang bool, target int) int {
+	if tasks == 0 {
 		return 0
 	}
 	job := &p.snapshot.Jobs[jobIndex]
-	sig, like := p.taskKind(job, kind, !gang)
-	if like && p.exhaustedKinds[sig] {
+	taskKind, remembered := p.taskKind(job, target, !gang)
+	if remembered && p.exhaustedKinds[taskKind] {
 		return 0
 	}
-	candidates := p.candidates(job, zones, keepOff, kind)
+	candidates := p.candidates(job, tasksByZone, avoidGPUs, target)
 	var starts []Start
 	var placed int
 	if job.Spec.OneZone {
-		starts, placed = p.distributeInOneZone(jobIndex, n, zones, candidates)
+		starts, placed = p.distributeInOneZone(jobIndex, tasks, tasksByZone, candidates)
 	} else {
-		starts, placed = p.distribute(jobIndex, n, zones, candidates, "")
+		starts, placed = p.distribute(jobIndex, tasks, tasksByZone, candidates, "")
 	}
-	if like && placed < n {
-		p.exhaustedKinds[sig] = true
+	if remembered && placed < tasks {
+		p.exhaustedKinds[taskKind] = true
 	}
-	if gang && placed < n {
+	if gang && placed < tasks {
 		return 0
 	}
 	for _, start := range starts {
-		p.addStart(start, zones, kind)
+		p.addStart(start, tasksByZone, target)
 	}
 	return placed
 }
 
 // candidates lists the machines of a kind that have room for a task, the cheapest
 // first.
-func (p *planner) candidates(job *Job, zones map[string]int, keepOff bool, kind int) []candidate {
+func (p *planner) candidates(job *Job, tasksByZone map[string]int, avoidGPUs bool, target int) []candidate {
 	var out []candidate
 	for _, i := range p.withCapacity {
-		if c, ok := p.candidate(i, job, zones, keepOff, kind); ok {
+		if c, ok := p.candidate(i, job, tasksByZone, avoidGPUs, target); ok {
 			out = append(out, c)
 		}
 	}
@@ -74,13 +74,13 @@
 
 // candidate tells whether a machine of the pool is of the kind and has room for a task
 // of a job, and at what cost.
-func (p *planner) candidate(i int, job *Job, zones map[string]int, keepOff bool, kind int) (c candidate, ok bool) {
+func (p *planner) candidate(i int, job *Job, tasksByZone map[string]int, avoidGPUs bool, target int) (c candidate, ok bool) {
 	machine, spec := &p.pool[i], job.Spec
-	if (kind == targetBooting && !machine.Booting) || (kind != targetBooting && !machine.Schedulable) || !p.allowed(machine, spec) || (kind == targetCached && !machine.hasImage(spec.Image)) {
+	if (target == targetBooting && !machine.Booting) || (target != targetBooting && !machine.Schedulable) || !p.allowed(machine, spec) || (target == targetCached && !machine.hasImage(spec.Image)) {
 		return c, false
 	}
-	room := p.capacityOn(machine, job, keepOff)
-	if room == 0 || ZoneCapacity(spec, zones, machine.Zone) == 0 {
+	capacity := p.capacityOn(machine, job, avoidGPUs)
+	if capacity == 0 || ZoneCapacity(spec, tasksByZone, machine.Zone) == 0 {
 		return c, false
 	}
 	machineType := &p.snapshot.Types[machine.Type]
@@ -88,7 +88,7 @@
 	if !machine.hasImage(spec.Image) {
 		// Fetches share the rate: one after another the first are there
 		// sooner, and what waits meanwhile may find a better place.
-		if kind == targetReady && machine.PendingFetchGB > tuning.FetchAheadS*machineType.FetchGBps {
+		if target == targetReady && machine.PendingFetchGB > tuning.FetchAheadS*machineType.FetchGBps {
 			return c, false
 		}
 		estimate += fetchTimeS(machineType, spec)
@@ -97,28 +97,28 @@
 		}
 	}
 	share := 1 / float64(max(1, machineType.Capacity.CapacityFor(job.Request)))
-	left := machine.Free.Cores
+	tieBreak := machine.Free.Cores
 	if job.Request.GPUs > 0 {
-		left = machine.GPUIdleS // the last used, so that others are given back
+		tieBreak = machine.GPUIdleS // the last used, so that others are given back
 	}
-	return candidate{i, room, machineType.HourlyPrice(machine.Spot) * share * math.Max(estimate, 1), left}, true
+	return candidate{i, capacity, machineType.HourlyPrice(machine.Spot) * share * math.Max(estimate, 1), tieBreak}, true
 }
 
 // distribute divides up to n tasks over the candidates in their order, in one zone only
 // unless that is empty, and returns how many found room.
-func (p *planner) distribute(jobIndex, n int, zones map[string]int, candidates []candidate, only string) ([]Start, int) {
+func (p *planner) distribute(jobIndex, tasks int, tasksByZone map[string]int, candidates []candidate, onlyZone string) ([]Start, int) {
 	if len(candidates) == 0 {
 		return nil, 0
 	}
 	var starts []Start
-	inZone := maps.Clone(zones)
+	inZone := maps.Clone(tasksByZone)
 	if inZone == nil {
 		inZone = map[string]int{}
 	}
-	left := n
+	left := tasks
 	for _, c := range candidates {
 		zone := p.pool[c.machine].Zone
-		if only != "" && zone != only {
+		if onlyZone != "" && zone != onlyZone {
 			continue
 		}
 		count := min(left, c.capacity, ZoneCapacity(p.snapshot.Jobs[jobIndex].Spec, inZone, zone))
@@ -131,16 +131,16 @@
 			break
 		}
 	}
-	return starts, n - left
+	return starts, tasks - left
 }
 
 // distributeInOneZone takes the zone that takes the most tasks, and of those that take as
 // many the one with the least room, so that the other keeps what a larger gang will
 // need.
-func (p *planner) distributeInOneZone(jobIndex, n int, zones map[string]int, candidates []candidate) (best []Start, placed int) {
-	room := map[string]int{}
+func (p *planner) distributeInOneZone(jobIndex, tasks int, tasksByZone map[string]int, candidates []candidate) (best []Start, placed int) {
+	capacity := map[string]int{}
 	for _, c := range candidates {
-		room[p.pool[c.machine].Zone] += c.capacity
+		capacity[p.pool[c.machine].Zone] += c.capacity
 	}
 	seen, bestZone := map[string]bool{}, ""
 	for _, c := range candidates {
@@ -149,8 +149,8 @@
 			continue
 		}
 		seen[zone] = true
-		starts, count := p.distribute(jobIndex, n, zones, candidates, zone)
-		if count > placed || (count == placed && room[zone] < room[bestZone]) {
+		starts, count := p.distribute(jobIndex, tasks, tasksByZone, candidates, zone)
+		if count > placed || (count == placed && capacity[zone] < capacity[bestZone]) {
 			best, placed, bestZone = starts, count, zone
 		}
 	}
@@ -159,12 +159,12 @@
 
 // addStart enters a start in the plan and takes its room. Of machines that are not up yet
 // only the room is taken.
-func (p *planner) addStart(start Start, zones map[string]int, kind int) {
+func (p *planner) addStart(start Start, tasksByZone map[string]int, target int) {
 	job := &p.snapshot.Jobs[start.Job]
 	machine := &p.pool[start.Machine]
 	machine.Free = machine.Free.Minus(job.Request, start.Count)
-	zones[machine.Zone] += start.Count
-	if kind == targetBooting {
+	tasksByZone[machine.Zone] += start.Count
+	if target == targetBooting {
 		return
 	}
 	if !machine.hasImage(job.Spec.Image) {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -18,86 +18,86 @@
 // preempt stops the work of the lowest rank, on the machine where the least of
 // it is lost. What is already stopping counts as room to come. It returns for
 // how many tasks there will be room.
-func (p *planner) preempt(jobIndex, n int, zones map[string]int, keepOff, cached bool) int {
+func (p *planner) preempt(jobIndex, tasks int, tasksByZone map[string]int, avoidGPUs, needsImage bool) int {
 	job := &p.snapshot.Jobs[jobIndex]
-	if job.Spec.Kind == protocol.KindGang && n > 1 {
+	if job.Spec.Kind == protocol.KindGang && tasks > 1 {
 		return 0 // a gang starts whole: room for a part of it is of no use
 	}
-	if n == 0 {
+	if tasks == 0 {
 		return 0
 	}
-	sig, like := p.taskKind(job, targetPreempted, true)
-	if cached {
-		like = false
+	kind, remembered := p.taskKind(job, targetPreempted, true)
+	if needsImage {
+		remembered = false
 	}
-	if like && p.exhaustedKinds[sig] {
+	if remembered && p.exhaustedKinds[kind] {
 		return 0
 	}
-	made := 0
-	for _, v := range p.findVictims(jobIndex, zones, keepOff, cached) {
-		if made == n || ZoneCapacity(job.Spec, zones, p.pool[v.machine].Zone) == 0 {
+	preempted := 0
+	for _, v := range p.findVictims(jobIndex, tasksByZone, avoidGPUs, needsImage) {
+		if preempted == tasks || ZoneCapacity(job.Spec, tasksByZone, p.pool[v.machine].Zone) == 0 {
 			continue
 		}
-		made++
-		p.addPreemption(&v, job, zones)
+		preempted++
+		p.addPreemption(&v, job, tasksByZone)
 	}
-	if like && made < n {
-		p.exhaustedKinds[sig] = true
+	if remembered && preempted < tasks {
+		p.exhaustedKinds[kind] = true
 	}
-	return made
+	return preempted
 }
 
 // findVictims lists what could be stopped for a task of a job, the best first.
-func (p *planner) findVictims(jobIndex int, zones map[string]int, keepOff, cached bool) []victim {
+func (p *planner) findVictims(jobIndex int, tasksByZone map[string]int, avoidGPUs, needsImage bool) []victim {
 	job := &p.snapshot.Jobs[jobIndex]
-	var found []victim
+	var victims []victim
 	for _, i := range p.preemptible {
 		machine := &p.pool[i]
-		if !machine.Schedulable || !p.eligible(machine, job.Spec, zones, keepOff) || (cached && !machine.hasImage(job.Spec.Image)) {
+		if !machine.Schedulable || !p.eligible(machine, job.Spec, tasksByZone, avoidGPUs) || (needsImage && !machine.hasImage(job.Spec.Image)) {
 			continue
 		}
 		if v, ok := p.victimOn(i, jobIndex); ok {
-			found = append(found, v)
+			victims = append(victims, v)
 		}
 	}
 	// The lowest rank first: a task of an array that is stopped holds up its
 	// whole job, and among higher work that job has a deadline to lose.
-	slices.SortStableFunc(found, func(a, b victim) int {
+	slices.SortStableFunc(victims, func(a, b victim) int {
 		return cmp.Or(cmp.Compare(b.priority, a.priority), cmp.Compare(a.lostWork, b.lostWork))
 	})
-	return found
+	return victims
 }
 
 // victimOn finds out what has to be stopped on a machine for a task of a job, if that
 // makes enough room.
 func (p *planner) victimOn(i, jobIndex int) (victim, bool) {
 	job, machine := &p.snapshot.Jobs[jobIndex], &p.pool[i]
-	out := victim{machine: i, priority: LowestPriority}
+	result := victim{machine: i, priority: LowestPriority}
 	free := machine.Free
-	for _, r := range p.lowestPriorityFirst(machine.Tasks) {
-		v := &p.snapshot.Jobs[r.Job]
-		if free.CapacityFor(job.Request) > 0 || v.Priority <= job.Priority {
+	for _, running := range p.lowestPriorityFirst(machine.Tasks) {
+		lowerJob := &p.snapshot.Jobs[running.Job]
+		if free.CapacityFor(job.Request) > 0 || lowerJob.Priority <= job.Priority {
 			break
 		}
-		if p.servingOrder[r.Job] < p.servingOrder[jobIndex] {
+		if p.orderPosition[running.Job] < p.orderPosition[jobIndex] {
 			continue // it would take the room again at once
 		}
-		if v.Spec.Kind == protocol.KindGang && v.Spec.Tasks > 1 {
+		if lowerJob.Spec.Kind == protocol.KindGang && lowerJob.Spec.Tasks > 1 {
 			continue
 		}
-		free = free.Minus(v.Request, -r.Stopping)
+		free = free.Minus(lowerJob.Request, -running.Stopping)
 		count := 0
-		for r.Stopping+count < r.Count && free.CapacityFor(job.Request) == 0 {
-			free = free.Minus(v.Request, -1)
+		for running.Stopping+count < running.Count && free.CapacityFor(job.Request) == 0 {
+			free = free.Minus(lowerJob.Request, -1)
 			count++
 		}
 		if count > 0 {
-			out.lostWork += r.LostWorkS * v.Request.Cores * float64(count) / float64(r.Count)
-			out.priority = min(out.priority, v.Priority)
-			out.preemptions = append(out.preemptions, Preemption{i, r.Job, count})
+			result.lostWork += running.LostWorkS * lowerJob.Request.Cores * float64(count) / float64(running.Count)
+			result.priority = min(result.priority, lowerJob.Priority)
+			result.preemptions = append(result.preemptions, Preemption{i, running.Job, count})
 		}
 	}
-	return out, free.CapacityFor(job.Request) > 0
+	return result, free.CapacityFor(job.Request) > 0
 }
 
 // lowestPriorityFirst orders what runs on a machine, the lowest rank and the least loss first.
@@ -113,16 +113,16 @@
 }
 
 // addPreemption enters the stops in the plan. The room that they make is for one task of the job.
-func (p *planner) addPreemption(v *victim, job *Job, zones map[string]int) {
+func (p *planner) addPreemption(v *victim, job *Job, tasksByZone map[string]int) {
 	machine := &p.pool[v.machine]
-	for _, stop := range v.preemptions {
-		p.plan.Preemptions = append(p.plan.Preemptions, stop)
-		k := slices.IndexFunc(machine.Tasks, func(r RunningTasks) bool { return r.Job == stop.Job })
+	for _, preemption := range v.preemptions {
+		p.plan.Preemptions = append(p.plan.Preemptions, preemption)
+		k := slices.IndexFunc(machine.Tasks, func(running RunningTasks) bool { return running.Job == preemption.Job })
 		machine.Tasks = slices.Clone(machine.Tasks)
-		machine.Tasks[k].Stopping += stop.Count
-		machine.Free = machine.Free.Minus(p.snapshot.Jobs[stop.Job].Request, -stop.Count)
+		machine.Tasks[k].Stopping += preemption.Count
+		machine.Free = machine.Free.Minus(p.snapshot.Jobs[preemption.Job].Request, -preemption.Count)
 	}
 	machine.Free = machine.Free.Minus(job.Request, 1)
 	machine.Schedulable = false // its room is spoken for
-	zones[machine.Zone]++
+	tasksByZone[machine.Zone]++
 }
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -6,23 +6,23 @@
 	"marblehaven/internal/protocol"
 )
 
-const eps = 1e-9
+const epsilon = 1e-9
 
 // Resources is an amount of machine resources.
 type Resources struct{ Cores, GPUs, MemGB float64 }
 
 // Minus takes n times r away.
 func (a Resources) Minus(r Resources, n int) Resources {
-	f := float64(n)
-	return Resources{a.Cores - f*r.Cores, a.GPUs - f*r.GPUs, a.MemGB - f*r.MemGB}
+	count := float64(n)
+	return Resources{a.Cores - count*r.Cores, a.GPUs - count*r.GPUs, a.MemGB - count*r.MemGB}
 }
 
 // CapacityFor is how often need fits into a.
-func (a Resources) CapacityFor(need Resources) int {
+func (a Resources) CapacityFor(request Resources) int {
 	n := math.MaxInt32
-	for _, p := range [][2]float64{{a.Cores, need.Cores}, {a.GPUs, need.GPUs}, {a.MemGB, need.MemGB}} {
-		if p[1] > 0 {
-			n = min(n, int(math.Floor(p[0]/p[1]+eps)))
+	for _, pair := range [][2]float64{{a.Cores, request.Cores}, {a.GPUs, request.GPUs}, {a.MemGB, request.MemGB}} {
+		if pair[1] > 0 {
+			n = min(n, int(math.Floor(pair[0]/pair[1]+epsilon)))
 		}
 	}
 	return max(0, n)
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -4,13 +4,13 @@
 
 // scaleIn returns the machines that have been idle for long enough.
 func (p *planner) scaleIn() {
-	taken := make([]bool, len(p.snapshot.Machines))
-	for _, st := range p.plan.Starts {
-		taken[st.Machine] = true
+	inUse := make([]bool, len(p.snapshot.Machines))
+	for _, start := range p.plan.Starts {
+		inUse[start.Machine] = true
 	}
 	for _, i := range p.reserved {
-		if i < len(taken) {
-			taken[i] = true
+		if i < len(inUse) {
+			inUse[i] = true
 		}
 	}
 	for i := range p.snapshot.Machines {
@@ -19,7 +19,7 @@
 		if p.snapshot.Types[machine.Type].Capacity.GPUs > 0 {
 			idle = machine.GPUIdleS
 		}
-		if machine.Schedulable && machine.Empty && !taken[i] && idle >= p.snapshot.idleTimeout(machine) {
+		if machine.Schedulable && machine.Empty && !inUse[i] && idle >= p.snapshot.idleTimeout(machine) {
 			p.plan.ScaleIns = append(p.plan.ScaleIns, i)
 		}
 	}
@@ -31,9 +31,9 @@
 func (s *Snapshot) idleTimeout(machine *Machine) float64 {
 	machineType := &s.Types[machine.Type]
 	price := machineType.HourlyPrice(machine.Spot)
-	low := math.Min(price, machineType.Price)
+	lowestPrice := math.Min(price, machineType.Price)
 	if machineType.SpotPrice > 0 {
-		low = math.Min(low, machineType.SpotPrice)
+		lowestPrice = math.Min(lowestPrice, machineType.SpotPrice)
 	}
-	return s.IdleBootFactor * machineType.BootS * low / price
+	return s.IdleBootFactor * machineType.BootS * lowestPrice / price
 }
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -13,46 +13,46 @@
 // scaleOut asks for the cheapest offers that hold n tasks (P2), sized to them; what
 // a rented machine has left over counts as coming room for the jobs behind.
 // With in, only there: the rest of a gang is to come to where it has room.
-func (p *planner) scaleOut(jobIndex, n int, zones map[string]int, keepOff bool, in string) {
+func (p *planner) scaleOut(jobIndex, tasks int, tasksByZone map[string]int, avoidGPUs bool, gangZone string) {
 	job := &p.snapshot.Jobs[jobIndex]
 	spec := job.Spec
-	for n > 0 {
-		best, bestCost, bestSlots := CapacityPool{}, math.Inf(1), 0
-		for ti := range p.snapshot.Types {
-			machineType := &p.snapshot.Types[ti]
-			if !TypeFits(machineType, spec) || (keepOff && machineType.Capacity.GPUs > 0) {
+	for tasks > 0 {
+		best, bestCost, bestTasksPerMachine := CapacityPool{}, math.Inf(1), 0
+		for typeIndex := range p.snapshot.Types {
+			machineType := &p.snapshot.Types[typeIndex]
+			if !TypeFits(machineType, spec) || (avoidGPUs && machineType.Capacity.GPUs > 0) {
 				continue
 			}
-			slots := machineType.Capacity.CapacityFor(job.Request)
-			for _, z := range machineType.Zones {
-				k := min(n, ZoneCapacity(spec, zones, z))
-				if k == 0 || (in != "" && z != in) {
+			tasksPerMachine := machineType.Capacity.CapacityFor(job.Request)
+			for _, zone := range machineType.Zones {
+				zoneTasks := min(tasks, ZoneCapacity(spec, tasksByZone, zone))
+				if zoneTasks == 0 || (gangZone != "" && zone != gangZone) {
 					continue
 				}
 				for _, spot := range []bool{true, false} {
-					o := CapacityPool{ti, z, spot}
-					if (spot && !spec.Spot) || p.snapshot.ExhaustedPools[o] {
+					pool := CapacityPool{typeIndex, zone, spot}
+					if (spot && !spec.Spot) || p.snapshot.ExhaustedPools[pool] {
 						continue
 					}
-					cost := machineType.HourlyPrice(spot) * math.Ceil(float64(k)/float64(slots)) / float64(k)
-					if cost < bestCost-eps {
-						best, bestCost, bestSlots = o, cost, slots
+					cost := machineType.HourlyPrice(spot) * math.Ceil(float64(zoneTasks)/float64(tasksPerMachine)) / float64(zoneTasks)
+					if cost < bestCost-epsilon {
+						best, bestCost, bestTasksPerMachine = pool, cost, tasksPerMachine
 					}
 				}
 			}
 		}
-		if bestSlots == 0 {
+		if bestTasksPerMachine == 0 {
 			return
 		}
-		k := min(n, ZoneCapacity(spec, zones, best.Zone))
-		count := (k + bestSlots - 1) / bestSlots
-		for left := k; left > 0; left -= bestSlots {
+		zoneTasks := min(tasks, ZoneCapacity(spec, tasksByZone, best.Zone))
+		count := (zoneTasks + bestTasksPerMachine - 1) / bestTasksPerMachine
+		for left := zoneTasks; left > 0; left -= bestTasksPerMachine {
 			p.withCapacity = append(p.withCapacity, len(p.pool))
 			p.pool = append(p.pool, Machine{Type: best.Type, Zone: best.Zone, Spot: best.Spot, Booting: true,
-				Free: p.snapshot.Types[best.Type].Capacity.Minus(job.Request, min(left, bestSlots))})
+				Free: p.snapshot.Types[best.Type].Capacity.Minus(job.Request, min(left, bestTasksPerMachine))})
 		}
-		zones[best.Zone] += k
-		n -= k
+		tasksByZone[best.Zone] += zoneTasks
+		tasks -= zoneTasks
 		if job.Priority == 0 {
 			p.productionScaleOuts[best] += count
 		}
@@ -60,12 +60,12 @@
 	}
 }
 
-func (p *planner) addScaleOut(o CapacityPool, count int) {
+func (p *planner) addScaleOut(pool CapacityPool, count int) {
 	for i := range p.plan.ScaleOuts {
-		if p.plan.ScaleOuts[i].CapacityPool == o {
+		if p.plan.ScaleOuts[i].CapacityPool == pool {
 			p.plan.ScaleOuts[i].Count += count
 			return
 		}
 	}
-	p.plan.ScaleOuts = append(p.plan.ScaleOuts, ScaleOut{o, count})
+	p.plan.ScaleOuts = append(p.plan.ScaleOuts, ScaleOut{pool, count})
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -15,7 +15,7 @@
 	// pool is the machines with what this plan puts on them, and what it rents.
 	pool []Machine
 	// place in the order of each job: what comes before is never stopped.
-	servingOrder []int
+	orderPosition []int
 	// withCapacity lists the machines, of the pool, that have room for something that
 	// waits; victims those with work that could be stopped for production or
 	// for work with GPUs.
@@ -33,14 +33,14 @@
 	teams      []Team // with what this plan starts
 	// queuedCores and aheadGPUs are the waiting work, in need times seconds, that
 	// goes before for the held machines, of which heldCores and heldGPUs are the size.
-	queuedCores, queuedGPUs float64
-	heldCores, heldGPUs     float64
+	queuedCores, queuedGPUs           float64
+	provisionedCores, provisionedGPUs float64
 }
 
 // Decide makes the plan.
 func Decide(snapshot *Snapshot) Plan {
 	p := &planner{snapshot: snapshot, pool: slices.Clone(snapshot.Machines), exhaustedKinds: map[taskKind]bool{}, productionScaleOuts: map[CapacityPool]int{}, teams: slices.Clone(snapshot.Teams)}
-	p.heldCores, p.heldGPUs = heldCapacity(snapshot)
+	p.provisionedCores, p.provisionedGPUs = provisionedCapacity(snapshot)
 	p.indexMachines()
 	order := p.order()
 	for _, jobIndex := range order {
@@ -56,10 +56,10 @@
 // order sorts the jobs by who is served first and notes each one's place.
 func (p *planner) order() []int {
 	order := Order(p.snapshot)
-	p.servingOrder = make([]int, len(p.snapshot.Jobs))
+	p.orderPosition = make([]int, len(p.snapshot.Jobs))
 	for i, jobIndex := range order {
 		job := &p.snapshot.Jobs[jobIndex]
-		p.servingOrder[jobIndex] = i
+		p.orderPosition[jobIndex] = i
 		p.gpuWaits = p.gpuWaits || (job.Request.GPUs > 0 && job.Waiting > 0 && !job.BackingOff)
 	}
 	return order
@@ -72,35 +72,35 @@
 	if job.Waiting == 0 || job.BackingOff {
 		return
 	}
-	n := min(job.Waiting, tasksWithinQuota(&p.teams[job.Team], job.Request))
+	tasks := min(job.Waiting, tasksWithinQuota(&p.teams[job.Team], job.Request))
 	gang := job.Spec.Kind == protocol.KindGang
-	if n == 0 || (gang && n < job.Waiting) {
+	if tasks == 0 || (gang && tasks < job.Waiting) {
 		return
 	}
-	keepOff := avoidsGPUMachines(p.snapshot, job)
-	zones := map[string]int{}
-	maps.Copy(zones, job.RunningByZone)
+	avoidGPUs := avoidsGPUMachines(p.snapshot, job)
+	tasksByZone := map[string]int{}
+	maps.Copy(tasksByZone, job.RunningByZone)
 	if job.Priority == 0 && job.Spec.Kind == protocol.KindService {
-		n -= p.scheduleOnCachedImage(jobIndex, n, zones, keepOff)
+		tasks -= p.scheduleOnCachedImage(jobIndex, tasks, tasksByZone, avoidGPUs)
 	}
 	// Held machines first (P1): least price times estimate.
-	got := p.place(jobIndex, n, zones, keepOff, gang, targetReady)
-	p.chargeQuota(job, got)
-	if n -= got; n == 0 {
+	placed := p.place(jobIndex, tasks, tasksByZone, avoidGPUs, gang, targetReady)
+	p.chargeQuota(job, placed)
+	if tasks -= placed; tasks == 0 {
 		return
 	}
-	boot := bootTimeS(p.snapshot, job)
-	slack := p.slack(job, n, boot)
+	bootS := bootTimeS(p.snapshot, job)
+	slack := p.slack(job, tasks, bootS)
 	if job.Priority == 0 || job.Request.GPUs > 0 {
-		n -= p.preempt(jobIndex, n, zones, keepOff, false)
+		tasks -= p.preempt(jobIndex, tasks, tasksByZone, avoidGPUs, false)
 	}
-	in, all := anyZone, n // where the gang gathers
+	gangZone, missing := anyZone, tasks // where the gang gathers
 	if gang {
-		in, n = p.reserveForGang(jobIndex, n, keepOff)
+		gangZone, tasks = p.reserveForGang(jobIndex, tasks, avoidGPUs)
 	} else {
-		n -= p.place(jobIndex, n, zones, keepOff, false, targetBooting)
+		tasks -= p.place(jobIndex, tasks, tasksByZone, avoidGPUs, false, targetBooting)
 	}
-	if slack > 0 || n == 0 {
+	if slack > 0 || tasks == 0 {
 		return
 	}
 	p.plan.SlackSpent = append(p.plan.SlackSpent, jobIndex)
@@ -108,16 +108,16 @@
 	// (Algorithm 1, steps 12-14: wait for the machine that is free soon).
 	// This holds for work with GPUs, whose machines are dear and take one
 	// task each; small work is spread over all that can be had.
-	if p.snapshot.MayScaleOut && (job.Request.GPUs == 0 || p.gpuWaitS(job, all, in) > boot) {
-		p.scaleOut(jobIndex, n, zones, keepOff, in)
+	if p.snapshot.MayScaleOut && (job.Request.GPUs == 0 || p.gpuWaitS(job, missing, gangZone) > bootS) {
+		p.scaleOut(jobIndex, tasks, tasksByZone, avoidGPUs, gangZone)
 	}
 }
 
 // scheduleOnCachedImage places player-facing work where its image is, even if lower work has
 // to be stopped there: a fetch takes longer than it may wait. It returns for how many
 // tasks there is or will be room.
-func (p *planner) scheduleOnCachedImage(jobIndex, n int, zones map[string]int, keepOff bool) int {
-	got := p.place(jobIndex, n, zones, keepOff, false, targetCached)
-	p.chargeQuota(&p.snapshot.Jobs[jobIndex], got)
-	return got + p.preempt(jobIndex, n-got, zones, keepOff, true)
+func (p *planner) scheduleOnCachedImage(jobIndex, tasks int, tasksByZone map[string]int, avoidGPUs bool) int {
+	placed := p.place(jobIndex, tasks, tasksByZone, avoidGPUs, false, targetCached)
+	p.chargeQuota(&p.snapshot.Jobs[jobIndex], placed)
+	return placed + p.preempt(jobIndex, tasks-placed, tasksByZone, avoidGPUs, true)
 }
--- a/internal/scheduler/slack.go
+++ b/internal/scheduler/slack.go
@@ -9,26 +9,26 @@
 // slack is W_k of a job of which n tasks find no room, with the boot that a rental
 // would take. The estimate includes what waits ahead for the same held room, so that
 // W_k is spent while renting still helps.
-func (p *planner) slack(job *Job, n int, boot float64) float64 {
-	const longest = 1e6 // seconds; without held machines the queue has no end
-	work := float64(n) * job.EstimateS
+func (p *planner) slack(job *Job, tasks int, boot float64) float64 {
+	const longestQueueS = 1e6 // seconds; without held machines the queue has no end
+	work := float64(tasks) * job.EstimateS
 	queue := 0.0
 	if job.Request.GPUs > 0 {
 		p.queuedGPUs += work * job.Request.GPUs
-		queue = p.queuedGPUs / math.Max(p.heldGPUs, eps)
+		queue = p.queuedGPUs / math.Max(p.provisionedGPUs, epsilon)
 	} else {
 		p.queuedCores += work * job.Request.Cores
-		queue = p.queuedCores / math.Max(p.heldCores, eps)
+		queue = p.queuedCores / math.Max(p.provisionedCores, epsilon)
 	}
-	return math.Max(0, job.DeadlineS-p.snapshot.Rho*(job.EstimateS+math.Min(queue, longest))-boot)
+	return math.Max(0, job.DeadlineS-p.snapshot.Rho*(job.EstimateS+math.Min(queue, longestQueueS))-boot)
 }
 
 func bootTimeS(snapshot *Snapshot, job *Job) float64 {
-	best, boot := math.Inf(1), 0.0
+	lowestPrice, boot := math.Inf(1), 0.0
 	for i := range snapshot.Types {
 		machineType := &snapshot.Types[i]
-		if TypeFits(machineType, job.Spec) && machineType.Price < best {
-			best, boot = machineType.Price, machineType.BootS+fetchTimeS(machineType, job.Spec)
+		if TypeFits(machineType, job.Spec) && machineType.Price < lowestPrice {
+			lowestPrice, boot = machineType.Price, machineType.BootS+fetchTimeS(machineType, job.Spec)
 		}
 	}
 	return boot
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -8,42 +8,42 @@
 // starvedFirst picks the jobs that have waited too long, the longest first, as long
 // as what waits of them fits into a part of the held machines: without the bound
 // an overload would turn all into a queue in which everything is late.
-func starvedFirst(snapshot *Snapshot, cores, gpus float64) []bool {
-	first := make([]bool, len(snapshot.Jobs))
-	var old []int
+func promoteStarved(snapshot *Snapshot, cores, gpus float64) []bool {
+	promoted := make([]bool, len(snapshot.Jobs))
+	var starved []int
 	for i := range snapshot.Jobs {
 		if job := &snapshot.Jobs[i]; job.StarvedS > 0 && job.Waiting > 0 && !job.BackingOff && job.Priority > 0 {
-			old = append(old, i)
+			starved = append(starved, i)
 		}
 	}
-	slices.SortFunc(old, func(a, b int) int { return compareStarved(&snapshot.Jobs[a], &snapshot.Jobs[b]) })
+	slices.SortFunc(starved, func(a, b int) int { return compareStarved(&snapshot.Jobs[a], &snapshot.Jobs[b]) })
 	leftCores, leftGPUs := cores*snapshot.StarvationShare, gpus*snapshot.StarvationShare
-	idle := cores * snapshot.StarvationShareIdle // of the lowest rank, with what of it runs
+	leftIdleCores := cores * snapshot.StarvationShareIdle // of the lowest rank, with what of it runs
 	for i := range snapshot.Jobs {
 		if job := &snapshot.Jobs[i]; job.Priority == LowestPriority && job.Request.GPUs == 0 {
-			idle -= job.Request.Cores * float64(job.Running)
+			leftIdleCores -= job.Request.Cores * float64(job.Running)
 		}
 	}
-	anyCores, anyGPUs := false, false
-	for _, i := range old {
+	anyOnCores, anyOnGPUs := false, false
+	for _, i := range starved {
 		job := &snapshot.Jobs[i]
-		n := float64(job.Waiting)
+		waiting := float64(job.Waiting)
 		if job.Priority == LowestPriority && job.Request.GPUs == 0 {
-			if idle <= 0 {
+			if leftIdleCores <= 0 {
 				continue
 			}
-			idle -= job.Request.Cores * n
+			leftIdleCores -= job.Request.Cores * waiting
 		}
-		left, some, need := &leftCores, &anyCores, job.Request.Cores
+		left, anyPromoted, request := &leftCores, &anyOnCores, job.Request.Cores
 		if job.Request.GPUs > 0 {
-			left, some, need = &leftGPUs, &anyGPUs, job.Request.GPUs
+			left, anyPromoted, request = &leftGPUs, &anyOnGPUs, job.Request.GPUs
 		}
-		if !*some || need*n <= *left {
-			first[i], *some = true, true
-			*left -= need * n
+		if !*anyPromoted || request*waiting <= *left {
+			promoted[i], *anyPromoted = true, true
+			*left -= request * waiting
 		}
 	}
-	return first
+	return promoted
 }
 
 // compareStarved orders jobs that have waited too long, the longest first. Those that
