--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -7,69 +7,90 @@
 	"slices"
 )
 
-// orderByFeasibility puts the jobs of a group that can be in time first, in the order they
-// are given, then the others, the smallest for what it counts first. It returns
-// the load after it. Where the order is fixed nothing is put behind.
-func orderByFeasibility(snapshot *Snapshot, group []int, load float64, fixedOrder bool, loadOf func(*Job) float64) float64 {
-	feasible := make(loadHeap, 0, len(group))
-	isPostponed := make([]bool, len(group))
-	var postponed []int
-	for k, jobIndex := range group {
-		job := &snapshot.Jobs[jobIndex]
+// orderByFeasibility rearranges a class of jobs, which comes in the order of deadlines,
+// so that as many as possible are in time (the Moore-Hodgson rule, weighted): jobs
+// that can be in time stay in their order, the others follow, the least load for its
+// weight first. load is the time that the machines need for all classes before, and
+// loadOf the time that they need for one job; the load after the class is returned.
+func orderByFeasibility(jobs []Job, class []int, load float64, loadOf func(*Job) float64) float64 {
+	feasibleLoad, postponed := postponeLargest(jobs, class, load, loadOf)
+	if len(postponed) == 0 {
+		return feasibleLoad
+	}
+	slices.SortFunc(postponed, func(a, b postponedJob) int {
+		return cmp.Or(cmp.Compare(a.loadPerWeight, b.loadPerWeight), cmp.Compare(a.position, b.position))
+	})
+	isPostponed := make([]bool, len(class))
+	for _, late := range postponed {
+		isPostponed[late.position] = true
+	}
+	reordered := make([]int, 0, len(class))
+	for position, jobIndex := range class {
+		if !isPostponed[position] {
+			reordered = append(reordered, jobIndex)
+		}
+	}
+	for _, late := range postponed {
+		reordered = append(reordered, class[late.position])
+		feasibleLoad += late.load
+	}
+	copy(class, reordered)
+	return feasibleLoad
+}
+
+// postponeLargest goes through the class and, whenever a job would be late, postpones
+// the job of those so far that has the largest load for its weight. It returns the
+// load with the jobs that are left, and those that were postponed.
+func postponeLargest(jobs []Job, class []int, load float64, loadOf func(*Job) float64) (float64, []postponedJob) {
+	feasible := make(loadHeap, 0, len(class))
+	var postponed []postponedJob
+	for position, jobIndex := range class {
+		job := &jobs[jobIndex]
 		jobLoad := loadOf(job)
 		load += jobLoad
-		if fixedOrder {
-			continue
-		}
-		heap.Push(&feasible, heapEntry{k, jobLoad, jobLoad / math.Max(job.Weight, 1)})
+		heap.Push(&feasible, postponedJob{position, jobLoad, jobLoad / math.Max(job.Weight, 1)})
 		if load+job.EstimateS <= job.DeadlineS {
 			continue
 		}
-		largest := heap.Pop(&feasible).(heapEntry)
+		largest := heap.Pop(&feasible).(postponedJob)
 		load -= largest.load
-		isPostponed[largest.index] = true
-		postponed = append(postponed, largest.index)
-	}
-	if len(postponed) == 0 {
-		return load
+		postponed = append(postponed, largest)
 	}
-	loadPerWeight := func(k int) float64 { job := &snapshot.Jobs[group[k]]; return loadOf(job) / math.Max(job.Weight, 1) }
-	slices.SortFunc(postponed, func(a, b int) int { return cmp.Or(cmp.Compare(loadPerWeight(a), loadPerWeight(b)), cmp.Compare(a, b)) })
-	out := make([]int, 0, len(group))
-	for k, jobIndex := range group {
-		if !isPostponed[k] {
-			out = append(out, jobIndex)
-		}
-	}
-	for _, k := range postponed {
-		out = append(out, group[k])
-		load += loadOf(&snapshot.Jobs[group[k]])
+	return load, postponed
+}
+
+// addLoads returns the load after a class whose order stays as it is.
+func addLoads(jobs []Job, class []int, load float64, loadOf func(*Job) float64) float64 {
+	for _, jobIndex := range class {
+		load += loadOf(&jobs[jobIndex])
 	}
-	copy(group, out)
 	return load
 }
 
-// heapEntry is the k-th job of a group with its load, in all and for each that
-// counts; largest is a heap with the largest, and of equals the last, on top.
-type heapEntry struct {
-	index               int
+// postponedJob is a job that is or may be postponed, by its position in the class.
+type postponedJob struct {
+	position            int
 	load, loadPerWeight float64
 }
 
-type loadHeap []heapEntry
+// loadHeap has the largest load for its weight on top, of equal ones the last.
+type loadHeap []postponedJob
 
-func (l loadHeap) Len() int { return len(l) }
+func (h loadHeap) Len() int { return len(h) }
 
-func (l loadHeap) Less(a, b int) bool {
-	return l[a].loadPerWeight > l[b].loadPerWeight || (l[a].loadPerWeight == l[b].loadPerWeight && l[a].index > l[b].index)
+func (h loadHeap) Less(a, b int) bool {
+	return h[a].loadPerWeight > h[b].loadPerWeight || (h[a].loadPerWeight == h[b].loadPerWeight && h[a].position > h[b].position)
 }
 
-func (l loadHeap) Swap(a, b int) { l[a], l[b] = l[b], l[a] }
+func (h loadHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-func (l *loadHeap) Push(x any) { *l = append(*l, x.(heapEntry)) }
+// Push is for container/heap.
+func (h *loadHeap) Push(x any) { *h = append(*h, x.(postponedJob)) }
 
-func (l *loadHeap) Pop() any {
-	x := (*l)[len(*l)-1]
-	*l = (*l)[:len(*l)-1]
-	return x
+// Pop is for container/heap.
+func (h *loadHeap) Pop() any {
+	last := len(*h) - 1
+	popped := (*h)[last]
+	*h = (*h)[:last]
+	return popped
 }
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -6,65 +6,121 @@
 	"slices"
 )
 
-// Order sorts job indices by who is served first: player-facing production
-// work, then what has waited too long, then work within a guarantee, then rank.
-// Among equals the earliest deadline goes first, but where not all can be in
-// time, the jobs that take the most room for what they count go behind the
-// others, so that the most are (Moore's rule).
+// Order returns the indices of the jobs in the order in which they are scheduled:
+// production first, then starved jobs (see promoteStarved), then jobs within their
+// team's guaranteed quota, then by priority, with work that needs GPUs before other
+// work of the same priority. Jobs that are equal in all of this form a class; within a
+// class the earliest deadline goes first, except that jobs which cannot all be in time
+// are rearranged by orderByFeasibility.
 func Order(snapshot *Snapshot) []int {
+	o := newOrdering(snapshot)
 	order := make([]int, len(snapshot.Jobs))
 	for i := range order {
 		order[i] = i
 	}
-	cores, gpus := provisionedCapacity(snapshot)
-	promoted := promoteStarved(snapshot, cores, gpus)
-	compareGroups := func(a, b int) int {
-		x, y := &snapshot.Jobs[a], &snapshot.Jobs[b]
-		return cmp.Or(
-			compareTrueFirst(x.Priority == 0, y.Priority == 0),
-			compareTrueFirst(promoted[a], promoted[b]),
-			compareTrueFirst(x.Guaranteed, y.Guaranteed),
-			cmp.Compare(x.Priority, y.Priority),
-			compareTrueFirst(x.Request.GPUs > 0, y.Request.GPUs > 0))
+	slices.SortStableFunc(order, o.compare)
+	o.postponeInfeasible(order)
+	return order
+}
+
+// ordering holds what the comparison of two jobs depends on.
+type ordering struct {
+	snapshot    *Snapshot
+	provisioned provisionedCapacity
+	promoted    []bool // by job: starved, and within the share for starved jobs
+}
+
+func newOrdering(snapshot *Snapshot) *ordering {
+	provisioned := provisionedCapacityOf(snapshot)
+	return &ordering{snapshot: snapshot, provisioned: provisioned, promoted: promoteStarved(snapshot, provisioned)}
+}
+
+// compareClasses orders two jobs by their classes; 0 means that they share one.
+func (o *ordering) compareClasses(a, b int) int {
+	x, y := &o.snapshot.Jobs[a], &o.snapshot.Jobs[b]
+	return cmp.Or(
+		compareTrueFirst(x.isProduction(), y.isProduction()),
+		compareTrueFirst(o.promoted[a], o.promoted[b]),
+		compareTrueFirst(x.Guaranteed, y.Guaranteed),
+		cmp.Compare(x.Priority, y.Priority),
+		compareTrueFirst(x.needsGPUs(), y.needsGPUs()))
+}
+
+// compare orders two jobs before infeasible ones are postponed. Promoted jobs keep to
+// the order of their starvation, across classes; production is never among them.
+func (o *ordering) compare(a, b int) int {
+	x, y := &o.snapshot.Jobs[a], &o.snapshot.Jobs[b]
+	if o.promoted[a] && o.promoted[b] {
+		return compareStarved(x, y)
 	}
-	slices.SortStableFunc(order, func(a, b int) int {
-		x, y := &snapshot.Jobs[a], &snapshot.Jobs[b]
-		if promoted[a] && promoted[b] {
-			return compareStarved(x, y) // production is never among them
-		}
-		return cmp.Or(compareGroups(a, b), cmp.Compare(x.DeadlineS, y.DeadlineS), cmp.Compare(x.ID, y.ID))
-	})
-	load := 0.0 // time that the held machines need for what goes before
-	loadGPUs := 0.0
-	for i := 0; i < len(order); {
-		end := i + 1
-		for end < len(order) && compareGroups(order[i], order[end]) == 0 {
-			end++
+	return cmp.Or(o.compareClasses(a, b), cmp.Compare(x.DeadlineS, y.DeadlineS), cmp.Compare(x.ID, y.ID))
+}
+
+// postponeInfeasible rearranges each class of the order by feasibility. The load of all
+// classes before counts, apart for machines with GPUs and without. Promoted jobs keep
+// their order: they go first because they waited, whether they are in time or not.
+func (o *ordering) postponeInfeasible(order []int) {
+	loadS, gpuLoadS := 0.0, 0.0
+	for first := 0; first < len(order); {
+		end := o.endOfClass(order, first)
+		class := order[first:end]
+		load, loadOf := &loadS, o.loadOnCores
+		if o.snapshot.Jobs[class[0]].needsGPUs() {
+			load, loadOf = &gpuLoadS, o.loadOnGPUs
 		}
-		if snapshot.Jobs[order[i]].Request.GPUs > 0 {
-			loadGPUs = orderByFeasibility(snapshot, order[i:end], loadGPUs, promoted[order[i]], func(job *Job) float64 { return job.remainingWork(job.Request.GPUs) / math.Max(gpus, 1) })
+		if o.promoted[class[0]] {
+			*load = addLoads(o.snapshot.Jobs, class, *load, loadOf)
 		} else {
-			load = orderByFeasibility(snapshot, order[i:end], load, promoted[order[i]], func(job *Job) float64 { return job.remainingWork(job.Request.Cores) / math.Max(cores, 1) })
+			*load = orderByFeasibility(o.snapshot.Jobs, class, *load, loadOf)
 		}
-		i = end
+		first = end
 	}
-	return order
 }
 
-// heldCapacity is the size of the held machines: cores of those without GPUs, and
-// GPUs.
-func provisionedCapacity(snapshot *Snapshot) (cores, gpus float64) {
+// endOfClass returns the index behind the last job of the class that begins at first.
+func (o *ordering) endOfClass(order []int, first int) int {
+	end := first + 1
+	for end < len(order) && o.compareClasses(order[first], order[end]) == 0 {
+		end++
+	}
+	return end
+}
+
+// loadOnCores is how long all provisioned cores together take for a job, in seconds.
+func (o *ordering) loadOnCores(job *Job) float64 {
+	return job.remainingWork(job.Request.Cores) / math.Max(o.provisioned.cores, 1)
+}
+
+// loadOnGPUs is how long all provisioned GPUs together take for a job, in seconds.
+func (o *ordering) loadOnGPUs(job *Job) float64 {
+	return job.remainingWork(job.Request.GPUs) / math.Max(o.provisioned.gpus, 1)
+}
+
+// provisionedCapacity is the size of the machines that are up or booting: GPUs, and
+// the cores of machines without GPUs. Cores beside GPUs do not count, since other
+// work gets only what GPU work leaves over there.
+type provisionedCapacity struct{ cores, gpus float64 }
+
+func provisionedCapacityOf(snapshot *Snapshot) provisionedCapacity {
+	var total provisionedCapacity
 	for i := range snapshot.Machines {
 		machine := &snapshot.Machines[i]
-		if machine.Schedulable || machine.Booting || len(machine.Tasks) > 0 {
-			capacity := snapshot.Types[machine.Type].Capacity
-			gpus += capacity.GPUs
-			if capacity.GPUs == 0 {
-				cores += capacity.Cores
-			}
+		if !machine.acceptsTasks() && len(machine.Tasks) == 0 {
+			continue
+		}
+		capacity := snapshot.typeOf(machine).Capacity
+		total.gpus += capacity.GPUs
+		if capacity.GPUs == 0 {
+			total.cores += capacity.Cores
 		}
 	}
-	return cores, gpus
+	return total
+}
+
+// remainingWork is what is left to do of the job, in units of the request times
+// seconds. Tasks that run are taken to be half done.
+func (j *Job) remainingWork(request float64) float64 {
+	return (float64(j.Waiting) + float64(j.Running)/2) * j.EstimateS * request
 }
 
 func compareTrueFirst(x, y bool) int {
@@ -76,8 +132,3 @@
 	}
 	return 1
 }
-
-// remainingWork is what is left to do of the job, in need times seconds.
-func (j *Job) remainingWork(need float64) float64 {
-	return (float64(j.Waiting) + float64(j.Running)/2) * j.EstimateS * need
-}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -32,15 +32,15 @@
 	gpuFreeInS []float64
 	teams      []Team // with what this plan starts
 	// queuedCores and aheadGPUs are the waiting work, in need times seconds, that
-	// goes before for the held machines, of which heldCores and heldGPUs are the size.
-	queuedCores, queuedGPUs           float64
-	provisionedCores, provisionedGPUs float64
+	// goes before for the held machines, of which provisioned is the size.
+	queuedCores, queuedGPUs float64
+	provisioned             provisionedCapacity
 }
 
 // Decide makes the plan.
 func Decide(snapshot *Snapshot) Plan {
 	p := &planner{snapshot: snapshot, pool: slices.Clone(snapshot.Machines), exhaustedKinds: map[taskKind]bool{}, productionScaleOuts: map[CapacityPool]int{}, teams: slices.Clone(snapshot.Teams)}
-	p.provisionedCores, p.provisionedGPUs = provisionedCapacity(snapshot)
+	p.provisioned = provisionedCapacityOf(snapshot)
 	p.indexMachines()
 	order := p.order()
 	for _, jobIndex := range order {
@@ -73,7 +73,7 @@
 		return
 	}
 	tasks := min(job.Waiting, tasksWithinQuota(&p.teams[job.Team], job.Request))
-	gang := job.Spec.Kind == protocol.KindGang
+	gang := job.isGang()
 	if tasks == 0 || (gang && tasks < job.Waiting) {
 		return
 	}
--- a/internal/scheduler/slack.go
+++ b/internal/scheduler/slack.go
@@ -15,10 +15,10 @@
 	queue := 0.0
 	if job.Request.GPUs > 0 {
 		p.queuedGPUs += work * job.Request.GPUs
-		queue = p.queuedGPUs / math.Max(p.provisionedGPUs, epsilon)
+		queue = p.queuedGPUs / math.Max(p.provisioned.gpus, epsilon)
 	} else {
 		p.queuedCores += work * job.Request.Cores
-		queue = p.queuedCores / math.Max(p.provisionedCores, epsilon)
+		queue = p.queuedCores / math.Max(p.provisioned.cores, epsilon)
 	}
 	return math.Max(0, job.DeadlineS-p.snapshot.Rho*(job.EstimateS+math.Min(queue, longestQueueS))-boot)
 }
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -107,3 +107,18 @@
 	GPUPriority protocol.PriorityLevel
 	GPURequest  Resources
 }
+
+// typeOf is the type of a machine.
+func (s *Snapshot) typeOf(machine *Machine) *MachineType { return &s.Types[machine.Type] }
+
+// acceptsTasks tells whether the machine can be given tasks, now or once it is up.
+func (m *Machine) acceptsTasks() bool { return m.Schedulable || m.Booting }
+
+// hasStartableTasks tells whether tasks of the job wait and may be started.
+func (j *Job) hasStartableTasks() bool { return j.Waiting > 0 && !j.BackingOff }
+
+func (j *Job) isProduction() bool { return j.Priority == protocol.LevelProduction }
+
+func (j *Job) needsGPUs() bool { return j.Request.GPUs > 0 }
+
+func (j *Job) isGang() bool { return j.Spec.Kind == protocol.KindGang }
