--- a/internal/scheduler/exhausted.go
+++ b/internal/scheduler/exhausted.go
@@ -6,26 +6,55 @@
 	"marblehaven/internal/protocol"
 )
 
-// taskKind is what the search for room depends on. Only kinds without
-// conditions on zones and numbers are remembered.
+// taskKind is all that a search for capacity depends on. Tasks of one kind are alike:
+// where one found nothing, the next finds nothing either.
 type taskKind struct {
-	request  Resources
-	types    string
-	spot     bool
-	priority protocol.PriorityLevel
-	service  bool
-	target   int
-	image    string
+	request      Resources
+	machineTypes string
+	spot         bool
+	priority     protocol.PriorityLevel
+	service      bool
+	target       placementTarget
+	image        string
 }
 
-func (p *planner) taskKind(job *Job, target int, unconditional bool) (taskKind, bool) {
-	spec := job.Spec
-	if spec.OneZone || spec.Spread || spec.Zone != "" || !unconditional {
-		return taskKind{}, false
+// exhaustedKinds remembers the kinds of tasks for which no capacity was left. Capacity
+// only shrinks within a plan, so searches for the same kind can be left out.
+type exhaustedKinds map[taskKind]bool
+
+// contains tells whether a search for tasks of the job is known to find nothing.
+func (e exhaustedKinds) contains(job *pendingJob, target placementTarget) bool {
+	return hasPlainKind(job, target) && e[kindOf(job, target)]
+}
+
+// add remembers that a search for tasks of the job found too little.
+func (e exhaustedKinds) add(job *pendingJob, target placementTarget) {
+	if hasPlainKind(job, target) {
+		e[kindOf(job, target)] = true
+	}
+}
+
+// hasPlainKind tells whether the search depends on nothing but the kind. Conditions on
+// zones make it depend on where the job's other tasks are, and a gang finds nothing
+// where its tasks have no place together. Preemption is for single tasks of gangs only.
+func hasPlainKind(job *pendingJob, target placementTarget) bool {
+	if job.isGang() && target != targetPreempted {
+		return false
+	}
+	return !job.Spec.OneZone && !job.Spec.Spread && job.Spec.Zone == ""
+}
+
+func kindOf(job *pendingJob, target placementTarget) taskKind {
+	kind := taskKind{
+		request:      job.Request,
+		machineTypes: strings.Join(job.Spec.MachineTypes, " "),
+		spot:         job.Spec.Spot,
+		priority:     job.Priority,
+		service:      job.Spec.Kind == protocol.KindService,
+		target:       target,
 	}
-	kind := taskKind{request: job.Request, types: strings.Join(spec.MachineTypes, " "), spot: spec.Spot, priority: job.Priority, service: spec.Kind == protocol.KindService, target: target}
 	if target == targetCached || target == targetReady {
-		kind.image = spec.Image // a machine takes only so many images at once
+		kind.image = job.Spec.Image // a machine fetches only so many images at once
 	}
-	return kind, true
+	return kind
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -5,80 +5,133 @@
 	"slices"
 )
 
-// anyZone is the zone of a gang without need for one.
-const anyZone = ""
+// gangCapacity is what a zone has for a gang, in tasks.
+type gangCapacity struct {
+	free    int // on machines that are up
+	booting int // on machines that are booting
+	total   int // on all eligible machines if they were empty
+	// canScaleOut tells whether machines can be added there.
+	canScaleOut bool
+}
 
-// reserveForGang looks for the zone in which the most room for a gang is free or coming,
-// and returns it with the number of tasks that find none there. What is coming
-// is counted against the gang. If the gang has waited too long, what is free and
-// coming is kept for it: otherwise smaller ones take every machine that falls
-// free, and it never starts (all its machines must be free at once).
-func (p *planner) reserveForGang(jobIndex, tasks int, avoidGPUs bool) (zone string, unplaced int) {
-	job := &p.snapshot.Jobs[jobIndex]
-	spec := job.Spec
-	free, booting, total := map[string]int{}, map[string]int{}, map[string]int{}
-	zoneOf := func(machine *Machine) string {
-		if spec.OneZone {
-			return machine.Zone
-		}
-		return anyZone
+// canHost tells whether all tasks can be in the zone sooner or later.
+func (c *gangCapacity) canHost(tasks int) bool { return c.total >= tasks || c.canScaleOut }
+
+// available is how many of the tasks find capacity that is free or booting.
+func (c *gangCapacity) available(tasks int) int { return min(tasks, c.free+c.booting) }
+
+// reserveForGang chooses the zone in which a gang gathers and counts the gang against
+// the booting capacity there. It returns the zone and how many tasks find no capacity
+// there, free or booting.
+//
+// A starved gang also gets what is free reserved: all of its machines must be free at
+// once, and otherwise smaller jobs take every machine that falls free, so that the
+// gang never starts.
+func (p *planner) reserveForGang(job *pendingJob, tasks int) (zone zoneConstraint, unplaced int) {
+	zone, found := p.chooseGangZone(job, tasks)
+	if !found {
+		return anyZone, tasks
 	}
-	for i := range p.pool {
-		machine := &p.pool[i]
-		if !p.eligible(machine, spec, nil, avoidGPUs) {
+	return zone, p.reserveInZone(job, tasks, zone)
+}
+
+// chooseGangZone picks the zone with the most capacity free or booting, of equal ones
+// that with the larger machines in total. No zone is found if there is none of either.
+func (p *planner) chooseGangZone(job *pendingJob, tasks int) (best zoneConstraint, found bool) {
+	capacities := p.gangCapacities(job)
+	bestAvailable := 0
+	for _, zone := range slices.Sorted(maps.Keys(capacities)) {
+		capacity := capacities[zone]
+		if !capacity.canHost(tasks) || !allowsGangIn(job, zone) {
 			continue
 		}
-		total[zoneOf(machine)] += p.snapshot.Types[machine.Type].Capacity.CapacityFor(job.Request)
-		switch {
-		case machine.Schedulable:
-			free[zoneOf(machine)] += machine.Free.CapacityFor(job.Request)
-		case machine.Booting:
-			booting[zoneOf(machine)] += machine.Free.CapacityFor(job.Request)
+		available := capacity.available(tasks)
+		if available > bestAvailable || (found && available == bestAvailable && capacity.total > capacities[best].total) {
+			best, bestAvailable, found = zone, available, true
 		}
 	}
-	// Where the machines are too few for all of it, there must be more to rent.
-	mayHost := map[string]bool{}
-	for candidateZone, count := range total {
-		mayHost[candidateZone] = count >= tasks
+	return best, found
+}
+
+// allowsGangIn tells whether the job's own conditions allow a gang in the zone.
+func allowsGangIn(job *pendingJob, zone zoneConstraint) bool {
+	return zone == anyZone || ZoneCapacity(job.Spec, nil, string(zone)) > 0
+}
+
+// gangCapacities is what each zone has for the gang; all zones together under anyZone
+// if it needs none.
+func (p *planner) gangCapacities(job *pendingJob) map[zoneConstraint]*gangCapacity {
+	capacities := map[zoneConstraint]*gangCapacity{}
+	in := func(zone string) *gangCapacity {
+		key := gatheringZone(job.Job, zone)
+		if capacities[key] == nil {
+			capacities[key] = &gangCapacity{}
+		}
+		return capacities[key]
+	}
+	for i := range p.machines.machines {
+		if machine := &p.machines.machines[i]; p.eligibleForGang(machine, job) {
+			in(machine.Zone).addMachine(machine, p.snapshot.typeOf(machine), job.Request)
+		}
 	}
 	for typeIndex := range p.snapshot.Types {
 		machineType := &p.snapshot.Types[typeIndex]
-		if !TypeFits(machineType, spec) || (avoidGPUs && machineType.Capacity.GPUs > 0) {
+		if !job.mayAdd(machineType) {
 			continue
 		}
-		for _, candidateZone := range machineType.Zones {
-			if !p.snapshot.ExhaustedPools[CapacityPool{typeIndex, candidateZone, false}] || (spec.Spot && !p.snapshot.ExhaustedPools[CapacityPool{typeIndex, candidateZone, true}]) {
-				mayHost[zoneOf(&Machine{Zone: candidateZone})] = true
+		for _, zone := range machineType.Zones {
+			if p.canScaleOutIn(job, typeIndex, zone) {
+				in(zone).canScaleOut = true
 			}
 		}
 	}
-	bestCapacity := -1
-	for _, candidateZone := range slices.Sorted(maps.Keys(mayHost)) {
-		if capacity := min(tasks, free[candidateZone]+booting[candidateZone]); mayHost[candidateZone] && (candidateZone == anyZone || ZoneCapacity(spec, nil, candidateZone) > 0) && (capacity > bestCapacity || (capacity == bestCapacity && total[candidateZone] > total[zone])) {
-			zone, bestCapacity = candidateZone, capacity
-		}
-	}
-	if bestCapacity <= 0 {
-		return "", tasks
+	return capacities
+}
+
+// addMachine counts a machine in.
+func (c *gangCapacity) addMachine(machine *Machine, machineType *MachineType, request Resources) {
+	c.total += machineType.Capacity.CapacityFor(request)
+	switch {
+	case machine.Schedulable:
+		c.free += machine.Free.CapacityFor(request)
+	case machine.Booting:
+		c.booting += machine.Free.CapacityFor(request)
 	}
-	starved := job.StarvedS > 0
-	missing := tasks
-	for i := range p.pool {
-		machine := &p.pool[i]
-		if missing == 0 {
+}
+
+// eligibleForGang tells whether a gang may be on the machine. The gang is placed as a
+// whole, so tasks that its job has elsewhere are left out.
+func (p *planner) eligibleForGang(machine *Machine, job *pendingJob) bool {
+	return p.eligible(machine, job, nil)
+}
+
+// canScaleOutIn tells whether machines of the type may be requested in the zone.
+func (p *planner) canScaleOutIn(job *pendingJob, typeIndex int, zone string) bool {
+	return p.snapshot.mayRequest(CapacityPool{typeIndex, zone, false}, job.Spec) ||
+		p.snapshot.mayRequest(CapacityPool{typeIndex, zone, true}, job.Spec)
+}
+
+// reserveInZone counts the gang against the machines of the zone and returns how many
+// of its tasks are left.
+func (p *planner) reserveInZone(job *pendingJob, tasks int, zone zoneConstraint) int {
+	isStarved := job.StarvedS > 0
+	left := tasks
+	for i := range p.machines.machines {
+		if left == 0 {
 			break
 		}
-		if zoneOf(machine) != zone || !(machine.Schedulable || machine.Booting) || !p.eligible(machine, spec, nil, avoidGPUs) {
+		machine := &p.machines.machines[i]
+		if gatheringZone(job.Job, machine.Zone) != zone || !machine.acceptsTasks() || !p.eligibleForGang(machine, job) {
 			continue
 		}
-		count := min(missing, machine.Free.CapacityFor(job.Request))
-		if machine.Booting || starved {
+		count := min(left, machine.Free.CapacityFor(job.Request))
+		if machine.Booting || isStarved {
 			machine.Free = machine.Free.Minus(job.Request, count)
 		}
-		if count > 0 && machine.Schedulable && starved {
-			p.reserved = append(p.reserved, i)
+		if count > 0 && machine.Schedulable && isStarved {
+			p.reservedMachines = append(p.reservedMachines, i)
 		}
-		missing -= count
+		left -= count
 	}
-	return zone, missing
+	return left
 }
--- a/internal/scheduler/gpuwait.go
+++ b/internal/scheduler/gpuwait.go
@@ -7,46 +7,77 @@
 	"slices"
 )
 
-// gpuWaitS is when the held machines are likely to have room for n tasks of a
-// job with GPUs, in the zone given or, if it needs one, in the best; those
-// machines then count as taken for as long as the job runs.
-func (p *planner) gpuWaitS(job *Job, tasks int, zone string) float64 {
-	if p.gpuFreeInS == nil {
-		p.gpuFreeInS = make([]float64, len(p.snapshot.Machines))
-		for i := range p.snapshot.Machines {
-			for _, running := range p.snapshot.Machines[i].Tasks {
-				p.gpuFreeInS[i] = math.Max(p.gpuFreeInS[i], running.RemainingS)
-			}
-		}
+// gpuReleases is when the work on each machine is likely to end, with the waiting work
+// that was counted against it.
+type gpuReleases struct {
+	snapshot *Snapshot
+	// releaseS is by machine, in seconds from now. It is filled at the first use:
+	// most plans never ask.
+	releaseS []float64
+}
+
+// waitS is how long it is likely to take until provisioned machines have capacity for
+// the tasks of a job with GPUs, under the zone constraint and, if the job needs one
+// zone, in the zone where it takes the shortest. The machines then count as taken for
+// as long as the job runs, so that the next job does not count on them too.
+func (g *gpuReleases) waitS(job *Job, tasks int, zone zoneConstraint) float64 {
+	if g.releaseS == nil {
+		g.releaseS = lastReleases(g.snapshot.Machines)
 	}
-	byZone := map[string][]int{}
-	for i := range p.snapshot.Machines {
-		machine := &p.snapshot.Machines[i]
-		if p.snapshot.Types[machine.Type].Capacity.CapacityFor(job.Request) == 0 || !(machine.Schedulable || len(machine.Tasks) > 0) || !p.allowed(machine, job.Spec) || (zone != "" && machine.Zone != zone) {
-			continue
+	var chosen []int
+	shortestS := math.Inf(1)
+	byZone := g.machinesByZone(job, zone)
+	for _, key := range slices.Sorted(maps.Keys(byZone)) {
+		machines, waitS := g.firstReleased(byZone[key], job, tasks)
+		if waitS < shortestS {
+			chosen, shortestS = machines, waitS
 		}
-		key := anyZone
-		if job.Spec.OneZone {
-			key = machine.Zone
+	}
+	for _, i := range chosen {
+		g.releaseS[i] += job.EstimateS
+	}
+	return shortestS
+}
+
+// lastReleases is when the last task of each machine is likely to end.
+func lastReleases(machines []Machine) []float64 {
+	releaseS := make([]float64, len(machines))
+	for i := range machines {
+		for _, running := range machines[i].Tasks {
+			releaseS[i] = math.Max(releaseS[i], running.RemainingS)
 		}
-		byZone[key] = append(byZone[key], i)
 	}
-	bestMachines, wait := []int(nil), math.Inf(1)
-	for _, key := range slices.Sorted(maps.Keys(byZone)) {
-		machines := byZone[key]
-		slices.SortStableFunc(machines, func(a, b int) int { return cmp.Compare(p.gpuFreeInS[a], p.gpuFreeInS[b]) })
-		missing := tasks
-		for k, i := range machines {
-			if missing -= p.snapshot.Types[p.snapshot.Machines[i].Type].Capacity.CapacityFor(job.Request); missing <= 0 {
-				if p.gpuFreeInS[i] < wait {
-					bestMachines, wait = machines[:k+1], p.gpuFreeInS[i]
-				}
-				break
-			}
+	return releaseS
+}
+
+// machinesByZone groups the machines that the job may use once they are empty.
+func (g *gpuReleases) machinesByZone(job *Job, zone zoneConstraint) map[zoneConstraint][]int {
+	byZone := map[zoneConstraint][]int{}
+	for i := range g.snapshot.Machines {
+		if machine := &g.snapshot.Machines[i]; zone.allows(machine.Zone) && g.usableWhenEmpty(machine, job) {
+			key := gatheringZone(job, machine.Zone)
+			byZone[key] = append(byZone[key], i)
 		}
 	}
-	for _, i := range bestMachines {
-		p.gpuFreeInS[i] += job.EstimateS
+	return byZone
+}
+
+// usableWhenEmpty tells whether the machine is up and would take tasks of the job.
+func (g *gpuReleases) usableWhenEmpty(machine *Machine, job *Job) bool {
+	isUp := machine.Schedulable || len(machine.Tasks) > 0
+	return isUp && g.snapshot.typeOf(machine).Capacity.fits(job.Request) && g.snapshot.allowsMachine(job.Spec, machine)
+}
+
+// firstReleased returns the machines that are released first and hold the tasks
+// together, and when the last of them is released; +Inf if all are too few.
+func (g *gpuReleases) firstReleased(machines []int, job *Job, tasks int) (used []int, waitS float64) {
+	slices.SortStableFunc(machines, func(a, b int) int { return cmp.Compare(g.releaseS[a], g.releaseS[b]) })
+	missing := tasks
+	for k, i := range machines {
+		missing -= g.snapshot.typeOf(&g.snapshot.Machines[i]).Capacity.CapacityFor(job.Request)
+		if missing <= 0 {
+			return machines[:k+1], g.releaseS[i]
+		}
 	}
-	return wait
+	return nil, math.Inf(1)
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -9,124 +9,147 @@
 	"marblehaven/internal/tuning"
 )
 
-// On which machines tasks are placed.
+// placementTarget says on which machines a search looks for capacity.
+type placementTarget int
+
 const (
-	targetReady   = iota
-	targetCached  // ready, and the image is there
-	targetBooting // not up yet: tasks are only counted against their room
-	// targetPreempted: room that is made by stopping lower work
+	// targetReady is machines that are up.
+	targetReady placementTarget = iota
+	// targetCached is machines that are up and have the job's image.
+	targetCached
+	// targetBooting is machines that are not up yet. Tasks are only counted against
+	// their capacity, so that no further machines are added for them.
+	targetBooting
+	// targetPreempted is capacity that preemption makes.
 	targetPreempted
 )
 
-// candidate is a machine that has room for tasks of a job.
+// admits tells whether the search looks at the machine.
+func (t placementTarget) admits(machine *Machine, image string) bool {
+	switch t {
+	case targetBooting:
+		return machine.Booting
+	case targetCached:
+		return machine.Schedulable && machine.hasImage(image)
+	}
+	return machine.Schedulable
+}
+
+// candidate is a machine that has capacity for tasks of a job.
 type candidate struct {
 	machine, capacity int
-	cost              float64 // price times estimate
-	tieBreak          float64 // what decides between equal costs, the least first
+	cost              float64 // price times estimate (P1 of DRPA, eq. 29)
+	tieBreak          float64 // decides between equal costs, the least first
 }
 
-// place puts up to n tasks on machines of the kind and returns how many found
-// room.
-func (p *planner) place(jobIndex, tasks int, tasksByZone map[string]int, avoidGPUs, gang bool, target int) int {
-	if tasks == 0 {
+// place puts up to the given number of tasks on machines of the target (bin packing)
+// and returns how many found capacity; all of a gang's tasks or none.
+func (p *planner) place(job *pendingJob, tasks int, target placementTarget) int {
+	if tasks == 0 || p.exhausted.contains(job, target) {
 		return 0
 	}
-	job := &p.snapshot.Jobs[jobIndex]
-	taskKind, remembered := p.taskKind(job, target, !gang)
-	if remembered && p.exhaustedKinds[taskKind] {
-		return 0
-	}
-	candidates := p.candidates(job, tasksByZone, avoidGPUs, target)
-	var starts []Start
-	var placed int
-	if job.Spec.OneZone {
-		starts, placed = p.distributeInOneZone(jobIndex, tasks, tasksByZone, candidates)
-	} else {
-		starts, placed = p.distribute(jobIndex, tasks, tasksByZone, candidates, "")
-	}
-	if remembered && placed < tasks {
-		p.exhaustedKinds[taskKind] = true
-	}
-	if gang && placed < tasks {
-		return 0
+	starts, placed := p.distribute(job, tasks, p.candidates(job, target))
+	if placed < tasks {
+		p.exhausted.add(job, target)
+		if job.isGang() {
+			return 0
+		}
 	}
 	for _, start := range starts {
-		p.addStart(start, tasksByZone, target)
+		p.addStart(job, start, target)
 	}
 	return placed
 }
 
-// candidates lists the machines of a kind that have room for a task, the cheapest
-// first.
-func (p *planner) candidates(job *Job, tasksByZone map[string]int, avoidGPUs bool, target int) []candidate {
-	var out []candidate
-	for _, i := range p.withCapacity {
-		if c, ok := p.candidate(i, job, tasksByZone, avoidGPUs, target); ok {
-			out = append(out, c)
+// candidates lists the machines that have capacity for a task, the cheapest first.
+func (p *planner) candidates(job *pendingJob, target placementTarget) []candidate {
+	var found []candidate
+	for _, i := range p.machines.withCapacity {
+		if c, ok := p.candidate(i, job, target); ok {
+			found = append(found, c)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b candidate) int {
-		// Equal cost: the fuller machine, so that others empty.
+	slices.SortStableFunc(found, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.tieBreak, b.tieBreak))
 	})
-	return out
+	return found
 }
 
-// candidate tells whether a machine of the pool is of the kind and has room for a task
-// of a job, and at what cost.
-func (p *planner) candidate(i int, job *Job, tasksByZone map[string]int, avoidGPUs bool, target int) (c candidate, ok bool) {
-	machine, spec := &p.pool[i], job.Spec
-	if (target == targetBooting && !machine.Booting) || (target != targetBooting && !machine.Schedulable) || !p.allowed(machine, spec) || (target == targetCached && !machine.hasImage(spec.Image)) {
+// candidate tells whether a machine of the pool is a candidate, and at what cost.
+func (p *planner) candidate(i int, job *pendingJob, target placementTarget) (c candidate, ok bool) {
+	machine := &p.machines.machines[i]
+	if !target.admits(machine, job.Spec.Image) || !p.snapshot.allowsMachine(job.Spec, machine) {
 		return c, false
 	}
-	capacity := p.capacityOn(machine, job, avoidGPUs)
-	if capacity == 0 || ZoneCapacity(spec, tasksByZone, machine.Zone) == 0 {
+	capacity := p.capacityOn(machine, job)
+	if capacity == 0 || job.zoneCapacity(machine.Zone) == 0 {
 		return c, false
 	}
-	machineType := &p.snapshot.Types[machine.Type]
-	estimate := job.EstimateS
-	if !machine.hasImage(spec.Image) {
-		// Fetches share the rate: one after another the first are there
-		// sooner, and what waits meanwhile may find a better place.
-		if target == targetReady && machine.PendingFetchGB > tuning.FetchAheadS*machineType.FetchGBps {
-			return c, false
-		}
-		estimate += fetchTimeS(machineType, spec)
+	if target == targetReady && p.fetchesTooMuch(machine, job.Spec.Image) {
+		return c, false
+	}
+	return candidate{i, capacity, p.placementCost(machine, job), tieBreak(machine, job)}, true
+}
+
+// fetchesTooMuch tells whether the machine has so many images to fetch that none should
+// be added. Fetches share the rate: one after another the first are there sooner, and
+// what waits meanwhile may find a better place.
+func (p *planner) fetchesTooMuch(machine *Machine, image string) bool {
+	return !machine.hasImage(image) && machine.PendingFetchGB > tuning.FetchAheadS*p.snapshot.typeOf(machine).FetchGBps
+}
+
+// placementCost is the price of a task's share of the machine times the estimate (P1 of
+// DRPA, eq. 29). An image that is still to be fetched counts in the estimate.
+func (p *planner) placementCost(machine *Machine, job *pendingJob) float64 {
+	machineType := p.snapshot.typeOf(machine)
+	estimateS := job.EstimateS
+	if !machine.hasImage(job.Spec.Image) {
+		estimateS += fetchTimeS(machineType, job.Spec)
 		if machineType.FetchGBps > 0 {
-			estimate += machine.PendingFetchGB / machineType.FetchGBps
+			estimateS += machine.PendingFetchGB / machineType.FetchGBps
 		}
 	}
 	share := 1 / float64(max(1, machineType.Capacity.CapacityFor(job.Request)))
-	tieBreak := machine.Free.Cores
-	if job.Request.GPUs > 0 {
-		tieBreak = machine.GPUIdleS // the last used, so that others are given back
+	return machineType.HourlyPrice(machine.Spot) * share * math.Max(estimateS, 1)
+}
+
+// tieBreak prefers the fuller machine, or for work with GPUs the one used last, so that
+// others stay empty and can be returned.
+func tieBreak(machine *Machine, job *pendingJob) float64 {
+	if job.needsGPUs() {
+		return machine.GPUIdleS
 	}
-	return candidate{i, capacity, machineType.HourlyPrice(machine.Spot) * share * math.Max(estimate, 1), tieBreak}, true
+	return machine.Free.Cores
 }
 
-// distribute divides up to n tasks over the candidates in their order, in one zone only
-// unless that is empty, and returns how many found room.
-func (p *planner) distribute(jobIndex, tasks int, tasksByZone map[string]int, candidates []candidate, onlyZone string) ([]Start, int) {
+// distribute divides the tasks over the candidates and returns how many found capacity.
+func (p *planner) distribute(job *pendingJob, tasks int, candidates []candidate) ([]Start, int) {
+	if job.Spec.OneZone {
+		return p.distributeInBestZone(job, tasks, candidates)
+	}
+	return p.distributeInZone(job, tasks, candidates, anyZone)
+}
+
+// distributeInZone divides the tasks over the candidates that satisfy the constraint,
+// in their order.
+func (p *planner) distributeInZone(job *pendingJob, tasks int, candidates []candidate, only zoneConstraint) ([]Start, int) {
 	if len(candidates) == 0 {
 		return nil, 0
 	}
 	var starts []Start
-	inZone := maps.Clone(tasksByZone)
-	if inZone == nil {
-		inZone = map[string]int{}
-	}
+	tasksByZone := maps.Clone(job.tasksByZone)
 	left := tasks
 	for _, c := range candidates {
-		zone := p.pool[c.machine].Zone
-		if onlyZone != "" && zone != onlyZone {
+		zone := p.machines.machines[c.machine].Zone
+		if !only.allows(zone) {
 			continue
 		}
-		count := min(left, c.capacity, ZoneCapacity(p.snapshot.Jobs[jobIndex].Spec, inZone, zone))
+		count := min(left, c.capacity, ZoneCapacity(job.Spec, tasksByZone, zone))
 		if count <= 0 {
 			continue
 		}
-		starts = append(starts, Start{jobIndex, c.machine, count})
-		inZone[zone] += count
+		starts = append(starts, Start{job.index, c.machine, count})
+		tasksByZone[zone] += count
 		if left -= count; left == 0 {
 			break
 		}
@@ -134,43 +157,38 @@
 	return starts, tasks - left
 }
 
-// distributeInOneZone takes the zone that takes the most tasks, and of those that take as
-// many the one with the least room, so that the other keeps what a larger gang will
-// need.
-func (p *planner) distributeInOneZone(jobIndex, tasks int, tasksByZone map[string]int, candidates []candidate) (best []Start, placed int) {
-	capacity := map[string]int{}
+// distributeInBestZone puts the tasks into the zone that takes the most of them, of
+// equal ones into that with the least capacity, so that the other keeps what a larger
+// gang will need.
+func (p *planner) distributeInBestZone(job *pendingJob, tasks int, candidates []candidate) (best []Start, placed int) {
+	capacityByZone := map[string]int{}
 	for _, c := range candidates {
-		capacity[p.pool[c.machine].Zone] += c.capacity
+		capacityByZone[p.machines.machines[c.machine].Zone] += c.capacity
 	}
-	seen, bestZone := map[string]bool{}, ""
+	tried, bestZone := map[string]bool{}, ""
 	for _, c := range candidates {
-		zone := p.pool[c.machine].Zone
-		if seen[zone] {
+		zone := p.machines.machines[c.machine].Zone
+		if tried[zone] {
 			continue
 		}
-		seen[zone] = true
-		starts, count := p.distribute(jobIndex, tasks, tasksByZone, candidates, zone)
-		if count > placed || (count == placed && capacity[zone] < capacity[bestZone]) {
+		tried[zone] = true
+		starts, count := p.distributeInZone(job, tasks, candidates, zoneConstraint(zone))
+		if count > placed || (count == placed && capacityByZone[zone] < capacityByZone[bestZone]) {
 			best, placed, bestZone = starts, count, zone
 		}
 	}
 	return best, placed
 }
 
-// addStart enters a start in the plan and takes its room. Of machines that are not up yet
-// only the room is taken.
-func (p *planner) addStart(start Start, tasksByZone map[string]int, target int) {
-	job := &p.snapshot.Jobs[start.Job]
-	machine := &p.pool[start.Machine]
+// addStart takes the capacity of a start from its machine and enters it in the plan.
+// On machines that are booting only the capacity is taken.
+func (p *planner) addStart(job *pendingJob, start Start, target placementTarget) {
+	machine := &p.machines.machines[start.Machine]
 	machine.Free = machine.Free.Minus(job.Request, start.Count)
-	tasksByZone[machine.Zone] += start.Count
+	job.tasksByZone[machine.Zone] += start.Count
 	if target == targetBooting {
 		return
 	}
-	if !machine.hasImage(job.Spec.Image) {
-		machine.Images = append(slices.Clip(machine.Images), job.Spec.Image)
-		machine.PendingFetchGB += job.Spec.ImageGB
-	}
-	machine.Tasks = append(slices.Clip(machine.Tasks), RunningTasks{Job: start.Job, Count: start.Count})
+	machine.addTasks(job, start.Count)
 	p.plan.Starts = append(p.plan.Starts, start)
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -2,17 +2,26 @@
 
 import "math"
 
-// chargeQuota counts started tasks against the team's limit.
-func (p *planner) chargeQuota(job *Job, tasks int) {
-	p.teams[job.Team].Used = p.teams[job.Team].Used.Minus(job.Request, -tasks)
+// quotas is the teams' use of their quotas, by team, with what the plan starts.
+type quotas []Team
+
+// tasksWithin is how many more tasks the quota of a team allows. Memory is not limited.
+func (q quotas) tasksWithin(team int, request Resources) int {
+	limit, used := q[team].Max, q[team].Used
+	return max(0, min(
+		tasksWithinLimit(limit.Cores, used.Cores, request.Cores),
+		tasksWithinLimit(limit.GPUs, used.GPUs, request.GPUs)))
+}
+
+// charge counts tasks that the plan starts against the quota of their team.
+func (q quotas) charge(team int, request Resources, tasks int) {
+	q[team].Used = q[team].Used.Minus(request, -tasks)
 }
 
-func tasksWithinQuota(team *Team, request Resources) int {
-	n := math.MaxInt32
-	for _, quota := range [][3]float64{{team.Max.Cores, team.Used.Cores, request.Cores}, {team.Max.GPUs, team.Used.GPUs, request.GPUs}} {
-		if quota[0] > 0 && quota[2] > 0 {
-			n = min(n, int(math.Floor((quota[0]-quota[1])/quota[2]+epsilon)))
-		}
+// tasksWithinLimit is how many tasks one resource allows; a limit of 0 is none.
+func tasksWithinLimit(limit, used, request float64) int {
+	if limit <= 0 {
+		return math.MaxInt32
 	}
-	return max(0, n)
+	return timesWithin(limit-used, request)
 }
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -1,71 +1,133 @@
 package scheduler
 
-import "math"
+import (
+	"math"
 
-// addHeadroom rents half as many machines again for production: boots vary by more
-// than its aims allow, and the images of a first fleet come sooner over more machines.
-func (p *planner) addHeadroom() {
-	for i := range p.plan.ScaleOuts {
-		p.plan.ScaleOuts[i].Count += p.productionScaleOuts[p.plan.ScaleOuts[i].CapacityPool] / 2
+	"marblehaven/internal/protocol"
+)
+
+// scaleOutRequests is the machines that the plan asks for, by capacity pool.
+type scaleOutRequests struct {
+	requests []ScaleOut
+	// forProduction counts the machines asked for production's tasks.
+	forProduction map[CapacityPool]int
+}
+
+func newScaleOutRequests() scaleOutRequests {
+	return scaleOutRequests{forProduction: map[CapacityPool]int{}}
+}
+
+// add asks for machines of a pool for tasks of a job.
+func (r *scaleOutRequests) add(pool CapacityPool, count int, job *pendingJob) {
+	if job.isProduction() {
+		r.forProduction[pool] += count
 	}
+	for i := range r.requests {
+		if r.requests[i].CapacityPool == pool {
+			r.requests[i].Count += count
+			return
+		}
+	}
+	r.requests = append(r.requests, ScaleOut{pool, count})
 }
 
-// scaleOut asks for the cheapest offers that hold n tasks (P2), sized to them; what
-// a rented machine has left over counts as coming room for the jobs behind.
-// With in, only there: the rest of a gang is to come to where it has room.
-func (p *planner) scaleOut(jobIndex, tasks int, tasksByZone map[string]int, avoidGPUs bool, gangZone string) {
-	job := &p.snapshot.Jobs[jobIndex]
-	spec := job.Spec
+// withHeadroom returns the requests with half as many machines again for production:
+// boot times vary by more than its service-level objectives allow, and the images of
+// a new cluster are fetched sooner by more machines.
+func (r *scaleOutRequests) withHeadroom() []ScaleOut {
+	for i := range r.requests {
+		r.requests[i].Count += r.forProduction[r.requests[i].CapacityPool] / 2
+	}
+	return r.requests
+}
+
+// scaleOutHelps tells whether a new machine is up before provisioned ones fall free for
+// the job (Algorithm 1 of DRPA, steps 12-14: a job waits for the machine that is free
+// soon). That is asked for work with GPUs only, whose machines are expensive and take
+// one task each; small work spreads over all machines that can be had.
+func (p *planner) scaleOutHelps(job *Job, tasks int, zone zoneConstraint, bootS float64) bool {
+	return !job.needsGPUs() || p.gpuReleases.waitS(job, tasks, zone) > bootS
+}
+
+// scaleOut asks for the cheapest machines that hold the tasks (P2 of DRPA, eq. 30).
+// What such a machine has left over is booting capacity for the jobs behind. The zone
+// is where the rest of a gang must come.
+func (p *planner) scaleOut(job *pendingJob, tasks int, zone zoneConstraint) {
 	for tasks > 0 {
-		best, bestCost, bestTasksPerMachine := CapacityPool{}, math.Inf(1), 0
-		for typeIndex := range p.snapshot.Types {
-			machineType := &p.snapshot.Types[typeIndex]
-			if !TypeFits(machineType, spec) || (avoidGPUs && machineType.Capacity.GPUs > 0) {
-				continue
-			}
-			tasksPerMachine := machineType.Capacity.CapacityFor(job.Request)
-			for _, zone := range machineType.Zones {
-				zoneTasks := min(tasks, ZoneCapacity(spec, tasksByZone, zone))
-				if zoneTasks == 0 || (gangZone != "" && zone != gangZone) {
-					continue
-				}
-				for _, spot := range []bool{true, false} {
-					pool := CapacityPool{typeIndex, zone, spot}
-					if (spot && !spec.Spot) || p.snapshot.ExhaustedPools[pool] {
-						continue
-					}
-					cost := machineType.HourlyPrice(spot) * math.Ceil(float64(zoneTasks)/float64(tasksPerMachine)) / float64(zoneTasks)
-					if cost < bestCost-epsilon {
-						best, bestCost, bestTasksPerMachine = pool, cost, tasksPerMachine
-					}
-				}
-			}
-		}
-		if bestTasksPerMachine == 0 {
+		best, found := p.cheapestOffer(job, tasks, zone)
+		if !found {
 			return
 		}
-		zoneTasks := min(tasks, ZoneCapacity(spec, tasksByZone, best.Zone))
-		count := (zoneTasks + bestTasksPerMachine - 1) / bestTasksPerMachine
-		for left := zoneTasks; left > 0; left -= bestTasksPerMachine {
-			p.withCapacity = append(p.withCapacity, len(p.pool))
-			p.pool = append(p.pool, Machine{Type: best.Type, Zone: best.Zone, Spot: best.Spot, Booting: true,
-				Free: p.snapshot.Types[best.Type].Capacity.Minus(job.Request, min(left, bestTasksPerMachine))})
+		p.scaleOuts.add(best.pool, best.machines(), job)
+		p.addBootingMachines(job, best)
+		job.tasksByZone[best.pool.Zone] += best.tasks
+		tasks -= best.tasks
+	}
+}
+
+// offer is a capacity pool with how many of the tasks it can hold.
+type offer struct {
+	pool                   CapacityPool
+	tasks, tasksPerMachine int
+	hourlyPrice            float64
+}
+
+// machines is how many machines the tasks need.
+func (o *offer) machines() int { return (o.tasks + o.tasksPerMachine - 1) / o.tasksPerMachine }
+
+// costPerTask is what the machines cost by the hour for each of the tasks. The
+// estimate of eq. 30 is the same for all pools and left out.
+func (o *offer) costPerTask() float64 {
+	machines := math.Ceil(float64(o.tasks) / float64(o.tasksPerMachine))
+	return o.hourlyPrice * machines / float64(o.tasks)
+}
+
+// cheapestOffer finds the pool with the least cost for each task; of equal ones the
+// first, in the order of types and zones, spot instances before others.
+func (p *planner) cheapestOffer(job *pendingJob, tasks int, zone zoneConstraint) (best offer, found bool) {
+	bestCost := math.Inf(1)
+	for typeIndex := range p.snapshot.Types {
+		if !job.mayAdd(&p.snapshot.Types[typeIndex]) {
+			continue
 		}
-		tasksByZone[best.Zone] += zoneTasks
-		tasks -= zoneTasks
-		if job.Priority == 0 {
-			p.productionScaleOuts[best] += count
+		for _, candidate := range p.offersOfType(job, tasks, zone, typeIndex) {
+			if cost := candidate.costPerTask(); cost < bestCost-epsilon {
+				best, bestCost, found = candidate, cost, true
+			}
 		}
-		p.addScaleOut(best, count)
 	}
+	return best, found
 }
 
-func (p *planner) addScaleOut(pool CapacityPool, count int) {
-	for i := range p.plan.ScaleOuts {
-		if p.plan.ScaleOuts[i].CapacityPool == pool {
-			p.plan.ScaleOuts[i].Count += count
-			return
+// offersOfType lists the pools of a machine type that may have capacity for the job.
+func (p *planner) offersOfType(job *pendingJob, tasks int, zone zoneConstraint, typeIndex int) []offer {
+	machineType := &p.snapshot.Types[typeIndex]
+	var offers []offer
+	for _, name := range machineType.Zones {
+		inZone := min(tasks, job.zoneCapacity(name))
+		if inZone == 0 || !zone.allows(name) {
+			continue
+		}
+		for _, spot := range []bool{true, false} {
+			pool := CapacityPool{typeIndex, name, spot}
+			if p.snapshot.mayRequest(pool, job.Spec) {
+				offers = append(offers, offer{pool, inZone, machineType.Capacity.CapacityFor(job.Request), machineType.HourlyPrice(spot)})
+			}
 		}
 	}
-	p.plan.ScaleOuts = append(p.plan.ScaleOuts, ScaleOut{pool, count})
+	return offers
+}
+
+// mayRequest tells whether machines of the pool may be asked for on behalf of the job.
+func (s *Snapshot) mayRequest(pool CapacityPool, spec *protocol.Job) bool {
+	return (!pool.Spot || spec.Spot) && !s.ExhaustedPools[pool]
+}
+
+// addBootingMachines enters the machines of an offer in the pool, less the tasks that
+// they are for.
+func (p *planner) addBootingMachines(job *pendingJob, chosen offer) {
+	capacity := p.snapshot.Types[chosen.pool.Type].Capacity
+	for left := chosen.tasks; left > 0; left -= chosen.tasksPerMachine {
+		p.machines.addBooting(chosen.pool, capacity.Minus(job.Request, min(left, chosen.tasksPerMachine)))
+	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,123 +1,144 @@
-// Package scheduler decides, after DRPA, what runs where and what is rented. It is
-// pure: a snapshot in, a plan out; no clock, no I/O.
+// Package scheduler decides which tasks run where, which are preempted, and which
+// machines are added and returned, after DRPA (dynamic resource provisioning
+// algorithm; docs/design.md says what of it was kept and what was changed).
+//
+// It is pure: a snapshot goes in and a plan comes out. It reads no clock, does no I/O,
+// draws no random numbers and leaves the snapshot as it is, so that the same snapshot
+// gives the same plan and every decision can be replayed in a test.
+//
+// Whatever the snapshot, a plan never exceeds a team's quota or a machine's capacity,
+// never places a task outside the zones, machine types and purchase options that its
+// job allows, never starts a part of a gang, only preempts tasks of a lower priority
+// than the job they make way for, and only returns machines that are empty.
 package scheduler
 
-import (
-	"maps"
-	"slices"
-
-	"marblehaven/internal/protocol"
-)
+import "slices"
 
+// planner makes one plan. Each of its parts owns one kind of state, which changes as
+// the plan grows: a job that is scheduled later sees what those before it have taken.
 type planner struct {
-	snapshot *Snapshot
-	plan     Plan
-	// pool is the machines with what this plan puts on them, and what it rents.
-	pool []Machine
-	// place in the order of each job: what comes before is never stopped.
+	snapshot    *Snapshot
+	machines    *machinePool
+	gpuPolicy   gpuMachinePolicy
+	quotas      quotas
+	queue       *workQueue
+	gpuReleases *gpuReleases
+	exhausted   exhaustedKinds
+	scaleOuts   scaleOutRequests
+	// orderPosition is the position of each job in the scheduling order. Tasks of jobs
+	// before a job are never preempted for it.
 	orderPosition []int
-	// withCapacity lists the machines, of the pool, that have room for something that
-	// waits; victims those with work that could be stopped for production or
-	// for work with GPUs.
-	withCapacity, preemptible []int
-	reserved                  []int // machines kept free for gangs that have waited too long
-	// exhaustedKinds remembers which kinds of tasks found no more room: room only shrinks
-	// within a plan, so like tasks need not look again.
-	exhaustedKinds map[taskKind]bool
-	// productionScaleOuts counts what is rented for production.
-	productionScaleOuts map[CapacityPool]int
-	gpuWaits            bool // work with GPUs waits
-	// gpuFreeInS is when each held machine's work is likely to end, seconds from
-	// now, with the waiting work that was counted against it.
-	gpuFreeInS []float64
-	teams      []Team // with what this plan starts
-	// queuedCores and aheadGPUs are the waiting work, in need times seconds, that
-	// goes before for the held machines, of which provisioned is the size.
-	queuedCores, queuedGPUs float64
-	provisioned             provisionedCapacity
+	// reservedMachines are kept free for starved gangs, by index in the pool.
+	reservedMachines []int
+	plan             Plan
+}
+
+func newPlanner(snapshot *Snapshot) *planner {
+	return &planner{
+		snapshot:      snapshot,
+		machines:      newMachinePool(snapshot),
+		gpuPolicy:     newGPUMachinePolicy(snapshot),
+		quotas:        slices.Clone(snapshot.Teams),
+		queue:         newWorkQueue(snapshot),
+		gpuReleases:   &gpuReleases{snapshot: snapshot},
+		exhausted:     exhaustedKinds{},
+		scaleOuts:     newScaleOutRequests(),
+		orderPosition: make([]int, len(snapshot.Jobs)),
+	}
 }
 
-// Decide makes the plan.
+// Decide makes the plan for a snapshot.
 func Decide(snapshot *Snapshot) Plan {
-	p := &planner{snapshot: snapshot, pool: slices.Clone(snapshot.Machines), exhaustedKinds: map[taskKind]bool{}, productionScaleOuts: map[CapacityPool]int{}, teams: slices.Clone(snapshot.Teams)}
-	p.provisioned = provisionedCapacityOf(snapshot)
-	p.indexMachines()
-	order := p.order()
+	p := newPlanner(snapshot)
+	order := Order(snapshot)
+	for position, jobIndex := range order {
+		p.orderPosition[jobIndex] = position
+	}
 	for _, jobIndex := range order {
 		p.scheduleJob(jobIndex)
 	}
-	p.addHeadroom()
+	p.plan.ScaleOuts = p.scaleOuts.withHeadroom()
 	if snapshot.MayScaleIn {
 		p.scaleIn()
 	}
 	return p.plan
 }
 
-// order sorts the jobs by who is served first and notes each one's place.
-func (p *planner) order() []int {
-	order := Order(p.snapshot)
-	p.orderPosition = make([]int, len(p.snapshot.Jobs))
-	for i, jobIndex := range order {
-		job := &p.snapshot.Jobs[jobIndex]
-		p.orderPosition[jobIndex] = i
-		p.gpuWaits = p.gpuWaits || (job.Request.GPUs > 0 && job.Waiting > 0 && !job.BackingOff)
-	}
-	return order
-}
-
-// scheduleJob places what waits of a job, makes room for it, and rents for it once its
-// slack is spent.
+// scheduleJob finds machines for the waiting tasks of a job, in the order of Algorithm
+// 1 of DRPA: first what is up, then what can be preempted or is booting, and machines
+// to add only once the job's slack W_k is spent.
 func (p *planner) scheduleJob(jobIndex int) {
-	job := &p.snapshot.Jobs[jobIndex]
-	if job.Waiting == 0 || job.BackingOff {
+	if !p.snapshot.Jobs[jobIndex].hasStartableTasks() {
 		return
 	}
-	tasks := min(job.Waiting, tasksWithinQuota(&p.teams[job.Team], job.Request))
-	gang := job.isGang()
-	if tasks == 0 || (gang && tasks < job.Waiting) {
+	tasks := p.tasksWithinQuota(&p.snapshot.Jobs[jobIndex])
+	if tasks == 0 {
 		return
 	}
-	avoidGPUs := avoidsGPUMachines(p.snapshot, job)
-	tasksByZone := map[string]int{}
-	maps.Copy(tasksByZone, job.RunningByZone)
-	if job.Priority == 0 && job.Spec.Kind == protocol.KindService {
-		tasks -= p.scheduleOnCachedImage(jobIndex, tasks, tasksByZone, avoidGPUs)
-	}
-	// Held machines first (P1): least price times estimate.
-	placed := p.place(jobIndex, tasks, tasksByZone, avoidGPUs, gang, targetReady)
-	p.chargeQuota(job, placed)
-	if tasks -= placed; tasks == 0 {
+	job := newPendingJob(p.snapshot, jobIndex)
+	if tasks -= p.useReadyMachines(job, tasks); tasks == 0 {
 		return
 	}
-	bootS := bootTimeS(p.snapshot, job)
-	slack := p.slack(job, tasks, bootS)
-	if job.Priority == 0 || job.Request.GPUs > 0 {
-		tasks -= p.preempt(jobIndex, tasks, tasksByZone, avoidGPUs, false)
+	// The slack is computed for every job that finds too few machines, also where it
+	// is not needed: the job's work joins the queue that delays the jobs after it.
+	bootS := bootTimeS(p.snapshot, job.Job)
+	slackS := p.slackS(job.Job, tasks, bootS)
+	if job.mayPreempt() {
+		tasks -= p.preempt(job, tasks, targetReady)
 	}
-	gangZone, missing := anyZone, tasks // where the gang gathers
-	if gang {
-		gangZone, tasks = p.reserveForGang(jobIndex, tasks, avoidGPUs)
-	} else {
-		tasks -= p.place(jobIndex, tasks, tasksByZone, avoidGPUs, false, targetBooting)
-	}
-	if slack > 0 || tasks == 0 {
+	withoutMachine := tasks
+	zone, tasks := p.awaitCapacity(job, tasks)
+	if slackS > 0 || tasks == 0 {
 		return
 	}
 	p.plan.SlackSpent = append(p.plan.SlackSpent, jobIndex)
-	// A rental helps only if it is up before held machines get to it
-	// (Algorithm 1, steps 12-14: wait for the machine that is free soon).
-	// This holds for work with GPUs, whose machines are dear and take one
-	// task each; small work is spread over all that can be had.
-	if p.snapshot.MayScaleOut && (job.Request.GPUs == 0 || p.gpuWaitS(job, missing, gangZone) > bootS) {
-		p.scaleOut(jobIndex, tasks, tasksByZone, avoidGPUs, gangZone)
+	if p.snapshot.MayScaleOut && p.scaleOutHelps(job.Job, withoutMachine, zone, bootS) {
+		p.scaleOut(job, tasks, zone)
 	}
 }
 
-// scheduleOnCachedImage places player-facing work where its image is, even if lower work has
-// to be stopped there: a fetch takes longer than it may wait. It returns for how many
-// tasks there is or will be room.
-func (p *planner) scheduleOnCachedImage(jobIndex, tasks int, tasksByZone map[string]int, avoidGPUs bool) int {
-	placed := p.place(jobIndex, tasks, tasksByZone, avoidGPUs, false, targetCached)
-	p.chargeQuota(&p.snapshot.Jobs[jobIndex], placed)
-	return placed + p.preempt(jobIndex, tasks-placed, tasksByZone, avoidGPUs, true)
+// tasksWithinQuota is how many of a job's waiting tasks its team's quota allows; none
+// of a gang unless it allows all, since a gang starts whole.
+func (p *planner) tasksWithinQuota(job *Job) int {
+	tasks := min(job.Waiting, p.quotas.tasksWithin(job.Team, job.Request))
+	if job.isGang() && tasks < job.Waiting {
+		return 0
+	}
+	return tasks
+}
+
+// useReadyMachines starts tasks of a job on machines that are up, and returns how many
+// of them need no further machine.
+func (p *planner) useReadyMachines(job *pendingJob, tasks int) int {
+	found := 0
+	if job.isPlayerFacing() {
+		found = p.useCachedImages(job, tasks)
+	}
+	return found + p.startTasks(job, tasks-found, targetReady)
+}
+
+// useCachedImages starts tasks where the job's image is already, preempting others
+// there if necessary: fetching the image takes longer than a player-facing service may
+// take to start. It returns how many tasks have a machine now or will have one once
+// the preempted tasks are gone.
+func (p *planner) useCachedImages(job *pendingJob, tasks int) int {
+	started := p.startTasks(job, tasks, targetCached)
+	return started + p.preempt(job, tasks-started, targetCached)
+}
+
+// startTasks places tasks on machines that are up and charges the team's quota.
+func (p *planner) startTasks(job *pendingJob, tasks int, target placementTarget) int {
+	started := p.place(job, tasks, target)
+	p.quotas.charge(job.Team, job.Request, started)
+	return started
+}
+
+// awaitCapacity counts tasks against machines that are booting, and a gang also against
+// those that fall free where it gathers. It returns the zone in which the rest must
+// be and how many tasks the rest is.
+func (p *planner) awaitCapacity(job *pendingJob, tasks int) (zoneConstraint, int) {
+	if job.isGang() {
+		return p.reserveForGang(job, tasks)
+	}
+	return anyZone, tasks - p.place(job, tasks, targetBooting)
 }
--- a/internal/scheduler/slack.go
+++ b/internal/scheduler/slack.go
@@ -6,34 +6,60 @@
 	"marblehaven/internal/protocol"
 )
 
-// slack is W_k of a job of which n tasks find no room, with the boot that a rental
-// would take. The estimate includes what waits ahead for the same held room, so that
-// W_k is spent while renting still helps.
-func (p *planner) slack(job *Job, tasks int, boot float64) float64 {
-	const longestQueueS = 1e6 // seconds; without held machines the queue has no end
+// workQueue is the work that waits for the provisioned machines, in units of the
+// request times seconds, of the jobs that were scheduled so far. Work with GPUs and
+// other work queue for different machines.
+type workQueue struct {
+	provisioned provisionedCapacity
+	cores, gpus float64
+}
+
+func newWorkQueue(snapshot *Snapshot) *workQueue {
+	return &workQueue{provisioned: provisionedCapacityOf(snapshot)}
+}
+
+// enqueue adds waiting tasks of a job and returns how long the provisioned machines
+// take for all work up to and including them, in seconds.
+func (q *workQueue) enqueue(job *Job, tasks int) float64 {
 	work := float64(tasks) * job.EstimateS
-	queue := 0.0
-	if job.Request.GPUs > 0 {
-		p.queuedGPUs += work * job.Request.GPUs
-		queue = p.queuedGPUs / math.Max(p.provisioned.gpus, epsilon)
-	} else {
-		p.queuedCores += work * job.Request.Cores
-		queue = p.queuedCores / math.Max(p.provisioned.cores, epsilon)
+	if job.needsGPUs() {
+		q.gpus += work * job.Request.GPUs
+		return q.gpus / math.Max(q.provisioned.gpus, epsilon)
 	}
-	return math.Max(0, job.DeadlineS-p.snapshot.Rho*(job.EstimateS+math.Min(queue, longestQueueS))-boot)
+	q.cores += work * job.Request.Cores
+	return q.cores / math.Max(q.provisioned.cores, epsilon)
+}
+
+// slackS is the threshold W_k of DRPA (eq. 28): how long a job may still wait for
+// provisioned machines,
+//
+//	W_k = max(0, D_k − T_k − α_kj·ρ) − boot, at least 0,
+//
+// where DeadlineS is D_k − T_k. Two things differ from the paper. The estimate α_kj
+// includes the queue for the same machines, since a job's own estimate says nothing of
+// the jobs before it. And the boot of a new machine is taken off, since a job that
+// scales out at zero still waits for it.
+func (p *planner) slackS(job *Job, tasks int, bootS float64) float64 {
+	const longestQueueS = 1e6 // without provisioned machines the queue has no end
+	queueS := math.Min(p.queue.enqueue(job, tasks), longestQueueS)
+	return math.Max(0, job.DeadlineS-p.snapshot.Rho*(job.EstimateS+queueS)-bootS)
 }
 
+// bootTimeS is how long the cheapest machine for the job takes until it is up and has
+// the job's image.
 func bootTimeS(snapshot *Snapshot, job *Job) float64 {
-	lowestPrice, boot := math.Inf(1), 0.0
+	lowestPrice, bootS := math.Inf(1), 0.0
 	for i := range snapshot.Types {
 		machineType := &snapshot.Types[i]
 		if TypeFits(machineType, job.Spec) && machineType.Price < lowestPrice {
-			lowestPrice, boot = machineType.Price, machineType.BootS+fetchTimeS(machineType, job.Spec)
+			lowestPrice = machineType.Price
+			bootS = machineType.BootS + fetchTimeS(machineType, job.Spec)
 		}
 	}
-	return boot
+	return bootS
 }
 
+// fetchTimeS is how long a machine of the type takes to fetch the job's image.
 func fetchTimeS(machineType *MachineType, spec *protocol.Job) float64 {
 	if machineType.FetchGBps <= 0 {
 		return 0
