--- a/internal/scheduler/chain.go
+++ b/internal/scheduler/chain.go
@@ -2,28 +2,27 @@
 
 import "marblehaven/internal/protocol"
 
-// ChainedJob is a job with the jobs that must be done before it.
+// ChainedJob is a job with its dependencies, as far as deadlines and priorities go.
 type ChainedJob struct {
-	Priority  protocol.PriorityLevel // 0 is the highest priority
+	Priority  protocol.PriorityLevel // the smaller the level, the higher the priority
 	DeadlineS float64                // seconds from now until it should be complete; +Inf: no deadline
-	EstimateS float64
-	DependsOn []int // indices of the jobs that it needs
+	EstimateS float64                // estimated run time in seconds
+	DependsOn []int                  // indices of the jobs that must be done before it starts
 }
 
-// PropagateDeadlines gives each job the highest priority of all that need it, directly or
-// through others, and the earliest time by which it must be complete for their
-// deadlines to be kept: a deadline less the estimates on the longest path (the
-// critical path) from the job to the one that is due.
+// PropagateDeadlines gives each job the highest priority of all its dependents, direct
+// or through others, and the earliest time by which it must be complete for their
+// deadlines to be kept: a deadline less the estimates on the longest path (the critical
+// path) from the job to the one that is due.
+//
+// Dependencies form a directed acyclic graph, since only accepted jobs can be named.
+// Should stored records hold a cycle all the same, its jobs keep what they have and
+// the others are still served.
 func PropagateDeadlines(jobs []ChainedJob) {
-	dependents := make([]int, len(jobs)) // jobs that need it and have not passed on yet
-	for i := range jobs {
-		for _, dependencyIndex := range jobs[i].DependsOn {
-			dependents[dependencyIndex]++
-		}
-	}
-	var ready []int
-	for i, n := range dependents {
-		if n == 0 {
+	pending := countDependents(jobs)
+	var ready []int // jobs that have heard from all of their dependents
+	for i, dependents := range pending {
+		if dependents == 0 {
 			ready = append(ready, i)
 		}
 	}
@@ -31,13 +30,29 @@
 		last := len(ready) - 1
 		dependent := &jobs[ready[last]]
 		ready = ready[:last]
-		for _, dependencyIndex := range dependent.DependsOn {
-			dependency := &jobs[dependencyIndex]
-			dependency.Priority = min(dependency.Priority, dependent.Priority)
-			dependency.DeadlineS = min(dependency.DeadlineS, dependent.DeadlineS-dependent.EstimateS)
-			if dependents[dependencyIndex]--; dependents[dependencyIndex] == 0 {
-				ready = append(ready, dependencyIndex)
+		for _, i := range dependent.DependsOn {
+			jobs[i].inheritFrom(dependent)
+			if pending[i]--; pending[i] == 0 {
+				ready = append(ready, i)
 			}
 		}
 	}
 }
+
+// countDependents counts for each job the jobs that name it as a dependency.
+func countDependents(jobs []ChainedJob) []int {
+	dependents := make([]int, len(jobs))
+	for i := range jobs {
+		for _, dependency := range jobs[i].DependsOn {
+			dependents[dependency]++
+		}
+	}
+	return dependents
+}
+
+// inheritFrom takes over the priority and the deadline of a dependent where they are
+// stricter. The dependent must have its run time left after this job is complete.
+func (j *ChainedJob) inheritFrom(dependent *ChainedJob) {
+	j.Priority = min(j.Priority, dependent.Priority)
+	j.DeadlineS = min(j.DeadlineS, dependent.DeadlineS-dependent.EstimateS)
+}
