--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -3,21 +3,21 @@
 // Start puts Count tasks of a job on a machine.
 type Start struct{ Job, Machine, Count int }
 
-// ScaleOut asks for Count machines.
+// ScaleOut requests Count machines of a pool.
 type ScaleOut struct {
 	CapacityPool
 	Count int
 }
 
-// Preemption makes room: Count tasks of Job on Machine are stopped, at once.
+// Preemption stops Count tasks of a job on a machine at once to make capacity.
 type Preemption struct{ Machine, Job, Count int }
 
-// Plan is what to do.
+// Plan is what to do. Jobs and machines are indices in the snapshot.
 type Plan struct {
 	Starts      []Start
 	Preemptions []Preemption
 	ScaleOuts   []ScaleOut
-	ScaleIns    []int
+	ScaleIns    []int // machines to return
 	// SlackSpent marks jobs (by index) whose slack is spent while tasks wait.
 	SlackSpent []int
 }
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -6,19 +6,20 @@
 	"marblehaven/internal/protocol"
 )
 
-// LowestPriority is the rank that everything else may stop.
+// LowestPriority is the priority whose tasks may be preempted for any other.
 const LowestPriority = protocol.LevelLowest
 
 // MachineType is a machine type with its current prices per hour.
 type MachineType struct {
 	Name             string
 	Capacity         Resources
-	Price, SpotPrice float64
-	BootS, FetchGBps float64
+	Price, SpotPrice float64 // SpotPrice is 0 if there are no spot instances
+	BootS            float64 // seconds from the request until the machine is up
+	FetchGBps        float64 // rate at which images are fetched; 0: not known
 	Zones            []string
 }
 
-// HourlyPrice is the price per hour of the kind.
+// HourlyPrice is the price per hour of a spot instance or of any other.
 func (t *MachineType) HourlyPrice(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -26,86 +27,92 @@
 	return t.Price
 }
 
-// RunningTasks is a task on a machine that could make room.
+// RunningTasks is the tasks of one job on a machine.
 type RunningTasks struct {
 	Job        int // index in Snapshot.Jobs
 	Count      int
 	Stopping   int     // how many of them were told to stop
-	LostWorkS  float64 // seconds of work that stopping them at once would lose
+	LostWorkS  float64 // seconds of work that are lost if all of them are preempted
 	RemainingS float64 // seconds until the last of them is likely to end
 }
 
-// Machine is a machine as seen at the snapshot.
+// Machine is a machine at the time of the snapshot.
 type Machine struct {
 	ID             string
-	Type           int
+	Type           int // index in Snapshot.Types
 	Zone           string
 	Spot           bool
 	Free           Resources
-	Schedulable    bool     // may be given work now
-	Booting        bool     // boots: its room counts as coming
-	Empty          bool     // nothing may be on it
+	Schedulable    bool     // may be given tasks now
+	Booting        bool     // is not up yet; Free is what it will have
+	Empty          bool     // no task can be on it
 	IdleS          float64  // how long it has been empty
-	GPUIdleS       float64  // with GPUs: how long none of them has been in use
+	GPUIdleS       float64  // if it has GPUs: how long none of them has been in use
 	Images         []string // that it has or is fetching
-	PendingFetchGB float64  // still to be fetched for what is on it
+	PendingFetchGB float64  // still to be fetched for the tasks on it
 	Tasks          []RunningTasks
 }
 
 func (m *Machine) hasImage(image string) bool { return slices.Contains(m.Images, image) }
 
-// Job is a job with tasks waiting.
+// Job is a job that is not done.
 type Job struct {
-	ID              protocol.JobID
-	Spec            *protocol.Job
-	Request         Resources
-	Priority        protocol.PriorityLevel // 0 is production
-	Guaranteed      bool
-	DeadlineS       float64 // seconds from now until it should be complete
-	EstimateS       float64
-	Waiting         int // tasks to be started
-	Running         int
-	RunningByZone   map[string]int
-	BackingOff      bool // backs off after failures
-	Team            int
-	Weight          float64 // what being in time counts: 1, or the tasks where an aim counts these
-	StarvedS        float64 // how long it has waited beyond what any may
-	MaxWaitExceeded bool    // it has waited longer than any may
+	ID            protocol.JobID
+	Spec          *protocol.Job
+	Request       Resources // of one task
+	Priority      protocol.PriorityLevel
+	Guaranteed    bool    // within its team's guaranteed quota
+	DeadlineS     float64 // seconds from now until it should be complete
+	EstimateS     float64 // estimated run time of a task in seconds
+	Waiting       int     // tasks to be started
+	Running       int
+	RunningByZone map[string]int // tasks that may be running, by zone ("": unknown)
+	BackingOff    bool           // starts nothing for a while, after failures
+	Team          int            // index in Snapshot.Teams
+	// Weight is what the job counts for when not all can be in time: 1, or its tasks
+	// where the service-level objective counts tasks.
+	Weight float64
+	// StarvedS is by how many seconds its wait exceeds the starvation bound.
+	StarvedS float64
+	// MaxWaitExceeded tells that it has waited longer than any job may.
+	MaxWaitExceeded bool
 }
 
-// Team is a team's use and its limit; a limit of 0 is none.
+// Team is a team's use and its quota limit; a limit of 0 is none.
 type Team struct {
 	Used, Max Resources
 }
 
-// CapacityPool is something that can be rented.
+// CapacityPool is what machines can be requested from: a type in a zone, as spot
+// instances or not.
 type CapacityPool struct {
-	Type int
+	Type int // index in Snapshot.Types
 	Zone string
 	Spot bool
 }
 
-// Snapshot is all that decisions are made from.
+// Snapshot is all that a plan is made from.
 type Snapshot struct {
 	Types          []MachineType
 	Machines       []Machine
 	Jobs           []Job
 	Teams          []Team
-	ExhaustedPools map[CapacityPool]bool // no capacity lately
-	Rho            float64
-	IdleBootFactor float64 // see giveBack
+	ExhaustedPools map[CapacityPool]bool // refused for lack of capacity lately
+	Rho            float64               // ρ of DRPA, eq. 28: a larger one scales out sooner
+	IdleBootFactor float64               // boot times for which an idle machine is kept, see idleTimeout
 	MayScaleOut    bool
 	MayScaleIn     bool
-	// StarvationShare is the part of the held machines that may be kept for what
-	// has waited too long.
+	// StarvationShare is the share of the provisioned machines that starved jobs may
+	// claim ahead of others.
 	StarvationShare float64
-	// StarvationShareIdle is the part that the lowest rank may have while it is so
-	// served, with what of it runs.
+	// StarvationShareIdle is the share of the provisioned cores that the lowest
+	// priority may have, with its running tasks, while its starved jobs go first.
 	StarvationShareIdle float64
-	// GPUPriority is the lowest rank of the work with GPUs that has been seen, -1
-	// if there was none; GPUNeed is the most that a task of it takes.
+	// GPUPriority is the lowest priority of the work with GPUs that has been seen, -1
+	// if there was none.
 	GPUPriority protocol.PriorityLevel
-	GPURequest  Resources
+	// GPURequest is the most of each resource that a task of that work requests.
+	GPURequest Resources
 }
 
 // typeOf is the type of a machine.
