--- a/internal/scheduler/generator_test.go
+++ b/internal/scheduler/generator_test.go
@@ -7,11 +7,12 @@
 	"marblehaven/internal/protocol"
 )
 
+// zones are the zones of the tests' clusters.
 var zones = []string{"a", "b"}
 
-// random makes a snapshot. With busy, machines carry tasks that could be
-// stopped.
-func random(rng *rand.Rand, busy bool) *Snapshot {
+// randomSnapshot makes a snapshot. If busy is set, machines carry tasks that could be
+// preempted.
+func randomSnapshot(rng *rand.Rand, busy bool) *Snapshot {
 	snapshot := &Snapshot{Rho: 1, IdleBootFactor: 2, MayScaleOut: true, MayScaleIn: true, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{},
 		Types: []MachineType{
 			{Name: "small", Capacity: Resources{4, 0, 16}, Price: 0.2, SpotPrice: 0.06, BootS: 30, FetchGBps: 1, Zones: zones},
@@ -20,49 +21,110 @@
 		},
 		Teams: []Team{{Max: Resources{Cores: 30, GPUs: 8}}, {}},
 	}
-	kinds := []protocol.JobKind{protocol.KindArray, protocol.KindArray, protocol.KindGang, protocol.KindService}
 	for i := range 1 + rng.IntN(6) {
-		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(i)), Kind: kinds[rng.IntN(4)], Tasks: 1 + rng.IntN(9), Cores: float64(1 + rng.IntN(4)),
-			MemGB: float64(1 + rng.IntN(16)), OneZone: rng.IntN(4) == 0, Spread: rng.IntN(4) == 0, Spot: rng.IntN(2) == 0,
-			Image: fmt.Sprint("img", rng.IntN(2)), ImageGB: 2}
-		if rng.IntN(4) == 0 {
-			spec.GPUs = float64(1 + rng.IntN(4))
-		}
-		if rng.IntN(5) == 0 {
-			spec.MachineTypes = []string{"big", "card"}
-		}
-		if rng.IntN(5) == 0 {
-			spec.Zone = zones[rng.IntN(2)]
-		}
-		j := Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: protocol.PriorityLevel(rng.IntN(4)), Guaranteed: rng.IntN(2) == 0, EstimateS: float64(rng.IntN(60)),
-			DeadlineS: float64(rng.IntN(400) - 100), Waiting: rng.IntN(spec.Tasks + 1), Team: rng.IntN(2), RunningByZone: map[string]int{}, BackingOff: rng.IntN(8) == 0}
-		if spec.Kind == protocol.KindGang && j.Waiting > 0 {
-			j.Waiting = spec.Tasks
-		}
-		snapshot.Jobs = append(snapshot.Jobs, j)
-		if spec.GPUs > 0 {
-			snapshot.GPUPriority = max(snapshot.GPUPriority, j.Priority)
-			snapshot.GPURequest = Resources{max(snapshot.GPURequest.Cores, spec.Cores), max(snapshot.GPURequest.GPUs, spec.GPUs), max(snapshot.GPURequest.MemGB, spec.MemGB)}
+		job := randomJob(rng, randomSpec(rng, i))
+		snapshot.Jobs = append(snapshot.Jobs, job)
+		if job.Spec.GPUs > 0 {
+			noteGPUWork(snapshot, &job)
 		}
 	}
 	for i := range rng.IntN(9) {
-		m := Machine{ID: fmt.Sprint("m", i), Type: rng.IntN(3), Zone: zones[rng.IntN(2)], Spot: rng.IntN(3) == 0,
-			IdleS: float64(rng.IntN(90)), GPUIdleS: float64(rng.IntN(90)), Images: []string{"img0", "img1"}[:rng.IntN(2)], PendingFetchGB: float64(rng.IntN(3)) * 2.5}
-		m.Free = snapshot.Types[m.Type].Capacity
-		m.Schedulable = rng.IntN(4) > 0
-		m.Booting = !m.Schedulable && rng.IntN(2) == 0
-		for jobIndex := range snapshot.Jobs {
-			job := &snapshot.Jobs[jobIndex]
-			if busy && m.Schedulable && rng.IntN(2) == 0 && m.Free.CapacityFor(job.Request) > 0 && len(job.Spec.MachineTypes) == 0 && job.Spec.Kind != protocol.KindGang {
-				m.Free = m.Free.Minus(job.Request, 1)
-				m.Tasks = append(m.Tasks, RunningTasks{Job: jobIndex, Count: 1})
-				job.RunningByZone[m.Zone]++
-				job.Running++
-				snapshot.Teams[job.Team].Used = snapshot.Teams[job.Team].Used.Minus(job.Request, -1)
-			}
+		machine := randomMachine(rng, i, snapshot.Types)
+		if busy && machine.Schedulable {
+			addRandomTasks(rng, snapshot, &machine)
 		}
-		m.Empty = len(m.Tasks) == 0
-		snapshot.Machines = append(snapshot.Machines, m)
+		machine.Empty = len(machine.Tasks) == 0
+		snapshot.Machines = append(snapshot.Machines, machine)
 	}
 	return snapshot
 }
+
+// randomSpec makes the description of the i-th job. The order of the draws decides
+// what a seed stands for.
+func randomSpec(rng *rand.Rand, i int) *protocol.Job {
+	kinds := []protocol.JobKind{protocol.KindArray, protocol.KindArray, protocol.KindGang, protocol.KindService}
+	spec := &protocol.Job{
+		ID:      protocol.JobID(fmt.Sprint(i)),
+		Kind:    kinds[rng.IntN(4)],
+		Tasks:   1 + rng.IntN(9),
+		Cores:   float64(1 + rng.IntN(4)),
+		MemGB:   float64(1 + rng.IntN(16)),
+		OneZone: rng.IntN(4) == 0,
+		Spread:  rng.IntN(4) == 0,
+		Spot:    rng.IntN(2) == 0,
+		Image:   fmt.Sprint("img", rng.IntN(2)),
+		ImageGB: 2,
+	}
+	if rng.IntN(4) == 0 {
+		spec.GPUs = float64(1 + rng.IntN(4))
+	}
+	if rng.IntN(5) == 0 {
+		spec.MachineTypes = []string{"big", "card"}
+	}
+	if rng.IntN(5) == 0 {
+		spec.Zone = zones[rng.IntN(2)]
+	}
+	return spec
+}
+
+// randomJob makes the state of a job. Of a gang all tasks wait or none.
+func randomJob(rng *rand.Rand, spec *protocol.Job) Job {
+	job := Job{
+		ID:            spec.ID,
+		Spec:          spec,
+		Request:       RequestOf(spec),
+		Priority:      protocol.PriorityLevel(rng.IntN(4)),
+		Guaranteed:    rng.IntN(2) == 0,
+		EstimateS:     float64(rng.IntN(60)),
+		DeadlineS:     float64(rng.IntN(400) - 100),
+		Waiting:       rng.IntN(spec.Tasks + 1),
+		Team:          rng.IntN(2),
+		RunningByZone: map[string]int{},
+		BackingOff:    rng.IntN(8) == 0,
+	}
+	if spec.Kind == protocol.KindGang && job.Waiting > 0 {
+		job.Waiting = spec.Tasks
+	}
+	return job
+}
+
+// noteGPUWork lets the snapshot know of a job that needs GPUs.
+func noteGPUWork(snapshot *Snapshot, job *Job) {
+	seen, request := snapshot.GPURequest, job.Request
+	snapshot.GPUPriority = max(snapshot.GPUPriority, job.Priority)
+	snapshot.GPURequest = Resources{max(seen.Cores, request.Cores), max(seen.GPUs, request.GPUs), max(seen.MemGB, request.MemGB)}
+}
+
+// randomMachine makes the i-th machine, with nothing on it.
+func randomMachine(rng *rand.Rand, i int, types []MachineType) Machine {
+	machine := Machine{
+		ID:             fmt.Sprint("m", i),
+		Type:           rng.IntN(3),
+		Zone:           zones[rng.IntN(2)],
+		Spot:           rng.IntN(3) == 0,
+		IdleS:          float64(rng.IntN(90)),
+		GPUIdleS:       float64(rng.IntN(90)),
+		Images:         []string{"img0", "img1"}[:rng.IntN(2)],
+		PendingFetchGB: float64(rng.IntN(3)) * 2.5,
+	}
+	machine.Free = types[machine.Type].Capacity
+	machine.Schedulable = rng.IntN(4) > 0
+	machine.Booting = !machine.Schedulable && rng.IntN(2) == 0
+	return machine
+}
+
+// addRandomTasks puts a task on the machine of each of some jobs that fit there.
+func addRandomTasks(rng *rand.Rand, snapshot *Snapshot, machine *Machine) {
+	for jobIndex := range snapshot.Jobs {
+		job := &snapshot.Jobs[jobIndex]
+		chosen := rng.IntN(2) == 0
+		if !chosen || machine.Free.CapacityFor(job.Request) == 0 || len(job.Spec.MachineTypes) > 0 || job.Spec.Kind == protocol.KindGang {
+			continue
+		}
+		machine.Free = machine.Free.Minus(job.Request, 1)
+		machine.Tasks = append(machine.Tasks, RunningTasks{Job: jobIndex, Count: 1})
+		job.RunningByZone[machine.Zone]++
+		job.Running++
+		snapshot.Teams[job.Team].Used = snapshot.Teams[job.Team].Used.Minus(job.Request, -1)
+	}
+}
--- a/internal/scheduler/invariants_test.go
+++ b/internal/scheduler/invariants_test.go
@@ -14,7 +14,7 @@
 	rng := rand.New(rand.NewPCG(4, 4))
 	stops, rents := 0, 0
 	for i := range 4000 {
-		snapshot := random(rng, true)
+		snapshot := randomSnapshot(rng, true)
 		p := Decide(snapshot)
 		free := make([]Resources, len(snapshot.Machines))
 		for k := range snapshot.Machines {
