--- a/internal/scheduler/invariants_test.go
+++ b/internal/scheduler/invariants_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -8,84 +9,159 @@
 	"marblehaven/internal/protocol"
 )
 
-// Whatever the snapshot, a plan keeps the rules on places, room and quota, only
-// stops what ranks lower, and only returns what is empty.
+// Whatever the snapshot, a plan keeps the rules on places, capacity and quota, only
+// preempts lower priorities, and only returns what is empty.
 func TestPlanKeepsRules(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
-	stops, rents := 0, 0
+	preemptions, scaleOuts := 0, 0
 	for i := range 4000 {
 		snapshot := randomSnapshot(rng, true)
-		p := Decide(snapshot)
-		free := make([]Resources, len(snapshot.Machines))
-		for k := range snapshot.Machines {
-			free[k] = snapshot.Machines[k].Free
-		}
-		used := slices.Clone(snapshot.Teams)
-		started := map[int]int{}
-		touched := map[int]bool{}
-		zone := map[int]map[string]int{}
-		for _, st := range p.Starts {
-			job, machine := &snapshot.Jobs[st.Job], &snapshot.Machines[st.Machine]
-			if zone[st.Job] == nil {
-				zone[st.Job] = map[string]int{}
-				for z, n := range job.RunningByZone {
-					zone[st.Job][z] = n
-				}
-			}
-			zone[st.Job][machine.Zone] += st.Count
-			free[st.Machine] = free[st.Machine].Minus(job.Request, st.Count)
-			used[job.Team].Used = used[job.Team].Used.Minus(job.Request, -st.Count)
-			started[st.Job] += st.Count
-			touched[st.Machine] = true
-			spec := job.Spec
-			if !machine.Schedulable || (machine.Spot && !spec.Spot) || (spec.Zone != "" && spec.Zone != machine.Zone) || (spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, snapshot.Types[machine.Type].Name)) {
-				t.Fatalf("snapshot %d: job %d on machine %d", i, st.Job, st.Machine)
-			}
+		check := newPlanCheck(i, snapshot, Decide(snapshot))
+		check.starts(t)
+		check.startedJobs(t)
+		check.capacity(t)
+		check.quotas(t)
+		check.preemptions(t)
+		check.scaleOuts(t)
+		check.scaleIns(t)
+		preemptions += len(check.plan.Preemptions)
+		scaleOuts += len(check.plan.ScaleOuts)
+	}
+	if preemptions == 0 || scaleOuts == 0 {
+		t.Errorf("%d preemptions and %d requests for machines: the snapshots test too little", preemptions, scaleOuts)
+	}
+}
+
+// planCheck holds a plan and what its starts add up to.
+type planCheck struct {
+	number      int // of the snapshot, for messages
+	snapshot    *Snapshot
+	plan        Plan
+	free        []Resources            // by machine
+	teams       []Team                 // with what is started
+	started     map[int]int            // tasks by job
+	tasksByZone map[int]map[string]int // by job, with those that ran before
+	machineUsed map[int]bool
+}
+
+func newPlanCheck(number int, snapshot *Snapshot, plan Plan) *planCheck {
+	c := &planCheck{number: number, snapshot: snapshot, plan: plan, teams: slices.Clone(snapshot.Teams),
+		started: map[int]int{}, tasksByZone: map[int]map[string]int{}, machineUsed: map[int]bool{}}
+	for i := range snapshot.Machines {
+		c.free = append(c.free, snapshot.Machines[i].Free)
+	}
+	for _, start := range plan.Starts {
+		c.addStart(start)
+	}
+	return c
+}
+
+func (c *planCheck) addStart(start Start) {
+	job, machine := &c.snapshot.Jobs[start.Job], &c.snapshot.Machines[start.Machine]
+	if c.tasksByZone[start.Job] == nil {
+		c.tasksByZone[start.Job] = map[string]int{}
+		maps.Copy(c.tasksByZone[start.Job], job.RunningByZone)
+	}
+	c.tasksByZone[start.Job][machine.Zone] += start.Count
+	c.free[start.Machine] = c.free[start.Machine].Minus(job.Request, start.Count)
+	c.teams[job.Team].Used = c.teams[job.Team].Used.Minus(job.Request, -start.Count)
+	c.started[start.Job] += start.Count
+	c.machineUsed[start.Machine] = true
+}
+
+// starts: each task is on a machine that is up and that its job allows.
+func (c *planCheck) starts(t *testing.T) {
+	t.Helper()
+	for _, start := range c.plan.Starts {
+		spec, machine := c.snapshot.Jobs[start.Job].Spec, &c.snapshot.Machines[start.Machine]
+		optionAllowed := !machine.Spot || spec.Spot
+		zoneAllowed := spec.Zone == "" || spec.Zone == machine.Zone
+		typeAllowed := spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, c.snapshot.Types[machine.Type].Name)
+		if !machine.Schedulable || !optionAllowed || !zoneAllowed || !typeAllowed {
+			t.Fatalf("snapshot %d: job %d on machine %d", c.number, start.Job, start.Machine)
 		}
-		for jobIndex, n := range started {
-			spec := snapshot.Jobs[jobIndex].Spec
-			if n > snapshot.Jobs[jobIndex].Waiting || (spec.Kind == protocol.KindGang && n < snapshot.Jobs[jobIndex].Waiting) || snapshot.Jobs[jobIndex].BackingOff {
-				t.Fatalf("snapshot %d: job %d starts %d", i, jobIndex, n)
-			}
-			for z, n := range zone[jobIndex] {
-				if (spec.Spread && n > (spec.Tasks+1)/2 && n > snapshot.Jobs[jobIndex].RunningByZone[z]) || (spec.OneZone && len(zone[jobIndex]) > 1 && len(snapshot.Jobs[jobIndex].RunningByZone) < 2) {
-					t.Fatalf("snapshot %d: job %d in zones %v", i, jobIndex, zone[jobIndex])
-				}
-			}
+	}
+}
+
+// startedJobs: no job starts more than waits or while it backs off, a gang starts
+// whole, and conditions on zones hold.
+func (c *planCheck) startedJobs(t *testing.T) {
+	t.Helper()
+	for jobIndex, tasks := range c.started {
+		job := &c.snapshot.Jobs[jobIndex]
+		partOfGang := job.Spec.Kind == protocol.KindGang && tasks < job.Waiting
+		if tasks > job.Waiting || partOfGang || job.BackingOff {
+			t.Fatalf("snapshot %d: job %d starts %d", c.number, jobIndex, tasks)
 		}
-		for k, f := range free {
-			if f.Cores < -epsilon || f.GPUs < -epsilon || f.MemGB < -epsilon {
-				t.Fatalf("snapshot %d: machine %d is overfull: %+v", i, k, f)
-			}
+		c.zonesOf(t, jobIndex)
+	}
+}
+
+// zonesOf: a spread job has at most half of its tasks in a zone and a job bound to one
+// zone is in one, unless the snapshot was not so already.
+func (c *planCheck) zonesOf(t *testing.T, jobIndex int) {
+	t.Helper()
+	job, inZones := &c.snapshot.Jobs[jobIndex], c.tasksByZone[jobIndex]
+	half := (job.Spec.Tasks + 1) / 2
+	for zone, tasks := range inZones {
+		notSpread := job.Spec.Spread && tasks > half && tasks > job.RunningByZone[zone]
+		notTogether := job.Spec.OneZone && len(inZones) > 1 && len(job.RunningByZone) < 2
+		if notSpread || notTogether {
+			t.Fatalf("snapshot %d: job %d in zones %v", c.number, jobIndex, inZones)
 		}
-		for k, u := range used {
-			if u.Max.Cores > 0 && u.Used.Cores > max(u.Max.Cores, snapshot.Teams[k].Used.Cores)+epsilon || u.Max.GPUs > 0 && u.Used.GPUs > max(u.Max.GPUs, snapshot.Teams[k].Used.GPUs)+epsilon {
-				t.Fatalf("snapshot %d: team %d uses %+v", i, k, u)
-			}
+	}
+}
+
+// capacity: no machine has more on it than it holds.
+func (c *planCheck) capacity(t *testing.T) {
+	t.Helper()
+	for i, free := range c.free {
+		if free.Cores < -epsilon || free.GPUs < -epsilon || free.MemGB < -epsilon {
+			t.Fatalf("snapshot %d: machine %d is overfull: %+v", c.number, i, free)
 		}
-		for _, st := range p.Preemptions {
-			stops++
-			below := false
-			for jobIndex := range snapshot.Jobs {
-				below = below || (snapshot.Jobs[jobIndex].Waiting > 0 && snapshot.Jobs[jobIndex].Priority < snapshot.Jobs[st.Job].Priority)
-			}
-			if !below {
-				t.Fatalf("snapshot %d: job %d is stopped for nothing above it", i, st.Job)
-			}
+	}
+}
+
+// quotas: no team gets more than its quota, or than it had before.
+func (c *planCheck) quotas(t *testing.T) {
+	t.Helper()
+	exceeds := func(limit, used, before float64) bool { return limit > 0 && used > max(limit, before)+epsilon }
+	for i, team := range c.teams {
+		before := c.snapshot.Teams[i].Used
+		if exceeds(team.Max.Cores, team.Used.Cores, before.Cores) || exceeds(team.Max.GPUs, team.Used.GPUs, before.GPUs) {
+			t.Fatalf("snapshot %d: team %d uses %+v", c.number, i, team)
 		}
-		for _, r := range p.ScaleOuts {
-			rents++
-			if r.Count < 1 || !slices.Contains(snapshot.Types[r.Type].Zones, r.Zone) {
-				t.Fatalf("snapshot %d: rents %+v", i, r)
-			}
+	}
+}
+
+// preemptions: what is preempted has a lower priority than some job that waits.
+func (c *planCheck) preemptions(t *testing.T) {
+	t.Helper()
+	for _, preemption := range c.plan.Preemptions {
+		preempted := &c.snapshot.Jobs[preemption.Job]
+		higherWaits := slices.ContainsFunc(c.snapshot.Jobs, func(job Job) bool { return job.Waiting > 0 && job.Priority < preempted.Priority })
+		if !higherWaits {
+			t.Fatalf("snapshot %d: job %d is preempted for nothing above it", c.number, preemption.Job)
 		}
-		for _, k := range p.ScaleIns {
-			if !snapshot.Machines[k].Empty || touched[k] {
-				t.Fatalf("snapshot %d: returns machine %d in use", i, k)
-			}
+	}
+}
+
+// scaleOuts: machines are requested where their type exists.
+func (c *planCheck) scaleOuts(t *testing.T) {
+	t.Helper()
+	for _, request := range c.plan.ScaleOuts {
+		if request.Count < 1 || !slices.Contains(c.snapshot.Types[request.Type].Zones, request.Zone) {
+			t.Fatalf("snapshot %d: requests %+v", c.number, request)
 		}
 	}
-	if stops == 0 || rents == 0 {
-		t.Errorf("%d stops and %d rents: the snapshots test too little", stops, rents)
+}
+
+// scaleIns: only machines that are empty and stay so are returned.
+func (c *planCheck) scaleIns(t *testing.T) {
+	t.Helper()
+	for _, i := range c.plan.ScaleIns {
+		if !c.snapshot.Machines[i].Empty || c.machineUsed[i] {
+			t.Fatalf("snapshot %d: returns machine %d in use", c.number, i)
+		}
 	}
 }
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -9,96 +9,163 @@
 	"marblehaven/internal/protocol"
 )
 
-// Over random loads that the machines can carry, every job begins within four
-// minutes, the largest of its kind too: a gang in one zone on machines that small
-// ones keep taking, and an array of hundreds among small ones; and each of the
-// teams gets as much as the others.
+// Over random loads that the machines can carry, every job begins within four minutes,
+// the largest of its kind too: a gang in one zone on machines that small ones keep
+// taking, and an array of hundreds among small ones; and each of the teams gets as much
+// as the others.
 func TestLargestBegin(t *testing.T) {
 	for seed := range uint64(12) {
-		rng := rand.New(rand.NewPCG(seed, 9))
-		snapshot := &Snapshot{Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5, GPUPriority: 2, GPURequest: Resources{4, 4, 8}, ExhaustedPools: map[CapacityPool]bool{},
-			Types: []MachineType{
-				{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones},
-				{Name: "cpu", Capacity: Resources{16, 0, 64}, Price: 1, BootS: 35, FetchGBps: 1, Zones: zones},
-			}, Teams: make([]Team, 10)}
-		for i := range 120 {
-			m := Machine{ID: fmt.Sprint("m", i), Type: i % 2, Zone: zones[i/2%2], Schedulable: true}
-			m.Free = snapshot.Types[m.Type].Capacity
-			snapshot.Machines = append(snapshot.Machines, m)
+		simulation := newLoadSimulation(seed)
+		for now := 0; now < 1200; now++ {
+			simulation.step(now)
 		}
-		type run struct{ job, machine, n, ends int }
-		type state struct {
-			at, begun, left int
-			lasts           int
+		simulation.checkBeginnings(t, seed)
+		simulation.checkTeams(t, seed)
+	}
+}
+
+// loadSimulation plays random jobs on a cluster of fixed size, second by second.
+type loadSimulation struct {
+	rng      *rand.Rand
+	snapshot *Snapshot
+	jobs     []simulatedJob // along with snapshot.Jobs
+	runs     []simulatedRun
+	waits    [][]int // by team: seconds until all tasks of a job had begun
+}
+
+type simulatedJob struct {
+	submittedAt, begunAt int // begunAt is -1 until all tasks have begun
+	durationS            int
+}
+
+// simulatedRun is tasks of a job on a machine that end together.
+type simulatedRun struct{ job, machine, tasks, endsAt int }
+
+func newLoadSimulation(seed uint64) *loadSimulation {
+	snapshot := &Snapshot{Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5, GPUPriority: 2, GPURequest: Resources{4, 4, 8}, ExhaustedPools: map[CapacityPool]bool{},
+		Types: []MachineType{
+			{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones},
+			{Name: "cpu", Capacity: Resources{16, 0, 64}, Price: 1, BootS: 35, FetchGBps: 1, Zones: zones},
+		}, Teams: make([]Team, 10)}
+	for i := range 120 {
+		machine := Machine{ID: fmt.Sprint("m", i), Type: i % 2, Zone: zones[i/2%2], Schedulable: true}
+		machine.Free = snapshot.Types[machine.Type].Capacity
+		snapshot.Machines = append(snapshot.Machines, machine)
+	}
+	return &loadSimulation{rng: rand.New(rand.NewPCG(seed, 9)), snapshot: snapshot, waits: make([][]int, 10)}
+}
+
+// step plays one second.
+func (s *loadSimulation) step(now int) {
+	s.endRuns(now)
+	for range 2 {
+		s.submit(now)
+	}
+	s.age(now)
+	for _, start := range Decide(s.snapshot).Starts {
+		s.start(start, now)
+	}
+}
+
+// endRuns gives back what the tasks that end now have used.
+func (s *loadSimulation) endRuns(now int) {
+	for _, run := range s.runs {
+		if run.endsAt != now {
+			continue
 		}
-		var runs []run
-		var jobs []state
-		waits := make([][]int, 10)
-		for now := 0; now < 1200; now++ {
-			for _, r := range runs {
-				if r.ends == now {
-					job, machine := &snapshot.Jobs[r.job], &snapshot.Machines[r.machine]
-					machine.Free = machine.Free.Minus(job.Request, -r.n)
-					for k, x := range machine.Tasks {
-						if x.Job == r.job {
-							if machine.Tasks[k].Count -= r.n; machine.Tasks[k].Count == 0 {
-								machine.Tasks = slices.Delete(slices.Clone(machine.Tasks), k, k+1)
-							}
-							break
-						}
-					}
-					job.Running -= r.n
-					snapshot.Teams[job.Team].Used = snapshot.Teams[job.Team].Used.Minus(job.Request, r.n)
-				}
-			}
-			runs = slices.DeleteFunc(runs, func(r run) bool { return r.ends == now })
-			for range 2 {
-				spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(len(snapshot.Jobs))), MemGB: 8, Spot: true}
-				switch {
-				case rng.Float64() < 0.10: // a gang; of the tasks, half are in the largest
-					spec.Kind, spec.Tasks, spec.Cores, spec.GPUs, spec.OneZone = protocol.KindGang, []int{1, 1, 1, 1, 2, 2, 2, 4, 4, 16}[rng.IntN(10)], 4, 4, true
-				case rng.Float64() < 0.018:
-					spec.Kind, spec.Tasks, spec.Cores = protocol.KindArray, []int{10, 20, 30, 40, 300}[rng.IntN(5)], 4
-				default:
-					continue
-				}
-				j := Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2, EstimateS: 60, Waiting: spec.Tasks, Weight: 1, Team: rng.IntN(10)}
-				snapshot.Jobs = append(snapshot.Jobs, j)
-				jobs = append(jobs, state{at: now, begun: -1, left: spec.Tasks, lasts: 30 + rng.IntN(60)})
-			}
-			for i := range snapshot.Jobs {
-				job := &snapshot.Jobs[i]
-				age := float64(now - jobs[i].at)
-				job.DeadlineS = 180 - age
-				job.StarvedS = 0
-				if job.Waiting > 0 {
-					job.StarvedS = max(0, age-60)
-				}
-			}
-			for _, st := range Decide(snapshot).Starts {
-				job, machine := &snapshot.Jobs[st.Job], &snapshot.Machines[st.Machine]
-				machine.Free = machine.Free.Minus(job.Request, st.Count)
-				machine.Tasks = append(slices.Clone(machine.Tasks), RunningTasks{Job: st.Job, Count: st.Count, RemainingS: 60})
-				job.Waiting -= st.Count
-				job.Running += st.Count
-				snapshot.Teams[job.Team].Used = snapshot.Teams[job.Team].Used.Minus(job.Request, -st.Count)
-				runs = append(runs, run{st.Job, st.Machine, st.Count, now + jobs[st.Job].lasts})
-				if job.Waiting == 0 {
-					jobs[st.Job].begun = now
-					waits[job.Team] = append(waits[job.Team], now-jobs[st.Job].at)
-				}
-			}
+		job, machine := &s.snapshot.Jobs[run.job], &s.snapshot.Machines[run.machine]
+		machine.Free = machine.Free.Minus(job.Request, -run.tasks)
+		removeTasks(machine, run)
+		job.Running -= run.tasks
+		s.snapshot.Teams[job.Team].Used = s.snapshot.Teams[job.Team].Used.Minus(job.Request, run.tasks)
+	}
+	s.runs = slices.DeleteFunc(s.runs, func(run simulatedRun) bool { return run.endsAt == now })
+}
+
+func removeTasks(machine *Machine, run simulatedRun) {
+	k := slices.IndexFunc(machine.Tasks, func(running RunningTasks) bool { return running.Job == run.job })
+	if k < 0 {
+		return
+	}
+	if machine.Tasks[k].Count -= run.tasks; machine.Tasks[k].Count == 0 {
+		machine.Tasks = slices.Delete(slices.Clone(machine.Tasks), k, k+1)
+	}
+}
+
+// submit submits a random job or none.
+func (s *loadSimulation) submit(now int) {
+	spec := s.randomSpec()
+	if spec == nil {
+		return
+	}
+	s.snapshot.Jobs = append(s.snapshot.Jobs, Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2, EstimateS: 60, Waiting: spec.Tasks, Weight: 1, Team: s.rng.IntN(10)})
+	s.jobs = append(s.jobs, simulatedJob{submittedAt: now, begunAt: -1, durationS: 30 + s.rng.IntN(60)})
+}
+
+// randomSpec makes a gang, an array or nothing. Of the gangs' tasks, half are in the
+// largest.
+func (s *loadSimulation) randomSpec() *protocol.Job {
+	spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(len(s.snapshot.Jobs))), MemGB: 8, Cores: 4, Spot: true}
+	switch {
+	case s.rng.Float64() < 0.10:
+		spec.Kind, spec.GPUs, spec.OneZone = protocol.KindGang, 4, true
+		spec.Tasks = []int{1, 1, 1, 1, 2, 2, 2, 4, 4, 16}[s.rng.IntN(10)]
+	case s.rng.Float64() < 0.018:
+		spec.Kind = protocol.KindArray
+		spec.Tasks = []int{10, 20, 30, 40, 300}[s.rng.IntN(5)]
+	default:
+		return nil
+	}
+	return spec
+}
+
+// age brings deadlines and starvation up to now.
+func (s *loadSimulation) age(now int) {
+	for i := range s.snapshot.Jobs {
+		job := &s.snapshot.Jobs[i]
+		ageS := float64(now - s.jobs[i].submittedAt)
+		job.DeadlineS = 180 - ageS
+		job.StarvedS = 0
+		if job.Waiting > 0 {
+			job.StarvedS = max(0, ageS-60)
 		}
-		for i, j := range jobs {
-			if j.begun < 0 && j.at < 960 || j.begun-j.at > 240 {
-				t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s", seed, i, snapshot.Jobs[i].Spec.Tasks, snapshot.Jobs[i].Spec.Kind, snapshot.Jobs[i].Team, j.at, j.begun)
-			}
+	}
+}
+
+// start carries out a start of the plan.
+func (s *loadSimulation) start(start Start, now int) {
+	job, machine, state := &s.snapshot.Jobs[start.Job], &s.snapshot.Machines[start.Machine], &s.jobs[start.Job]
+	machine.Free = machine.Free.Minus(job.Request, start.Count)
+	machine.Tasks = append(slices.Clone(machine.Tasks), RunningTasks{Job: start.Job, Count: start.Count, RemainingS: 60})
+	job.Waiting -= start.Count
+	job.Running += start.Count
+	s.snapshot.Teams[job.Team].Used = s.snapshot.Teams[job.Team].Used.Minus(job.Request, -start.Count)
+	s.runs = append(s.runs, simulatedRun{start.Job, start.Machine, start.Count, now + state.durationS})
+	if job.Waiting == 0 {
+		state.begunAt = now
+		s.waits[job.Team] = append(s.waits[job.Team], now-state.submittedAt)
+	}
+}
+
+// checkBeginnings: every job has all begun within four minutes, if it had so long.
+func (s *loadSimulation) checkBeginnings(t *testing.T, seed uint64) {
+	t.Helper()
+	for i, state := range s.jobs {
+		neverBegun := state.begunAt < 0 && state.submittedAt < 960
+		if neverBegun || state.begunAt-state.submittedAt > 240 {
+			job := &s.snapshot.Jobs[i]
+			t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s", seed, i, job.Spec.Tasks, job.Spec.Kind, job.Team, state.submittedAt, state.begunAt)
 		}
-		for team, w := range waits {
-			slices.Sort(w)
-			if len(w) > 0 && w[len(w)/2] > 60 {
-				t.Errorf("seed %d: half of the jobs of team %d wait over %d s", seed, team, w[len(w)/2])
-			}
+	}
+}
+
+// checkTeams: half of each team's jobs wait for no more than a minute.
+func (s *loadSimulation) checkTeams(t *testing.T, seed uint64) {
+	t.Helper()
+	for team, waits := range s.waits {
+		slices.Sort(waits)
+		if len(waits) > 0 && waits[len(waits)/2] > 60 {
+			t.Errorf("seed %d: half of the jobs of team %d wait over %d s", seed, team, waits[len(waits)/2])
 		}
 	}
 }
