--- a/internal/scheduler/eligibility_test.go
+++ b/internal/scheduler/eligibility_test.go
@@ -6,14 +6,22 @@
 	"marblehaven/internal/protocol"
 )
 
-// A task whose machine's zone is not known, as after a takeover, may be in any
-// zone. (On the users' bench, spread services were put together after one.)
+// A task on a machine whose zone is not known, as after a failover, may be in any zone.
+// (Without this, spread services were put together after one.)
 func TestUnknownZoneCounts(t *testing.T) {
-	spec := &protocol.Job{Tasks: 4, Spread: true}
-	if n := ZoneCapacity(spec, map[string]int{"a": 1, "": 1}, "a"); n != 0 {
-		t.Errorf("room for %d more where two may be already", n)
+	cases := []struct {
+		name        string
+		spec        protocol.Job
+		tasksByZone map[string]int
+	}{
+		{"two of a spread job may be there already", protocol.Job{Tasks: 4, Spread: true}, map[string]int{"a": 1, "": 1}},
+		{"another zone may be in use by a job for one zone", protocol.Job{Tasks: 4, OneZone: true}, map[string]int{"": 1}},
 	}
-	if n := ZoneCapacity(&protocol.Job{Tasks: 4, OneZone: true}, map[string]int{"": 1}, "a"); n != 0 {
-		t.Errorf("room for %d in one zone while another may be in use", n)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			if n := ZoneCapacity(&test.spec, test.tasksByZone, "a"); n != 0 {
+				t.Errorf("capacity for %d more", n)
+			}
+		})
 	}
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -11,8 +11,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// Deciding like tasks as a class must place as many as one by one, and at the
-// same cost.
+// Placing the tasks of a job together must put as many on each machine as placing them
+// one by one, each where it costs least.
 func TestStartsAgainstPlainModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	placed := 0
@@ -32,8 +32,8 @@
 	}
 }
 
-// That one job found no room on a machine busy fetching says nothing of a like
-// job whose image is there.
+// That one job found no capacity on a machine busy fetching says nothing of a job of
+// the same kind whose image is there.
 func TestFullIsByImage(t *testing.T) {
 	snapshot := &Snapshot{Rho: 1, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
 		Types:    []MachineType{{Name: "small", Capacity: Resources{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}},
@@ -42,7 +42,7 @@
 		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(i)), Kind: protocol.KindArray, Tasks: 1, Cores: 1, MemGB: 1, Image: image, ImageGB: 2}
 		snapshot.Jobs = append(snapshot.Jobs, Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2, EstimateS: 60, DeadlineS: 500 + float64(i), Waiting: 1})
 	}
-	if st := Decide(snapshot).Starts; len(st) != 1 || st[0].Job != 1 {
-		t.Errorf("starts %+v", st)
+	if starts := Decide(snapshot).Starts; len(starts) != 1 || starts[0].Job != 1 {
+		t.Errorf("starts %+v", starts)
 	}
 }
