--- a/internal/scheduler/chain.go
+++ b/internal/scheduler/chain.go
@@ -16,8 +16,8 @@
 // path) from the job to the one that is due.
 //
 // Dependencies form a directed acyclic graph, since only accepted jobs can be named.
-// Should stored records hold a cycle all the same, its jobs keep what they have and
-// the others are still served.
+// Should stored records hold a cycle all the same, its jobs pass nothing on, and the
+// priorities and deadlines of all other jobs are still propagated.
 func PropagateDeadlines(jobs []ChainedJob) {
 	pending := countDependents(jobs)
 	var ready []int // jobs that have heard from all of their dependents
--- a/internal/scheduler/pendingjob.go
+++ b/internal/scheduler/pendingjob.go
@@ -30,7 +30,7 @@
 }
 
 // mayPreempt tells whether tasks of lower priorities are preempted for the job:
-// production must not wait, and machines with GPUs are held for work that needs them.
+// production must not wait, and machines with GPUs are kept idle for work that needs them.
 func (j *pendingJob) mayPreempt() bool { return j.isProduction() || j.needsGPUs() }
 
 // zoneCapacity is how many more tasks of the job may be in the zone.
