--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -43,7 +43,7 @@
 
 // On random graphs the priority and deadline that reach a job are those found by
 // following every path.
-func TestInherit(t *testing.T) {
+func TestPropagateDeadlines(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 300 {
 		jobs := randomChain(rng)
@@ -61,7 +61,7 @@
 
 // Records can hold no cycle, since only accepted jobs may be named. If one did all the
 // same, the decisions would go on.
-func TestInheritCycle(t *testing.T) {
+func TestPropagateDeadlinesWithCycle(t *testing.T) {
 	jobs := []ChainedJob{
 		{Priority: 3, DeadlineS: 10, DependsOn: []int{1}},
 		{Priority: 2, DeadlineS: 20, DependsOn: []int{0}},
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -31,7 +31,7 @@
 // A gang that has waited too long gets the machines that fall free reserved, also
 // against smaller gangs that would be served before it; once all are there it starts.
 // Without the reservation the small ones take every machine for ever.
-func TestOverdueGangGathers(t *testing.T) {
+func TestStarvedGangGathers(t *testing.T) {
 	snapshot := starvedGangSnapshot()
 	started := false
 	for round := 0; round < 6 && !started; round++ { // one machine falls free after another
@@ -57,7 +57,7 @@
 // A gang for which a part of the capacity is there gets machines added for the rest.
 // Taking the free machine, or machines in different zones, for all that it needs would
 // let it wait for ever.
-func TestGangRentsTheRest(t *testing.T) {
+func TestGangScalesOutForTheRest(t *testing.T) {
 	spec := &protocol.Job{ID: "g", Kind: protocol.KindGang, Tasks: 3, Cores: 4, GPUs: 2, MemGB: 8, OneZone: true, Spot: true}
 	snapshot := &Snapshot{Rho: 1, MayScaleOut: true, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
 		Types: []MachineType{{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, SpotPrice: 3, BootS: 35, FetchGBps: 1, Zones: zones}},
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -13,7 +13,7 @@
 
 // Placing the tasks of a job together must put as many on each machine as placing them
 // one by one, each where it costs least.
-func TestStartsAgainstPlainModel(t *testing.T) {
+func TestStartsMatchReferenceModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	placed := 0
 	for i := range 4000 {
@@ -34,7 +34,7 @@
 
 // That one job found no capacity on a machine busy fetching says nothing of a job of
 // the same kind whose image is there.
-func TestFullIsByImage(t *testing.T) {
+func TestExhaustedKindsAreByImage(t *testing.T) {
 	snapshot := &Snapshot{Rho: 1, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
 		Types:    []MachineType{{Name: "small", Capacity: Resources{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}},
 		Machines: []Machine{{Zone: "a", Schedulable: true, Free: Resources{4, 0, 16}, Images: []string{"there"}, PendingFetchGB: 2 * tuning.FetchAheadS}}}
