--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -69,8 +69,8 @@
 		}
 		return capacities[key]
 	}
-	for i := range p.machines.machines {
-		if machine := &p.machines.machines[i]; p.eligibleForGang(machine, job) {
+	for i := range p.pool.machines {
+		if machine := &p.pool.machines[i]; p.eligibleForGang(machine, job) {
 			in(machine.Zone).addMachine(machine, p.snapshot.typeOf(machine), job.Request)
 		}
 	}
@@ -116,11 +116,11 @@
 func (p *planner) reserveInZone(job *pendingJob, tasks int, zone zoneConstraint) int {
 	isStarved := job.StarvedS > 0
 	left := tasks
-	for i := range p.machines.machines {
+	for i := range p.pool.machines {
 		if left == 0 {
 			break
 		}
-		machine := &p.machines.machines[i]
+		machine := &p.pool.machines[i]
 		if gatheringZone(job.Job, machine.Zone) != zone || !machine.acceptsTasks() || !p.eligibleForGang(machine, job) {
 			continue
 		}
--- a/internal/scheduler/gpuwait.go
+++ b/internal/scheduler/gpuwait.go
@@ -73,10 +73,10 @@
 func (g *gpuReleases) firstReleased(machines []int, job *Job, tasks int) (used []int, waitS float64) {
 	slices.SortStableFunc(machines, func(a, b int) int { return cmp.Compare(g.releaseS[a], g.releaseS[b]) })
 	missing := tasks
-	for k, i := range machines {
+	for position, i := range machines {
 		missing -= g.snapshot.typeOf(&g.snapshot.Machines[i]).Capacity.CapacityFor(job.Request)
 		if missing <= 0 {
-			return machines[:k+1], g.releaseS[i]
+			return machines[:position+1], g.releaseS[i]
 		}
 	}
 	return nil, math.Inf(1)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -64,7 +64,7 @@
 // candidates lists the machines that have capacity for a task, the cheapest first.
 func (p *planner) candidates(job *pendingJob, target placementTarget) []candidate {
 	var found []candidate
-	for _, i := range p.machines.withCapacity {
+	for _, i := range p.pool.withCapacity {
 		if c, ok := p.candidate(i, job, target); ok {
 			found = append(found, c)
 		}
@@ -77,7 +77,7 @@
 
 // candidate tells whether a machine of the pool is a candidate, and at what cost.
 func (p *planner) candidate(i int, job *pendingJob, target placementTarget) (c candidate, ok bool) {
-	machine := &p.machines.machines[i]
+	machine := &p.pool.machines[i]
 	if !target.admits(machine, job.Spec.Image) || !p.snapshot.allowsMachine(job.Spec, machine) {
 		return c, false
 	}
@@ -140,7 +140,7 @@
 	tasksByZone := maps.Clone(job.tasksByZone)
 	left := tasks
 	for _, c := range candidates {
-		zone := p.machines.machines[c.machine].Zone
+		zone := p.pool.machines[c.machine].Zone
 		if !only.allows(zone) {
 			continue
 		}
@@ -163,11 +163,11 @@
 func (p *planner) distributeInBestZone(job *pendingJob, tasks int, candidates []candidate) (best []Start, placed int) {
 	capacityByZone := map[string]int{}
 	for _, c := range candidates {
-		capacityByZone[p.machines.machines[c.machine].Zone] += c.capacity
+		capacityByZone[p.pool.machines[c.machine].Zone] += c.capacity
 	}
 	tried, bestZone := map[string]bool{}, ""
 	for _, c := range candidates {
-		zone := p.machines.machines[c.machine].Zone
+		zone := p.pool.machines[c.machine].Zone
 		if tried[zone] {
 			continue
 		}
@@ -183,7 +183,7 @@
 // addStart takes the capacity of a start from its machine and enters it in the plan.
 // On machines that are booting only the capacity is taken.
 func (p *planner) addStart(job *pendingJob, start Start, target placementTarget) {
-	machine := &p.machines.machines[start.Machine]
+	machine := &p.pool.machines[start.Machine]
 	machine.Free = machine.Free.Minus(job.Request, start.Count)
 	job.tasksByZone[machine.Zone] += start.Count
 	if target == targetBooting {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -29,7 +29,7 @@
 	}
 	served := 0
 	for _, v := range p.findVictims(job, target) {
-		if served == tasks || job.zoneCapacity(p.machines.machines[v.machine].Zone) == 0 {
+		if served == tasks || job.zoneCapacity(p.pool.machines[v.machine].Zone) == 0 {
 			continue
 		}
 		served++
@@ -46,8 +46,8 @@
 // its whole job, and jobs of higher priorities have a deadline to lose.
 func (p *planner) findVictims(job *pendingJob, target placementTarget) []victim {
 	var victims []victim
-	for _, i := range p.machines.preemptible {
-		machine := &p.machines.machines[i]
+	for _, i := range p.pool.preemptible {
+		machine := &p.pool.machines[i]
 		if !target.admits(machine, job.Spec.Image) || !p.eligible(machine, job, job.tasksByZone) {
 			continue
 		}
@@ -64,7 +64,7 @@
 // victimOn finds what has to be preempted on a machine for one task of a job, and tells
 // whether that makes enough capacity.
 func (p *planner) victimOn(i int, job *pendingJob) (victim, bool) {
-	machine := &p.machines.machines[i]
+	machine := &p.pool.machines[i]
 	found := victim{machine: i, priority: LowestPriority}
 	free := machine.Free
 	for _, running := range p.lowestPriorityFirst(machine.Tasks) {
@@ -117,12 +117,12 @@
 // addPreemption enters the preemptions in the plan. The capacity that they make is for
 // one task of the job, and the machine is not used for anything else in this plan.
 func (p *planner) addPreemption(v *victim, job *pendingJob) {
-	machine := &p.machines.machines[v.machine]
+	machine := &p.pool.machines[v.machine]
 	for _, preemption := range v.preemptions {
 		p.plan.Preemptions = append(p.plan.Preemptions, preemption)
-		k := slices.IndexFunc(machine.Tasks, func(running RunningTasks) bool { return running.Job == preemption.Job })
+		taskIndex := slices.IndexFunc(machine.Tasks, func(running RunningTasks) bool { return running.Job == preemption.Job })
 		machine.Tasks = slices.Clone(machine.Tasks)
-		machine.Tasks[k].Stopping += preemption.Count
+		machine.Tasks[taskIndex].Stopping += preemption.Count
 		machine.Free = machine.Free.Minus(p.snapshot.Jobs[preemption.Job].Request, -preemption.Count)
 	}
 	machine.Free = machine.Free.Minus(job.Request, 1)
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -5,7 +5,7 @@
 // scaleIn returns the machines that have been idle for too long, except those that the
 // plan uses or keeps for a gang.
 func (p *planner) scaleIn() {
-	inUse := make([]bool, len(p.machines.machines))
+	inUse := make([]bool, len(p.pool.machines))
 	for _, start := range p.plan.Starts {
 		inUse[start.Machine] = true
 	}
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -128,6 +128,6 @@
 func (p *planner) addBootingMachines(job *pendingJob, chosen offer) {
 	capacity := p.snapshot.Types[chosen.pool.Type].Capacity
 	for left := chosen.tasks; left > 0; left -= chosen.tasksPerMachine {
-		p.machines.addBooting(chosen.pool, capacity.Minus(job.Request, min(left, chosen.tasksPerMachine)))
+		p.pool.addBooting(chosen.pool, capacity.Minus(job.Request, min(left, chosen.tasksPerMachine)))
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -18,7 +18,7 @@
 // the plan grows: a job that is scheduled later sees what those before it have taken.
 type planner struct {
 	snapshot    *Snapshot
-	machines    *machinePool
+	pool        *machinePool
 	gpuPolicy   gpuMachinePolicy
 	quotas      quotas
 	queue       *workQueue
@@ -36,7 +36,7 @@
 func newPlanner(snapshot *Snapshot) *planner {
 	return &planner{
 		snapshot:      snapshot,
-		machines:      newMachinePool(snapshot),
+		pool:          newMachinePool(snapshot),
 		gpuPolicy:     newGPUMachinePolicy(snapshot),
 		quotas:        slices.Clone(snapshot.Teams),
 		queue:         newWorkQueue(snapshot),
