--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -10,8 +10,13 @@
 // starvedGangSnapshot has a gang of four tasks that has waited too long, eight gangs of
 // one task, and six machines that are not schedulable yet.
 func starvedGangSnapshot() *Snapshot {
-	snapshot := &Snapshot{Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5, GPUPriority: 2, GPURequest: Resources{4, 4, 8}, ExhaustedPools: map[CapacityPool]bool{},
-		Types: []MachineType{{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones}}, Teams: []Team{{}}}
+	snapshot := &Snapshot{
+		Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5,
+		GPUPriority: 2, GPURequest: Resources{4, 4, 8},
+		ExhaustedPools: map[CapacityPool]bool{},
+		Types:          []MachineType{{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones}},
+		Teams:          []Team{{}},
+	}
 	snapshot.Jobs = append(snapshot.Jobs, gangOfCards("big", 4, 5))
 	for i := range 8 {
 		snapshot.Jobs = append(snapshot.Jobs, gangOfCards(protocol.JobID(fmt.Sprint("small", i)), 1, 0))
@@ -24,8 +29,15 @@
 
 // gangOfCards is a gang each task of which takes all GPUs of a machine.
 func gangOfCards(jobID protocol.JobID, tasks int, starvedS float64) Job {
-	spec := &protocol.Job{ID: jobID, Kind: protocol.KindGang, Tasks: tasks, Cores: 4, GPUs: 4, MemGB: 8, OneZone: true, Priority: protocol.PriorityStandard}
-	return Job{ID: jobID, Spec: spec, Request: RequestOf(spec), Priority: 2, EstimateS: 60, DeadlineS: 100 - starvedS, Waiting: tasks, StarvedS: starvedS, Weight: 1}
+	spec := &protocol.Job{
+		ID: jobID, Kind: protocol.KindGang, Priority: protocol.PriorityStandard,
+		Tasks: tasks, Cores: 4, GPUs: 4, MemGB: 8, OneZone: true,
+	}
+	return Job{
+		ID: jobID, Spec: spec, Request: RequestOf(spec), Priority: 2,
+		EstimateS: 60, DeadlineS: 100 - starvedS, StarvedS: starvedS,
+		Waiting: tasks, Weight: 1,
+	}
 }
 
 // A gang that has waited too long gets the machines that fall free reserved, also
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -40,7 +40,10 @@
 		Machines: []Machine{{Zone: "a", Schedulable: true, Free: Resources{4, 0, 16}, Images: []string{"there"}, PendingFetchGB: 2 * tuning.FetchAheadS}}}
 	for i, image := range []string{"elsewhere", "there"} {
 		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(i)), Kind: protocol.KindArray, Tasks: 1, Cores: 1, MemGB: 1, Image: image, ImageGB: 2}
-		snapshot.Jobs = append(snapshot.Jobs, Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2, EstimateS: 60, DeadlineS: 500 + float64(i), Waiting: 1})
+		snapshot.Jobs = append(snapshot.Jobs, Job{
+			ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2,
+			EstimateS: 60, DeadlineS: 500 + float64(i), Waiting: 1,
+		})
 	}
 	if starts := Decide(snapshot).Starts; len(starts) != 1 || starts[0].Job != 1 {
 		t.Errorf("starts %+v", starts)
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// quotas is the teams' use of their quotas, by team, with what the plan starts.
+// quotas is the use that each team makes of its quota, with what the plan starts.
 type quotas []Team
 
 // tasksWithin is how many more tasks the quota of a team allows. Memory is not limited.
--- a/internal/scheduler/reference_test.go
+++ b/internal/scheduler/reference_test.go
@@ -51,7 +51,12 @@
 }
 
 func newReferenceModel(snapshot *Snapshot) *referenceModel {
-	model := &referenceModel{snapshot: snapshot, teams: slices.Clone(snapshot.Teams), lowestGPUPriority: snapshot.GPUPriority, placed: map[string]int{}}
+	model := &referenceModel{
+		snapshot:          snapshot,
+		teams:             slices.Clone(snapshot.Teams),
+		lowestGPUPriority: snapshot.GPUPriority,
+		placed:            map[string]int{},
+	}
 	if model.lowestGPUPriority < 0 {
 		model.lowestGPUPriority = 2 // no work with GPUs is known: only the lowest priority
 	}
@@ -59,7 +64,11 @@
 		model.gpuWorkWaits = model.gpuWorkWaits || (job.Request.GPUs > 0 && job.Waiting > 0 && !job.BackingOff)
 	}
 	for _, machine := range snapshot.Machines {
-		model.machines = append(model.machines, referenceMachine{free: machine.Free, images: slices.Clone(machine.Images), pendingFetchGB: machine.PendingFetchGB})
+		model.machines = append(model.machines, referenceMachine{
+			free:           machine.Free,
+			images:         slices.Clone(machine.Images),
+			pendingFetchGB: machine.PendingFetchGB,
+		})
 	}
 	return model
 }
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -42,11 +42,16 @@
 type simulatedRun struct{ job, machine, tasks, endsAt int }
 
 func newLoadSimulation(seed uint64) *loadSimulation {
-	snapshot := &Snapshot{Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5, GPUPriority: 2, GPURequest: Resources{4, 4, 8}, ExhaustedPools: map[CapacityPool]bool{},
+	snapshot := &Snapshot{
+		Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5,
+		GPUPriority: 2, GPURequest: Resources{4, 4, 8},
+		ExhaustedPools: map[CapacityPool]bool{},
 		Types: []MachineType{
 			{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones},
 			{Name: "cpu", Capacity: Resources{16, 0, 64}, Price: 1, BootS: 35, FetchGBps: 1, Zones: zones},
-		}, Teams: make([]Team, 10)}
+		},
+		Teams: make([]Team, 10),
+	}
 	for i := range 120 {
 		machine := Machine{ID: fmt.Sprint("m", i), Type: i % 2, Zone: zones[i/2%2], Schedulable: true}
 		machine.Free = snapshot.Types[machine.Type].Capacity
@@ -98,7 +103,10 @@
 	if spec == nil {
 		return
 	}
-	s.snapshot.Jobs = append(s.snapshot.Jobs, Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2, EstimateS: 60, Waiting: spec.Tasks, Weight: 1, Team: s.rng.IntN(10)})
+	s.snapshot.Jobs = append(s.snapshot.Jobs, Job{
+		ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2,
+		EstimateS: 60, Waiting: spec.Tasks, Weight: 1, Team: s.rng.IntN(10),
+	})
 	s.jobs = append(s.jobs, simulatedJob{submittedAt: now, begunAt: -1, durationS: 30 + s.rng.IntN(60)})
 }
 
@@ -154,7 +162,8 @@
 		neverBegun := state.begunAt < 0 && state.submittedAt < 960
 		if neverBegun || state.begunAt-state.submittedAt > 240 {
 			job := &s.snapshot.Jobs[i]
-			t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s", seed, i, job.Spec.Tasks, job.Spec.Kind, job.Team, state.submittedAt, state.begunAt)
+			t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s",
+				seed, i, job.Spec.Tasks, job.Spec.Kind, job.Team, state.submittedAt, state.begunAt)
 		}
 	}
 }
