--- /dev/null
+++ b/internal/scheduler/gpuwait.go
@@ -0,0 +1,83 @@
+package scheduler
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"slices"
+)
+
+// gpuReleases is when the work on each machine is likely to end, with the waiting work
+// that was counted against it.
+type gpuReleases struct {
+	snapshot *Snapshot
+	// releaseS is by machine, in seconds from now. It is filled at the first use:
+	// most plans never ask.
+	releaseS []float64
+}
+
+// waitS is how long it is likely to take until provisioned machines have capacity for
+// the tasks of a job with GPUs, under the zone constraint and, if the job needs one
+// zone, in the zone where it takes the shortest. The machines then count as taken for
+// as long as the job runs, so that the next job does not count on them too.
+func (g *gpuReleases) waitS(job *Job, tasks int, zone zoneConstraint) float64 {
+	if g.releaseS == nil {
+		g.releaseS = lastReleases(g.snapshot.Machines)
+	}
+	var chosen []int
+	shortestS := math.Inf(1)
+	byZone := g.machinesByZone(job, zone)
+	for _, key := range slices.Sorted(maps.Keys(byZone)) {
+		machines, waitS := g.firstReleased(byZone[key], job, tasks)
+		if waitS < shortestS {
+			chosen, shortestS = machines, waitS
+		}
+	}
+	for _, i := range chosen {
+		g.releaseS[i] += job.EstimateS
+	}
+	return shortestS
+}
+
+// lastReleases is when the last task of each machine is likely to end.
+func lastReleases(machines []Machine) []float64 {
+	releaseS := make([]float64, len(machines))
+	for i := range machines {
+		for _, running := range machines[i].Tasks {
+			releaseS[i] = math.Max(releaseS[i], running.RemainingS)
+		}
+	}
+	return releaseS
+}
+
+// machinesByZone groups the machines that the job may use once they are empty.
+func (g *gpuReleases) machinesByZone(job *Job, zone zoneConstraint) map[zoneConstraint][]int {
+	byZone := map[zoneConstraint][]int{}
+	for i := range g.snapshot.Machines {
+		if machine := &g.snapshot.Machines[i]; zone.allows(machine.Zone) && g.usableWhenEmpty(machine, job) {
+			key := gatheringZone(job, machine.Zone)
+			byZone[key] = append(byZone[key], i)
+		}
+	}
+	return byZone
+}
+
+// usableWhenEmpty tells whether the machine is up and would take tasks of the job.
+func (g *gpuReleases) usableWhenEmpty(machine *Machine, job *Job) bool {
+	isUp := machine.Schedulable || len(machine.Tasks) > 0
+	return isUp && g.snapshot.typeOf(machine).Capacity.fits(job.Request) && g.snapshot.allowsMachine(job.Spec, machine)
+}
+
+// firstReleased returns the machines that are released first and hold the tasks
+// together, and when the last of them is released; +Inf if all are too few.
+func (g *gpuReleases) firstReleased(machines []int, job *Job, tasks int) (used []int, waitS float64) {
+	slices.SortStableFunc(machines, func(a, b int) int { return cmp.Compare(g.releaseS[a], g.releaseS[b]) })
+	missing := tasks
+	for position, i := range machines {
+		missing -= g.snapshot.typeOf(&g.snapshot.Machines[i]).Capacity.CapacityFor(job.Request)
+		if missing <= 0 {
+			return machines[:position+1], g.releaseS[i]
+		}
+	}
+	return nil, math.Inf(1)
+}
--- /dev/null
+++ b/internal/scheduler/invariants_test.go
@@ -0,0 +1,167 @@
+package scheduler
+
+import (
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"marblehaven/internal/protocol"
+)
+
+// Whatever the snapshot, a plan keeps the rules on places, capacity and quota, only
+// preempts lower priorities, and only returns what is empty.
+func TestPlanKeepsRules(t *testing.T) {
+	rng := rand.New(rand.NewPCG(4, 4))
+	preemptions, scaleOuts := 0, 0
+	for i := range 4000 {
+		snapshot := randomSnapshot(rng, true)
+		check := newPlanCheck(i, snapshot, Decide(snapshot))
+		check.starts(t)
+		check.startedJobs(t)
+		check.capacity(t)
+		check.quotas(t)
+		check.preemptions(t)
+		check.scaleOuts(t)
+		check.scaleIns(t)
+		preemptions += len(check.plan.Preemptions)
+		scaleOuts += len(check.plan.ScaleOuts)
+	}
+	if preemptions == 0 || scaleOuts == 0 {
+		t.Errorf("%d preemptions and %d requests for machines: the snapshots test too little", preemptions, scaleOuts)
+	}
+}
+
+// planCheck holds a plan and what its starts add up to.
+type planCheck struct {
+	number      int // of the snapshot, for messages
+	snapshot    *Snapshot
+	plan        Plan
+	free        []Resources            // by machine
+	teams       []Team                 // with what is started
+	started     map[int]int            // tasks by job
+	tasksByZone map[int]map[string]int // by job, with those that ran before
+	machineUsed map[int]bool
+}
+
+func newPlanCheck(number int, snapshot *Snapshot, plan Plan) *planCheck {
+	c := &planCheck{number: number, snapshot: snapshot, plan: plan, teams: slices.Clone(snapshot.Teams),
+		started: map[int]int{}, tasksByZone: map[int]map[string]int{}, machineUsed: map[int]bool{}}
+	for i := range snapshot.Machines {
+		c.free = append(c.free, snapshot.Machines[i].Free)
+	}
+	for _, start := range plan.Starts {
+		c.addStart(start)
+	}
+	return c
+}
+
+func (c *planCheck) addStart(start Start) {
+	job, machine := &c.snapshot.Jobs[start.Job], &c.snapshot.Machines[start.Machine]
+	if c.tasksByZone[start.Job] == nil {
+		c.tasksByZone[start.Job] = map[string]int{}
+		maps.Copy(c.tasksByZone[start.Job], job.RunningByZone)
+	}
+	c.tasksByZone[start.Job][machine.Zone] += start.Count
+	c.free[start.Machine] = c.free[start.Machine].Minus(job.Request, start.Count)
+	c.teams[job.Team].Used = c.teams[job.Team].Used.Minus(job.Request, -start.Count)
+	c.started[start.Job] += start.Count
+	c.machineUsed[start.Machine] = true
+}
+
+// starts: each task is on a machine that is up and that its job allows.
+func (c *planCheck) starts(t *testing.T) {
+	t.Helper()
+	for _, start := range c.plan.Starts {
+		spec, machine := c.snapshot.Jobs[start.Job].Spec, &c.snapshot.Machines[start.Machine]
+		optionAllowed := !machine.Spot || spec.Spot
+		zoneAllowed := spec.Zone == "" || spec.Zone == machine.Zone
+		typeAllowed := spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, c.snapshot.Types[machine.Type].Name)
+		if !machine.Schedulable || !optionAllowed || !zoneAllowed || !typeAllowed {
+			t.Fatalf("snapshot %d: job %d on machine %d", c.number, start.Job, start.Machine)
+		}
+	}
+}
+
+// startedJobs: no job starts more than waits or while it backs off, a gang starts
+// whole, and conditions on zones hold.
+func (c *planCheck) startedJobs(t *testing.T) {
+	t.Helper()
+	for jobIndex, tasks := range c.started {
+		job := &c.snapshot.Jobs[jobIndex]
+		partOfGang := job.Spec.Kind == protocol.KindGang && tasks < job.Waiting
+		if tasks > job.Waiting || partOfGang || job.BackingOff {
+			t.Fatalf("snapshot %d: job %d starts %d", c.number, jobIndex, tasks)
+		}
+		c.zonesOf(t, jobIndex)
+	}
+}
+
+// zonesOf: a spread job has at most half of its tasks in a zone and a job bound to one
+// zone is in one, unless the snapshot was not so already.
+func (c *planCheck) zonesOf(t *testing.T, jobIndex int) {
+	t.Helper()
+	job, inZones := &c.snapshot.Jobs[jobIndex], c.tasksByZone[jobIndex]
+	half := (job.Spec.Tasks + 1) / 2
+	for zone, tasks := range inZones {
+		notSpread := job.Spec.Spread && tasks > half && tasks > job.RunningByZone[zone]
+		notTogether := job.Spec.OneZone && len(inZones) > 1 && len(job.RunningByZone) < 2
+		if notSpread || notTogether {
+			t.Fatalf("snapshot %d: job %d in zones %v", c.number, jobIndex, inZones)
+		}
+	}
+}
+
+// capacity: no machine has more on it than it holds.
+func (c *planCheck) capacity(t *testing.T) {
+	t.Helper()
+	for i, free := range c.free {
+		if free.Cores < -epsilon || free.GPUs < -epsilon || free.MemGB < -epsilon {
+			t.Fatalf("snapshot %d: machine %d is overfull: %+v", c.number, i, free)
+		}
+	}
+}
+
+// quotas: no team gets more than its quota, or than it had before.
+func (c *planCheck) quotas(t *testing.T) {
+	t.Helper()
+	exceeds := func(limit, used, before float64) bool { return limit > 0 && used > max(limit, before)+epsilon }
+	for i, team := range c.teams {
+		before := c.snapshot.Teams[i].Used
+		if exceeds(team.Max.Cores, team.Used.Cores, before.Cores) || exceeds(team.Max.GPUs, team.Used.GPUs, before.GPUs) {
+			t.Fatalf("snapshot %d: team %d uses %+v", c.number, i, team)
+		}
+	}
+}
+
+// preemptions: what is preempted has a lower priority than some job that waits.
+func (c *planCheck) preemptions(t *testing.T) {
+	t.Helper()
+	for _, preemption := range c.plan.Preemptions {
+		preempted := &c.snapshot.Jobs[preemption.Job]
+		higherWaits := slices.ContainsFunc(c.snapshot.Jobs, func(job Job) bool { return job.Waiting > 0 && job.Priority < preempted.Priority })
+		if !higherWaits {
+			t.Fatalf("snapshot %d: job %d is preempted for nothing above it", c.number, preemption.Job)
+		}
+	}
+}
+
+// scaleOuts: machines are requested where their type exists.
+func (c *planCheck) scaleOuts(t *testing.T) {
+	t.Helper()
+	for _, request := range c.plan.ScaleOuts {
+		if request.Count < 1 || !slices.Contains(c.snapshot.Types[request.Type].Zones, request.Zone) {
+			t.Fatalf("snapshot %d: requests %+v", c.number, request)
+		}
+	}
+}
+
+// scaleIns: only machines that are empty and stay so are returned.
+func (c *planCheck) scaleIns(t *testing.T) {
+	t.Helper()
+	for _, i := range c.plan.ScaleIns {
+		if !c.snapshot.Machines[i].Empty || c.machineUsed[i] {
+			t.Fatalf("snapshot %d: returns machine %d in use", c.number, i)
+		}
+	}
+}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,221 +1,144 @@
-// Package scheduler decides, after DRPA, what runs where and what is rented. It is
-// pure: a snapshot in, a plan out; no clock, no I/O.
+// Package scheduler decides which tasks run where, which are preempted, and which
+// machines are added and returned, after DRPA (dynamic resource provisioning
+// algorithm; docs/design.md says what of it was kept and what was changed).
+//
+// It is pure: a snapshot goes in and a plan comes out. It reads no clock, does no I/O,
+// draws no random numbers and leaves the snapshot as it is, so that the same snapshot
+// gives the same plan and every decision can be replayed in a test.
+//
+// Whatever the snapshot, a plan never exceeds a team's quota or a machine's capacity,
+// never places a task outside the zones, machine types and purchase options that its
+// job allows, never starts a part of a gang, only preempts tasks of a lower priority
+// than the job they make way for, and only returns machines that are empty.
 package scheduler
 
-import (
-	"maps"
-	"math"
-	"slices"
-	"strings"
-
-	"marblehaven/internal/protocol"
-)
+import "slices"
 
+// planner makes one plan. Each of its parts owns one kind of state, which changes as
+// the plan grows: a job that is scheduled later sees what those before it have taken.
 type planner struct {
-	snapshot *Snapshot
-	plan     Plan
-	// pool is the machines with what this plan puts on them, and what it rents.
-	pool []Machine
-	// place in the order of each job: what comes before is never stopped.
-	servingOrder []int
-	// withCapacity lists the machines, of the pool, that have room for something that
-	// waits; victims those with work that could be stopped for production or
-	// for work with GPUs.
-	withCapacity, preemptible []int
-	reserved                  []int // machines kept free for gangs that have waited too long
-	// exhaustedKinds remembers which kinds of tasks found no more room: room only shrinks
-	// within a plan, so like tasks need not look again.
-	exhaustedKinds map[taskKind]bool
-	// productionScaleOuts counts what is rented for production.
-	productionScaleOuts map[CapacityPool]int
-	gpuWaits            bool // work with GPUs waits
-	// gpuFreeInS is when each held machine's work is likely to end, seconds from
-	// now, with the waiting work that was counted against it.
-	gpuFreeInS []float64
-	teams      []Team // with what this plan starts
-	// queuedCores and aheadGPUs are the waiting work, in need times seconds, that
-	// goes before for the held machines, of which heldCores and heldGPUs are the size.
-	queuedCores, queuedGPUs float64
-	heldCores, heldGPUs     float64
-}
-
-// taskKind is what the search for room depends on. Only kinds without
-// conditions on zones and numbers are remembered.
-type taskKind struct {
-	request  Resources
-	types    string
-	spot     bool
-	priority protocol.PriorityLevel
-	service  bool
-	target   int
-	image    string
-}
-
-func (p *planner) taskKind(job *Job, kind int, plain bool) (taskKind, bool) {
-	spec := job.Spec
-	if spec.OneZone || spec.Spread || spec.Zone != "" || !plain {
-		return taskKind{}, false
-	}
-	k := taskKind{request: job.Request, types: strings.Join(spec.MachineTypes, " "), spot: spec.Spot, priority: job.Priority, service: spec.Kind == protocol.KindService, target: kind}
-	if kind == targetCached || kind == targetReady {
-		k.image = spec.Image // a machine takes only so many images at once
-	}
-	return k, true
+	snapshot    *Snapshot
+	pool        *machinePool
+	gpuPolicy   gpuMachinePolicy
+	quotas      quotas
+	queue       *workQueue
+	gpuReleases *gpuReleases
+	exhausted   exhaustedKinds
+	scaleOuts   scaleOutRequests
+	// orderPosition is the position of each job in the scheduling order. Tasks of jobs
+	// before a job are never preempted for it.
+	orderPosition []int
+	// reservedMachines are kept free for starved gangs, by index in the pool.
+	reservedMachines []int
+	plan             Plan
 }
 
-// indexMachines finds the machines that matter to this plan.
-func (p *planner) indexMachines() {
-	least := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
-	for i := range p.snapshot.Jobs {
-		if job := &p.snapshot.Jobs[i]; job.Waiting > 0 && !job.BackingOff {
-			least = Resources{math.Min(least.Cores, job.Request.Cores), math.Min(least.GPUs, job.Request.GPUs), math.Min(least.MemGB, job.Request.MemGB)}
-		}
-	}
-	for i := range p.pool {
-		machine := &p.pool[i]
-		if (machine.Schedulable || machine.Booting) && machine.Free.Cores >= least.Cores-eps && machine.Free.GPUs >= least.GPUs-eps && machine.Free.MemGB >= least.MemGB-eps {
-			p.withCapacity = append(p.withCapacity, i)
-		}
-		if machine.Schedulable && slices.ContainsFunc(machine.Tasks, func(r RunningTasks) bool { return p.snapshot.Jobs[r.Job].Priority > 0 }) {
-			p.preemptible = append(p.preemptible, i)
-		}
+func newPlanner(snapshot *Snapshot) *planner {
+	return &planner{
+		snapshot:      snapshot,
+		pool:          newMachinePool(snapshot),
+		gpuPolicy:     newGPUMachinePolicy(snapshot),
+		quotas:        slices.Clone(snapshot.Teams),
+		queue:         newWorkQueue(snapshot),
+		gpuReleases:   &gpuReleases{snapshot: snapshot},
+		exhausted:     exhaustedKinds{},
+		scaleOuts:     newScaleOutRequests(),
+		orderPosition: make([]int, len(snapshot.Jobs)),
 	}
 }
 
-// Decide makes the plan.
+// Decide makes the plan for a snapshot.
 func Decide(snapshot *Snapshot) Plan {
-	p := &planner{snapshot: snapshot, pool: slices.Clone(snapshot.Machines), exhaustedKinds: map[taskKind]bool{}, productionScaleOuts: map[CapacityPool]int{}, teams: slices.Clone(snapshot.Teams)}
-	p.heldCores, p.heldGPUs = heldCapacity(snapshot)
-	p.indexMachines()
-	order := p.order()
+	p := newPlanner(snapshot)
+	order := Order(snapshot)
+	for position, jobIndex := range order {
+		p.orderPosition[jobIndex] = position
+	}
 	for _, jobIndex := range order {
 		p.scheduleJob(jobIndex)
 	}
-	p.addHeadroom()
+	p.plan.ScaleOuts = p.scaleOuts.withHeadroom()
 	if snapshot.MayScaleIn {
 		p.scaleIn()
 	}
 	return p.plan
 }
 
-// order sorts the jobs by who is served first and notes each one's place.
-func (p *planner) order() []int {
-	order := Order(p.snapshot)
-	p.servingOrder = make([]int, len(p.snapshot.Jobs))
-	for i, jobIndex := range order {
-		job := &p.snapshot.Jobs[jobIndex]
-		p.servingOrder[jobIndex] = i
-		p.gpuWaits = p.gpuWaits || (job.Request.GPUs > 0 && job.Waiting > 0 && !job.BackingOff)
-	}
-	return order
-}
-
-// scheduleJob places what waits of a job, makes room for it, and rents for it once its
-// slack is spent.
+// scheduleJob finds machines for the waiting tasks of a job, in the order of Algorithm
+// 1 of DRPA: first what is up, then what can be preempted or is booting, and machines
+// to add only once the job's slack W_k is spent.
 func (p *planner) scheduleJob(jobIndex int) {
-	job := &p.snapshot.Jobs[jobIndex]
-	if job.Waiting == 0 || job.BackingOff {
+	if !p.snapshot.Jobs[jobIndex].hasStartableTasks() {
 		return
 	}
-	n := min(job.Waiting, tasksWithinQuota(&p.teams[job.Team], job.Request))
-	gang := job.Spec.Kind == protocol.KindGang
-	if n == 0 || (gang && n < job.Waiting) {
+	tasks := p.tasksWithinQuota(&p.snapshot.Jobs[jobIndex])
+	if tasks == 0 {
 		return
 	}
-	keepOff := avoidsGPUMachines(p.snapshot, job)
-	zones := map[string]int{}
-	maps.Copy(zones, job.RunningByZone)
-	if job.Priority == 0 && job.Spec.Kind == protocol.KindService {
-		n -= p.scheduleOnCachedImage(jobIndex, n, zones, keepOff)
-	}
-	// Held machines first (P1): least price times estimate.
-	got := p.place(jobIndex, n, zones, keepOff, gang, targetReady)
-	p.chargeQuota(job, got)
-	if n -= got; n == 0 {
+	job := newPendingJob(p.snapshot, jobIndex)
+	if tasks -= p.useReadyMachines(job, tasks); tasks == 0 {
 		return
 	}
-	boot := bootTimeS(p.snapshot, job)
-	slack := p.slack(job, n, boot)
-	if job.Priority == 0 || job.Request.GPUs > 0 {
-		n -= p.preempt(jobIndex, n, zones, keepOff, false)
+	// The slack is computed for every job that finds too few machines, also where it
+	// is not needed: the job's work joins the queue that delays the jobs after it.
+	bootS := bootTimeS(p.snapshot, job.Job)
+	slackS := p.slackS(job.Job, tasks, bootS)
+	if job.mayPreempt() {
+		tasks -= p.preempt(job, tasks, targetReady)
 	}
-	in, all := anyZone, n // where the gang gathers
-	if gang {
-		in, n = p.reserveForGang(jobIndex, n, keepOff)
-	} else {
-		n -= p.place(jobIndex, n, zones, keepOff, false, targetBooting)
-	}
-	if slack > 0 || n == 0 {
+	withoutMachine := tasks
+	zone, tasks := p.awaitCapacity(job, tasks)
+	if slackS > 0 || tasks == 0 {
 		return
 	}
 	p.plan.SlackSpent = append(p.plan.SlackSpent, jobIndex)
-	// A rental helps only if it is up before held machines get to it
-	// (Algorithm 1, steps 12-14: wait for the machine that is free soon).
-	// This holds for work with GPUs, whose machines are dear and take one
-	// task each; small work is spread over all that can be had.
-	if p.snapshot.MayScaleOut && (job.Request.GPUs == 0 || p.gpuWaitS(job, all, in) > boot) {
-		p.scaleOut(jobIndex, n, zones, keepOff, in)
+	if p.snapshot.MayScaleOut && p.scaleOutHelps(job.Job, withoutMachine, zone, bootS) {
+		p.scaleOut(job, tasks, zone)
 	}
 }
 
-// scheduleOnCachedImage places player-facing work where its image is, even if lower work has
-// to be stopped there: a fetch takes longer than it may wait. It returns for how many
-// tasks there is or will be room.
-func (p *planner) scheduleOnCachedImage(jobIndex, n int, zones map[string]int, keepOff bool) int {
-	got := p.place(jobIndex, n, zones, keepOff, false, targetCached)
-	p.chargeQuota(&p.snapshot.Jobs[jobIndex], got)
-	return got + p.preempt(jobIndex, n-got, zones, keepOff, true)
+// tasksWithinQuota is how many of a job's waiting tasks its team's quota allows; none
+// of a gang unless it allows all, since a gang starts whole.
+func (p *planner) tasksWithinQuota(job *Job) int {
+	tasks := min(job.Waiting, p.quotas.tasksWithin(job.Team, job.Request))
+	if job.isGang() && tasks < job.Waiting {
+		return 0
+	}
+	return tasks
 }
 
-// chargeQuota counts started tasks against the team's limit.
-func (p *planner) chargeQuota(job *Job, tasks int) {
-	p.teams[job.Team].Used = p.teams[job.Team].Used.Minus(job.Request, -tasks)
+// useReadyMachines starts tasks of a job on machines that are up, and returns how many
+// of them need no further machine.
+func (p *planner) useReadyMachines(job *pendingJob, tasks int) int {
+	found := 0
+	if job.isPlayerFacing() {
+		found = p.useCachedImages(job, tasks)
+	}
+	return found + p.startTasks(job, tasks-found, targetReady)
 }
 
-// slack is W_k of a job of which n tasks find no room, with the boot that a rental
-// would take. The estimate includes what waits ahead for the same held room, so that
-// W_k is spent while renting still helps.
-func (p *planner) slack(job *Job, n int, boot float64) float64 {
-	const longest = 1e6 // seconds; without held machines the queue has no end
-	work := float64(n) * job.EstimateS
-	queue := 0.0
-	if job.Request.GPUs > 0 {
-		p.queuedGPUs += work * job.Request.GPUs
-		queue = p.queuedGPUs / math.Max(p.heldGPUs, eps)
-	} else {
-		p.queuedCores += work * job.Request.Cores
-		queue = p.queuedCores / math.Max(p.heldCores, eps)
-	}
-	return math.Max(0, job.DeadlineS-p.snapshot.Rho*(job.EstimateS+math.Min(queue, longest))-boot)
+// useCachedImages starts tasks where the job's image is already, preempting others
+// there if necessary: fetching the image takes longer than a player-facing service may
+// take to start. It returns how many tasks have a machine now or will have one once
+// the preempted tasks are gone.
+func (p *planner) useCachedImages(job *pendingJob, tasks int) int {
+	started := p.startTasks(job, tasks, targetCached)
+	return started + p.preempt(job, tasks-started, targetCached)
 }
 
-// addHeadroom rents half as many machines again for production: boots vary by more
-// than its aims allow, and the images of a first fleet come sooner over more machines.
-func (p *planner) addHeadroom() {
-	for i := range p.plan.ScaleOuts {
-		p.plan.ScaleOuts[i].Count += p.productionScaleOuts[p.plan.ScaleOuts[i].CapacityPool] / 2
-	}
+// startTasks places tasks on machines that are up and charges the team's quota.
+func (p *planner) startTasks(job *pendingJob, tasks int, target placementTarget) int {
+	started := p.place(job, tasks, target)
+	p.quotas.charge(job.Team, job.Request, started)
+	return started
 }
 
-// scaleIn returns the machines that have been idle for long enough.
-func (p *planner) scaleIn() {
-	taken := make([]bool, len(p.snapshot.Machines))
-	for _, st := range p.plan.Starts {
-		taken[st.Machine] = true
-	}
-	for _, i := range p.reserved {
-		if i < len(taken) {
-			taken[i] = true
-		}
-	}
-	for i := range p.snapshot.Machines {
-		machine := &p.snapshot.Machines[i]
-		idle := machine.IdleS
-		if p.snapshot.Types[machine.Type].Capacity.GPUs > 0 {
-			idle = machine.GPUIdleS
-		}
-		if machine.Schedulable && machine.Empty && !taken[i] && idle >= p.snapshot.idleTimeout(machine) {
-			p.plan.ScaleIns = append(p.plan.ScaleIns, i)
-		}
-	}
+// awaitCapacity counts tasks against machines that are booting, and a gang also against
+// those that fall free where it gathers. It returns the zone in which the rest must
+// be and how many tasks the rest is.
+func (p *planner) awaitCapacity(job *pendingJob, tasks int) (zoneConstraint, int) {
+	if job.isGang() {
+		return p.reserveForGang(job, tasks)
+	}
+	return anyZone, tasks - p.place(job, tasks, targetBooting)
 }
