--- /dev/null
+++ b/internal/cluster/heartbeat_order_test.go
@@ -0,0 +1,117 @@
+package cluster
+
+import (
+	"testing"
+	"time"
+
+	"marblehaven/internal/protocol"
+)
+
+// A late copy of a heartbeat proves nothing, however old it is: it does not count as
+// contact and does not make the agent's newest heartbeat look old. Only an agent that has
+// restarted can carry a token that was sent in reply to a heartbeat that looks old.
+func TestLateCopyOfHeartbeatProvesNothing(t *testing.T) {
+	machine, placement, now := machineWithStart(t)
+	machine.RecordCommandOutcome(true, true)
+	running := protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskRunning}
+	accept := func(heartbeat *protocol.Heartbeat) bool {
+		t.Helper()
+		if !machine.AcceptHeartbeat(heartbeat) && !machine.DetectRestart(heartbeat) {
+			return false
+		}
+		machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration))
+		machine.RecordAnswer()
+		return true
+	}
+	for sequence := uint64(2); sequence < 6; sequence++ {
+		if !accept(newHeartbeat(1, sequence, firstToken+1, running)) {
+			t.Fatal("a new heartbeat was taken for a copy")
+		}
+	}
+	for _, sequence := range []uint64{1, 3, 5, 5, 2} {
+		if accept(newHeartbeat(1, sequence, firstToken+1)) {
+			t.Errorf("a copy of heartbeat %d was accepted", sequence)
+		}
+	}
+	if len(machine.Placements) != 1 || placement.State != protocol.TaskRunning {
+		t.Error("a copy of a heartbeat released a placement")
+	}
+	if !accept(newHeartbeat(1, 6, machine.IssuedToken, running)) {
+		t.Error("the newest heartbeat was rejected after copies")
+	}
+	// Copies of heartbeats that the agent sent after it received the token prove nothing
+	// either.
+	if accept(newHeartbeat(1, 6, machine.IssuedToken, running)) || accept(newHeartbeat(1, 4, firstToken+1)) {
+		t.Error("a copy was accepted")
+	}
+	// The agent has restarted: its first heartbeat is refused, and the token in the next
+	// one proves the restart.
+	if accept(newHeartbeat(1, 1, 0)) {
+		t.Error("a heartbeat without proof of a restart was accepted")
+	}
+	heartbeat := newHeartbeat(1, 2, machine.IssuedToken)
+	if machine.AcceptHeartbeat(heartbeat) || !machine.DetectRestart(heartbeat) {
+		t.Fatal("a restarted agent was not detected")
+	}
+	if ended, _ := machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration)); len(ended) != 1 {
+		t.Error("the placements of the former life did not end")
+	}
+	if machine.Schedulable(now, time.Minute) {
+		t.Error("schedulable before the agent refuses the commands of its former life")
+	}
+}
+
+// A probe proves nothing once the known agent has acknowledged it, be it in the answer to a
+// direct command: later copies of its heartbeats carry the probe token as well.
+func TestStatusInKnownOrderWithdrawsProbe(t *testing.T) {
+	machine, _, now := machineWithStart(t)
+	machine.RecordCommandOutcome(true, true)
+	machine.AcceptHeartbeat(newHeartbeat(1, 2, firstToken+1))
+	if machine.DetectRestart(newHeartbeat(1, 1, firstToken)) {
+		t.Fatal("a restart was detected before a probe was sent")
+	}
+	probe := machine.IssuedToken
+	machine.ApplyStatus(newHeartbeat(1, 3, probe), parseTask, now, now.Add(leaseDuration))
+	if copied := newHeartbeat(1, 2, probe); machine.AcceptHeartbeat(copied) || machine.DetectRestart(copied) {
+		t.Error("a copy with an acknowledged probe token proved a restart")
+	}
+	if machine.IssuedToken <= probe {
+		t.Error("the next probe is a token that was sent before")
+	}
+}
+
+// A proved restart ends the placements of higher incarnations too, and the cached images are
+// forgotten; a new incarnation alone leaves the images.
+func TestRestartEndsHigherIncarnationsAndForgetsImages(t *testing.T) {
+	machine, placement, now := machineWithStart(t)
+	machine.RecordCommandOutcome(true, true)
+	machine.RecordImageUse("image", 1, 10)
+	machine.AcceptHeartbeat(newHeartbeat(5, 2, firstToken+1))
+	machine.ApplyStatus(newHeartbeat(5, 2, firstToken+1), parseTask, now, now.Add(leaseDuration))
+	if len(machine.Images()) != 1 {
+		t.Error("a new incarnation forgot the images")
+	}
+	machine.RemovePlacement(placement, now)
+	placement = &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 2, Incarnation: 5, Machine: machine, Recorded: true, Sent: true, StartToken: machine.IssuedToken}
+	machine.Placements[placement.TaskKey] = placement
+	machine.DetectRestart(newHeartbeat(1, 1, 0))
+	restarted := newHeartbeat(1, 2, machine.IssuedToken)
+	if !machine.DetectRestart(restarted) {
+		t.Fatal("the restart was not detected")
+	}
+	ended, fresh := machine.ApplyStatus(restarted, parseTask, now, now.Add(leaseDuration))
+	if !fresh || len(ended) != 1 || ended[0].Placement != placement {
+		t.Errorf("the restart ended %v", ended)
+	}
+	if len(machine.Images()) != 0 {
+		t.Error("the images of the former life are still believed to be cached")
+	}
+	if machine.RequiredToken != machine.IssuedToken || machine.AcknowledgedToken >= machine.RequiredToken {
+		t.Error("no new token is required after the restart")
+	}
+	machine.RecordImageUse("image", 1, 10)
+	machine.ApplyStatus(newHeartbeat(2, 3, machine.IssuedToken), parseTask, now, now.Add(leaseDuration))
+	if len(machine.Images()) != 1 {
+		t.Error("the incarnation after a restart was taken for another restart")
+	}
+}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -7,122 +7,125 @@
 	"marblehaven/internal/protocol"
 )
 
-// victim is what is stopped on a machine to make room there for one task.
+// victim is what is preempted on a machine to make way for one task.
 type victim struct {
 	machine     int
-	priority    protocol.PriorityLevel // the highest rank of what is stopped
-	lostWork    float64                // the work that is lost
+	priority    protocol.PriorityLevel // the highest of what is preempted
+	lostWork    float64                // core seconds of work that are lost
 	preemptions []Preemption
 }
 
-// preempt stops the work of the lowest rank, on the machine where the least of
-// it is lost. What is already stopping counts as room to come. It returns for
-// how many tasks there will be room.
-func (p *planner) preempt(jobIndex, n int, zones map[string]int, keepOff, cached bool) int {
-	job := &p.snapshot.Jobs[jobIndex]
-	if job.Spec.Kind == protocol.KindGang && n > 1 {
-		return 0 // a gang starts whole: room for a part of it is of no use
+// preempt makes way for tasks of a job by preempting tasks of the lowest priority, on
+// the machines where the least work is lost. What is stopping already counts as
+// capacity to come. It returns for how many tasks there will be capacity.
+func (p *planner) preempt(job *pendingJob, tasks int, target placementTarget) int {
+	if job.isGang() && tasks > 1 {
+		return 0 // a gang starts whole: capacity for a part of it is of no use
 	}
-	if n == 0 {
+	// Only a search over all machines says that a kind of task is exhausted.
+	searchesAll := target != targetCached
+	if tasks == 0 || (searchesAll && p.exhausted.contains(job, targetPreempted)) {
 		return 0
 	}
-	sig, like := p.taskKind(job, targetPreempted, true)
-	if cached {
-		like = false
-	}
-	if like && p.exhaustedKinds[sig] {
-		return 0
-	}
-	made := 0
-	for _, v := range p.findVictims(jobIndex, zones, keepOff, cached) {
-		if made == n || ZoneCapacity(job.Spec, zones, p.pool[v.machine].Zone) == 0 {
+	served := 0
+	for _, v := range p.findVictims(job, target) {
+		if served == tasks || job.zoneCapacity(p.pool.machines[v.machine].Zone) == 0 {
 			continue
 		}
-		made++
-		p.addPreemption(&v, job, zones)
+		served++
+		p.addPreemption(&v, job)
 	}
-	if like && made < n {
-		p.exhaustedKinds[sig] = true
+	if searchesAll && served < tasks {
+		p.exhausted.add(job, targetPreempted)
 	}
-	return made
+	return served
 }
 
-// findVictims lists what could be stopped for a task of a job, the best first.
-func (p *planner) findVictims(jobIndex int, zones map[string]int, keepOff, cached bool) []victim {
-	job := &p.snapshot.Jobs[jobIndex]
-	var found []victim
-	for _, i := range p.preemptible {
-		machine := &p.pool[i]
-		if !machine.Schedulable || !p.eligible(machine, job.Spec, zones, keepOff) || (cached && !machine.hasImage(job.Spec.Image)) {
+// findVictims lists what could be preempted for one task of a job, the best first. The
+// lowest priority goes first, whatever is lost: a preempted task of an array holds up
+// its whole job, and jobs of higher priorities have a deadline to lose.
+func (p *planner) findVictims(job *pendingJob, target placementTarget) []victim {
+	var victims []victim
+	for _, i := range p.pool.preemptible {
+		machine := &p.pool.machines[i]
+		if !target.admits(machine, job.Spec.Image) || !p.eligible(machine, job, job.tasksByZone) {
 			continue
 		}
-		if v, ok := p.victimOn(i, jobIndex); ok {
-			found = append(found, v)
+		if v, ok := p.victimOn(i, job); ok {
+			victims = append(victims, v)
 		}
 	}
-	// The lowest rank first: a task of an array that is stopped holds up its
-	// whole job, and among higher work that job has a deadline to lose.
-	slices.SortStableFunc(found, func(a, b victim) int {
+	slices.SortStableFunc(victims, func(a, b victim) int {
 		return cmp.Or(cmp.Compare(b.priority, a.priority), cmp.Compare(a.lostWork, b.lostWork))
 	})
-	return found
+	return victims
 }
 
-// victimOn finds out what has to be stopped on a machine for a task of a job, if that
-// makes enough room.
-func (p *planner) victimOn(i, jobIndex int) (victim, bool) {
-	job, machine := &p.snapshot.Jobs[jobIndex], &p.pool[i]
-	out := victim{machine: i, priority: LowestPriority}
+// victimOn finds what has to be preempted on a machine for one task of a job, and tells
+// whether that makes enough capacity.
+func (p *planner) victimOn(i int, job *pendingJob) (victim, bool) {
+	machine := &p.pool.machines[i]
+	found := victim{machine: i, priority: LowestPriority}
 	free := machine.Free
-	for _, r := range p.lowestPriorityFirst(machine.Tasks) {
-		v := &p.snapshot.Jobs[r.Job]
-		if free.CapacityFor(job.Request) > 0 || v.Priority <= job.Priority {
+	for _, running := range p.lowestPriorityFirst(machine.Tasks) {
+		lower := &p.snapshot.Jobs[running.Job]
+		if free.fits(job.Request) || lower.Priority <= job.Priority {
 			break
 		}
-		if p.servingOrder[r.Job] < p.servingOrder[jobIndex] {
-			continue // it would take the room again at once
-		}
-		if v.Spec.Kind == protocol.KindGang && v.Spec.Tasks > 1 {
+		if !p.isPreemptible(running.Job, job) {
 			continue
 		}
-		free = free.Minus(v.Request, -r.Stopping)
+		free = free.Minus(lower.Request, -running.Stopping)
 		count := 0
-		for r.Stopping+count < r.Count && free.CapacityFor(job.Request) == 0 {
-			free = free.Minus(v.Request, -1)
+		for running.Stopping+count < running.Count && !free.fits(job.Request) {
+			free = free.Minus(lower.Request, -1)
 			count++
 		}
 		if count > 0 {
-			out.lostWork += r.LostWorkS * v.Request.Cores * float64(count) / float64(r.Count)
-			out.priority = min(out.priority, v.Priority)
-			out.preemptions = append(out.preemptions, Preemption{i, r.Job, count})
+			found.lostWork += running.LostWorkS * lower.Request.Cores * float64(count) / float64(running.Count)
+			found.priority = min(found.priority, lower.Priority)
+			found.preemptions = append(found.preemptions, Preemption{i, running.Job, count})
 		}
 	}
-	return out, free.CapacityFor(job.Request) > 0
+	return found, free.fits(job.Request)
+}
+
+// isPreemptible tells whether tasks of a job of lower priority may be preempted for
+// another job. One that is scheduled before would take the capacity again at once, and
+// a gang would lose all of its tasks with one.
+func (p *planner) isPreemptible(lowerIndex int, job *pendingJob) bool {
+	lower := &p.snapshot.Jobs[lowerIndex]
+	scheduledBefore := p.orderPosition[lowerIndex] < p.orderPosition[job.index]
+	return !scheduledBefore && !(lower.isGang() && lower.Spec.Tasks > 1)
 }
 
-// lowestPriorityFirst orders what runs on a machine, the lowest rank and the least loss first.
+// lowestPriorityFirst orders the tasks on a machine, the lowest priority and of equal
+// ones the least loss first.
 func (p *planner) lowestPriorityFirst(tasks []RunningTasks) []RunningTasks {
 	if len(tasks) < 2 {
 		return tasks
 	}
 	tasks = slices.Clone(tasks)
 	slices.SortStableFunc(tasks, func(a, b RunningTasks) int {
-		return cmp.Or(cmp.Compare(p.snapshot.Jobs[b.Job].Priority, p.snapshot.Jobs[a.Job].Priority), cmp.Compare(a.LostWorkS, b.LostWorkS))
+		return cmp.Or(
+			cmp.Compare(p.snapshot.Jobs[b.Job].Priority, p.snapshot.Jobs[a.Job].Priority),
+			cmp.Compare(a.LostWorkS, b.LostWorkS))
 	})
 	return tasks
 }
 
-// addPreemption enters the stops in the plan. The room that they make is for one task of the job.
-func (p *planner) addPreemption(v *victim, job *Job, zones map[string]int) {
-	machine := &p.pool[v.machine]
-	for _, stop := range v.preemptions {
-		p.plan.Preemptions = append(p.plan.Preemptions, stop)
-		k := slices.IndexFunc(machine.Tasks, func(r RunningTasks) bool { return r.Job == stop.Job })
+// addPreemption enters the preemptions in the plan. The capacity that they make is for
+// one task of the job, and the machine is not used for anything else in this plan.
+func (p *planner) addPreemption(v *victim, job *pendingJob) {
+	machine := &p.pool.machines[v.machine]
+	for _, preemption := range v.preemptions {
+		p.plan.Preemptions = append(p.plan.Preemptions, preemption)
+		taskIndex := slices.IndexFunc(machine.Tasks, func(running RunningTasks) bool { return running.Job == preemption.Job })
 		machine.Tasks = slices.Clone(machine.Tasks)
-		machine.Tasks[k].Stopping += stop.Count
-		machine.Free = machine.Free.Minus(p.snapshot.Jobs[stop.Job].Request, -stop.Count)
+		machine.Tasks[taskIndex].Stopping += preemption.Count
+		machine.Free = machine.Free.Minus(p.snapshot.Jobs[preemption.Job].Request, -preemption.Count)
 	}
 	machine.Free = machine.Free.Minus(job.Request, 1)
-	machine.Schedulable = false // its room is spoken for
-	zones[machine.Zone]++
+	machine.Schedulable = false
+	job.tasksByZone[machine.Zone]++
 }
