--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -24,8 +24,7 @@
 	Network *Network
 	Store   *Store
 	Cfg     config.Deployment
-	Nodes   []string // addresses of the users' side of the nodes
-	Asked   []string // those that users ask; nil: all
+	*workloadClient
 
 	life          context.Context
 	mu            sync.Mutex
@@ -51,6 +50,15 @@
 	records       *recordChecker
 }
 
+// workloadClient sends the users' requests to the controllers.
+type workloadClient struct {
+	Network *Network
+	Nodes   []string // addresses of the users' side of the nodes
+	Asked   []string // those that users ask; nil: all
+
+	life context.Context
+}
+
 // userJob is a job as its user knows it.
 type userJob struct {
 	job         protocol.Job
@@ -71,7 +79,7 @@
 
 // NewEnvironment makes a world on a network. Its life ends with ctx.
 func NewEnvironment(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *Environment {
-	w := &Environment{Network: net, Store: NewStore(), Cfg: cfg, life: ctx, types: map[string]protocol.MachineType{},
+	w := &Environment{Network: net, Store: NewStore(), Cfg: cfg, workloadClient: &workloadClient{Network: net, life: ctx}, life: ctx, types: map[string]protocol.MachineType{},
 		capacity: map[string]int{}, machines: map[string]*machineAgent{}, provisioned: map[string][]string{},
 		jobs: map[protocol.JobID]*userJob{}, Step: usualStep, Calls: map[string]int{}, addrNode: map[string]string{}}
 	for _, t := range types {
@@ -422,7 +430,7 @@
 
 // ask makes a call to some node, again and again until it is answered or the
 // time is over.
-func (w *Environment) ask(method, path string, in any, each, total time.Duration) (int, protocol.JobStatus) {
+func (w *workloadClient) ask(method, path string, in any, each, total time.Duration) (int, protocol.JobStatus) {
 	start := time.Now()
 	for {
 		nodes := w.Nodes
