--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -27,14 +27,14 @@
 // that places the first job's task there.
 func newHistory(ctx context.Context) *history {
 	cfg := config.Deployment{Workers: config.Workers{ReportS: 2.5, LeaseS: 1000, CancelS: 37}}
-	w := NewEnvironment(ctx, NewNetwork(1), cfg, []protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
-	w.Register(protocol.Job{ID: first, Kind: protocol.KindArray, Tasks: 1, Cores: 1})
-	w.Register(protocol.Job{ID: second, Kind: protocol.KindArray, Tasks: 1, Cores: 1, DependsOn: []protocol.JobID{first}})
-	h := &history{Environment: w}
-	w.mu.Lock()
-	id := w.newMachine("big", "a", false)
-	h.machine = w.machines[id]
-	w.mu.Unlock()
+	e := NewEnvironment(ctx, NewNetwork(1), cfg, []protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
+	e.Register(protocol.Job{ID: first, Kind: protocol.KindArray, Tasks: 1, Cores: 1})
+	e.Register(protocol.Job{ID: second, Kind: protocol.KindArray, Tasks: 1, Cores: 1, DependsOn: []protocol.JobID{first}})
+	h := &history{Environment: e}
+	e.mu.Lock()
+	id := e.newMachine("big", "a", false)
+	h.machine = e.machines[id]
+	e.mu.Unlock()
 	time.Sleep(time.Second) // it is up
 	h.record(first, id)
 	return h
@@ -48,7 +48,7 @@
 func (h *history) run(jobID protocol.JobID) *agentTask {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	running := &agentTask{jobID: jobID, attempt: 1, state: protocol.TaskRunning, since: time.Now(), left: 1e6}
+	running := &agentTask{jobID: jobID, attempt: 1, state: protocol.TaskRunning, stateSince: time.Now(), remainingS: 1e6}
 	h.machine.tasks = append(h.machine.tasks, running)
 	h.checkStart(h.machine, running)
 	return running
@@ -59,13 +59,13 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	job := h.jobs[jobID]
-	h.checkAnswer(job, *job, protocol.JobStatus{ID: jobID, Phase: phase})
+	h.checkJobStatus(job, *job, protocol.JobStatus{ID: jobID, Phase: phase})
 }
 
 // cancel makes a job's user cancel it and be told so.
 func (h *history) cancel(jobID protocol.JobID) {
 	h.mu.Lock()
-	h.jobs[jobID].cancelAsked = true
+	h.jobs[jobID].cancelRequested = true
 	h.mu.Unlock()
 	h.tell(jobID, protocol.PhaseCancelled)
 }
--- a/internal/fake/net.go
+++ b/internal/fake/net.go
@@ -26,20 +26,20 @@
 	Reset
 )
 
-type cutState struct {
-	mode Cut
-	over chan struct{}
+type linkCut struct {
+	mode   Cut
+	healed chan struct{}
 }
 
 // Network connects hosts by name. It is safe for concurrent use.
 type Network struct {
 	mu              sync.Mutex
-	rng             *rand.Rand
+	random          *rand.Rand
 	hosts           map[string]string       // address -> host
 	handlers        map[string]http.Handler // address -> handler; absent: refused
-	cuts            map[[2]string]*cutState
-	inboundLost     map[string]*cutState // hosts that nothing reaches, though they send
-	outboundBlocked map[string]bool      // hosts that cannot open connections
+	cuts            map[[2]string]*linkCut
+	inboundBlocked  map[string]*linkCut // hosts that nothing reaches, though they send
+	outboundBlocked map[string]bool     // hosts that cannot open connections
 	// Delay is how much longer a message takes; nil: none does.
 	Delay func(from, to string) time.Duration
 	// Repeat makes the network deliver some requests twice, the second time up
@@ -49,8 +49,8 @@
 
 // NewNetwork makes a network without hosts.
 func NewNetwork(seed uint64) *Network {
-	return &Network{rng: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]string{},
-		handlers: map[string]http.Handler{}, cuts: map[[2]string]*cutState{}, inboundLost: map[string]*cutState{}, outboundBlocked: map[string]bool{}}
+	return &Network{random: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]string{},
+		handlers: map[string]http.Handler{}, cuts: map[[2]string]*linkCut{}, inboundBlocked: map[string]*linkCut{}, outboundBlocked: map[string]bool{}}
 }
 
 // Listen puts a handler at an address; nil takes it away.
@@ -65,47 +65,47 @@
 	}
 }
 
-func pair(a, b string) [2]string {
-	if a > b {
-		a, b = b, a
+func linkKey(hostA, hostB string) [2]string {
+	if hostA > hostB {
+		hostA, hostB = hostB, hostA
 	}
-	return [2]string{a, b}
+	return [2]string{hostA, hostB}
 }
 
 // Cut cuts two hosts off each other until the returned function is called.
-func (n *Network) Cut(a, b string, mode Cut) (mend func()) {
-	c := &cutState{mode, make(chan struct{})}
+func (n *Network) Cut(hostA, hostB string, mode Cut) (heal func()) {
+	c := &linkCut{mode, make(chan struct{})}
 	n.mu.Lock()
-	n.cuts[pair(a, b)] = c
+	n.cuts[linkKey(hostA, hostB)] = c
 	n.mu.Unlock()
 	return func() {
 		n.mu.Lock()
-		if n.cuts[pair(a, b)] == c {
-			delete(n.cuts, pair(a, b))
+		if n.cuts[linkKey(hostA, hostB)] == c {
+			delete(n.cuts, linkKey(hostA, hostB))
 		}
 		n.mu.Unlock()
-		close(c.over)
+		close(c.healed)
 	}
 }
 
 // DropInbound makes nothing reach a host until the returned function is called; what
 // it sends arrives.
-func (n *Network) DropInbound(host string) (mend func()) {
-	c := &cutState{Hold, make(chan struct{})}
+func (n *Network) DropInbound(host string) (heal func()) {
+	c := &linkCut{Hold, make(chan struct{})}
 	n.mu.Lock()
-	n.inboundLost[host] = c
+	n.inboundBlocked[host] = c
 	n.mu.Unlock()
 	return sync.OnceFunc(func() {
 		n.mu.Lock()
-		delete(n.inboundLost, host)
+		delete(n.inboundBlocked, host)
 		n.mu.Unlock()
-		close(c.over)
+		close(c.healed)
 	})
 }
 
 // BlockOutbound makes a host unable to open connections until the returned function is
 // called; what others send to it arrives, and is answered.
-func (n *Network) BlockOutbound(host string) (mend func()) {
+func (n *Network) BlockOutbound(host string) (heal func()) {
 	set := func(on bool) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -115,36 +115,36 @@
 	return sync.OnceFunc(func() { set(false) })
 }
 
-func (n *Network) float() float64 {
+func (n *Network) randomFloat() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rng.Float64()
+	return n.random.Float64()
 }
 
-func (n *Network) cut(a, b string) *cutState {
+func (n *Network) cut(from, to string) *linkCut {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if c := n.cuts[pair(a, b)]; c != nil {
+	if c := n.cuts[linkKey(from, to)]; c != nil {
 		return c
 	}
-	return n.inboundLost[b]
+	return n.inboundBlocked[to]
 }
 
-// travel lets one message pass from a to b: it takes its time and waits out cuts.
-func (n *Network) travel(a, b string) error {
-	time.Sleep(time.Millisecond + time.Duration(n.float()*float64(4*time.Millisecond)))
+// awaitDelivery lets one message pass from one host to another: it takes its time and waits out cuts.
+func (n *Network) awaitDelivery(from, to string) error {
+	time.Sleep(time.Millisecond + time.Duration(n.randomFloat()*float64(4*time.Millisecond)))
 	if n.Delay != nil {
-		time.Sleep(n.Delay(a, b))
+		time.Sleep(n.Delay(from, to))
 	}
 	for {
-		c := n.cut(a, b)
+		c := n.cut(from, to)
 		switch {
 		case c == nil:
 			return nil
 		case c.mode == Reset:
 			return errors.New("connection reset")
 		}
-		<-c.over
+		<-c.healed
 	}
 }
 
@@ -155,14 +155,14 @@
 }
 
 type transport struct {
-	n    *Network
-	life context.Context
-	host string
+	network *Network
+	life    context.Context
+	host    string
 }
 
-type outcome struct {
-	resp *http.Response
-	err  error
+type roundTripResult struct {
+	response *http.Response
+	err      error
 }
 
 func (t transport) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -174,52 +174,52 @@
 		body, _ = io.ReadAll(req.Body)
 		req.Body.Close()
 	}
-	t.n.mu.Lock()
-	to, known := t.n.hosts[req.URL.Host]
-	mute := t.n.outboundBlocked[t.host]
-	t.n.mu.Unlock()
+	t.network.mu.Lock()
+	to, known := t.network.hosts[req.URL.Host]
+	outboundBlocked := t.network.outboundBlocked[t.host]
+	t.network.mu.Unlock()
 	switch {
 	case !known:
 		return nil, errors.New("no such host")
-	case mute:
+	case outboundBlocked:
 		return nil, errors.New("no connection")
 	}
-	done := make(chan outcome, 1)
+	done := make(chan roundTripResult, 1)
 	go func() {
-		if err := t.n.travel(t.host, to); err != nil {
-			done <- outcome{nil, err}
+		if err := t.network.awaitDelivery(t.host, to); err != nil {
+			done <- roundTripResult{nil, err}
 			return
 		}
-		t.n.mu.Lock()
-		h := t.n.handlers[req.URL.Host]
-		later, repeats := t.n.Repeat[req.URL.Path]
-		again := repeats && t.n.rng.Float64() < 0.2
-		t.n.mu.Unlock()
+		t.network.mu.Lock()
+		h := t.network.handlers[req.URL.Host]
+		maxDelay, repeatable := t.network.Repeat[req.URL.Path]
+		duplicated := repeatable && t.network.random.Float64() < 0.2
+		t.network.mu.Unlock()
 		if h == nil {
-			done <- outcome{nil, errors.New("connection refused")}
+			done <- roundTripResult{nil, errors.New("connection refused")}
 			return
 		}
-		rec := t.n.serve(h, req, body, t.host)
-		if again && rec.Code == http.StatusOK { // only what was carried out is repeated
+		rec := t.network.serve(h, req, body, t.host)
+		if duplicated && rec.Code == http.StatusOK { // only what was carried out is repeated
 			go func() {
-				time.Sleep(time.Duration(t.n.float() * float64(later)))
-				t.n.mu.Lock()
-				h := t.n.handlers[req.URL.Host] // there may be a new process by now
-				t.n.mu.Unlock()
+				time.Sleep(time.Duration(t.network.randomFloat() * float64(maxDelay)))
+				t.network.mu.Lock()
+				h := t.network.handlers[req.URL.Host] // there may be a new process by now
+				t.network.mu.Unlock()
 				if h != nil {
-					t.n.serve(h, req, body, t.host)
+					t.network.serve(h, req, body, t.host)
 				}
 			}()
 		}
-		if err := t.n.travel(to, t.host); err != nil {
-			done <- outcome{nil, err}
+		if err := t.network.awaitDelivery(to, t.host); err != nil {
+			done <- roundTripResult{nil, err}
 			return
 		}
-		done <- outcome{rec.Result(), nil}
+		done <- roundTripResult{rec.Result(), nil}
 	}()
 	select {
-	case o := <-done:
-		return o.resp, o.err
+	case result := <-done:
+		return result.response, result.err
 	case <-req.Context().Done():
 		return nil, req.Context().Err()
 	case <-t.life.Done():
@@ -239,10 +239,10 @@
 func (n *Network) Call(ctx context.Context, from, to string, f func()) error {
 	done := make(chan error, 1)
 	go func() {
-		err := n.travel(from, to)
+		err := n.awaitDelivery(from, to)
 		if err == nil {
 			f()
-			err = n.travel(to, from)
+			err = n.awaitDelivery(to, from)
 		}
 		done <- err
 	}()
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -27,32 +27,32 @@
 }
 
 type storeLease struct {
-	life    time.Duration
+	ttl     time.Duration
 	expires time.Time
 }
 
 // Store is the state service.
 type Store struct {
-	mu       sync.Mutex
-	revision protocol.Revision
-	keys     map[string]storeEntry
-	leases   map[protocol.LeaseID]*storeLease
-	nextID   protocol.LeaseID
-	log      []storeChange
-	changed  chan struct{}
-	refuse   map[string]bool // hosts that get 503; "" for all
+	mu          sync.Mutex
+	revision    protocol.Revision
+	keys        map[string]storeEntry
+	leases      map[protocol.LeaseID]*storeLease
+	nextID      protocol.LeaseID
+	changeLog   []storeChange
+	changed     chan struct{}
+	unavailable map[string]bool // hosts that get 503; "" for all
 	// OnCommit is told of every applied commit.
 	OnCommit func(c *protocol.Transaction)
 	// Limits of a commit; 0 is none. Breaking one is the caller's mistake.
 	MaxOps, MaxValue int
-	// limited: the limits have become smaller without notice. Breaking one gets 400,
+	// limitsLowered: the limits have become smaller without notice. Breaking one gets 400,
 	// and changes beyond the rate get 429.
-	limited bool
-	rate    *rate.Limiter
-	// requests is the limit of requests; nil is none. asked counts them all, and
-	// throttled those beyond the limit.
-	requests         *rate.Limiter
-	asked, throttled int
+	limitsLowered bool
+	writeRate     *rate.Limiter
+	// requestRate is the limit of requests; nil is none. requestCount counts them all, and
+	// throttledCount those beyond the limit.
+	requestRate                  *rate.Limiter
+	requestCount, throttledCount int
 	// Refusals counts what the limits refused, by status.
 	Refusals map[int]int
 	// LoseReply picks applied commits that are not answered.
@@ -64,7 +64,7 @@
 	Late func() time.Duration
 	// Slow is how long a call waits before it is worked on, by path.
 	Slow func(path string) time.Duration
-	// PageMost is how many keys a page of a list has at most; 0: as many as PROTOCOL says.
+	// PageMost is how many keys a page of a list has at limit; 0: as many as PROTOCOL says.
 	PageMost int
 	// LoseEvent picks keys whose changes follow calls do not see.
 	LoseEvent func(key string) bool
@@ -83,13 +83,13 @@
 )
 
 type storeChange struct {
-	key string
-	ev  protocol.WatchEvent
+	key   string
+	event protocol.WatchEvent
 }
 
 // NewStore makes an empty state service.
 func NewStore() *Store {
-	return &Store{keys: map[string]storeEntry{}, leases: map[protocol.LeaseID]*storeLease{}, changed: make(chan struct{}), refuse: map[string]bool{}, Refusals: map[int]int{}}
+	return &Store{keys: map[string]storeEntry{}, leases: map[protocol.LeaseID]*storeLease{}, changed: make(chan struct{}), unavailable: map[string]bool{}, Refusals: map[int]int{}}
 }
 
 // Refuse makes the service answer 503 to a host, or to all with "". When that
@@ -98,13 +98,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if on {
-		s.refuse[host] = true
+		s.unavailable[host] = true
 		return
 	}
-	delete(s.refuse, host)
+	delete(s.unavailable, host)
 	if host == "" {
 		for _, l := range s.leases {
-			l.expires = time.Now().Add(l.life)
+			l.expires = time.Now().Add(l.ttl)
 		}
 	}
 }
@@ -113,23 +113,23 @@
 func (s *Store) Limit(l config.StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limited = true
+	s.limitsLowered = true
 	s.MaxOps, s.MaxValue = l.TxnOps, l.ValueBytes()
-	s.rate = rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS))
+	s.writeRate = rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS))
 }
 
 // LimitRequests sets how many requests a second are served.
 func (s *Store) LimitRequests(rps float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.requests = rate.NewLimiter(rate.Limit(rps), int(rps))
+	s.requestRate = rate.NewLimiter(rate.Limit(rps), int(rps))
 }
 
 // Asked is how many requests there were, and how many of them were throttled.
 func (s *Store) Asked() (requests, throttled int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked, s.throttled
+	return s.requestCount, s.throttledCount
 }
 
 // Put stores a record, as an earlier process would have.
@@ -141,8 +141,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.put(key, storeEntry{value: raw, version: s.revision.Version()})
-	s.wake()
+	s.setKey(key, storeEntry{value: raw, version: s.revision.Version()})
+	s.wakeWatches()
 }
 
 // Remove takes a record away.
@@ -150,8 +150,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.del(key)
-	s.wake()
+	s.deleteKey(key)
+	s.wakeWatches()
 }
 
 // Corrupt makes the value of a key unreadable for whoever expects a record there.
@@ -159,8 +159,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.put(key, storeEntry{value: msgpack.RawMessage{0xa3, 'b', 'a', 'd'}, version: s.revision.Version()})
-	s.wake()
+	s.setKey(key, storeEntry{value: msgpack.RawMessage{0xa3, 'b', 'a', 'd'}, version: s.revision.Version()})
+	s.wakeWatches()
 }
 
 // Value is the value under a key; nil if there is none.
@@ -184,47 +184,47 @@
 	return out
 }
 
-func (s *Store) put(key string, e storeEntry) {
+func (s *Store) setKey(key string, e storeEntry) {
 	s.keys[key] = e
-	s.log = append(s.log, storeChange{key, protocol.WatchEvent{Set: key, Value: e.value, Version: e.version}})
+	s.changeLog = append(s.changeLog, storeChange{key, protocol.WatchEvent{Set: key, Value: e.value, Version: e.version}})
 }
 
-func (s *Store) del(key string) {
+func (s *Store) deleteKey(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
-		s.log = append(s.log, storeChange{key, protocol.WatchEvent{Delete: key, Version: s.revision.Version()}})
+		s.changeLog = append(s.changeLog, storeChange{key, protocol.WatchEvent{Delete: key, Version: s.revision.Version()}})
 	}
 }
 
-func (s *Store) wake() {
+func (s *Store) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire ends leases that are over; nothing expires while nobody is served.
-func (s *Store) expire() {
-	if s.refuse[""] {
+// expireLeases ends leases that are over; nothing expires while nobody is served.
+func (s *Store) expireLeases() {
+	if s.unavailable[""] {
 		return
 	}
 	for id, l := range s.leases {
 		if time.Now().After(l.expires) {
-			s.end(id)
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *Store) end(id protocol.LeaseID) {
+func (s *Store) endLease(id protocol.LeaseID) {
 	delete(s.leases, id)
 	for k, e := range s.keys {
 		if e.lease == id {
 			s.revision++
-			s.del(k)
+			s.deleteKey(k)
 		}
 	}
-	s.wake()
+	s.wakeWatches()
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeReply(w http.ResponseWriter, status int, v any) {
 	w.WriteHeader(status)
 	if v != nil {
 		b, err := codec.Marshal(v)
@@ -235,8 +235,8 @@
 	}
 }
 
-type epoch struct {
-	Epoch protocol.Revision `msgpack:"epoch"`
+type revisionReply struct {
+	Revision protocol.Revision `msgpack:"epoch"`
 }
 
 // ServeHTTP answers as PROTOCOL says.
@@ -246,22 +246,22 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	down := func() bool { return s.refuse[""] || s.refuse[r.RemoteAddr] }
-	if down() {
-		answer(w, 503, nil)
+	s.expireLeases()
+	unavailable := func() bool { return s.unavailable[""] || s.unavailable[r.RemoteAddr] }
+	if unavailable() {
+		writeReply(w, 503, nil)
 		return
 	}
-	if s.asked++; s.requests != nil && !s.requests.Allow() {
-		s.throttled++
-		answer(w, 429, nil)
+	if s.requestCount++; s.requestRate != nil && !s.requestRate.Allow() {
+		s.throttledCount++
+		writeReply(w, 429, nil)
 		return
 	}
 	q := r.URL.Query()
 	body, _ := io.ReadAll(r.Body)
 	switch path := r.URL.Path; {
 	case path == "/keys":
-		most, _ := strconv.Atoi(q.Get("most"))
+		limit, _ := strconv.Atoi(q.Get("most"))
 		var keys []string
 		for k := range s.keys {
 			if strings.HasPrefix(k, q.Get("prefix")) && k > q.Get("after") {
@@ -271,19 +271,19 @@
 		slices.Sort(keys)
 		page := protocol.KeyValuePage{Revision: s.revision, Entries: []protocol.KeyValue{}}
 		for _, k := range keys {
-			if len(page.Entries) == s.pageSize(most) {
+			if len(page.Entries) == s.pageSize(limit) {
 				page.More = true
 				break
 			}
 			page.Entries = append(page.Entries, protocol.KeyValue{Key: k, Value: s.keys[k].value, Version: s.keys[k].version})
 		}
-		answer(w, 200, page)
+		writeReply(w, 200, page)
 	case strings.HasPrefix(path, "/keys/"):
 		k := strings.TrimPrefix(path, "/keys/")
 		if e, ok := s.keys[k]; ok {
-			answer(w, 200, protocol.KeyValue{Key: k, Value: e.value, Version: e.version})
+			writeReply(w, 200, protocol.KeyValue{Key: k, Value: e.value, Version: e.version})
 		} else {
-			answer(w, 404, epoch{s.revision})
+			writeReply(w, 404, revisionReply{s.revision})
 		}
 	case path == "/commit":
 		if s.Late != nil {
@@ -294,80 +294,80 @@
 					defer s.mu.Unlock()
 					s.commit(httptest.NewRecorder(), body)
 				}()
-				answer(w, 502, nil)
+				writeReply(w, 502, nil)
 				return
 			}
 		}
 		s.commit(w, body)
 	case path == "/grants":
-		var g protocol.LeaseRequest
-		if err := codec.Unmarshal(body, &g); err != nil {
+		var request protocol.LeaseRequest
+		if err := codec.Unmarshal(body, &request); err != nil {
 			panic(err)
 		}
 		s.nextID++
-		life := time.Duration(g.TTLMS) * time.Millisecond
-		s.leases[s.nextID] = &storeLease{life, time.Now().Add(life)}
+		ttl := time.Duration(request.TTLMS) * time.Millisecond
+		s.leases[s.nextID] = &storeLease{ttl, time.Now().Add(ttl)}
 		id := s.nextID
-		go s.watchLease(id, life)
-		answer(w, 200, protocol.Lease{ID: id})
+		go s.expireLeaseOnTime(id, ttl)
+		writeReply(w, 200, protocol.Lease{ID: id})
 	case strings.HasSuffix(path, "/touch"):
 		number, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 		id := protocol.LeaseID(number)
 		if l := s.leases[id]; l != nil {
-			l.expires = time.Now().Add(l.life)
-			answer(w, 200, protocol.Lease{ID: id})
+			l.expires = time.Now().Add(l.ttl)
+			writeReply(w, 200, protocol.Lease{ID: id})
 		} else {
-			answer(w, 404, nil)
+			writeReply(w, 404, nil)
 		}
 	case strings.HasPrefix(path, "/grants/"): // DELETE
 		number, _ := strconv.ParseUint(strings.TrimPrefix(path, "/grants/"), 10, 64)
 		id := protocol.LeaseID(number)
 		if s.leases[id] != nil {
-			s.end(id)
+			s.endLease(id)
 		}
-		answer(w, 200, nil)
+		writeReply(w, 200, nil)
 	case path == "/follow":
 		number, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 		after := protocol.Revision(number)
 		hold, _ := strconv.Atoi(q.Get("holdMs"))
 		until := time.NewTimer(time.Duration(hold) * time.Millisecond)
 		defer until.Stop()
-		for over := false; ; {
+		for timedOut := false; ; {
 			out := protocol.WatchReply{Revision: s.revision, Events: []protocol.WatchEvent{}}
-			for _, c := range s.log {
-				if c.ev.Version.Revision() > after && strings.HasPrefix(c.key, q.Get("prefix")) && (s.LoseEvent == nil || !s.LoseEvent(c.key)) {
-					out.Events = append(out.Events, c.ev)
+			for _, change := range s.changeLog {
+				if change.event.Version.Revision() > after && strings.HasPrefix(change.key, q.Get("prefix")) && (s.LoseEvent == nil || !s.LoseEvent(change.key)) {
+					out.Events = append(out.Events, change.event)
 				}
 			}
 			// During an outage open watches stay open.
-			if (len(out.Events) > 0 || over) && !down() {
-				answer(w, 200, out)
+			if (len(out.Events) > 0 || timedOut) && !unavailable() {
+				writeReply(w, 200, out)
 				return
 			}
-			ch := s.changed
+			changed := s.changed
 			s.mu.Unlock()
-			if over {
+			if timedOut {
 				time.Sleep(100 * time.Millisecond)
 			} else {
 				select {
-				case <-ch:
+				case <-changed:
 				case <-until.C:
-					over = true
+					timedOut = true
 				}
 			}
 			s.mu.Lock()
-			s.expire()
+			s.expireLeases()
 		}
 	default:
-		answer(w, 404, nil)
+		writeReply(w, 404, nil)
 	}
 }
 
-func (s *Store) watchLease(id protocol.LeaseID, life time.Duration) {
+func (s *Store) expireLeaseOnTime(id protocol.LeaseID, ttl time.Duration) {
 	for {
-		time.Sleep(life / 10)
+		time.Sleep(ttl / 10)
 		s.mu.Lock()
-		s.expire()
+		s.expireLeases()
 		_, ok := s.leases[id]
 		s.mu.Unlock()
 		if !ok {
@@ -377,16 +377,16 @@
 }
 
 // pageSize is how many keys a page has if so many are asked for.
-func (s *Store) pageSize(most int) int {
+func (s *Store) pageSize(limit int) int {
 	const protocol = 1000
 	if s.PageMost > 0 {
-		return min(most, s.PageMost)
+		return min(limit, s.PageMost)
 	}
-	return min(most, protocol)
+	return min(limit, protocol)
 }
 
-// plainSize is what a value takes as JSON, by the standard library's encoder.
-func plainSize(raw msgpack.RawMessage) int {
+// jsonSize is what a value takes as JSON, by the standard library's encoder.
+func jsonSize(raw msgpack.RawMessage) int {
 	if raw == nil {
 		return 0
 	}
@@ -403,8 +403,8 @@
 
 // storeTransaction is a commit as it arrives.
 type storeTransaction struct {
-	Guards  []protocol.Precondition `msgpack:"guards"`
-	Changes []struct {
+	Preconditions []protocol.Precondition `msgpack:"guards"`
+	Mutations     []struct {
 		Set    string             `msgpack:"set"`
 		Value  msgpack.RawMessage `msgpack:"data"`
 		Lease  protocol.LeaseID   `msgpack:"permit"`
@@ -412,97 +412,97 @@
 	} `msgpack:"then"`
 }
 
-// keys is the transaction without its values.
-func (t *storeTransaction) keys() *protocol.Transaction {
-	out := &protocol.Transaction{Preconditions: t.Guards}
-	for _, ch := range t.Changes {
-		out.Mutations = append(out.Mutations, protocol.Mutation{Set: ch.Set, Delete: ch.Delete})
+// withoutValues is the transaction without its values.
+func (t *storeTransaction) withoutValues() *protocol.Transaction {
+	out := &protocol.Transaction{Preconditions: t.Preconditions}
+	for _, mutation := range t.Mutations {
+		out.Mutations = append(out.Mutations, protocol.Mutation{Set: mutation.Set, Delete: mutation.Delete})
 	}
 	return out
 }
 
 func (s *Store) commit(w http.ResponseWriter, body []byte) {
-	var c storeTransaction
-	if err := codec.Unmarshal(body, &c); err != nil {
-		answer(w, 400, protocol.ErrorReply{Error: err.Error()})
+	var transaction storeTransaction
+	if err := codec.Unmarshal(body, &transaction); err != nil {
+		writeReply(w, 400, protocol.ErrorReply{Error: err.Error()})
 		return
 	}
 	fault := None
 	if s.Fault != nil {
-		fault = s.Fault(c.keys())
+		fault = s.Fault(transaction.withoutValues())
 	}
 	switch fault {
 	case NotExecuted:
-		answer(w, 502, nil)
+		writeReply(w, 502, nil)
 		return
 	case OverLimit:
-		answer(w, 400, protocol.ErrorReply{Error: "beyond the limits"})
+		writeReply(w, 400, protocol.ErrorReply{Error: "beyond the limits"})
 		return
 	case Throttled:
-		answer(w, 429, nil)
+		writeReply(w, 429, nil)
 		return
 	}
-	const aroundKey = 60 // field names, brackets and a version
-	size, broken := 0, ""
-	for _, precondition := range c.Guards {
-		size += len(precondition.Key) + aroundKey
+	const overheadPerKey = 60 // field names, brackets and a version
+	size, violation := 0, ""
+	for _, precondition := range transaction.Preconditions {
+		size += len(precondition.Key) + overheadPerKey
 	}
-	if s.MaxOps > 0 && (len(c.Changes) > s.MaxOps || len(c.Guards) > 4*s.MaxOps) {
-		broken = fmt.Sprintf("commit of %d changes, %d guards", len(c.Changes), len(c.Guards))
+	if s.MaxOps > 0 && (len(transaction.Mutations) > s.MaxOps || len(transaction.Preconditions) > 4*s.MaxOps) {
+		violation = fmt.Sprintf("commit of %d changes, %d guards", len(transaction.Mutations), len(transaction.Preconditions))
 	}
-	for _, ch := range c.Changes {
-		n := plainSize(ch.Value)
-		size += n + len(ch.Set) + len(ch.Delete) + aroundKey
+	for _, mutation := range transaction.Mutations {
+		n := jsonSize(mutation.Value)
+		size += n + len(mutation.Set) + len(mutation.Delete) + overheadPerKey
 		if s.MaxValue > 0 && n > s.MaxValue {
-			broken = fmt.Sprintf("value of %d bytes at %s", n, ch.Set)
+			violation = fmt.Sprintf("value of %d bytes at %s", n, mutation.Set)
 		}
-		if ch.Lease != 0 && s.leases[ch.Lease] == nil {
-			answer(w, 400, protocol.ErrorReply{Error: protocol.ReasonNoLease})
+		if mutation.Lease != 0 && s.leases[mutation.Lease] == nil {
+			writeReply(w, 400, protocol.ErrorReply{Error: protocol.ReasonNoLease})
 			return
 		}
 	}
 	if size > 64<<10 || len(body) > 64<<10 {
-		broken = fmt.Sprintf("commit of about %d bytes", size)
+		violation = fmt.Sprintf("commit of about %d bytes", size)
 	}
 	switch {
-	case broken != "" && !s.limited:
-		panic(broken)
-	case broken != "":
+	case violation != "" && !s.limitsLowered:
+		panic(violation)
+	case violation != "":
 		s.Refusals[400]++
-		answer(w, 400, protocol.ErrorReply{Error: broken})
+		writeReply(w, 400, protocol.ErrorReply{Error: violation})
 		return
-	case s.rate != nil && !s.rate.AllowN(time.Now(), len(c.Changes)):
+	case s.writeRate != nil && !s.writeRate.AllowN(time.Now(), len(transaction.Mutations)):
 		s.Refusals[429]++
-		answer(w, 429, nil)
+		writeReply(w, 429, nil)
 		return
 	}
 	failed := []string{}
-	for _, precondition := range c.Guards {
+	for _, precondition := range transaction.Preconditions {
 		if s.keys[precondition.Key].version != precondition.Version {
 			failed = append(failed, precondition.Key)
 		}
 	}
 	if len(failed) > 0 {
-		answer(w, 409, protocol.TransactionReply{FailedKeys: failed, Revision: s.revision})
+		writeReply(w, 409, protocol.TransactionReply{FailedKeys: failed, Revision: s.revision})
 		return
 	}
-	if len(c.Changes) > 0 {
+	if len(transaction.Mutations) > 0 {
 		s.revision++
-		for _, ch := range c.Changes {
-			if ch.Delete != "" {
-				s.del(ch.Delete)
+		for _, mutation := range transaction.Mutations {
+			if mutation.Delete != "" {
+				s.deleteKey(mutation.Delete)
 			} else {
-				s.put(ch.Set, storeEntry{slices.Clone(ch.Value), s.revision.Version(), ch.Lease})
+				s.setKey(mutation.Set, storeEntry{slices.Clone(mutation.Value), s.revision.Version(), mutation.Lease})
 			}
 		}
-		s.wake()
+		s.wakeWatches()
 	}
 	if s.OnCommit != nil {
-		s.OnCommit(c.keys())
+		s.OnCommit(transaction.withoutValues())
 	}
 	if fault == AnswerLost || (s.LoseReply != nil && s.LoseReply()) {
-		answer(w, 502, nil)
+		writeReply(w, 502, nil)
 		return
 	}
-	answer(w, 200, protocol.TransactionReply{Revision: s.revision})
+	writeReply(w, 200, protocol.TransactionReply{Revision: s.revision})
 }
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -45,9 +45,9 @@
 	OnDone        func(jobID protocol.JobID) // told when the last task of an array has completed
 	Step          time.Duration              // between two looks of a machine at what it runs
 	LateStart     time.Duration              // the longest time from a confirmed cancellation to a start
-	troublesOver  bool                       // all troubles are over
-	addrNode      map[string]string          // node name -> address
-	records       *recordChecker
+	faultsEnded   bool                       // all troubles are over
+	nodeAddrs     map[string]string          // node name -> address
+	records       *runRecordReader
 }
 
 // workloadClient sends the users' requests to the controllers.
@@ -61,75 +61,75 @@
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	job         protocol.Job
-	runS        float64
-	submitted   bool
-	accepted    bool
-	cancelAsked bool
-	cancelled   time.Time // when the user was told
-	cancelTold  time.Time // the same, of a job whose user asked for it
-	done        bool      // the user was told
-	finished    map[int]bool
-	besideRoom  time.Time // since when it has waited although there was room; zero: it has not
-}
-
-// usualStep is fine enough for the times in the rules; a world of thousands of machines
+	job                protocol.Job
+	runS               float64
+	submitted          bool
+	accepted           bool
+	cancelRequested    bool
+	cancelConfirmed    time.Time // when the user was told
+	ownCancelConfirmed time.Time // the same, of a job whose user asked for it
+	doneConfirmed      bool      // the user was told
+	finished           map[int]bool
+	waitingSince       time.Time // since when it has waited although there was room; zero: it has not
+}
+
+// defaultStep is fine enough for the times in the rules; a world of thousands of machines
 // may take longer steps.
-const usualStep = 50 * time.Millisecond
+const defaultStep = 50 * time.Millisecond
 
 // NewEnvironment makes a world on a network. Its life ends with ctx.
 func NewEnvironment(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *Environment {
-	w := &Environment{Network: net, Store: NewStore(), Cfg: cfg, workloadClient: &workloadClient{Network: net, life: ctx}, life: ctx, types: map[string]protocol.MachineType{},
+	e := &Environment{Network: net, Store: NewStore(), Cfg: cfg, workloadClient: &workloadClient{Network: net, life: ctx}, life: ctx, types: map[string]protocol.MachineType{},
 		capacity: map[string]int{}, machines: map[string]*machineAgent{}, provisioned: map[string][]string{},
-		jobs: map[protocol.JobID]*userJob{}, Step: usualStep, Calls: map[string]int{}, addrNode: map[string]string{}}
+		jobs: map[protocol.JobID]*userJob{}, Step: defaultStep, Calls: map[string]int{}, nodeAddrs: map[string]string{}}
 	for _, t := range types {
-		w.types[t.Name] = t
+		e.types[t.Name] = t
 	}
-	w.records = newRecordChecker(w.Store)
-	w.Store.MaxOps, w.Store.MaxValue = cfg.State.TxnOps, int(cfg.State.ValueKB*1024)
-	net.Listen("state", "state:1", w.Store)
-	net.Listen("cloud", "cloud:1", http.HandlerFunc(w.cloud))
+	e.records = newRunRecordReader(e.Store)
+	e.Store.MaxOps, e.Store.MaxValue = cfg.State.TxnOps, int(cfg.State.ValueKB*1024)
+	net.Listen("state", "state:1", e.Store)
+	net.Listen("cloud", "cloud:1", http.HandlerFunc(e.serveCloud))
 	go func() {
 		for ctx.Err() == nil {
 			time.Sleep(200 * time.Millisecond)
-			w.checkCancelled()
-			w.checkRecorded()
-			w.checkWaiting()
+			e.checkCancelled()
+			e.checkRunRecords()
+			e.checkWaiting()
 		}
 	}()
-	return w
+	return e
 }
 
 // AddNode tells users and workers of a node.
-func (w *Environment) AddNode(name, addr string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.Nodes = append(w.Nodes, addr)
-	w.addrNode[name] = addr
+func (e *Environment) AddNode(name, addr string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.Nodes = append(e.Nodes, addr)
+	e.nodeAddrs[name] = addr
 }
 
 // Limit sets how many machines of a type, zone and kind there are.
-func (w *Environment) Limit(typ, zone string, spot bool, n int) {
-	w.capacity[fmt.Sprint(typ, zone, spot)] = n
+func (e *Environment) Limit(typ, zone string, spot bool, n int) {
+	e.capacity[fmt.Sprint(typ, zone, spot)] = n
 }
 
 // Violations lists the rules broken so far.
-func (w *Environment) Violations() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.violations)
+func (e *Environment) Violations() []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return slices.Clone(e.violations)
 }
 
-func (w *Environment) violate(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+func (e *Environment) addViolation(format string, args ...any) {
+	e.violations = append(e.violations, fmt.Sprintf(format, args...))
 }
 
 // Machines lists the machines that are up.
-func (w *Environment) Machines() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (e *Environment) Machines() []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	var out []string
-	for id, machine := range w.machines {
+	for id, machine := range e.machines {
 		if machine.up {
 			out = append(out, id)
 		}
@@ -139,18 +139,18 @@
 }
 
 // MachinesProvisioned is how many machines were ever rented.
-func (w *Environment) MachinesProvisioned() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.nextID
+func (e *Environment) MachinesProvisioned() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.nextID
 }
 
 // MachinesOf lists the machines on which tasks of a job are, with or without image.
-func (w *Environment) MachinesOf(jobID protocol.JobID) []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (e *Environment) MachinesOf(jobID protocol.JobID) []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	var out []string
-	for id, machine := range w.machines {
+	for id, machine := range e.machines {
 		for _, task := range machine.tasks {
 			if task.jobID == jobID && task.state != protocol.TaskExited {
 				out = append(out, id)
@@ -162,82 +162,82 @@
 }
 
 // Cancelled tells whether a job's user asked to cancel it.
-func (w *Environment) Cancelled(jobID protocol.JobID) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.jobs[jobID].cancelAsked
+func (e *Environment) Cancelled(jobID protocol.JobID) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.jobs[jobID].cancelRequested
 }
 
 // Job is a job as its user submitted it.
-func (w *Environment) Job(jobID protocol.JobID) protocol.Job {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.jobs[jobID].job
+func (e *Environment) Job(jobID protocol.JobID) protocol.Job {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.jobs[jobID].job
 }
 
 // Random is between 0 and 1, by the network's seed.
-func (w *Environment) Random() float64 { return w.Network.float() }
+func (e *Environment) Random() float64 { return e.Network.randomFloat() }
 
 // Zone is a machine's zone.
-func (w *Environment) Zone(id string) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if machine := w.machines[id]; machine != nil {
+func (e *Environment) Zone(id string) string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if machine := e.machines[id]; machine != nil {
 		return machine.zone
 	}
 	return ""
 }
 
 // Kill takes a machine away without a word.
-func (w *Environment) Kill(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.remove(id)
+func (e *Environment) Kill(id string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.remove(id)
 }
 
-func (w *Environment) remove(id string) {
-	if machine := w.machines[id]; machine != nil {
-		machine.end()
-		delete(w.machines, id)
-		w.Network.Listen(id, machine.addr, nil)
-		w.gangsChanged()
+func (e *Environment) remove(id string) {
+	if machine := e.machines[id]; machine != nil {
+		machine.markRemoved()
+		delete(e.machines, id)
+		e.Network.Listen(id, machine.addr, nil)
+		e.updateGangs()
 	}
 }
 
 // NoticePreemption announces that a machine will be taken.
-func (w *Environment) NoticePreemption(id string, in time.Duration) {
-	w.mu.Lock()
-	machine := w.machines[id]
-	machine.notice = time.Now().Add(in)
-	machine.changedNow()
-	w.mu.Unlock()
+func (e *Environment) NoticePreemption(id string, in time.Duration) {
+	e.mu.Lock()
+	machine := e.machines[id]
+	machine.preemptionAt = time.Now().Add(in)
+	machine.markStatusChanged()
+	e.mu.Unlock()
 	go func() {
 		time.Sleep(in)
-		w.Kill(id)
+		e.Kill(id)
 	}()
 }
 
-func (w *Environment) cloud(rw http.ResponseWriter, r *http.Request) {
+func (e *Environment) serveCloud(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.Calls[r.URL.Path]++
-	if w.CloudDown {
-		answer(rw, 503, protocol.ErrorReply{Error: "trouble"})
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.Calls[r.URL.Path]++
+	if e.CloudDown {
+		writeReply(w, 503, protocol.ErrorReply{Error: "trouble"})
 		return
 	}
-	status, v := w.cloudCall(r, body)
-	if w.LoseReply != nil && w.LoseReply(r.URL.Path) {
+	status, v := e.dispatchCloudCall(r, body)
+	if e.LoseReply != nil && e.LoseReply(r.URL.Path) {
 		status, v = 502, nil
 	}
-	answer(rw, status, v)
+	writeReply(w, status, v)
 }
 
-func (w *Environment) cloudCall(r *http.Request, body []byte) (int, any) {
+func (e *Environment) dispatchCloudCall(r *http.Request, body []byte) (int, any) {
 	switch {
 	case r.URL.Path == "/catalog":
 		var c protocol.Catalog
-		for _, t := range w.types {
+		for _, t := range e.types {
 			c.Types = append(c.Types, t)
 		}
 		slices.SortFunc(c.Types, func(a, b protocol.MachineType) int { return strings.Compare(a.Name, b.Name) })
@@ -247,12 +247,12 @@
 		if codec.Unmarshal(body, &req) != nil || req.Count < 1 || req.Count > 50 {
 			return 400, nil
 		}
-		if hosts, ok := w.provisioned[req.RequestID]; ok {
-			return 200, protocol.MachineIDs{IDs: hosts}
+		if machineIDs, ok := e.provisioned[req.RequestID]; ok {
+			return 200, protocol.MachineIDs{IDs: machineIDs}
 		}
 		n := req.Count
-		if limit, ok := w.capacity[fmt.Sprint(req.Type, req.Zone, req.Spot)]; ok {
-			for _, machine := range w.machines {
+		if limit, ok := e.capacity[fmt.Sprint(req.Type, req.Zone, req.Spot)]; ok {
+			for _, machine := range e.machines {
 				if machine.machineType.Name == req.Type && machine.zone == req.Zone && machine.spot == req.Spot {
 					limit--
 				}
@@ -262,25 +262,25 @@
 		if n <= 0 {
 			return 503, protocol.ErrorReply{Error: "no capacity"}
 		}
-		var hosts []string
+		var machineIDs []string
 		for range n {
-			hosts = append(hosts, w.newMachine(req.Type, req.Zone, req.Spot))
+			machineIDs = append(machineIDs, e.newMachine(req.Type, req.Zone, req.Spot))
 		}
-		w.provisioned[req.RequestID] = hosts
-		return 200, protocol.MachineIDs{IDs: hosts}
+		e.provisioned[req.RequestID] = machineIDs
+		return 200, protocol.MachineIDs{IDs: machineIDs}
 	case r.URL.Path == "/rentals/return":
 		var h protocol.MachineIDs
 		if codec.Unmarshal(body, &h) != nil || len(h.IDs) > 100 {
 			return 400, nil
 		}
 		for _, id := range h.IDs {
-			w.remove(id)
+			e.remove(id)
 		}
 		return 200, nil
 	case r.URL.Path == "/rentals":
 		list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
-		for id, machine := range w.machines {
-			if age := time.Since(machine.rented).Seconds(); age > w.Cfg.Cloud.ListLagS {
+		for id, machine := range e.machines {
+			if age := time.Since(machine.provisionedAt).Seconds(); age > e.Cfg.Cloud.ListLagS {
 				phase := protocol.MachineStarting
 				if machine.up {
 					phase = "running"
@@ -290,22 +290,22 @@
 			}
 		}
 		slices.SortFunc(list.Machines, func(a, b protocol.ListedMachine) int { return strings.Compare(a.ID, b.ID) })
-		w.cutPage(&list, r.URL.Query())
+		e.paginate(&list, r.URL.Query())
 		return 200, list
 	}
 	return 404, nil
 }
 
-// cutPage leaves the page of a list that was asked for.
-func (w *Environment) cutPage(list *protocol.MachineList, query url.Values) {
+// paginate leaves the page of a list that was asked for.
+func (e *Environment) paginate(list *protocol.MachineList, query url.Values) {
 	after := query.Get("after")
 	list.Machines = slices.DeleteFunc(list.Machines, func(m protocol.ListedMachine) bool { return m.ID <= after })
 	most, err := strconv.Atoi(query.Get("most"))
 	if err != nil {
 		most = len(list.Machines)
 	}
-	if w.PageMost > 0 {
-		most = min(most, w.PageMost)
+	if e.PageMost > 0 {
+		most = min(most, e.PageMost)
 	}
 	if len(list.Machines) > most {
 		list.Machines, list.More = list.Machines[:most], true
@@ -314,31 +314,31 @@
 
 // Register makes a job one whose user has submitted it, and was told that it is
 // accepted.
-func (w *Environment) Register(job protocol.Job) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.jobs[job.ID] = &userJob{job: job, submitted: true, accepted: true, finished: map[int]bool{}}
+func (e *Environment) Register(job protocol.Job) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.jobs[job.ID] = &userJob{job: job, submitted: true, accepted: true, finished: map[int]bool{}}
 }
 
 // Submit registers a job (users upload its description) and submits it until
 // it gets an answer that is not retried. It returns the status.
-func (w *Environment) Submit(job protocol.Job, runS float64) int {
-	w.mu.Lock()
-	if w.jobs[job.ID] == nil {
-		w.jobs[job.ID] = &userJob{job: job, runS: runS, finished: map[int]bool{}}
-	}
-	u := w.jobs[job.ID]
-	u.submitted = true
-	before := *u
-	w.mu.Unlock()
-	status, st := w.ask(http.MethodPost, "/v1/jobs", JobMap(&job), 5*time.Second, 60*time.Second)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (e *Environment) Submit(job protocol.Job, runS float64) int {
+	e.mu.Lock()
+	if e.jobs[job.ID] == nil {
+		e.jobs[job.ID] = &userJob{job: job, runS: runS, finished: map[int]bool{}}
+	}
+	registered := e.jobs[job.ID]
+	registered.submitted = true
+	before := *registered
+	e.mu.Unlock()
+	status, st := e.ask(http.MethodPost, "/v1/jobs", JobMap(&job), 5*time.Second, 60*time.Second)
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if status == 200 || status == 201 {
-		u.accepted = true
-		w.checkAnswer(u, before, st)
+		registered.accepted = true
+		e.checkJobStatus(registered, before, st)
 	} else if before.accepted && (status == 400 || status == 422) {
-		w.violate("forgotten: %s submitted again gets %d", job.ID, status)
+		e.addViolation("forgotten: %s submitted again gets %d", job.ID, status)
 	}
 	return status
 }
@@ -365,65 +365,65 @@
 }
 
 // Poll asks once for a job's state.
-func (w *Environment) Poll(jobID protocol.JobID) (int, protocol.JobStatus) {
-	w.mu.Lock()
-	job := w.jobs[jobID]
+func (e *Environment) Poll(jobID protocol.JobID) (int, protocol.JobStatus) {
+	e.mu.Lock()
+	job := e.jobs[jobID]
 	var before userJob // what the user had been told when it asked
 	if job != nil {
 		before = *job
 	}
-	w.mu.Unlock()
-	status, st := w.ask(http.MethodGet, "/v1/jobs/"+string(jobID), nil, 2*time.Second, 0)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	job = w.jobs[jobID]
+	e.mu.Unlock()
+	status, st := e.ask(http.MethodGet, "/v1/jobs/"+string(jobID), nil, 2*time.Second, 0)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	job = e.jobs[jobID]
 	switch {
 	case status == 200 && (job == nil || !job.submitted):
-		w.violate("invented: %s", jobID)
+		e.addViolation("invented: %s", jobID)
 	case status == 404 && before.accepted:
-		w.violate("forgotten: %s gets 404", jobID)
+		e.addViolation("forgotten: %s gets 404", jobID)
 	case status == 200:
-		w.checkAnswer(job, before, st)
+		e.checkJobStatus(job, before, st)
 	}
 	return status, st
 }
 
-// checkAnswer takes in what a user is told, who knew before what it asked with.
-func (w *Environment) checkAnswer(job *userJob, before userJob, st protocol.JobStatus) {
+// checkJobStatus takes in what a user is told, who knew before what it asked with.
+func (e *Environment) checkJobStatus(job *userJob, before userJob, st protocol.JobStatus) {
 	switch {
-	case before.done && st.Phase != protocol.PhaseDone, !before.cancelled.IsZero() && st.Phase != protocol.PhaseCancelled:
-		w.violate("went_back: %s is called %s", job.job.ID, st.Phase)
-	case st.Phase == protocol.PhaseCancelled && !job.cancelAsked:
-		if asked, _ := w.cancelledBefore(job); !asked {
-			w.violate("went_back: %s is called cancelled, its user did not ask", job.job.ID)
+	case before.doneConfirmed && st.Phase != protocol.PhaseDone, !before.cancelConfirmed.IsZero() && st.Phase != protocol.PhaseCancelled:
+		e.addViolation("went_back: %s is called %s", job.job.ID, st.Phase)
+	case st.Phase == protocol.PhaseCancelled && !job.cancelRequested:
+		if asked, _ := e.dependencyCancelled(job); !asked {
+			e.addViolation("went_back: %s is called cancelled, its user did not ask", job.job.ID)
 		}
 	case st.Phase == protocol.PhaseDone && len(job.finished) < job.job.Tasks:
-		w.violate("not_done: %s is called done", job.job.ID)
+		e.addViolation("not_done: %s is called done", job.job.ID)
 	}
-	w.checkDependentAnswer(job, st.Phase)
+	e.checkDependentStatus(job, st.Phase)
 	if st.Phase == protocol.PhaseDone {
-		job.done = true
+		job.doneConfirmed = true
 	}
-	if st.Phase == protocol.PhaseCancelled && job.cancelled.IsZero() {
-		job.cancelled = time.Now()
+	if st.Phase == protocol.PhaseCancelled && job.cancelConfirmed.IsZero() {
+		job.cancelConfirmed = time.Now()
 	}
-	if st.Phase == protocol.PhaseCancelled && job.cancelAsked && job.cancelTold.IsZero() {
-		job.cancelTold = time.Now()
+	if st.Phase == protocol.PhaseCancelled && job.cancelRequested && job.ownCancelConfirmed.IsZero() {
+		job.ownCancelConfirmed = time.Now()
 	}
 }
 
 // Cancel cancels a job, repeating the request until it is answered.
-func (w *Environment) Cancel(jobID protocol.JobID) (int, protocol.JobStatus) {
-	w.mu.Lock()
-	job := w.jobs[jobID]
-	job.cancelAsked = true
+func (e *Environment) Cancel(jobID protocol.JobID) (int, protocol.JobStatus) {
+	e.mu.Lock()
+	job := e.jobs[jobID]
+	job.cancelRequested = true
 	before := *job
-	w.mu.Unlock()
-	status, st := w.ask(http.MethodPost, "/v1/jobs/"+string(jobID)+"/withdraw", nil, 5*time.Second, 120*time.Second)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	e.mu.Unlock()
+	status, st := e.ask(http.MethodPost, "/v1/jobs/"+string(jobID)+"/withdraw", nil, 5*time.Second, 120*time.Second)
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if status == 200 {
-		w.checkAnswer(job, before, st)
+		e.checkJobStatus(job, before, st)
 	}
 	return status, st
 }
@@ -437,7 +437,7 @@
 		if w.Asked != nil {
 			nodes = w.Asked
 		}
-		addr := nodes[int(w.Network.float()*float64(len(nodes)))]
+		addr := nodes[int(w.Network.randomFloat()*float64(len(nodes)))]
 		ctx, cancel := context.WithTimeout(w.life, each)
 		var st protocol.JobStatus
 		status, err := httpclient.Call(ctx, &http.Client{Transport: w.Network.From(w.life, "users")}, method, "http://"+addr+path, in,
@@ -454,138 +454,138 @@
 }
 
 // checkStart judges a task that begins to be on a machine.
-func (w *Environment) checkStart(machine *machineAgent, task *agentTask) {
-	job := w.jobs[task.jobID]
+func (e *Environment) checkStart(machine *machineAgent, task *agentTask) {
+	job := e.jobs[task.jobID]
 	spec := &job.job
 	zones := map[string]int{}
 	var cores, gpus float64
-	for _, o := range w.machines {
-		for _, x := range o.tasks {
-			if !x.onMachine() || x == task {
+	for _, other := range e.machines {
+		for _, running := range other.tasks {
+			if !running.onMachine() || running == task {
 				continue
 			}
-			if x.jobID == task.jobID && x.index == task.index {
-				w.violate("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v", task.jobID, task.index, x.attempt, o.id, x.since, task.attempt, machine.id, o.hung, o.up, o.incarnation, time.Now())
+			if running.jobID == task.jobID && running.index == task.index {
+				e.addViolation("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v", task.jobID, task.index, running.attempt, other.id, running.stateSince, task.attempt, machine.id, other.hung, other.up, other.incarnation, time.Now())
 			}
-			if x.jobID == task.jobID {
-				zones[o.zone]++
+			if running.jobID == task.jobID {
+				zones[other.zone]++
 			}
-			if y := w.jobs[x.jobID]; y.job.Team == spec.Team {
-				cores += y.job.Cores
-				gpus += y.job.GPUs
+			if otherJob := e.jobs[running.jobID]; otherJob.job.Team == spec.Team {
+				cores += otherJob.job.Cores
+				gpus += otherJob.job.GPUs
 			}
 		}
 	}
-	for _, team := range w.Cfg.Teams {
+	for _, team := range e.Cfg.Teams {
 		if team.Name == spec.Team && ((team.CoresMax > 0 && cores+spec.Cores > team.CoresMax+1e-6) || (team.GPUsMax > 0 && gpus+spec.GPUs > team.GPUsMax+1e-6)) {
-			w.violate("quota: %s with %s/%d on %s: %v of %v cores, %v of %v cards at %v", spec.Team, task.jobID, task.index, machine.id, cores+spec.Cores, team.CoresMax, gpus+spec.GPUs, team.GPUsMax, time.Now())
+			e.addViolation("quota: %s with %s/%d on %s: %v of %v cores, %v of %v cards at %v", spec.Team, task.jobID, task.index, machine.id, cores+spec.Cores, team.CoresMax, gpus+spec.GPUs, team.GPUsMax, time.Now())
 		}
 	}
 	zones[machine.zone]++
 	switch {
 	case len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, machine.machineType.Name), spec.Zone != "" && spec.Zone != machine.zone, machine.spot && !spec.Spot,
 		spec.OneZone && len(zones) > 1, spec.Spread && zones[machine.zone] > (spec.Tasks+1)/2:
-		w.violate("wrong_place: %s/%d on %s", task.jobID, task.index, machine.id)
+		e.addViolation("wrong_place: %s/%d on %s", task.jobID, task.index, machine.id)
 	}
 	if !job.accepted && !job.submitted {
-		w.violate("invented: %s runs", task.jobID)
+		e.addViolation("invented: %s runs", task.jobID)
 	}
-	if !w.mayStart(job) {
-		w.violate("too_early: %s/%d on %s at %v", task.jobID, task.index, machine.id, time.Now())
+	if !e.dependenciesDone(job) {
+		e.addViolation("too_early: %s/%d on %s at %v", task.jobID, task.index, machine.id, time.Now())
 	}
-	if !job.cancelled.IsZero() {
-		w.LateStart = max(w.LateStart, time.Since(job.cancelled))
+	if !job.cancelConfirmed.IsZero() {
+		e.LateStart = max(e.LateStart, time.Since(job.cancelConfirmed))
 	}
-	w.checkCancelledTask(machine, task)
+	e.checkCancelledTask(machine, task)
 }
 
 // checkCancelledTask judges a task on a machine whose job is cancelled, by its own user or with
 // one that it needs.
-func (w *Environment) checkCancelledTask(machine *machineAgent, task *agentTask) {
-	job := w.jobs[task.jobID]
-	since := job.cancelled
-	if _, told := w.cancelledBefore(job); since.IsZero() || (!told.IsZero() && told.Before(since)) {
+func (e *Environment) checkCancelledTask(machine *machineAgent, task *agentTask) {
+	job := e.jobs[task.jobID]
+	since := job.cancelConfirmed
+	if _, told := e.dependencyCancelled(job); since.IsZero() || (!told.IsZero() && told.Before(since)) {
 		since = told
 	}
-	if !since.IsZero() && time.Since(since).Seconds() > w.Cfg.Workers.CancelS && task.onMachine() {
-		w.violate("ran_cancelled: %s/%d on %s", task.jobID, task.index, machine.id)
+	if !since.IsZero() && time.Since(since).Seconds() > e.Cfg.Workers.CancelS && task.onMachine() {
+		e.addViolation("ran_cancelled: %s/%d on %s", task.jobID, task.index, machine.id)
 	}
 }
 
-func (w *Environment) checkCancelled() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, machine := range w.machines {
+func (e *Environment) checkCancelled() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, machine := range e.machines {
 		for _, task := range machine.tasks {
-			w.checkCancelledTask(machine, task)
+			e.checkCancelledTask(machine, task)
 		}
 	}
 }
 
 // EndTroubles says that all troubles are over: from now on no job may be left waiting.
-func (w *Environment) EndTroubles() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.troublesOver = true
+func (e *Environment) EndTroubles() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.faultsEnded = true
 }
 
-// waitsAtMost is how long a job may wait beside a machine that fits and has room,
+// maxWaitWithCapacity is how long a job may wait beside a machine that fits and has room,
 // as the operators say.
-const waitsAtMost = 90 * time.Second
+const maxWaitWithCapacity = 90 * time.Second
 
 // checkWaiting judges the jobs that wait although there is room. Gangs, for which
 // much must be free at once, are not among them.
-func (w *Environment) checkWaiting() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.troublesOver {
+func (e *Environment) checkWaiting() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if !e.faultsEnded {
 		return
 	}
-	for _, job := range w.jobs {
-		if !job.accepted || job.job.Kind == protocol.KindGang || !w.mustStart(job) || !w.roomFor(job) {
-			job.besideRoom = time.Time{}
+	for _, job := range e.jobs {
+		if !job.accepted || job.job.Kind == protocol.KindGang || !e.isStartable(job) || !e.hasCapacityFor(job) {
+			job.waitingSince = time.Time{}
 			continue
 		}
-		if job.besideRoom.IsZero() {
-			job.besideRoom = time.Now()
+		if job.waitingSince.IsZero() {
+			job.waitingSince = time.Now()
 		}
-		if d := time.Since(job.besideRoom); d > waitsAtMost {
-			w.violate("left waiting: %s beside room for %v", job.job.ID, d)
-			job.besideRoom = time.Now()
+		if d := time.Since(job.waitingSince); d > maxWaitWithCapacity {
+			e.addViolation("left waiting: %s beside room for %v", job.job.ID, d)
+			job.waitingSince = time.Now()
 		}
 	}
 }
 
-// roomFor tells whether a task of a job waits while a machine could take it.
-func (w *Environment) roomFor(job *userJob) bool {
+// hasCapacityFor tells whether a task of a job waits while a machine could take it.
+func (e *Environment) hasCapacityFor(job *userJob) bool {
 	spec := &job.job
-	on, zones := 0, map[string]int{}
+	placed, zones := 0, map[string]int{}
 	var cores, gpus float64
-	for _, machine := range w.machines {
+	for _, machine := range e.machines {
 		for _, task := range machine.tasks {
 			if task.state == protocol.TaskExited {
 				continue
 			}
-			y := &w.jobs[task.jobID].job
-			if y.Team == spec.Team {
-				cores, gpus = cores+y.Cores, gpus+y.GPUs
+			otherJob := &e.jobs[task.jobID].job
+			if otherJob.Team == spec.Team {
+				cores, gpus = cores+otherJob.Cores, gpus+otherJob.GPUs
 			}
 			if task.jobID == spec.ID {
-				on++
+				placed++
 				zones[machine.zone]++
 			}
 		}
 	}
-	if on+len(job.finished) >= spec.Tasks {
+	if placed+len(job.finished) >= spec.Tasks {
 		return false
 	}
-	for _, team := range w.Cfg.Teams {
+	for _, team := range e.Cfg.Teams {
 		if team.Name == spec.Team && ((team.CoresMax > 0 && cores+spec.Cores > team.CoresMax+1e-6) || (team.GPUsMax > 0 && gpus+spec.GPUs > team.GPUsMax+1e-6)) {
 			return false
 		}
 	}
-	for _, machine := range w.machines {
-		if !machine.up || machine.hung || !machine.notice.IsZero() || (machine.spot && !spec.Spot) || (spec.Zone != "" && spec.Zone != machine.zone) ||
+	for _, machine := range e.machines {
+		if !machine.up || machine.hung || !machine.preemptionAt.IsZero() || (machine.spot && !spec.Spot) || (spec.Zone != "" && spec.Zone != machine.zone) ||
 			(len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, machine.machineType.Name)) ||
 			(spec.OneZone && len(zones) > 0 && zones[machine.zone] == 0) || (spec.Spread && zones[machine.zone]+1 > (spec.Tasks+1)/2) {
 			continue
@@ -593,8 +593,8 @@
 		free := machine.machineType
 		for _, task := range machine.tasks {
 			if task.state != protocol.TaskExited {
-				y := &w.jobs[task.jobID].job
-				free.Cores, free.GPUs, free.MemGB = free.Cores-y.Cores, free.GPUs-y.GPUs, free.MemGB-y.MemGB
+				otherJob := &e.jobs[task.jobID].job
+				free.Cores, free.GPUs, free.MemGB = free.Cores-otherJob.Cores, free.GPUs-otherJob.GPUs, free.MemGB-otherJob.MemGB
 			}
 		}
 		if spec.Cores <= free.Cores+1e-6 && spec.GPUs <= free.GPUs+1e-6 && spec.MemGB <= free.MemGB+1e-6 {
@@ -606,19 +606,19 @@
 
 // Refused submits a job that must not be accepted, and judges the answer: change
 // makes it so, and want is the status that PROTOCOL names.
-func (w *Environment) Refused(job protocol.Job, change func(m map[string]any), want int) {
+func (e *Environment) Refused(job protocol.Job, change func(m map[string]any), want int) {
 	m := JobMap(&job)
 	change(m)
-	status, _ := w.ask(http.MethodPost, "/v1/jobs", m, 5*time.Second, 60*time.Second)
+	status, _ := e.ask(http.MethodPost, "/v1/jobs", m, 5*time.Second, 60*time.Second)
 	answered := status > 0 && status < 500 && status != http.StatusTooManyRequests // else its user asks again
 	if answered && status != want {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.violate("accepted: a job that cannot be, %v, gets %d instead of %d", m, status, want)
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.addViolation("accepted: a job that cannot be, %v, gets %d instead of %d", m, status, want)
 	}
 }
 
-func parseTask(s string) (protocol.JobID, int) {
+func parseTaskName(s string) (protocol.JobID, int) {
 	jobID, index, _ := strings.Cut(s, "/")
 	n, _ := strconv.Atoi(index)
 	return protocol.JobID(jobID), n
