--- a/internal/fake/dependencies.go
+++ b/internal/fake/checker_dependencies.go
@@ -31,9 +31,6 @@
 	return !asked && !e.jobs[jobID].cancelRequested
 }
 
-// complete tells whether all tasks of a job are done.
-func (j *userJob) complete() bool { return len(j.finished) >= j.job.Tasks }
-
 // dependenciesDone tells whether all jobs that a job needs are done: one whose user was told
 // that it is cancelled never is, though all its tasks may be complete.
 func (e *Environment) dependenciesDone(job *userJob) bool {
--- /dev/null
+++ b/internal/fake/users.go
@@ -0,0 +1,181 @@
+package fake
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"marblehaven/internal/httpclient"
+	"marblehaven/internal/protocol"
+)
+
+// userJob is a job as its user knows it.
+type userJob struct {
+	job                protocol.Job
+	runS               float64
+	submitted          bool
+	accepted           bool
+	cancelRequested    bool
+	cancelConfirmed    time.Time // when the user was told
+	ownCancelConfirmed time.Time // the same, of a job whose user asked for it
+	doneConfirmed      bool      // the user was told
+	finished           map[int]bool
+	waitingSince       time.Time // since when it has waited although there was room; zero: it has not
+}
+
+// complete tells whether all tasks of a job are done.
+func (j *userJob) complete() bool { return len(j.finished) >= j.job.Tasks }
+
+// Register makes a job one whose user has submitted it, and was told that it is
+// accepted.
+func (e *Environment) Register(job protocol.Job) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.jobs[job.ID] = &userJob{job: job, submitted: true, accepted: true, finished: map[int]bool{}}
+}
+
+// Job is a job as its user submitted it.
+func (e *Environment) Job(jobID protocol.JobID) protocol.Job {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.jobs[jobID].job
+}
+
+// Cancelled tells whether a job's user asked to cancel it.
+func (e *Environment) Cancelled(jobID protocol.JobID) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.jobs[jobID].cancelRequested
+}
+
+// Submit registers a job (users upload its description) and submits it until
+// it gets an answer that is not retried. It returns the status.
+func (e *Environment) Submit(job protocol.Job, runS float64) int {
+	e.mu.Lock()
+	if e.jobs[job.ID] == nil {
+		e.jobs[job.ID] = &userJob{job: job, runS: runS, finished: map[int]bool{}}
+	}
+	registered := e.jobs[job.ID]
+	registered.submitted = true
+	before := *registered
+	e.mu.Unlock()
+	status, st := e.ask(http.MethodPost, "/v1/jobs", JobMap(&job), 5*time.Second, 60*time.Second)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if status == 200 || status == 201 {
+		registered.accepted = true
+		e.checkJobStatus(registered, before, st)
+	} else if before.accepted && (status == 400 || status == 422) {
+		e.addViolation("forgotten: %s submitted again gets %d", job.ID, status)
+	}
+	return status
+}
+
+// Poll asks once for a job's state.
+func (e *Environment) Poll(jobID protocol.JobID) (int, protocol.JobStatus) {
+	e.mu.Lock()
+	job := e.jobs[jobID]
+	var before userJob // what the user had been told when it asked
+	if job != nil {
+		before = *job
+	}
+	e.mu.Unlock()
+	status, st := e.ask(http.MethodGet, "/v1/jobs/"+string(jobID), nil, 2*time.Second, 0)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	job = e.jobs[jobID]
+	switch {
+	case status == 200 && (job == nil || !job.submitted):
+		e.addViolation("invented: %s", jobID)
+	case status == 404 && before.accepted:
+		e.addViolation("forgotten: %s gets 404", jobID)
+	case status == 200:
+		e.checkJobStatus(job, before, st)
+	}
+	return status, st
+}
+
+// Cancel cancels a job, repeating the request until it is answered.
+func (e *Environment) Cancel(jobID protocol.JobID) (int, protocol.JobStatus) {
+	e.mu.Lock()
+	job := e.jobs[jobID]
+	job.cancelRequested = true
+	before := *job
+	e.mu.Unlock()
+	status, st := e.ask(http.MethodPost, "/v1/jobs/"+string(jobID)+"/withdraw", nil, 5*time.Second, 120*time.Second)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if status == 200 {
+		e.checkJobStatus(job, before, st)
+	}
+	return status, st
+}
+
+// Refused submits a job that must not be accepted, and judges the answer: change
+// makes it so, and want is the status that PROTOCOL names.
+func (e *Environment) Refused(job protocol.Job, change func(m map[string]any), want int) {
+	m := JobMap(&job)
+	change(m)
+	status, _ := e.ask(http.MethodPost, "/v1/jobs", m, 5*time.Second, 60*time.Second)
+	answered := status > 0 && status < 500 && status != http.StatusTooManyRequests // else its user asks again
+	if answered && status != want {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.addViolation("accepted: a job that cannot be, %v, gets %d instead of %d", m, status, want)
+	}
+}
+
+// workloadClient sends the users' requests to the controllers.
+type workloadClient struct {
+	Network *Network
+	Nodes   []string // addresses of the users' side of the nodes
+	Asked   []string // those that users ask; nil: all
+
+	life context.Context
+}
+
+// ask makes a call to some node, again and again until it is answered or the
+// time is over.
+func (w *workloadClient) ask(method, path string, in any, each, total time.Duration) (int, protocol.JobStatus) {
+	start := time.Now()
+	for {
+		nodes := w.Nodes
+		if w.Asked != nil {
+			nodes = w.Asked
+		}
+		addr := nodes[int(w.Network.randomFloat()*float64(len(nodes)))]
+		ctx, cancel := context.WithTimeout(w.life, each)
+		var st protocol.JobStatus
+		status, err := httpclient.Call(ctx, &http.Client{Transport: w.Network.From(w.life, "users")}, method, "http://"+addr+path, in,
+			map[int]any{200: &st, 201: &st})
+		cancel()
+		if err == nil && status != 429 && status < 500 {
+			return status, st
+		}
+		if w.life.Err() != nil || time.Since(start) > total {
+			return status, st
+		}
+		time.Sleep(time.Second)
+	}
+}
+
+// JobMap spells a job as users do; only what has a value where null is allowed.
+func JobMap(job *protocol.Job) map[string]any {
+	m := map[string]any{"ref": job.ID, "workload": job.Class, "owner": job.Team, "shape": job.Kind, "rank": job.Priority,
+		"pieces": job.Tasks, "cores": job.Cores, "cards": job.GPUs, "memGb": job.MemGB, "bundle": job.Image,
+		"imageGb": job.ImageGB, "samePlace": job.OneZone, "spread": job.Spread, "loaners": job.Spot,
+		"guessS": job.EstimateS, "snapshotS": job.CheckpointIntervalS, "flushS": job.CheckpointSaveS, "quarry": nil, "unheardOf": []int{1}}
+	if job.MachineTypes != nil {
+		m["flavors"] = job.MachineTypes
+	}
+	if job.Zone != "" {
+		m["quarry"] = job.Zone
+	}
+	if job.DeadlineS > 0 {
+		m["dueS"] = job.DeadlineS
+	}
+	if job.DependsOn != nil {
+		m["awaits"] = job.DependsOn
+	}
+	return m
+}
