--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -4,10 +4,8 @@
 	"slices"
 	"strings"
 	"sync"
-	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
-	"golang.org/x/time/rate"
 
 	"marblehaven/internal/codec"
 	"marblehaven/internal/protocol"
@@ -26,46 +24,30 @@
 
 // Store is the state service.
 type Store struct {
-	mu          sync.Mutex
-	revision    protocol.Revision
-	keys        map[string]storeEntry
-	leases      map[protocol.LeaseID]*storeLease
-	nextID      protocol.LeaseID
-	changeLog   []storeChange
-	changed     chan struct{}
-	unavailable map[string]bool // hosts that get 503; "" for all
+	StoreLimits
+	StoreFaults
+
 	// OnCommit is told of every applied commit.
 	OnCommit func(c *protocol.Transaction)
-	// Limits of a commit; 0 is none. Breaking one is the caller's mistake.
-	MaxOps, MaxValue int
-	// limitsLowered: the limits have become smaller without notice. Breaking one gets 400,
-	// and changes beyond the rate get 429.
-	limitsLowered bool
-	writeRate     *rate.Limiter
-	// requestRate is the limit of requests; nil is none. requestCount counts them all, and
-	// throttledCount those beyond the limit.
-	requestRate                  *rate.Limiter
-	requestCount, throttledCount int
-	// Refusals counts what the limits refused, by status.
-	Refusals map[int]int
-	// LoseReply picks applied commits that are not answered.
-	LoseReply func() bool
-	// Fault picks what goes wrong with a commit, before its conditions are looked at.
-	Fault func(c *protocol.Transaction) Fault
-	// Late picks commits that get no answer and are carried out so much later,
-	// after newer ones; 0: not this one.
-	Late func() time.Duration
-	// Slow is how long a call waits before it is worked on, by path.
-	Slow func(path string) time.Duration
-	// PageMost is how many keys a page of a list has at limit; 0: as many as PROTOCOL says.
-	PageMost int
-	// LoseEvent picks keys whose changes follow calls do not see.
-	LoseEvent func(key string) bool
+
+	mu        sync.Mutex
+	revision  protocol.Revision
+	keys      map[string]storeEntry
+	leases    map[protocol.LeaseID]*storeLease
+	nextID    protocol.LeaseID
+	changeLog []storeChange
+	changed   chan struct{} // closed and replaced at each change
 }
 
 // NewStore makes an empty state service.
 func NewStore() *Store {
-	return &Store{keys: map[string]storeEntry{}, leases: map[protocol.LeaseID]*storeLease{}, changed: make(chan struct{}), unavailable: map[string]bool{}, Refusals: map[int]int{}}
+	return &Store{
+		StoreLimits: StoreLimits{Refusals: map[int]int{}},
+		StoreFaults: StoreFaults{unavailable: map[string]bool{}},
+		keys:        map[string]storeEntry{},
+		leases:      map[protocol.LeaseID]*storeLease{},
+		changed:     make(chan struct{}),
+	}
 }
 
 // Put stores a record, as an earlier process would have.
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -3,11 +3,26 @@
 import (
 	"time"
 
-	"golang.org/x/time/rate"
-
-	"marblehaven/internal/config"
+	"marblehaven/internal/protocol"
 )
 
+// StoreFaults is what a test makes go wrong with the store's calls.
+type StoreFaults struct {
+	// LoseReply picks applied commits that are not answered.
+	LoseReply func() bool
+	// Fault picks what goes wrong with a commit, before its conditions are looked at.
+	Fault func(c *protocol.Transaction) Fault
+	// Late picks commits that get no answer and are carried out so much later,
+	// after newer ones; 0: not this one.
+	Late func() time.Duration
+	// Slow is how long a call waits before it is worked on, by path.
+	Slow func(path string) time.Duration
+	// LoseEvent picks keys whose changes follow calls do not see.
+	LoseEvent func(key string) bool
+
+	unavailable map[string]bool // hosts that get 503; "" for all
+}
+
 // Fault is what goes wrong with a commit.
 type Fault int
 
@@ -37,25 +52,7 @@
 	}
 }
 
-// Limit makes the limits smaller from now on, without notice.
-func (s *Store) Limit(l config.StateLimits) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.limitsLowered = true
-	s.MaxOps, s.MaxValue = l.TxnOps, l.ValueBytes()
-	s.writeRate = rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS))
-}
-
-// LimitRequests sets how many requests a second are served.
-func (s *Store) LimitRequests(rps float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.requestRate = rate.NewLimiter(rate.Limit(rps), int(rps))
-}
-
-// Asked is how many requests there were, and how many of them were throttled.
-func (s *Store) Asked() (requests, throttled int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.requestCount, s.throttledCount
+// isUnavailableTo tells whether the service answers 503 to a host.
+func (f *StoreFaults) isUnavailableTo(host string) bool {
+	return f.unavailable[""] || f.unavailable[host]
 }
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -3,13 +3,12 @@
 import (
 	"io"
 	"net/http"
-	"net/http/httptest"
+	"net/url"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 
-	"marblehaven/internal/codec"
 	"marblehaven/internal/protocol"
 )
 
@@ -25,127 +24,82 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	unavailable := func() bool { return s.unavailable[""] || s.unavailable[r.RemoteAddr] }
-	if unavailable() {
-		writeReply(w, 503, nil)
+	if s.isUnavailableTo(r.RemoteAddr) {
+		writeReply(w, http.StatusServiceUnavailable, nil)
 		return
 	}
-	if s.requestCount++; s.requestRate != nil && !s.requestRate.Allow() {
-		s.throttledCount++
-		writeReply(w, 429, nil)
+	if !s.admitRequest() {
+		writeReply(w, http.StatusTooManyRequests, nil)
 		return
 	}
-	q := r.URL.Query()
 	body, _ := io.ReadAll(r.Body)
+	s.route(w, r, body)
+}
+
+// route hands a call to its handler.
+func (s *Store) route(w http.ResponseWriter, r *http.Request, body []byte) {
 	switch path := r.URL.Path; {
 	case path == "/keys":
-		limit, _ := strconv.Atoi(q.Get("most"))
-		var keys []string
-		for k := range s.keys {
-			if strings.HasPrefix(k, q.Get("prefix")) && k > q.Get("after") {
-				keys = append(keys, k)
-			}
-		}
-		slices.Sort(keys)
-		page := protocol.KeyValuePage{Revision: s.revision, Entries: []protocol.KeyValue{}}
-		for _, k := range keys {
-			if len(page.Entries) == s.pageSize(limit) {
-				page.More = true
-				break
-			}
-			page.Entries = append(page.Entries, protocol.KeyValue{Key: k, Value: s.keys[k].value, Version: s.keys[k].version})
-		}
-		writeReply(w, 200, page)
+		s.listKeys(w, r.URL.Query())
 	case strings.HasPrefix(path, "/keys/"):
-		k := strings.TrimPrefix(path, "/keys/")
-		if e, ok := s.keys[k]; ok {
-			writeReply(w, 200, protocol.KeyValue{Key: k, Value: e.value, Version: e.version})
-		} else {
-			writeReply(w, 404, revisionReply{s.revision})
-		}
+		s.readKey(w, strings.TrimPrefix(path, "/keys/"))
 	case path == "/commit":
-		if s.Late != nil {
-			if d := s.Late(); d > 0 {
-				go func() {
-					time.Sleep(d)
-					s.mu.Lock()
-					defer s.mu.Unlock()
-					s.commit(httptest.NewRecorder(), body)
-				}()
-				writeReply(w, 502, nil)
-				return
-			}
-		}
-		s.commit(w, body)
+		s.commitNowOrLate(w, body)
 	case path == "/grants":
-		var request protocol.LeaseRequest
-		if err := codec.Unmarshal(body, &request); err != nil {
-			panic(err)
-		}
-		s.nextID++
-		ttl := time.Duration(request.TTLMS) * time.Millisecond
-		s.leases[s.nextID] = &storeLease{ttl, time.Now().Add(ttl)}
-		id := s.nextID
-		go s.expireLeaseOnTime(id, ttl)
-		writeReply(w, 200, protocol.Lease{ID: id})
+		s.grantLease(w, body)
 	case strings.HasSuffix(path, "/touch"):
-		number, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
-		id := protocol.LeaseID(number)
-		if l := s.leases[id]; l != nil {
-			l.expires = time.Now().Add(l.ttl)
-			writeReply(w, 200, protocol.Lease{ID: id})
-		} else {
-			writeReply(w, 404, nil)
-		}
+		s.keepLeaseAlive(w, parseLeaseID(strings.Split(path, "/")[2]))
 	case strings.HasPrefix(path, "/grants/"): // DELETE
-		number, _ := strconv.ParseUint(strings.TrimPrefix(path, "/grants/"), 10, 64)
-		id := protocol.LeaseID(number)
-		if s.leases[id] != nil {
-			s.endLease(id)
-		}
-		writeReply(w, 200, nil)
+		s.revokeLease(w, parseLeaseID(strings.TrimPrefix(path, "/grants/")))
 	case path == "/follow":
-		number, _ := strconv.ParseUint(q.Get("after"), 10, 64)
-		after := protocol.Revision(number)
-		hold, _ := strconv.Atoi(q.Get("holdMs"))
-		until := time.NewTimer(time.Duration(hold) * time.Millisecond)
-		defer until.Stop()
-		for timedOut := false; ; {
-			out := protocol.WatchReply{Revision: s.revision, Events: []protocol.WatchEvent{}}
-			for _, change := range s.changeLog {
-				if change.event.Version.Revision() > after && strings.HasPrefix(change.key, q.Get("prefix")) && (s.LoseEvent == nil || !s.LoseEvent(change.key)) {
-					out.Events = append(out.Events, change.event)
-				}
-			}
-			// During an outage open watches stay open.
-			if (len(out.Events) > 0 || timedOut) && !unavailable() {
-				writeReply(w, 200, out)
-				return
-			}
-			changed := s.changed
-			s.mu.Unlock()
-			if timedOut {
-				time.Sleep(100 * time.Millisecond)
-			} else {
-				select {
-				case <-changed:
-				case <-until.C:
-					timedOut = true
-				}
-			}
-			s.mu.Lock()
-			s.expireLeases()
-		}
+		s.watch(w, r)
 	default:
-		writeReply(w, 404, nil)
+		writeReply(w, http.StatusNotFound, nil)
 	}
 }
 
+// listKeys answers with a page of the keys with a prefix, in order.
+func (s *Store) listKeys(w http.ResponseWriter, query url.Values) {
+	limit, _ := strconv.Atoi(query.Get("most"))
+	var keys []string
+	for key := range s.keys {
+		if strings.HasPrefix(key, query.Get("prefix")) && key > query.Get("after") {
+			keys = append(keys, key)
+		}
+	}
+	slices.Sort(keys)
+	page := protocol.KeyValuePage{Revision: s.revision, Entries: []protocol.KeyValue{}}
+	for _, key := range keys {
+		if len(page.Entries) == s.pageSize(limit) {
+			page.More = true
+			break
+		}
+		page.Entries = append(page.Entries, s.keyValue(key))
+	}
+	writeReply(w, http.StatusOK, page)
+}
+
+// readKey answers with the value and version of one key.
+func (s *Store) readKey(w http.ResponseWriter, key string) {
+	if _, ok := s.keys[key]; !ok {
+		writeReply(w, http.StatusNotFound, revisionReply{s.revision})
+		return
+	}
+	writeReply(w, http.StatusOK, s.keyValue(key))
+}
+
+func (s *Store) keyValue(key string) protocol.KeyValue {
+	entry := s.keys[key]
+	return protocol.KeyValue{Key: key, Value: entry.value, Version: entry.version}
+}
+
+// defaultPageSize is how many keys a page of a list has at most, as PROTOCOL says.
+const defaultPageSize = 1000
+
 // pageSize is how many keys a page has if so many are asked for.
 func (s *Store) pageSize(limit int) int {
-	const protocol = 1000
 	if s.PageMost > 0 {
 		return min(limit, s.PageMost)
 	}
-	return min(limit, protocol)
+	return min(limit, defaultPageSize)
 }
--- a/internal/fake/store_lease.go
+++ b/internal/fake/store_lease.go
@@ -1,8 +1,11 @@
 package fake
 
 import (
+	"net/http"
+	"strconv"
 	"time"
 
+	"marblehaven/internal/codec"
 	"marblehaven/internal/protocol"
 )
 
@@ -46,3 +49,41 @@
 		}
 	}
 }
+
+func parseLeaseID(text string) protocol.LeaseID {
+	number, _ := strconv.ParseUint(text, 10, 64)
+	return protocol.LeaseID(number)
+}
+
+// grantLease answers with a new lease.
+func (s *Store) grantLease(w http.ResponseWriter, body []byte) {
+	var request protocol.LeaseRequest
+	if err := codec.Unmarshal(body, &request); err != nil {
+		panic(err)
+	}
+	s.nextID++
+	id := s.nextID
+	ttl := time.Duration(request.TTLMS) * time.Millisecond
+	s.leases[id] = &storeLease{ttl, time.Now().Add(ttl)}
+	go s.expireLeaseOnTime(id, ttl)
+	writeReply(w, http.StatusOK, protocol.Lease{ID: id})
+}
+
+// keepLeaseAlive gives a lease its full time again, unless it has expired.
+func (s *Store) keepLeaseAlive(w http.ResponseWriter, id protocol.LeaseID) {
+	lease := s.leases[id]
+	if lease == nil {
+		writeReply(w, http.StatusNotFound, nil)
+		return
+	}
+	lease.expires = time.Now().Add(lease.ttl)
+	writeReply(w, http.StatusOK, protocol.Lease{ID: id})
+}
+
+// revokeLease ends a lease before its time.
+func (s *Store) revokeLease(w http.ResponseWriter, id protocol.LeaseID) {
+	if s.leases[id] != nil {
+		s.endLease(id)
+	}
+	writeReply(w, http.StatusOK, nil)
+}
--- a/internal/fake/store_transaction.go
+++ b/internal/fake/store_transaction.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"net/http/httptest"
 	"slices"
 	"time"
 
@@ -33,90 +34,155 @@
 	return out
 }
 
+// commitNowOrLate carries a commit out, or leaves it unanswered until its fault's time.
+func (s *Store) commitNowOrLate(w http.ResponseWriter, body []byte) {
+	var delay time.Duration
+	if s.Late != nil {
+		delay = s.Late()
+	}
+	if delay <= 0 {
+		s.commit(w, body)
+		return
+	}
+	go func() {
+		time.Sleep(delay)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.commit(httptest.NewRecorder(), body)
+	}()
+	writeReply(w, http.StatusBadGateway, nil)
+}
+
 func (s *Store) commit(w http.ResponseWriter, body []byte) {
 	var transaction storeTransaction
 	if err := codec.Unmarshal(body, &transaction); err != nil {
-		writeReply(w, 400, protocol.ErrorReply{Error: err.Error()})
+		writeReply(w, http.StatusBadRequest, protocol.ErrorReply{Error: err.Error()})
 		return
 	}
 	fault := None
 	if s.Fault != nil {
 		fault = s.Fault(transaction.withoutValues())
 	}
+	if refusedByFault(w, fault) || s.refusedByLimits(w, &transaction, len(body)) {
+		return
+	}
+	if failed := s.failedPreconditions(&transaction); len(failed) > 0 {
+		writeReply(w, http.StatusConflict, protocol.TransactionReply{FailedKeys: failed, Revision: s.revision})
+		return
+	}
+	s.apply(&transaction)
+	if s.OnCommit != nil {
+		s.OnCommit(transaction.withoutValues())
+	}
+	if fault == AnswerLost || (s.LoseReply != nil && s.LoseReply()) {
+		writeReply(w, http.StatusBadGateway, nil)
+		return
+	}
+	writeReply(w, http.StatusOK, protocol.TransactionReply{Revision: s.revision})
+}
+
+// refusedByFault answers a commit that its fault keeps from being carried out, and
+// tells whether it did.
+func refusedByFault(w http.ResponseWriter, fault Fault) bool {
 	switch fault {
 	case NotExecuted:
-		writeReply(w, 502, nil)
-		return
+		writeReply(w, http.StatusBadGateway, nil)
 	case OverLimit:
-		writeReply(w, 400, protocol.ErrorReply{Error: "beyond the limits"})
-		return
+		writeReply(w, http.StatusBadRequest, protocol.ErrorReply{Error: "beyond the limits"})
 	case Throttled:
-		writeReply(w, 429, nil)
-		return
+		writeReply(w, http.StatusTooManyRequests, nil)
+	default:
+		return false
 	}
-	const overheadPerKey = 60 // field names, brackets and a version
-	size, violation := 0, ""
+	return true
+}
+
+// refusedByLimits answers a commit that breaks a limit or names an expired lease, and
+// tells whether it did. A limit that was known from the start may not be broken at all.
+func (s *Store) refusedByLimits(w http.ResponseWriter, transaction *storeTransaction, encodedBytes int) bool {
+	violation := s.limitViolation(transaction, encodedBytes)
+	switch {
+	case s.namesExpiredLease(transaction):
+		writeReply(w, http.StatusBadRequest, protocol.ErrorReply{Error: protocol.ReasonNoLease})
+	case violation != "" && !s.limitsLowered:
+		panic(violation)
+	case violation != "":
+		s.Refusals[http.StatusBadRequest]++
+		writeReply(w, http.StatusBadRequest, protocol.ErrorReply{Error: violation})
+	case !s.admitMutations(len(transaction.Mutations)):
+		s.Refusals[http.StatusTooManyRequests]++
+		writeReply(w, http.StatusTooManyRequests, nil)
+	default:
+		return false
+	}
+	return true
+}
+
+const (
+	maxTransactionBytes = 64 << 10
+	// overheadPerKey is the size of the field names, brackets and the version around a key.
+	overheadPerKey = 60
+)
+
+// limitViolation describes the limit that a transaction breaks; "": none.
+func (s *Store) limitViolation(transaction *storeTransaction, encodedBytes int) string {
+	violation := ""
+	preconditions, mutations := len(transaction.Preconditions), len(transaction.Mutations)
+	if s.MaxOps > 0 && (mutations > s.MaxOps || preconditions > 4*s.MaxOps) {
+		violation = fmt.Sprintf("commit of %d changes, %d guards", mutations, preconditions)
+	}
+	size := 0
 	for _, precondition := range transaction.Preconditions {
 		size += len(precondition.Key) + overheadPerKey
 	}
-	if s.MaxOps > 0 && (len(transaction.Mutations) > s.MaxOps || len(transaction.Preconditions) > 4*s.MaxOps) {
-		violation = fmt.Sprintf("commit of %d changes, %d guards", len(transaction.Mutations), len(transaction.Preconditions))
-	}
 	for _, mutation := range transaction.Mutations {
-		n := jsonSize(mutation.Value)
-		size += n + len(mutation.Set) + len(mutation.Delete) + overheadPerKey
-		if s.MaxValue > 0 && n > s.MaxValue {
-			violation = fmt.Sprintf("value of %d bytes at %s", n, mutation.Set)
-		}
-		if mutation.Lease != 0 && s.leases[mutation.Lease] == nil {
-			writeReply(w, 400, protocol.ErrorReply{Error: protocol.ReasonNoLease})
-			return
+		valueSize := jsonSize(mutation.Value)
+		size += valueSize + len(mutation.Set) + len(mutation.Delete) + overheadPerKey
+		if s.MaxValue > 0 && valueSize > s.MaxValue {
+			violation = fmt.Sprintf("value of %d bytes at %s", valueSize, mutation.Set)
 		}
 	}
-	if size > 64<<10 || len(body) > 64<<10 {
+	if size > maxTransactionBytes || encodedBytes > maxTransactionBytes {
 		violation = fmt.Sprintf("commit of about %d bytes", size)
 	}
-	switch {
-	case violation != "" && !s.limitsLowered:
-		panic(violation)
-	case violation != "":
-		s.Refusals[400]++
-		writeReply(w, 400, protocol.ErrorReply{Error: violation})
-		return
-	case s.writeRate != nil && !s.writeRate.AllowN(time.Now(), len(transaction.Mutations)):
-		s.Refusals[429]++
-		writeReply(w, 429, nil)
-		return
+	return violation
+}
+
+// namesExpiredLease tells whether a mutation binds its key to a lease that is over.
+func (s *Store) namesExpiredLease(transaction *storeTransaction) bool {
+	for _, mutation := range transaction.Mutations {
+		if mutation.Lease != 0 && s.leases[mutation.Lease] == nil {
+			return true
+		}
 	}
-	failed := []string{}
+	return false
+}
+
+// failedPreconditions lists the keys whose version is not the one that is expected.
+func (s *Store) failedPreconditions(transaction *storeTransaction) []string {
+	var failed []string
 	for _, precondition := range transaction.Preconditions {
 		if s.keys[precondition.Key].version != precondition.Version {
 			failed = append(failed, precondition.Key)
 		}
 	}
-	if len(failed) > 0 {
-		writeReply(w, 409, protocol.TransactionReply{FailedKeys: failed, Revision: s.revision})
+	return failed
+}
+
+// apply carries out all mutations of a transaction as one revision.
+func (s *Store) apply(transaction *storeTransaction) {
+	if len(transaction.Mutations) == 0 {
 		return
 	}
-	if len(transaction.Mutations) > 0 {
-		s.revision++
-		for _, mutation := range transaction.Mutations {
-			if mutation.Delete != "" {
-				s.deleteKey(mutation.Delete)
-			} else {
-				s.setKey(mutation.Set, storeEntry{slices.Clone(mutation.Value), s.revision.Version(), mutation.Lease})
-			}
+	s.revision++
+	for _, mutation := range transaction.Mutations {
+		if mutation.Delete != "" {
+			s.deleteKey(mutation.Delete)
+			continue
 		}
-		s.wakeWatches()
-	}
-	if s.OnCommit != nil {
-		s.OnCommit(transaction.withoutValues())
-	}
-	if fault == AnswerLost || (s.LoseReply != nil && s.LoseReply()) {
-		writeReply(w, 502, nil)
-		return
+		s.setKey(mutation.Set, storeEntry{slices.Clone(mutation.Value), s.revision.Version(), mutation.Lease})
 	}
-	writeReply(w, 200, protocol.TransactionReply{Revision: s.revision})
+	s.wakeWatches()
 }
 
 // jsonSize is what a value takes as JSON, by the standard library's encoder.
--- /dev/null
+++ b/internal/fake/store_watch.go
@@ -0,0 +1,68 @@
+package fake
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"marblehaven/internal/protocol"
+)
+
+// outageRetryInterval is the time between two looks of a watch, whose time is over,
+// at whether an outage has ended.
+const outageRetryInterval = 100 * time.Millisecond
+
+// watch answers with the changes after a revision, as soon as there are any, and
+// without any when its time is over.
+func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	number, _ := strconv.ParseUint(query.Get("after"), 10, 64)
+	after := protocol.Revision(number)
+	holdMS, _ := strconv.Atoi(query.Get("holdMs"))
+	timer := time.NewTimer(time.Duration(holdMS) * time.Millisecond)
+	defer timer.Stop()
+	for timedOut := false; ; {
+		reply := s.eventsAfter(after, query.Get("prefix"))
+		// During an outage open watches stay open.
+		if (len(reply.Events) > 0 || timedOut) && !s.isUnavailableTo(r.RemoteAddr) {
+			writeReply(w, http.StatusOK, reply)
+			return
+		}
+		timedOut = s.awaitChange(timer, timedOut)
+	}
+}
+
+// eventsAfter lists the changes after a revision to keys with a prefix.
+func (s *Store) eventsAfter(after protocol.Revision, prefix string) protocol.WatchReply {
+	reply := protocol.WatchReply{Revision: s.revision, Events: []protocol.WatchEvent{}}
+	for _, change := range s.changeLog {
+		if change.event.Version.Revision() <= after || !strings.HasPrefix(change.key, prefix) {
+			continue
+		}
+		if s.LoseEvent != nil && s.LoseEvent(change.key) {
+			continue
+		}
+		reply.Events = append(reply.Events, change.event)
+	}
+	return reply
+}
+
+// awaitChange releases the lock until a key changes or the timer ends, and tells
+// whether it has ended.
+func (s *Store) awaitChange(timer *time.Timer, timedOut bool) bool {
+	changed := s.changed
+	s.mu.Unlock()
+	if timedOut {
+		time.Sleep(outageRetryInterval)
+	} else {
+		select {
+		case <-changed:
+		case <-timer.C:
+			timedOut = true
+		}
+	}
+	s.mu.Lock()
+	s.expireLeases()
+	return timedOut
+}
