--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -26,34 +26,76 @@
 	return t.state != protocol.TaskExited && t.state != protocol.TaskFetching
 }
 
-type machineAgent struct {
-	env              *Environment
-	id               string
-	addr             string
-	machineType      protocol.MachineType
-	zone             string
-	spot             bool
-	provisionedAt    time.Time
-	up               bool
-	removed          bool
-	hung             bool
-	preemptionAt     time.Time
+// agents is what the machines' agents have in common.
+type agents struct {
+	Step          time.Duration              // between two looks of a machine at what it runs
+	Uneven        float64                    // how much longer each task of an array runs than the one before
+	OnDone        func(jobID protocol.JobID) // told when the last task of an array has completed
+	Saved         int                        // tasks that were stopped and saved
+	LeaseExpiries int                        // leases that ran out with tasks
+
+	machines map[string]*machineAgent
+}
+
+// defaultStep is fine enough for the times in the rules; a world of thousands of machines
+// may take longer steps.
+const defaultStep = 50 * time.Millisecond
+
+// machineIdentity is what a machine is from its provisioning to its removal.
+type machineIdentity struct {
+	id            string
+	addr          string
+	machineType   protocol.MachineType
+	zone          string
+	spot          bool
+	provisionedAt time.Time
+}
+
+// agentIncarnation is what an agent knows of its present incarnation.
+type agentIncarnation struct {
 	incarnation      protocol.Incarnation
 	sequence         uint64
 	token            protocol.FencingToken
 	incarnationStart time.Time // of the session
 	leaseRenewed     time.Time // when the last answered report was sent
-	tasks            []*agentTask
-	imageCache       map[string]bool
-	statusChanged    bool
-	nodeIndex        int
-	nextCommandHang  time.Duration // how long it hangs in the middle of the next command
+}
+
+// machineFaults is what a test makes go wrong with a machine.
+type machineFaults struct {
+	hung            bool
+	preemptionAt    time.Time
+	nextCommandHang time.Duration // how long it hangs in the middle of the next command
+}
+
+type machineAgent struct {
+	machineIdentity
+	agentIncarnation
+	machineFaults
+
+	env           *Environment
+	up            bool
+	removed       bool
+	tasks         []*agentTask
+	imageCache    map[string]bool
+	statusChanged bool
+	nodeIndex     int
 }
 
 func (e *Environment) newMachine(typeName, zone string, spot bool) string {
 	id := fmt.Sprintf("m-%06d", e.nextID)
 	e.nextID++
-	machine := &machineAgent{env: e, id: id, addr: id + ":9000", machineType: e.types[typeName], zone: zone, spot: spot, provisionedAt: time.Now(), imageCache: map[string]bool{}}
+	machine := &machineAgent{
+		machineIdentity: machineIdentity{
+			id:            id,
+			addr:          id + ":9000",
+			machineType:   e.types[typeName],
+			zone:          zone,
+			spot:          spot,
+			provisionedAt: time.Now(),
+		},
+		env:        e,
+		imageCache: map[string]bool{},
+	}
 	e.machines[id] = machine
 	go machine.run()
 	return id
@@ -194,34 +236,14 @@
 		switch task.state {
 		case protocol.TaskFetching:
 			if m.imageCache[job.job.Image] || age >= job.job.ImageGB/m.machineType.FetchGBps {
-				m.imageCache[job.job.Image] = true
-				switch {
-				case job.finished[task.index]:
-					m.exit(task, protocol.ExitDone)
-				case job.job.Kind == protocol.KindGang:
-					m.setState(task, protocol.TaskWaiting)
-				default:
-					task.remainingS = job.runS * (1 + m.env.Uneven*float64(task.index))
-					m.setState(task, protocol.TaskRunning)
-				}
-				m.env.checkStart(m, task)
-				m.env.updateGangs()
+				m.endFetching(task, job)
 			}
 		case protocol.TaskWaiting:
 			if age > m.env.Cfg.Workers.GangWaitS {
 				m.exit(task, "incomplete")
 			}
 		case protocol.TaskRunning:
-			if job.job.Kind == protocol.KindService {
-				continue
-			}
-			if task.remainingS -= elapsedS; task.remainingS <= 0 {
-				job.finished[task.index] = true
-				m.exit(task, protocol.ExitDone)
-				if m.env.OnDone != nil && len(job.finished) == job.job.Tasks {
-					go m.env.OnDone(task.jobID)
-				}
-			}
+			m.advanceRunning(task, job, elapsedS)
 		case protocol.TaskSaving:
 			if age >= job.job.CheckpointSaveS {
 				task.checkpointed = true
@@ -232,6 +254,39 @@
 	}
 }
 
+// endFetching starts a task whose image is there; one of a gang waits for the others.
+func (m *machineAgent) endFetching(task *agentTask, job *userJob) {
+	m.imageCache[job.job.Image] = true
+	switch {
+	case job.finished[task.index]:
+		m.exit(task, protocol.ExitDone)
+	case job.job.Kind == protocol.KindGang:
+		m.setState(task, protocol.TaskWaiting)
+	default:
+		task.remainingS = job.runS * (1 + m.env.Uneven*float64(task.index))
+		m.setState(task, protocol.TaskRunning)
+	}
+	m.env.checkStart(m, task)
+	m.env.updateGangs()
+}
+
+// advanceRunning lets a running task work, and ends it when its work is done. A
+// service never is.
+func (m *machineAgent) advanceRunning(task *agentTask, job *userJob, elapsedS float64) {
+	if job.job.Kind == protocol.KindService {
+		return
+	}
+	task.remainingS -= elapsedS
+	if task.remainingS > 0 {
+		return
+	}
+	job.finished[task.index] = true
+	m.exit(task, protocol.ExitDone)
+	if m.env.OnDone != nil && len(job.finished) == job.job.Tasks {
+		go m.env.OnDone(task.jobID)
+	}
+}
+
 func (m *machineAgent) setState(task *agentTask, state protocol.TaskState) {
 	task.state, task.stateSince, m.statusChanged = state, time.Now(), true
 }
--- a/internal/fake/checker_records.go
+++ b/internal/fake/checker_records.go
@@ -65,16 +65,16 @@
 // checkRunRecords judges that every task on a machine is in the run record of its job,
 // from before its start until it has surely ended: what no record names, the next
 // leader knows nothing of.
-func (e *Environment) checkRunRecords() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for _, machine := range e.machines {
+func (c *checker) checkRunRecords() {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	for _, machine := range c.env.machines {
 		for _, task := range machine.tasks {
-			if task.state == protocol.TaskExited || task.unrecorded || e.records.mayRecord(task, machine.id) {
+			if task.state == protocol.TaskExited || task.unrecorded || c.records.mayRecord(task, machine.id) {
 				continue
 			}
 			task.unrecorded = true // told once
-			e.addViolation("orphaned: no record names %s/%d try %d (%s) on %s at %v", task.jobID, task.index, task.attempt, task.state, machine.id, time.Now())
+			c.addViolation("orphaned: no record names %s/%d try %d (%s) on %s at %v", task.jobID, task.index, task.attempt, task.state, machine.id, time.Now())
 		}
 	}
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -14,16 +14,50 @@
 	"marblehaven/internal/protocol"
 )
 
+// maxProvisionCount and maxDeprovisionCount are how many machines one call may name.
+const (
+	maxProvisionCount   = 50
+	maxDeprovisionCount = 100
+)
+
+// cloud provisions and removes machines.
+type cloud struct {
+	Calls     map[string]int         // calls of the cloud, by path
+	LoseReply func(path string) bool // answers of the cloud that get lost
+	CloudDown bool                   // it answers 503 "trouble"
+	PageMost  int                    // machines in a page of the list at most; 0: as many as asked for
+
+	env         *Environment
+	types       map[string]protocol.MachineType
+	capacity    map[string]int // per type, zone and kind; absent: plenty
+	provisioned map[string][]string
+	nextID      int
+}
+
+func newCloud(env *Environment, types []protocol.MachineType) *cloud {
+	c := &cloud{
+		Calls:       map[string]int{},
+		env:         env,
+		types:       map[string]protocol.MachineType{},
+		capacity:    map[string]int{},
+		provisioned: map[string][]string{},
+	}
+	for _, machineType := range types {
+		c.types[machineType.Name] = machineType
+	}
+	return c
+}
+
 // Limit sets how many machines of a type, zone and kind there are.
-func (e *Environment) Limit(typ, zone string, spot bool, n int) {
-	e.capacity[fmt.Sprint(typ, zone, spot)] = n
+func (c *cloud) Limit(typ, zone string, spot bool, n int) {
+	c.capacity[fmt.Sprint(typ, zone, spot)] = n
 }
 
 // MachinesProvisioned is how many machines were ever rented.
-func (e *Environment) MachinesProvisioned() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.nextID
+func (c *cloud) MachinesProvisioned() int {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	return c.nextID
 }
 
 // Kill takes a machine away without a word.
@@ -55,95 +89,124 @@
 	}()
 }
 
-func (e *Environment) serveCloud(w http.ResponseWriter, r *http.Request) {
+func (c *cloud) serveCloud(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.Calls[r.URL.Path]++
-	if e.CloudDown {
-		writeReply(w, 503, protocol.ErrorReply{Error: "trouble"})
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	c.Calls[r.URL.Path]++
+	if c.CloudDown {
+		writeReply(w, http.StatusServiceUnavailable, protocol.ErrorReply{Error: "trouble"})
 		return
 	}
-	status, v := e.dispatchCloudCall(r, body)
-	if e.LoseReply != nil && e.LoseReply(r.URL.Path) {
-		status, v = 502, nil
+	status, reply := c.dispatchCloudCall(r, body)
+	if c.LoseReply != nil && c.LoseReply(r.URL.Path) {
+		status, reply = http.StatusBadGateway, nil
 	}
-	writeReply(w, status, v)
+	writeReply(w, status, reply)
 }
 
-func (e *Environment) dispatchCloudCall(r *http.Request, body []byte) (int, any) {
+func (c *cloud) dispatchCloudCall(r *http.Request, body []byte) (status int, reply any) {
 	switch {
 	case r.URL.Path == "/catalog":
-		var c protocol.Catalog
-		for _, t := range e.types {
-			c.Types = append(c.Types, t)
-		}
-		slices.SortFunc(c.Types, func(a, b protocol.MachineType) int { return strings.Compare(a.Name, b.Name) })
-		return 200, c
+		return http.StatusOK, c.catalog()
 	case r.URL.Path == "/rentals" && r.Method == http.MethodPost:
-		var req protocol.ProvisionRequest
-		if codec.Unmarshal(body, &req) != nil || req.Count < 1 || req.Count > 50 {
-			return 400, nil
-		}
-		if machineIDs, ok := e.provisioned[req.RequestID]; ok {
-			return 200, protocol.MachineIDs{IDs: machineIDs}
-		}
-		n := req.Count
-		if limit, ok := e.capacity[fmt.Sprint(req.Type, req.Zone, req.Spot)]; ok {
-			for _, machine := range e.machines {
-				if machine.machineType.Name == req.Type && machine.zone == req.Zone && machine.spot == req.Spot {
-					limit--
-				}
-			}
-			n = min(n, limit)
-		}
-		if n <= 0 {
-			return 503, protocol.ErrorReply{Error: "no capacity"}
-		}
-		var machineIDs []string
-		for range n {
-			machineIDs = append(machineIDs, e.newMachine(req.Type, req.Zone, req.Spot))
-		}
-		e.provisioned[req.RequestID] = machineIDs
-		return 200, protocol.MachineIDs{IDs: machineIDs}
+		return c.provision(body)
 	case r.URL.Path == "/rentals/return":
-		var h protocol.MachineIDs
-		if codec.Unmarshal(body, &h) != nil || len(h.IDs) > 100 {
-			return 400, nil
+		return c.deprovision(body), nil
+	case r.URL.Path == "/rentals":
+		return http.StatusOK, c.listMachines(r.URL.Query())
+	}
+	return http.StatusNotFound, nil
+}
+
+// catalog lists the machine types by name.
+func (c *cloud) catalog() protocol.Catalog {
+	var catalog protocol.Catalog
+	for _, machineType := range c.types {
+		catalog.Types = append(catalog.Types, machineType)
+	}
+	slices.SortFunc(catalog.Types, func(a, b protocol.MachineType) int { return strings.Compare(a.Name, b.Name) })
+	return catalog
+}
+
+// provision makes as many machines as are asked for and as the capacity allows. A
+// repeated request gets the machines of the first.
+func (c *cloud) provision(body []byte) (status int, reply any) {
+	var request protocol.ProvisionRequest
+	if codec.Unmarshal(body, &request) != nil || request.Count < 1 || request.Count > maxProvisionCount {
+		return http.StatusBadRequest, nil
+	}
+	if machineIDs, ok := c.provisioned[request.RequestID]; ok {
+		return http.StatusOK, protocol.MachineIDs{IDs: machineIDs}
+	}
+	count := c.available(&request)
+	if count <= 0 {
+		return http.StatusServiceUnavailable, protocol.ErrorReply{Error: "no capacity"}
+	}
+	var machineIDs []string
+	for range count {
+		machineIDs = append(machineIDs, c.env.newMachine(request.Type, request.Zone, request.Spot))
+	}
+	c.provisioned[request.RequestID] = machineIDs
+	return http.StatusOK, protocol.MachineIDs{IDs: machineIDs}
+}
+
+// available is how many of the machines that a request asks for can be had.
+func (c *cloud) available(request *protocol.ProvisionRequest) int {
+	free, limited := c.capacity[fmt.Sprint(request.Type, request.Zone, request.Spot)]
+	if !limited {
+		return request.Count
+	}
+	for _, machine := range c.env.machines {
+		if machine.machineType.Name == request.Type && machine.zone == request.Zone && machine.spot == request.Spot {
+			free--
 		}
-		for _, id := range h.IDs {
-			e.remove(id)
+	}
+	return min(request.Count, free)
+}
+
+// deprovision removes machines.
+func (c *cloud) deprovision(body []byte) (status int) {
+	var request protocol.MachineIDs
+	if codec.Unmarshal(body, &request) != nil || len(request.IDs) > maxDeprovisionCount {
+		return http.StatusBadRequest
+	}
+	for _, id := range request.IDs {
+		c.env.remove(id)
+	}
+	return http.StatusOK
+}
+
+// listMachines lists the machines that are old enough to be in the list.
+func (c *cloud) listMachines(query url.Values) protocol.MachineList {
+	list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
+	for id, machine := range c.env.machines {
+		age := time.Since(machine.provisionedAt).Seconds()
+		if age <= c.env.Cfg.Cloud.ListLagS {
+			continue
 		}
-		return 200, nil
-	case r.URL.Path == "/rentals":
-		list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
-		for id, machine := range e.machines {
-			if age := time.Since(machine.provisionedAt).Seconds(); age > e.Cfg.Cloud.ListLagS {
-				phase := protocol.MachineStarting
-				if machine.up {
-					phase = "running"
-				}
-				list.Machines = append(list.Machines, protocol.ListedMachine{ID: id, Addr: machine.addr, Type: machine.machineType.Name,
-					Zone: machine.zone, Spot: machine.spot, State: phase, AgeS: age})
-			}
+		phase := protocol.MachineStarting
+		if machine.up {
+			phase = "running"
 		}
-		slices.SortFunc(list.Machines, func(a, b protocol.ListedMachine) int { return strings.Compare(a.ID, b.ID) })
-		e.paginate(&list, r.URL.Query())
-		return 200, list
+		list.Machines = append(list.Machines, protocol.ListedMachine{ID: id, Addr: machine.addr, Type: machine.machineType.Name,
+			Zone: machine.zone, Spot: machine.spot, State: phase, AgeS: age})
 	}
-	return 404, nil
+	slices.SortFunc(list.Machines, func(a, b protocol.ListedMachine) int { return strings.Compare(a.ID, b.ID) })
+	c.paginate(&list, query)
+	return list
 }
 
 // paginate leaves the page of a list that was asked for.
-func (e *Environment) paginate(list *protocol.MachineList, query url.Values) {
+func (c *cloud) paginate(list *protocol.MachineList, query url.Values) {
 	after := query.Get("after")
 	list.Machines = slices.DeleteFunc(list.Machines, func(m protocol.ListedMachine) bool { return m.ID <= after })
 	most, err := strconv.Atoi(query.Get("most"))
 	if err != nil {
 		most = len(list.Machines)
 	}
-	if e.PageMost > 0 {
-		most = min(most, e.PageMost)
+	if c.PageMost > 0 {
+		most = min(most, c.PageMost)
 	}
 	if len(list.Machines) > most {
 		list.Machines, list.More = list.Machines[:most], true
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -8,7 +8,6 @@
 	"context"
 	"net/http"
 	"sync"
-	"time"
 
 	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
@@ -21,56 +20,35 @@
 	Network *Network
 	Store   *Store
 	Cfg     config.Deployment
+	agents
+	*cloud
 	*workloadClient
+	*checker
 
-	life          context.Context
-	mu            sync.Mutex
-	types         map[string]protocol.MachineType
-	capacity      map[string]int // per type, zone and kind; absent: plenty
-	machines      map[string]*machineAgent
-	provisioned   map[string][]string
-	nextID        int
-	jobs          map[protocol.JobID]*userJob
-	violations    []string
-	Calls         map[string]int             // calls of the cloud, by path
-	LoseReply     func(path string) bool     // answers of the cloud that get lost
-	CloudDown     bool                       // it answers 503 "trouble"
-	PageMost      int                        // machines in a page of the list at most; 0: as many as asked for
-	Saved         int                        // tasks that were stopped and saved
-	LeaseExpiries int                        // leases that ran out with tasks
-	Uneven        float64                    // how much longer each task of an array runs than the one before
-	OnDone        func(jobID protocol.JobID) // told when the last task of an array has completed
-	Step          time.Duration              // between two looks of a machine at what it runs
-	LateStart     time.Duration              // the longest time from a confirmed cancellation to a start
-	faultsEnded   bool                       // all troubles are over
-	nodeAddrs     map[string]string          // node name -> address
-	records       *runRecordReader
+	life      context.Context
+	mu        sync.Mutex
+	jobs      map[protocol.JobID]*userJob
+	nodeAddrs map[string]string // node name -> address
 }
 
-// defaultStep is fine enough for the times in the rules; a world of thousands of machines
-// may take longer steps.
-const defaultStep = 50 * time.Millisecond
-
 // NewEnvironment makes a world on a network. Its life ends with ctx.
 func NewEnvironment(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *Environment {
-	e := &Environment{Network: net, Store: NewStore(), Cfg: cfg, workloadClient: &workloadClient{Network: net, life: ctx}, life: ctx, types: map[string]protocol.MachineType{},
-		capacity: map[string]int{}, machines: map[string]*machineAgent{}, provisioned: map[string][]string{},
-		jobs: map[protocol.JobID]*userJob{}, Step: defaultStep, Calls: map[string]int{}, nodeAddrs: map[string]string{}}
-	for _, t := range types {
-		e.types[t.Name] = t
+	e := &Environment{
+		Network:        net,
+		Store:          NewStore(),
+		Cfg:            cfg,
+		agents:         agents{machines: map[string]*machineAgent{}, Step: defaultStep},
+		workloadClient: &workloadClient{Network: net, life: ctx},
+		life:           ctx,
+		jobs:           map[protocol.JobID]*userJob{},
+		nodeAddrs:      map[string]string{},
 	}
-	e.records = newRunRecordReader(e.Store)
+	e.cloud = newCloud(e, types)
+	e.checker = &checker{env: e, records: newRunRecordReader(e.Store)}
 	e.Store.MaxOps, e.Store.MaxValue = cfg.State.TxnOps, int(cfg.State.ValueKB*1024)
 	net.Listen("state", "state:1", e.Store)
 	net.Listen("cloud", "cloud:1", http.HandlerFunc(e.serveCloud))
-	go func() {
-		for ctx.Err() == nil {
-			time.Sleep(200 * time.Millisecond)
-			e.checkCancelled()
-			e.checkRunRecords()
-			e.checkWaiting()
-		}
-	}()
+	go e.checkPeriodically(ctx)
 	return e
 }
 
