--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -187,6 +187,21 @@
 
 func (m *machineAgent) markStatusChanged() { m.statusChanged = true }
 
+// isOver tells whether the machine was removed or the test has ended.
+func (m *machineAgent) isOver() bool { return m.removed || m.env.life.Err() != nil }
+
+// hungPollInterval is the time between two looks at whether a machine still hangs.
+const hungPollInterval = 50 * time.Millisecond
+
+// awaitNotHung releases the lock until the machine goes on or is removed.
+func (m *machineAgent) awaitNotHung() {
+	for m.hung && !m.removed {
+		m.env.mu.Unlock()
+		time.Sleep(hungPollInterval)
+		m.env.mu.Lock()
+	}
+}
+
 func (m *machineAgent) run() {
 	time.Sleep(time.Duration(m.machineType.BootS * float64(time.Second)))
 	m.env.mu.Lock()
@@ -201,7 +216,7 @@
 	for {
 		time.Sleep(m.env.Step)
 		m.env.mu.Lock()
-		if m.removed || m.env.life.Err() != nil {
+		if m.isOver() {
 			m.env.mu.Unlock()
 			return
 		}
--- /dev/null
+++ b/internal/fake/agent_capacity.go
@@ -0,0 +1,38 @@
+package fake
+
+import (
+	"slices"
+
+	"marblehaven/internal/protocol"
+)
+
+// capacityTolerance is the error of sums of cores, GPUs and memory that counts as none.
+const capacityTolerance = 1e-6
+
+// hasCapacityFor tells whether a task of a job fits beside those that have not exited.
+func (m *machineAgent) hasCapacityFor(spec *protocol.Job) bool {
+	free := m.machineType
+	for _, task := range m.tasks {
+		if task.state == protocol.TaskExited {
+			continue
+		}
+		placed := &m.env.jobs[task.jobID].job
+		free.Cores -= placed.Cores
+		free.GPUs -= placed.GPUs
+		free.MemGB -= placed.MemGB
+	}
+	return spec.Cores <= free.Cores+capacityTolerance &&
+		spec.GPUs <= free.GPUs+capacityTolerance &&
+		spec.MemGB <= free.MemGB+capacityTolerance
+}
+
+// isAllowedFor tells whether the machine's type, zone and kind are ones that a job accepts.
+func (m *machineAgent) isAllowedFor(spec *protocol.Job) bool {
+	if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, m.machineType.Name) {
+		return false
+	}
+	if spec.Zone != "" && spec.Zone != m.zone {
+		return false
+	}
+	return !m.spot || spec.Spot
+}
--- a/internal/fake/agent_commands.go
+++ b/internal/fake/agent_commands.go
@@ -16,74 +16,92 @@
 	body, _ := io.ReadAll(r.Body)
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
-	for m.hung && !m.removed {
-		m.env.mu.Unlock()
-		time.Sleep(50 * time.Millisecond)
-		m.env.mu.Lock()
-	}
+	m.awaitNotHung()
 	if m.removed {
-		writeReply(w, 502, nil)
+		writeReply(w, http.StatusBadGateway, nil)
 		return
 	}
 	if r.URL.Path == "/status" {
-		writeReply(w, 200, m.heartbeat())
+		writeReply(w, http.StatusOK, m.heartbeat())
 		return
 	}
-	var req protocol.CommandRequest
-	if codec.Unmarshal(body, &req) != nil {
-		writeReply(w, 400, nil)
+	var request protocol.CommandRequest
+	if codec.Unmarshal(body, &request) != nil {
+		writeReply(w, http.StatusBadRequest, nil)
 		return
 	}
-	if req.Token < m.token || req.Incarnation != m.incarnation {
-		writeReply(w, 409, m.heartbeat())
+	if request.Token < m.token || request.Incarnation != m.incarnation {
+		writeReply(w, http.StatusConflict, m.heartbeat())
 		return
 	}
-	m.setToken(req.Token)
-	m.executeCommands(req.Commands)
-	if hang := m.nextCommandHang; hang > 0 && len(req.Commands) > 0 {
-		m.nextCommandHang, m.hung = 0, true
-		m.env.mu.Unlock()
-		time.Sleep(hang)
-		m.env.mu.Lock()
-		m.hung = false
+	m.setToken(request.Token)
+	m.executeCommands(request.Commands)
+	if m.nextCommandHang > 0 && len(request.Commands) > 0 {
+		m.hangBeforeAnswer()
 	}
-	writeReply(w, 200, m.heartbeat())
+	writeReply(w, http.StatusOK, m.heartbeat())
+}
+
+// hangBeforeAnswer releases the lock while the machine hangs, once.
+func (m *machineAgent) hangBeforeAnswer() {
+	hang := m.nextCommandHang
+	m.nextCommandHang, m.hung = 0, true
+	m.env.mu.Unlock()
+	time.Sleep(hang)
+	m.env.mu.Lock()
+	m.hung = false
 }
 
 func (m *machineAgent) executeCommands(commands []protocol.Command) {
 	for _, command := range commands {
 		jobID, index := parseTaskName(command.Task)
-		var addressed *agentTask
-		for _, task := range m.tasks {
-			if task.jobID == jobID && task.index == index && task.attempt == command.Attempt {
-				addressed = task
-			}
-		}
+		addressed := m.findAttempt(jobID, index, command.Attempt)
 		switch command.Verb {
 		case protocol.VerbStart:
 			if addressed == nil {
 				m.startTask(jobID, index, command.Attempt)
 			}
 		case protocol.VerbStop:
-			if addressed == nil || addressed.state == protocol.TaskExited {
-				continue
-			}
-			job := m.env.jobs[jobID]
-			savesCheckpoint := addressed.state == protocol.TaskRunning && job.job.CheckpointIntervalS > 0 && command.GracePeriodS >= job.job.CheckpointSaveS
-			switch {
-			case savesCheckpoint:
-				m.setState(addressed, protocol.TaskSaving)
-			case addressed.state != protocol.TaskSaving || command.GracePeriodS == 0:
-				m.exit(addressed, protocol.ExitStopped)
+			if addressed != nil && addressed.state != protocol.TaskExited {
+				m.stopTask(addressed, command.GracePeriodS)
 			}
 		case protocol.VerbRelease:
-			for i, task := range m.tasks {
-				if task == addressed && task.state == protocol.TaskExited {
-					m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
-					m.statusChanged = true
-					break
-				}
-			}
+			m.releaseTask(addressed)
+		}
+	}
+}
+
+// findAttempt finds an attempt of a task; nil: the machine has none.
+func (m *machineAgent) findAttempt(jobID protocol.JobID, index int, attempt uint64) *agentTask {
+	var found *agentTask
+	for _, task := range m.tasks {
+		if task.jobID == jobID && task.index == index && task.attempt == attempt {
+			found = task
+		}
+	}
+	return found
+}
+
+// stopTask lets a running task save a checkpoint if the grace period is long enough,
+// and ends it at once otherwise. One that saves is left to it unless there is no grace.
+func (m *machineAgent) stopTask(task *agentTask, gracePeriodS float64) {
+	spec := &m.env.jobs[task.jobID].job
+	savesCheckpoint := task.state == protocol.TaskRunning && spec.CheckpointIntervalS > 0 && gracePeriodS >= spec.CheckpointSaveS
+	switch {
+	case savesCheckpoint:
+		m.setState(task, protocol.TaskSaving)
+	case task.state != protocol.TaskSaving || gracePeriodS == 0:
+		m.exit(task, protocol.ExitStopped)
+	}
+}
+
+// releaseTask forgets a task that has exited.
+func (m *machineAgent) releaseTask(released *agentTask) {
+	for i, task := range m.tasks {
+		if task == released && task.state == protocol.TaskExited {
+			m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
+			m.statusChanged = true
+			return
 		}
 	}
 }
@@ -92,23 +110,13 @@
 	task := &agentTask{jobID: jobID, index: index, attempt: attempt, state: protocol.TaskExited, stateSince: time.Now()}
 	m.statusChanged = true
 	job := m.env.jobs[jobID]
-	if job == nil {
-		task.exitReason = protocol.ExitUnknownTask
-		m.tasks = append(m.tasks, task)
-		return
-	}
-	cores, gpus, mem := m.machineType.Cores, m.machineType.GPUs, m.machineType.MemGB
-	for _, running := range m.tasks {
-		if running.state != protocol.TaskExited {
-			spec := &m.env.jobs[running.jobID].job
-			cores, gpus, mem = cores-spec.Cores, gpus-spec.GPUs, mem-spec.MemGB
-		}
-	}
 	existing := m.findTask(jobID, index)
 	switch {
+	case job == nil:
+		task.exitReason = protocol.ExitUnknownTask
 	case existing != nil && existing.state != protocol.TaskExited:
 		task.exitReason = protocol.ExitDuplicate
-	case job.job.Cores > cores+1e-6 || job.job.GPUs > gpus+1e-6 || job.job.MemGB > mem+1e-6:
+	case !m.hasCapacityFor(&job.job):
 		task.exitReason = protocol.ExitNoCapacity
 	default:
 		task.state = protocol.TaskFetching
--- a/internal/fake/agent_heartbeat.go
+++ b/internal/fake/agent_heartbeat.go
@@ -28,16 +28,15 @@
 // sendHeartbeats is the loop of reports.
 func (m *machineAgent) sendHeartbeats() {
 	hc := &http.Client{Transport: m.env.Network.From(m.env.life, m.id)}
-	lastSent := time.Now().Add(-time.Hour)
+	lastSent := longAgo()
 	for {
 		time.Sleep(2 * m.env.Step)
 		m.env.mu.Lock()
-		if m.removed || m.env.life.Err() != nil {
+		if m.isOver() {
 			m.env.mu.Unlock()
 			return
 		}
-		due := time.Since(lastSent).Seconds() >= m.env.Cfg.Workers.ReportS || (m.statusChanged && time.Since(lastSent) >= 500*time.Millisecond)
-		if m.hung || !due || len(m.env.Nodes) == 0 {
+		if !m.heartbeatDue(lastSent) {
 			m.env.mu.Unlock()
 			continue
 		}
@@ -46,42 +45,89 @@
 		addr := m.env.Nodes[m.nodeIndex%len(m.env.Nodes)]
 		m.env.mu.Unlock()
 		lastSent = time.Now()
-		ctx, cancel := context.WithTimeout(m.env.life, 4*time.Second)
-		var reply protocol.HeartbeatReply
-		var redirect protocol.Redirect
-		status, err := httpclient.Call(ctx, hc, http.MethodPost, "http://"+addr+"/hello", msg, map[int]any{200: &reply, 421: &redirect})
-		cancel()
+		answer := m.postHeartbeat(hc, addr, msg)
 		m.env.mu.Lock()
-		for m.hung && !m.removed { // it takes the answer when it goes on
-			m.env.mu.Unlock()
-			time.Sleep(50 * time.Millisecond)
-			m.env.mu.Lock()
-		}
-		if time.Since(lastSent) > 4*time.Second {
-			status = 0
-		}
-		if status == 200 && err == nil {
-			if reply.Token >= m.token && msg.Incarnation == m.incarnation && !m.removed {
-				m.leaseRenewed = lastSent
-				m.setToken(reply.Token)
-				m.executeCommands(reply.Commands)
-			}
+		m.awaitNotHung() // it takes the answer when it goes on
+		if answer.accepted && time.Since(lastSent) <= heartbeatTimeout {
+			m.applyReply(&answer.reply, msg.Incarnation, lastSent)
 			m.env.mu.Unlock()
 			continue
 		}
-		leaderIndex := -1
-		for i, candidate := range m.env.Nodes {
-			if redirect.Leader != "" && m.env.nodeAddrs[redirect.Leader] == candidate && candidate != addr {
-				leaderIndex = i
-			}
-		}
+		leaderIndex := m.indexOfLeader(answer.redirect.Leader, addr)
 		m.env.mu.Unlock()
-		if leaderIndex >= 0 {
-			m.nodeIndex = leaderIndex
-		} else {
-			m.nodeIndex++
-			time.Sleep(time.Second)
+		m.selectNode(leaderIndex)
+		lastSent = longAgo()
+	}
+}
+
+const (
+	// heartbeatTimeout is how long an agent waits for the answer to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// minHeartbeatInterval is the least time between heartbeats after a change of the tasks.
+	minHeartbeatInterval = 500 * time.Millisecond
+	// nodeRetryInterval is the pause before an agent asks the next node.
+	nodeRetryInterval = time.Second
+)
+
+// longAgo is a time after which a heartbeat is due in any case.
+func longAgo() time.Time { return time.Now().Add(-time.Hour) }
+
+// heartbeatDue tells whether it is time for the next heartbeat.
+func (m *machineAgent) heartbeatDue(lastSent time.Time) bool {
+	if m.hung || len(m.env.Nodes) == 0 {
+		return false
+	}
+	if time.Since(lastSent).Seconds() >= m.env.Cfg.Workers.ReportS {
+		return true
+	}
+	return m.statusChanged && time.Since(lastSent) >= minHeartbeatInterval
+}
+
+// heartbeatAnswer is what a node answered to a heartbeat.
+type heartbeatAnswer struct {
+	accepted bool
+	reply    protocol.HeartbeatReply // if accepted
+	redirect protocol.Redirect       // names the leader if the node knows another
+}
+
+func (m *machineAgent) postHeartbeat(hc *http.Client, addr string, msg protocol.Heartbeat) heartbeatAnswer {
+	ctx, cancel := context.WithTimeout(m.env.life, heartbeatTimeout)
+	defer cancel()
+	var reply protocol.HeartbeatReply
+	var redirect protocol.Redirect
+	status, err := httpclient.Call(ctx, hc, http.MethodPost, "http://"+addr+"/hello", msg, map[int]any{200: &reply, 421: &redirect})
+	return heartbeatAnswer{status == http.StatusOK && err == nil, reply, redirect}
+}
+
+// applyReply renews the lease and carries out the commands, unless the answer is one to
+// an earlier incarnation or from a former leader.
+func (m *machineAgent) applyReply(reply *protocol.HeartbeatReply, incarnation protocol.Incarnation, sent time.Time) {
+	if reply.Token < m.token || incarnation != m.incarnation || m.removed {
+		return
+	}
+	m.leaseRenewed = sent
+	m.setToken(reply.Token)
+	m.executeCommands(reply.Commands)
+}
+
+// indexOfLeader finds the node of the leader that a redirect names; -1: there is none,
+// or it is the node that was asked.
+func (m *machineAgent) indexOfLeader(leader, askedAddr string) int {
+	index := -1
+	for i, addr := range m.env.Nodes {
+		if leader != "" && m.env.nodeAddrs[leader] == addr && addr != askedAddr {
+			index = i
 		}
-		lastSent = time.Now().Add(-time.Hour)
 	}
+	return index
+}
+
+// selectNode picks the node for the next heartbeat: the leader's if it is known.
+func (m *machineAgent) selectNode(leaderIndex int) {
+	if leaderIndex >= 0 {
+		m.nodeIndex = leaderIndex
+		return
+	}
+	m.nodeIndex++
+	time.Sleep(nodeRetryInterval)
 }
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -3,9 +3,11 @@
 import (
 	"context"
 	"fmt"
+	"maps"
 	"slices"
 	"time"
 
+	"marblehaven/internal/config"
 	"marblehaven/internal/protocol"
 )
 
@@ -46,49 +48,101 @@
 // checkStart judges a task that begins to be on a machine.
 func (c *checker) checkStart(machine *machineAgent, task *agentTask) {
 	job := c.env.jobs[task.jobID]
-	spec := &job.job
-	zones := map[string]int{}
-	var cores, gpus float64
-	for _, other := range c.env.machines {
-		for _, running := range other.tasks {
-			if !running.onMachine() || running == task {
+	others := c.surveyOthers(task)
+	c.checkRanTwice(machine, task, others.sameTask)
+	c.checkQuota(machine, task, others.teamCores, others.teamGPUs)
+	c.checkPlacement(machine, task, others.jobZones)
+	if !job.accepted && !job.submitted {
+		c.addViolation("invented: %s runs", task.jobID)
+	}
+	if !c.dependenciesDone(job) {
+		c.addViolation("too_early: %s/%d on %s at %v", task.jobID, task.index, machine.id, time.Now())
+	}
+	if !job.cancelConfirmed.IsZero() {
+		c.LateStart = max(c.LateStart, time.Since(job.cancelConfirmed))
+	}
+	c.checkCancelledTask(machine, task)
+}
+
+// placedTask is a task on its machine.
+type placedTask struct {
+	machine *machineAgent
+	task    *agentTask
+}
+
+// otherTasks sums up what is on all machines beside a task.
+type otherTasks struct {
+	sameTask            []placedTask   // other attempts of the task
+	jobZones            map[string]int // tasks of its job by zone
+	teamCores, teamGPUs float64        // what its team uses
+}
+
+// surveyOthers looks once at all tasks on machines, but for the given one.
+func (c *checker) surveyOthers(task *agentTask) otherTasks {
+	others := otherTasks{jobZones: map[string]int{}}
+	team := c.env.jobs[task.jobID].job.Team
+	for _, machine := range c.env.machines {
+		for _, other := range machine.tasks {
+			if !other.onMachine() || other == task {
 				continue
 			}
-			if running.jobID == task.jobID && running.index == task.index {
-				c.addViolation("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v", task.jobID, task.index, running.attempt, other.id, running.stateSince, task.attempt, machine.id, other.hung, other.up, other.incarnation, time.Now())
+			if other.jobID == task.jobID {
+				others.jobZones[machine.zone]++
+				if other.index == task.index {
+					others.sameTask = append(others.sameTask, placedTask{machine, other})
+				}
 			}
-			if running.jobID == task.jobID {
-				zones[other.zone]++
-			}
-			if otherJob := c.env.jobs[running.jobID]; otherJob.job.Team == spec.Team {
-				cores += otherJob.job.Cores
-				gpus += otherJob.job.GPUs
+			if spec := &c.env.jobs[other.jobID].job; spec.Team == team {
+				others.teamCores += spec.Cores
+				others.teamGPUs += spec.GPUs
 			}
 		}
 	}
+	return others
+}
+
+// checkRanTwice judges that no other attempt of a task is on a machine.
+func (c *checker) checkRanTwice(machine *machineAgent, task *agentTask, sameTask []placedTask) {
+	for _, other := range sameTask {
+		c.addViolation("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v",
+			task.jobID, task.index, other.task.attempt, other.machine.id, other.task.stateSince, task.attempt, machine.id,
+			other.machine.hung, other.machine.up, other.machine.incarnation, time.Now())
+	}
+}
+
+// checkQuota judges that a task's team stays within its limits.
+func (c *checker) checkQuota(machine *machineAgent, task *agentTask, usedCores, usedGPUs float64) {
+	spec := &c.env.jobs[task.jobID].job
+	cores, gpus := usedCores+spec.Cores, usedGPUs+spec.GPUs
 	for _, team := range c.env.Cfg.Teams {
-		if team.Name == spec.Team && ((team.CoresMax > 0 && cores+spec.Cores > team.CoresMax+1e-6) || (team.GPUsMax > 0 && gpus+spec.GPUs > team.GPUsMax+1e-6)) {
-			c.addViolation("quota: %s with %s/%d on %s: %v of %v cores, %v of %v cards at %v", spec.Team, task.jobID, task.index, machine.id, cores+spec.Cores, team.CoresMax, gpus+spec.GPUs, team.GPUsMax, time.Now())
+		if team.Name == spec.Team && exceedsQuota(&team, cores, gpus) {
+			c.addViolation("quota: %s with %s/%d on %s: %v of %v cores, %v of %v cards at %v",
+				spec.Team, task.jobID, task.index, machine.id, cores, team.CoresMax, gpus, team.GPUsMax, time.Now())
 		}
 	}
+}
+
+// exceedsQuota tells whether so much is beyond a team's limits; a limit of 0 is none.
+func exceedsQuota(team *config.Team, cores, gpus float64) bool {
+	return (team.CoresMax > 0 && cores > team.CoresMax+capacityTolerance) ||
+		(team.GPUsMax > 0 && gpus > team.GPUsMax+capacityTolerance)
+}
+
+// checkPlacement judges that a task's machine and zone are ones that its job accepts.
+func (c *checker) checkPlacement(machine *machineAgent, task *agentTask, otherZones map[string]int) {
+	spec := &c.env.jobs[task.jobID].job
+	zones := maps.Clone(otherZones)
 	zones[machine.zone]++
-	switch {
-	case len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, machine.machineType.Name), spec.Zone != "" && spec.Zone != machine.zone, machine.spot && !spec.Spot,
-		spec.OneZone && len(zones) > 1, spec.Spread && zones[machine.zone] > (spec.Tasks+1)/2:
+	outsideZone := spec.OneZone && len(zones) > 1
+	crowded := spec.Spread && zones[machine.zone] > maxTasksInZone(spec)
+	if !machine.isAllowedFor(spec) || outsideZone || crowded {
 		c.addViolation("wrong_place: %s/%d on %s", task.jobID, task.index, machine.id)
 	}
-	if !job.accepted && !job.submitted {
-		c.addViolation("invented: %s runs", task.jobID)
-	}
-	if !c.dependenciesDone(job) {
-		c.addViolation("too_early: %s/%d on %s at %v", task.jobID, task.index, machine.id, time.Now())
-	}
-	if !job.cancelConfirmed.IsZero() {
-		c.LateStart = max(c.LateStart, time.Since(job.cancelConfirmed))
-	}
-	c.checkCancelledTask(machine, task)
 }
 
+// maxTasksInZone is how many tasks of a job that spreads may be in one zone.
+func maxTasksInZone(spec *protocol.Job) int { return (spec.Tasks + 1) / 2 }
+
 // checkJobStatus takes in what a user is told, who knew before what it asked with.
 func (c *checker) checkJobStatus(job *userJob, before userJob, st protocol.JobStatus) {
 	switch {
@@ -135,85 +189,3 @@
 		}
 	}
 }
-
-// EndTroubles says that all troubles are over: from now on no job may be left waiting.
-func (c *checker) EndTroubles() {
-	c.env.mu.Lock()
-	defer c.env.mu.Unlock()
-	c.faultsEnded = true
-}
-
-// maxWaitWithCapacity is how long a job may wait beside a machine that fits and has room,
-// as the operators say.
-const maxWaitWithCapacity = 90 * time.Second
-
-// checkWaiting judges the jobs that wait although there is room. Gangs, for which
-// much must be free at once, are not among them.
-func (c *checker) checkWaiting() {
-	c.env.mu.Lock()
-	defer c.env.mu.Unlock()
-	if !c.faultsEnded {
-		return
-	}
-	for _, job := range c.env.jobs {
-		if !job.accepted || job.job.Kind == protocol.KindGang || !c.isStartable(job) || !c.hasCapacityFor(job) {
-			job.waitingSince = time.Time{}
-			continue
-		}
-		if job.waitingSince.IsZero() {
-			job.waitingSince = time.Now()
-		}
-		if d := time.Since(job.waitingSince); d > maxWaitWithCapacity {
-			c.addViolation("left waiting: %s beside room for %v", job.job.ID, d)
-			job.waitingSince = time.Now()
-		}
-	}
-}
-
-// hasCapacityFor tells whether a task of a job waits while a machine could take it.
-func (c *checker) hasCapacityFor(job *userJob) bool {
-	spec := &job.job
-	placed, zones := 0, map[string]int{}
-	var cores, gpus float64
-	for _, machine := range c.env.machines {
-		for _, task := range machine.tasks {
-			if task.state == protocol.TaskExited {
-				continue
-			}
-			otherJob := &c.env.jobs[task.jobID].job
-			if otherJob.Team == spec.Team {
-				cores, gpus = cores+otherJob.Cores, gpus+otherJob.GPUs
-			}
-			if task.jobID == spec.ID {
-				placed++
-				zones[machine.zone]++
-			}
-		}
-	}
-	if placed+len(job.finished) >= spec.Tasks {
-		return false
-	}
-	for _, team := range c.env.Cfg.Teams {
-		if team.Name == spec.Team && ((team.CoresMax > 0 && cores+spec.Cores > team.CoresMax+1e-6) || (team.GPUsMax > 0 && gpus+spec.GPUs > team.GPUsMax+1e-6)) {
-			return false
-		}
-	}
-	for _, machine := range c.env.machines {
-		if !machine.up || machine.hung || !machine.preemptionAt.IsZero() || (machine.spot && !spec.Spot) || (spec.Zone != "" && spec.Zone != machine.zone) ||
-			(len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, machine.machineType.Name)) ||
-			(spec.OneZone && len(zones) > 0 && zones[machine.zone] == 0) || (spec.Spread && zones[machine.zone]+1 > (spec.Tasks+1)/2) {
-			continue
-		}
-		free := machine.machineType
-		for _, task := range machine.tasks {
-			if task.state != protocol.TaskExited {
-				otherJob := &c.env.jobs[task.jobID].job
-				free.Cores, free.GPUs, free.MemGB = free.Cores-otherJob.Cores, free.GPUs-otherJob.GPUs, free.MemGB-otherJob.MemGB
-			}
-		}
-		if spec.Cores <= free.Cores+1e-6 && spec.GPUs <= free.GPUs+1e-6 && spec.MemGB <= free.MemGB+1e-6 {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -6,14 +6,34 @@
 	"marblehaven/internal/protocol"
 )
 
+// gang is an attempt of a job whose tasks run all at once.
+type gang struct {
+	jobID   protocol.JobID
+	attempt uint64
+}
+
 // updateGangs starts gangs that are complete and ends running ones that lost
 // a task. (A lost task is noticed at once here, which PROTOCOL allows.)
 func (e *Environment) updateGangs() {
-	type gang struct {
-		jobID   protocol.JobID
-		attempt uint64
+	waiting, running := e.gangTasks()
+	for id, tasks := range waiting {
+		job := e.jobs[id.jobID]
+		if len(tasks) == job.job.Tasks {
+			startGang(job, tasks)
+		}
 	}
-	waiting, running := map[gang][]*agentTask{}, map[gang][]*agentTask{}
+	for id, tasks := range running {
+		job := e.jobs[id.jobID]
+		if len(tasks) != job.job.Tasks {
+			endGang(job, tasks)
+		}
+	}
+}
+
+// gangTasks lists the tasks of each gang that wait for the others, and those that run
+// or have saved a checkpoint.
+func (e *Environment) gangTasks() (waiting, running map[gang][]*agentTask) {
+	waiting, running = map[gang][]*agentTask{}, map[gang][]*agentTask{}
 	for _, machine := range e.machines {
 		for _, task := range machine.tasks {
 			id := gang{task.jobID, task.attempt}
@@ -26,26 +46,25 @@
 			}
 		}
 	}
-	for id, tasks := range waiting {
-		if job := e.jobs[id.jobID]; len(tasks) == job.job.Tasks {
-			for _, task := range tasks {
-				task.state, task.stateSince, task.remainingS = protocol.TaskRunning, time.Now(), job.runS
-			}
-		}
+	return waiting, running
+}
+
+func startGang(job *userJob, tasks []*agentTask) {
+	for _, task := range tasks {
+		task.state, task.stateSince, task.remainingS = protocol.TaskRunning, time.Now(), job.runS
 	}
-	for id, tasks := range running {
-		job := e.jobs[id.jobID]
-		if len(tasks) == job.job.Tasks {
+}
+
+// endGang ends the running tasks of a gang that has lost one. If one is done, all are:
+// they complete together.
+func endGang(job *userJob, tasks []*agentTask) {
+	for _, task := range tasks {
+		if task.state != protocol.TaskRunning {
 			continue
 		}
-		for _, task := range tasks {
-			if task.state != protocol.TaskRunning {
-				continue
-			}
-			task.state, task.stateSince, task.exitReason = protocol.TaskExited, time.Now(), "peers"
-			if len(job.finished) > 0 { // they complete together
-				job.finished[task.index], task.exitReason = true, protocol.ExitDone
-			}
+		task.state, task.stateSince, task.exitReason = protocol.TaskExited, time.Now(), "peers"
+		if len(job.finished) > 0 {
+			job.finished[task.index], task.exitReason = true, protocol.ExitDone
 		}
 	}
 }
--- a/internal/fake/network_transport.go
+++ b/internal/fake/network_transport.go
@@ -36,49 +36,12 @@
 		body, _ = io.ReadAll(req.Body)
 		req.Body.Close()
 	}
-	t.network.mu.Lock()
-	to, known := t.network.hosts[req.URL.Host]
-	outboundBlocked := t.network.outboundBlocked[t.host]
-	t.network.mu.Unlock()
-	switch {
-	case !known:
-		return nil, errors.New("no such host")
-	case outboundBlocked:
-		return nil, errors.New("no connection")
+	to, err := t.connect(req.URL.Host)
+	if err != nil {
+		return nil, err
 	}
 	done := make(chan roundTripResult, 1)
-	go func() {
-		if err := t.network.awaitDelivery(t.host, to); err != nil {
-			done <- roundTripResult{nil, err}
-			return
-		}
-		t.network.mu.Lock()
-		h := t.network.handlers[req.URL.Host]
-		maxDelay, repeatable := t.network.Repeat[req.URL.Path]
-		duplicated := repeatable && t.network.random.Float64() < 0.2
-		t.network.mu.Unlock()
-		if h == nil {
-			done <- roundTripResult{nil, errors.New("connection refused")}
-			return
-		}
-		rec := t.network.serve(h, req, body, t.host)
-		if duplicated && rec.Code == http.StatusOK { // only what was carried out is repeated
-			go func() {
-				time.Sleep(time.Duration(t.network.randomFloat() * float64(maxDelay)))
-				t.network.mu.Lock()
-				h := t.network.handlers[req.URL.Host] // there may be a new process by now
-				t.network.mu.Unlock()
-				if h != nil {
-					t.network.serve(h, req, body, t.host)
-				}
-			}()
-		}
-		if err := t.network.awaitDelivery(to, t.host); err != nil {
-			done <- roundTripResult{nil, err}
-			return
-		}
-		done <- roundTripResult{rec.Result(), nil}
-	}()
+	go func() { done <- t.exchange(req, body, to) }()
 	select {
 	case result := <-done:
 		return result.response, result.err
@@ -89,6 +52,63 @@
 	}
 }
 
+// connect finds the host at an address.
+func (t transport) connect(addr string) (host string, err error) {
+	t.network.mu.Lock()
+	defer t.network.mu.Unlock()
+	host, known := t.network.hosts[addr]
+	switch {
+	case !known:
+		return "", errors.New("no such host")
+	case t.network.outboundBlocked[t.host]:
+		return "", errors.New("no connection")
+	}
+	return host, nil
+}
+
+// exchange delivers a request, lets it be carried out, and delivers the answer.
+func (t transport) exchange(req *http.Request, body []byte, to string) roundTripResult {
+	if err := t.network.awaitDelivery(t.host, to); err != nil {
+		return roundTripResult{nil, err}
+	}
+	handler, duplicated, maxDelay := t.network.receive(req)
+	if handler == nil {
+		return roundTripResult{nil, errors.New("connection refused")}
+	}
+	recorder := t.network.serve(handler, req, body, t.host)
+	if duplicated && recorder.Code == http.StatusOK { // only what was carried out is repeated
+		go t.deliverDuplicate(req, body, maxDelay)
+	}
+	if err := t.network.awaitDelivery(to, t.host); err != nil {
+		return roundTripResult{nil, err}
+	}
+	return roundTripResult{recorder.Result(), nil}
+}
+
+// duplicateProbability is how likely a request is delivered twice, of those that may be.
+const duplicateProbability = 0.2
+
+// receive finds the handler of a request, and picks whether it is delivered twice, the
+// second time how much later at most. The random number is drawn even if there is no handler.
+func (n *Network) receive(req *http.Request) (handler http.Handler, duplicated bool, maxDelay time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	maxDelay, repeatable := n.Repeat[req.URL.Path]
+	duplicated = repeatable && n.random.Float64() < duplicateProbability
+	return n.handlers[req.URL.Host], duplicated, maxDelay
+}
+
+// deliverDuplicate delivers a request for the second time, to whoever is there by then.
+func (t transport) deliverDuplicate(req *http.Request, body []byte, maxDelay time.Duration) {
+	time.Sleep(time.Duration(t.network.randomFloat() * float64(maxDelay)))
+	t.network.mu.Lock()
+	handler := t.network.handlers[req.URL.Host] // there may be a new process by now
+	t.network.mu.Unlock()
+	if handler != nil {
+		t.network.serve(handler, req, body, t.host)
+	}
+}
+
 func (n *Network) serve(h http.Handler, req *http.Request, body []byte, from string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(req.Method, req.URL.String(), bytes.NewReader(body))
 	r.RemoteAddr = from
