--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -9,23 +9,6 @@
 	"marblehaven/internal/protocol"
 )
 
-type agentTask struct {
-	jobID        protocol.JobID
-	index        int
-	attempt      uint64
-	state        protocol.TaskState
-	exitReason   protocol.ExitReason
-	checkpointed bool
-	stateSince   time.Time // of state
-	remainingS   float64   // seconds of work, while running
-	// unrecorded: it was on a machine without being in a run record.
-	unrecorded bool
-}
-
-func (t *agentTask) onMachine() bool {
-	return t.state != protocol.TaskExited && t.state != protocol.TaskFetching
-}
-
 // agents is what the machines' agents have in common.
 type agents struct {
 	Step          time.Duration              // between two looks of a machine at what it runs
@@ -60,13 +43,6 @@
 	leaseRenewed     time.Time // when the last answered report was sent
 }
 
-// machineFaults is what a test makes go wrong with a machine.
-type machineFaults struct {
-	hung            bool
-	preemptionAt    time.Time
-	nextCommandHang time.Duration // how long it hangs in the middle of the next command
-}
-
 type machineAgent struct {
 	machineIdentity
 	agentIncarnation
@@ -101,107 +77,6 @@
 	return id
 }
 
-// Machines lists the machines that are up.
-func (e *Environment) Machines() []string {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	var out []string
-	for id, machine := range e.machines {
-		if machine.up {
-			out = append(out, id)
-		}
-	}
-	slices.Sort(out)
-	return out
-}
-
-// MachinesOf lists the machines on which tasks of a job are, with or without image.
-func (e *Environment) MachinesOf(jobID protocol.JobID) []string {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	var out []string
-	for id, machine := range e.machines {
-		for _, task := range machine.tasks {
-			if task.jobID == jobID && task.state != protocol.TaskExited {
-				out = append(out, id)
-			}
-		}
-	}
-	slices.Sort(out)
-	return out
-}
-
-// Zone is a machine's zone.
-func (e *Environment) Zone(id string) string {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if machine := e.machines[id]; machine != nil {
-		return machine.zone
-	}
-	return ""
-}
-
-// Reboot ends all that a machine knows and runs, its counters and its token with
-// it; it is back after the given time.
-func (e *Environment) Reboot(id string, after time.Duration) {
-	e.mu.Lock()
-	machine := e.machines[id]
-	machine.tasks, machine.imageCache, machine.hung = nil, map[string]bool{}, true
-	machine.incarnation, machine.sequence, machine.token = 1, 0, 0
-	e.updateGangs()
-	e.mu.Unlock()
-	go func() {
-		time.Sleep(after)
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		machine.incarnation, machine.sequence, machine.token, machine.incarnationStart, machine.leaseRenewed = 1, 0, 0, time.Now(), time.Time{}
-		machine.hung, machine.statusChanged = false, true
-	}()
-}
-
-// Hang stops a machine from doing anything until the returned function is
-// called.
-func (e *Environment) Hang(id string) func() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	machine := e.machines[id]
-	machine.hung = true
-	return func() {
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		machine.hung = false
-	}
-}
-
-// HangInCommand makes a machine hang between carrying out the next direct command
-// and answering it.
-func (e *Environment) HangInCommand(id string, length time.Duration) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if machine := e.machines[id]; machine != nil {
-		machine.nextCommandHang = length
-	}
-}
-
-func (m *machineAgent) markRemoved() { m.removed = true }
-
-func (m *machineAgent) markStatusChanged() { m.statusChanged = true }
-
-// isOver tells whether the machine was removed or the test has ended.
-func (m *machineAgent) isOver() bool { return m.removed || m.env.life.Err() != nil }
-
-// hungPollInterval is the time between two looks at whether a machine still hangs.
-const hungPollInterval = 50 * time.Millisecond
-
-// awaitNotHung releases the lock until the machine goes on or is removed.
-func (m *machineAgent) awaitNotHung() {
-	for m.hung && !m.removed {
-		m.env.mu.Unlock()
-		time.Sleep(hungPollInterval)
-		m.env.mu.Lock()
-	}
-}
-
 func (m *machineAgent) run() {
 	time.Sleep(time.Duration(m.machineType.BootS * float64(time.Second)))
 	m.env.mu.Lock()
@@ -228,6 +103,9 @@
 	}
 }
 
+// isOver tells whether the machine was removed or the test has ended.
+func (m *machineAgent) isOver() bool { return m.removed || m.env.life.Err() != nil }
+
 // expire ends the session if its lease is over.
 func (m *machineAgent) expireLease() {
 	from := m.incarnationStart
@@ -243,88 +121,52 @@
 	}
 }
 
-// step lets tasks go on.
-func (m *machineAgent) advanceTasks(elapsedS float64) {
-	for _, task := range m.tasks {
-		job := m.env.jobs[task.jobID]
-		age := time.Since(task.stateSince).Seconds()
-		switch task.state {
-		case protocol.TaskFetching:
-			if m.imageCache[job.job.Image] || age >= job.job.ImageGB/m.machineType.FetchGBps {
-				m.endFetching(task, job)
-			}
-		case protocol.TaskWaiting:
-			if age > m.env.Cfg.Workers.GangWaitS {
-				m.exit(task, "incomplete")
-			}
-		case protocol.TaskRunning:
-			m.advanceRunning(task, job, elapsedS)
-		case protocol.TaskSaving:
-			if age >= job.job.CheckpointSaveS {
-				task.checkpointed = true
-				m.env.Saved++
-				m.exit(task, protocol.ExitStopped)
-			}
-		}
+func (m *machineAgent) setToken(token protocol.FencingToken) {
+	if token > m.token {
+		m.token, m.statusChanged = token, true
 	}
 }
 
-// endFetching starts a task whose image is there; one of a gang waits for the others.
-func (m *machineAgent) endFetching(task *agentTask, job *userJob) {
-	m.imageCache[job.job.Image] = true
-	switch {
-	case job.finished[task.index]:
-		m.exit(task, protocol.ExitDone)
-	case job.job.Kind == protocol.KindGang:
-		m.setState(task, protocol.TaskWaiting)
-	default:
-		task.remainingS = job.runS * (1 + m.env.Uneven*float64(task.index))
-		m.setState(task, protocol.TaskRunning)
+// Machines lists the machines that are up.
+func (e *Environment) Machines() []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	var out []string
+	for id, machine := range e.machines {
+		if machine.up {
+			out = append(out, id)
+		}
 	}
-	m.env.checkStart(m, task)
-	m.env.updateGangs()
+	slices.Sort(out)
+	return out
 }
 
-// advanceRunning lets a running task work, and ends it when its work is done. A
-// service never is.
-func (m *machineAgent) advanceRunning(task *agentTask, job *userJob, elapsedS float64) {
-	if job.job.Kind == protocol.KindService {
-		return
-	}
-	task.remainingS -= elapsedS
-	if task.remainingS > 0 {
-		return
-	}
-	job.finished[task.index] = true
-	m.exit(task, protocol.ExitDone)
-	if m.env.OnDone != nil && len(job.finished) == job.job.Tasks {
-		go m.env.OnDone(task.jobID)
+// MachinesOf lists the machines on which tasks of a job are, with or without image.
+func (e *Environment) MachinesOf(jobID protocol.JobID) []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	var out []string
+	for id, machine := range e.machines {
+		for _, task := range machine.tasks {
+			if task.jobID == jobID && task.state != protocol.TaskExited {
+				out = append(out, id)
+			}
+		}
 	}
+	slices.Sort(out)
+	return out
 }
 
-func (m *machineAgent) setState(task *agentTask, state protocol.TaskState) {
-	task.state, task.stateSince, m.statusChanged = state, time.Now(), true
-}
-
-func (m *machineAgent) exit(task *agentTask, reason protocol.ExitReason) {
-	task.exitReason = reason
-	m.setState(task, protocol.TaskExited)
-	if m.env.jobs[task.jobID].job.Kind == protocol.KindGang {
-		m.env.updateGangs()
+// Zone is a machine's zone.
+func (e *Environment) Zone(id string) string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if machine := e.machines[id]; machine != nil {
+		return machine.zone
 	}
+	return ""
 }
 
-func (m *machineAgent) setToken(token protocol.FencingToken) {
-	if token > m.token {
-		m.token, m.statusChanged = token, true
-	}
-}
+func (m *machineAgent) markRemoved() { m.removed = true }
 
-func (m *machineAgent) findTask(jobID protocol.JobID, index int) *agentTask {
-	for _, task := range m.tasks {
-		if task.jobID == jobID && task.index == index {
-			return task
-		}
-	}
-	return nil
-}
+func (m *machineAgent) markStatusChanged() { m.statusChanged = true }
--- a/internal/fake/agent_commands.go
+++ b/internal/fake/agent_commands.go
@@ -71,17 +71,6 @@
 	}
 }
 
-// findAttempt finds an attempt of a task; nil: the machine has none.
-func (m *machineAgent) findAttempt(jobID protocol.JobID, index int, attempt uint64) *agentTask {
-	var found *agentTask
-	for _, task := range m.tasks {
-		if task.jobID == jobID && task.index == index && task.attempt == attempt {
-			found = task
-		}
-	}
-	return found
-}
-
 // stopTask lets a running task save a checkpoint if the grace period is long enough,
 // and ends it at once otherwise. One that saves is left to it unless there is no grace.
 func (m *machineAgent) stopTask(task *agentTask, gracePeriodS float64) {
--- /dev/null
+++ b/internal/fake/agent_tasks.go
@@ -0,0 +1,115 @@
+package fake
+
+import (
+	"time"
+
+	"marblehaven/internal/protocol"
+)
+
+type agentTask struct {
+	jobID        protocol.JobID
+	index        int
+	attempt      uint64
+	state        protocol.TaskState
+	exitReason   protocol.ExitReason
+	checkpointed bool
+	stateSince   time.Time // of state
+	remainingS   float64   // seconds of work, while running
+	// unrecorded: it was on a machine without being in a run record.
+	unrecorded bool
+}
+
+func (t *agentTask) onMachine() bool {
+	return t.state != protocol.TaskExited && t.state != protocol.TaskFetching
+}
+
+// step lets tasks go on.
+func (m *machineAgent) advanceTasks(elapsedS float64) {
+	for _, task := range m.tasks {
+		job := m.env.jobs[task.jobID]
+		age := time.Since(task.stateSince).Seconds()
+		switch task.state {
+		case protocol.TaskFetching:
+			if m.imageCache[job.job.Image] || age >= job.job.ImageGB/m.machineType.FetchGBps {
+				m.endFetching(task, job)
+			}
+		case protocol.TaskWaiting:
+			if age > m.env.Cfg.Workers.GangWaitS {
+				m.exit(task, "incomplete")
+			}
+		case protocol.TaskRunning:
+			m.advanceRunning(task, job, elapsedS)
+		case protocol.TaskSaving:
+			if age >= job.job.CheckpointSaveS {
+				task.checkpointed = true
+				m.env.Saved++
+				m.exit(task, protocol.ExitStopped)
+			}
+		}
+	}
+}
+
+// endFetching starts a task whose image is there; one of a gang waits for the others.
+func (m *machineAgent) endFetching(task *agentTask, job *userJob) {
+	m.imageCache[job.job.Image] = true
+	switch {
+	case job.finished[task.index]:
+		m.exit(task, protocol.ExitDone)
+	case job.job.Kind == protocol.KindGang:
+		m.setState(task, protocol.TaskWaiting)
+	default:
+		task.remainingS = job.runS * (1 + m.env.Uneven*float64(task.index))
+		m.setState(task, protocol.TaskRunning)
+	}
+	m.env.checkStart(m, task)
+	m.env.updateGangs()
+}
+
+// advanceRunning lets a running task work, and ends it when its work is done. A
+// service never is.
+func (m *machineAgent) advanceRunning(task *agentTask, job *userJob, elapsedS float64) {
+	if job.job.Kind == protocol.KindService {
+		return
+	}
+	task.remainingS -= elapsedS
+	if task.remainingS > 0 {
+		return
+	}
+	job.finished[task.index] = true
+	m.exit(task, protocol.ExitDone)
+	if m.env.OnDone != nil && len(job.finished) == job.job.Tasks {
+		go m.env.OnDone(task.jobID)
+	}
+}
+
+func (m *machineAgent) setState(task *agentTask, state protocol.TaskState) {
+	task.state, task.stateSince, m.statusChanged = state, time.Now(), true
+}
+
+func (m *machineAgent) exit(task *agentTask, reason protocol.ExitReason) {
+	task.exitReason = reason
+	m.setState(task, protocol.TaskExited)
+	if m.env.jobs[task.jobID].job.Kind == protocol.KindGang {
+		m.env.updateGangs()
+	}
+}
+
+func (m *machineAgent) findTask(jobID protocol.JobID, index int) *agentTask {
+	for _, task := range m.tasks {
+		if task.jobID == jobID && task.index == index {
+			return task
+		}
+	}
+	return nil
+}
+
+// findAttempt finds an attempt of a task; nil: the machine has none.
+func (m *machineAgent) findAttempt(jobID protocol.JobID, index int, attempt uint64) *agentTask {
+	var found *agentTask
+	for _, task := range m.tasks {
+		if task.jobID == jobID && task.index == index && task.attempt == attempt {
+			found = task
+		}
+	}
+	return found
+}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -60,35 +60,6 @@
 	return c.nextID
 }
 
-// Kill takes a machine away without a word.
-func (e *Environment) Kill(id string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.remove(id)
-}
-
-func (e *Environment) remove(id string) {
-	if machine := e.machines[id]; machine != nil {
-		machine.markRemoved()
-		delete(e.machines, id)
-		e.Network.Listen(id, machine.addr, nil)
-		e.updateGangs()
-	}
-}
-
-// NoticePreemption announces that a machine will be taken.
-func (e *Environment) NoticePreemption(id string, in time.Duration) {
-	e.mu.Lock()
-	machine := e.machines[id]
-	machine.preemptionAt = time.Now().Add(in)
-	machine.markStatusChanged()
-	e.mu.Unlock()
-	go func() {
-		time.Sleep(in)
-		e.Kill(id)
-	}()
-}
-
 func (c *cloud) serveCloud(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	c.env.mu.Lock()
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -1,7 +1,3 @@
-// Package fake holds stand-ins for the state service, the cloud, workers and
-// users, written from PROTOCOL, with a network between them that can be cut and
-// that holds and repeats messages. Tests run the real controllers against them
-// in synthetic time, and a checker judges each run by the rules.
 package fake
 
 import (
@@ -9,7 +5,6 @@
 	"net/http"
 	"sync"
 
-	"marblehaven/internal/codec"
 	"marblehaven/internal/config"
 	"marblehaven/internal/protocol"
 )
@@ -62,14 +57,3 @@
 
 // Random is between 0 and 1, by the network's seed.
 func (e *Environment) Random() float64 { return e.Network.randomFloat() }
-
-func writeReply(w http.ResponseWriter, status int, v any) {
-	w.WriteHeader(status)
-	if v != nil {
-		b, err := codec.Marshal(v)
-		if err != nil {
-			panic(err)
-		}
-		w.Write(b)
-	}
-}
