--- a/internal/fake/agent_commands.go
+++ b/internal/fake/agent_commands.go
@@ -113,8 +113,8 @@
 	m.tasks = append(m.tasks, task)
 }
 
-func parseTaskName(s string) (protocol.JobID, int) {
-	jobID, index, _ := strings.Cut(s, "/")
-	n, _ := strconv.Atoi(index)
-	return protocol.JobID(jobID), n
+func parseTaskName(name string) (protocol.JobID, int) {
+	jobID, index, _ := strings.Cut(name, "/")
+	number, _ := strconv.Atoi(index)
+	return protocol.JobID(jobID), number
 }
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -144,25 +144,25 @@
 func maxTasksInZone(spec *protocol.Job) int { return (spec.Tasks + 1) / 2 }
 
 // checkJobStatus takes in what a user is told, who knew before what it asked with.
-func (c *checker) checkJobStatus(job *userJob, before userJob, st protocol.JobStatus) {
+func (c *checker) checkJobStatus(job *userJob, before userJob, jobStatus protocol.JobStatus) {
 	switch {
-	case before.doneConfirmed && st.Phase != protocol.PhaseDone, !before.cancelConfirmed.IsZero() && st.Phase != protocol.PhaseCancelled:
-		c.addViolation("went_back: %s is called %s", job.job.ID, st.Phase)
-	case st.Phase == protocol.PhaseCancelled && !job.cancelRequested:
+	case before.doneConfirmed && jobStatus.Phase != protocol.PhaseDone, !before.cancelConfirmed.IsZero() && jobStatus.Phase != protocol.PhaseCancelled:
+		c.addViolation("went_back: %s is called %s", job.job.ID, jobStatus.Phase)
+	case jobStatus.Phase == protocol.PhaseCancelled && !job.cancelRequested:
 		if asked, _ := c.dependencyCancelled(job); !asked {
 			c.addViolation("went_back: %s is called cancelled, its user did not ask", job.job.ID)
 		}
-	case st.Phase == protocol.PhaseDone && len(job.finished) < job.job.Tasks:
+	case jobStatus.Phase == protocol.PhaseDone && len(job.finished) < job.job.Tasks:
 		c.addViolation("not_done: %s is called done", job.job.ID)
 	}
-	c.checkDependentStatus(job, st.Phase)
-	if st.Phase == protocol.PhaseDone {
+	c.checkDependentStatus(job, jobStatus.Phase)
+	if jobStatus.Phase == protocol.PhaseDone {
 		job.doneConfirmed = true
 	}
-	if st.Phase == protocol.PhaseCancelled && job.cancelConfirmed.IsZero() {
+	if jobStatus.Phase == protocol.PhaseCancelled && job.cancelConfirmed.IsZero() {
 		job.cancelConfirmed = time.Now()
 	}
-	if st.Phase == protocol.PhaseCancelled && job.cancelRequested && job.ownCancelConfirmed.IsZero() {
+	if jobStatus.Phase == protocol.PhaseCancelled && job.cancelRequested && job.ownCancelConfirmed.IsZero() {
 		job.ownCancelConfirmed = time.Now()
 	}
 }
--- a/internal/fake/checker_dependencies.go
+++ b/internal/fake/checker_dependencies.go
@@ -8,27 +8,27 @@
 
 // dependenciesOf lists the jobs that a job needs, directly or through others.
 func (c *checker) dependenciesOf(job *userJob) []*userJob {
-	var out []*userJob
+	var dependencies []*userJob
 	seen := map[protocol.JobID]bool{}
-	work := job.job.DependsOn
-	for len(work) > 0 {
-		jobID := work[0]
-		work = work[1:]
+	remaining := job.job.DependsOn
+	for len(remaining) > 0 {
+		jobID := remaining[0]
+		remaining = remaining[1:]
 		if dependency := c.env.jobs[jobID]; dependency != nil && !seen[jobID] {
 			seen[jobID] = true
-			out = append(out, dependency)
-			work = append(work, dependency.job.DependsOn...)
+			dependencies = append(dependencies, dependency)
+			remaining = append(remaining, dependency.job.DependsOn...)
 		}
 	}
-	return out
+	return dependencies
 }
 
 // MayFinish tells whether no user has asked to cancel the job or one that it needs.
 func (c *checker) MayFinish(jobID protocol.JobID) bool {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
-	asked, _ := c.dependencyCancelled(c.env.jobs[jobID])
-	return !asked && !c.env.jobs[jobID].cancelRequested
+	requested, _ := c.dependencyCancelled(c.env.jobs[jobID])
+	return !requested && !c.env.jobs[jobID].cancelRequested
 }
 
 // dependenciesDone tells whether all jobs that a job needs are done: one whose user was told
@@ -55,14 +55,14 @@
 
 // dependencyCancelled tells whether a user has asked to cancel a job that this one
 // needs, and since when one was told that it is; zero: none was.
-func (c *checker) dependencyCancelled(job *userJob) (asked bool, told time.Time) {
+func (c *checker) dependencyCancelled(job *userJob) (requested bool, confirmedAt time.Time) {
 	for _, dependency := range c.dependenciesOf(job) {
-		asked = asked || dependency.cancelRequested
-		if t := dependency.ownCancelConfirmed; !t.IsZero() && (told.IsZero() || t.Before(told)) {
-			told = t
+		requested = requested || dependency.cancelRequested
+		if cancelledAt := dependency.ownCancelConfirmed; !cancelledAt.IsZero() && (confirmedAt.IsZero() || cancelledAt.Before(confirmedAt)) {
+			confirmedAt = cancelledAt
 		}
 	}
-	return asked, told
+	return requested, confirmedAt
 }
 
 // checkDependentStatus judges what the user of a job that needs others is told.
@@ -70,11 +70,11 @@
 	if phase != protocol.PhaseQueued && phase != protocol.PhaseRunning {
 		return
 	}
-	_, told := c.dependencyCancelled(job)
-	if told.IsZero() {
+	_, confirmedAt := c.dependencyCancelled(job)
+	if confirmedAt.IsZero() {
 		return
 	}
-	if late := time.Since(told); late.Seconds() > c.env.Cfg.Workers.CancelS {
+	if late := time.Since(confirmedAt); late.Seconds() > c.env.Cfg.Workers.CancelS {
 		c.addViolation("orphaned: %s is called %s %v after a job that it needs was cancelled", job.job.ID, phase, late)
 	}
 }
--- a/internal/fake/checker_waiting.go
+++ b/internal/fake/checker_waiting.go
@@ -33,8 +33,8 @@
 		if job.waitingSince.IsZero() {
 			job.waitingSince = time.Now()
 		}
-		if d := time.Since(job.waitingSince); d > maxWaitWithCapacity {
-			c.addViolation("left waiting: %s beside room for %v", job.job.ID, d)
+		if waited := time.Since(job.waitingSince); waited > maxWaitWithCapacity {
+			c.addViolation("left waiting: %s beside room for %v", job.job.ID, waited)
 			job.waitingSince = time.Now()
 		}
 	}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -49,8 +49,8 @@
 }
 
 // Limit sets how many machines of a type, zone and kind there are.
-func (c *cloud) Limit(typ, zone string, spot bool, n int) {
-	c.capacity[fmt.Sprint(typ, zone, spot)] = n
+func (c *cloud) Limit(machineType, zone string, spot bool, count int) {
+	c.capacity[fmt.Sprint(machineType, zone, spot)] = count
 }
 
 // MachinesProvisioned is how many machines were ever rented.
@@ -172,14 +172,14 @@
 func (c *cloud) paginate(list *protocol.MachineList, query url.Values) {
 	after := query.Get("after")
 	list.Machines = slices.DeleteFunc(list.Machines, func(m protocol.ListedMachine) bool { return m.ID <= after })
-	most, err := strconv.Atoi(query.Get("most"))
+	limit, err := strconv.Atoi(query.Get("most"))
 	if err != nil {
-		most = len(list.Machines)
+		limit = len(list.Machines)
 	}
 	if c.PageMost > 0 {
-		most = min(most, c.PageMost)
+		limit = min(limit, c.PageMost)
 	}
-	if len(list.Machines) > most {
-		list.Machines, list.More = list.Machines[:most], true
+	if len(list.Machines) > limit {
+		list.Machines, list.More = list.Machines[:limit], true
 	}
 }
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -32,14 +32,14 @@
 }
 
 // Listen puts a handler at an address; nil takes it away.
-func (n *Network) Listen(host, addr string, h http.Handler) {
+func (n *Network) Listen(host, addr string, handler http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hosts[addr] = host
-	if h == nil {
+	if handler == nil {
 		delete(n.handlers, addr)
 	} else {
-		n.handlers[addr] = h
+		n.handlers[addr] = handler
 	}
 }
 
@@ -56,24 +56,24 @@
 		time.Sleep(n.Delay(from, to))
 	}
 	for {
-		c := n.cut(from, to)
+		cut := n.cut(from, to)
 		switch {
-		case c == nil:
+		case cut == nil:
 			return nil
-		case c.mode == Reset:
+		case cut.mode == Reset:
 			return errors.New("connection reset")
 		}
-		<-c.healed
+		<-cut.healed
 	}
 }
 
 // Call passes a call between peers, with the same cuts as other messages.
-func (n *Network) Call(ctx context.Context, from, to string, f func()) error {
+func (n *Network) Call(ctx context.Context, from, to string, call func()) error {
 	done := make(chan error, 1)
 	go func() {
 		err := n.awaitDelivery(from, to)
 		if err == nil {
-			f()
+			call()
 			err = n.awaitDelivery(to, from)
 		}
 		done <- err
--- a/internal/fake/network_faults.go
+++ b/internal/fake/network_faults.go
@@ -28,32 +28,32 @@
 
 // Cut cuts two hosts off each other until the returned function is called.
 func (n *Network) Cut(hostA, hostB string, mode Cut) (heal func()) {
-	c := &linkCut{mode, make(chan struct{})}
+	cut := &linkCut{mode, make(chan struct{})}
 	n.mu.Lock()
-	n.cuts[linkKey(hostA, hostB)] = c
+	n.cuts[linkKey(hostA, hostB)] = cut
 	n.mu.Unlock()
 	return func() {
 		n.mu.Lock()
-		if n.cuts[linkKey(hostA, hostB)] == c {
+		if n.cuts[linkKey(hostA, hostB)] == cut {
 			delete(n.cuts, linkKey(hostA, hostB))
 		}
 		n.mu.Unlock()
-		close(c.healed)
+		close(cut.healed)
 	}
 }
 
 // DropInbound makes nothing reach a host until the returned function is called; what
 // it sends arrives.
 func (n *Network) DropInbound(host string) (heal func()) {
-	c := &linkCut{Hold, make(chan struct{})}
+	cut := &linkCut{Hold, make(chan struct{})}
 	n.mu.Lock()
-	n.inboundBlocked[host] = c
+	n.inboundBlocked[host] = cut
 	n.mu.Unlock()
 	return sync.OnceFunc(func() {
 		n.mu.Lock()
 		delete(n.inboundBlocked, host)
 		n.mu.Unlock()
-		close(c.healed)
+		close(cut.healed)
 	})
 }
 
@@ -72,8 +72,8 @@
 func (n *Network) cut(from, to string) *linkCut {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if c := n.cuts[linkKey(from, to)]; c != nil {
-		return c
+	if cut := n.cuts[linkKey(from, to)]; cut != nil {
+		return cut
 	}
 	return n.inboundBlocked[to]
 }
--- a/internal/fake/network_transport.go
+++ b/internal/fake/network_transport.go
@@ -109,10 +109,10 @@
 	}
 }
 
-func (n *Network) serve(h http.Handler, req *http.Request, body []byte, from string) *httptest.ResponseRecorder {
-	r := httptest.NewRequest(req.Method, req.URL.String(), bytes.NewReader(body))
-	r.RemoteAddr = from
-	rec := httptest.NewRecorder()
-	h.ServeHTTP(rec, r)
-	return rec
+func (n *Network) serve(handler http.Handler, request *http.Request, body []byte, from string) *httptest.ResponseRecorder {
+	delivered := httptest.NewRequest(request.Method, request.URL.String(), bytes.NewReader(body))
+	delivered.RemoteAddr = from
+	recorder := httptest.NewRecorder()
+	handler.ServeHTTP(recorder, delivered)
+	return recorder
 }
--- a/internal/fake/reply.go
+++ b/internal/fake/reply.go
@@ -6,13 +6,13 @@
 	"marblehaven/internal/codec"
 )
 
-func writeReply(w http.ResponseWriter, status int, v any) {
+func writeReply(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
-	if v != nil {
-		b, err := codec.Marshal(v)
+	if body != nil {
+		encoded, err := codec.Marshal(body)
 		if err != nil {
 			panic(err)
 		}
-		w.Write(b)
+		w.Write(encoded)
 	}
 }
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -28,7 +28,7 @@
 	StoreFaults
 
 	// OnCommit is told of every applied commit.
-	OnCommit func(c *protocol.Transaction)
+	OnCommit func(transaction *protocol.Transaction)
 
 	mu        sync.Mutex
 	revision  protocol.Revision
@@ -92,19 +92,19 @@
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []string
-	for k := range s.keys {
-		if strings.HasPrefix(k, prefix) {
-			out = append(out, k)
+	var keys []string
+	for key := range s.keys {
+		if strings.HasPrefix(key, prefix) {
+			keys = append(keys, key)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(keys)
+	return keys
 }
 
-func (s *Store) setKey(key string, e storeEntry) {
-	s.keys[key] = e
-	s.changeLog = append(s.changeLog, storeChange{key, protocol.WatchEvent{Set: key, Value: e.value, Version: e.version}})
+func (s *Store) setKey(key string, entry storeEntry) {
+	s.keys[key] = entry
+	s.changeLog = append(s.changeLog, storeChange{key, protocol.WatchEvent{Set: key, Value: entry.value, Version: entry.version}})
 }
 
 func (s *Store) deleteKey(key string) {
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -11,7 +11,7 @@
 	// LoseReply picks applied commits that are not answered.
 	LoseReply func() bool
 	// Fault picks what goes wrong with a commit, before its conditions are looked at.
-	Fault func(c *protocol.Transaction) Fault
+	Fault func(transaction *protocol.Transaction) Fault
 	// Late picks commits that get no answer and are carried out so much later,
 	// after newer ones; 0: not this one.
 	Late func() time.Duration
@@ -46,8 +46,8 @@
 	}
 	delete(s.unavailable, host)
 	if host == "" {
-		for _, l := range s.leases {
-			l.expires = time.Now().Add(l.ttl)
+		for _, lease := range s.leases {
+			lease.expires = time.Now().Add(lease.ttl)
 		}
 	}
 }
--- a/internal/fake/store_lease.go
+++ b/internal/fake/store_lease.go
@@ -19,8 +19,8 @@
 	if s.unavailable[""] {
 		return
 	}
-	for id, l := range s.leases {
-		if time.Now().After(l.expires) {
+	for id, lease := range s.leases {
+		if time.Now().After(lease.expires) {
 			s.endLease(id)
 		}
 	}
@@ -28,10 +28,10 @@
 
 func (s *Store) endLease(id protocol.LeaseID) {
 	delete(s.leases, id)
-	for k, e := range s.keys {
-		if e.lease == id {
+	for key, entry := range s.keys {
+		if entry.lease == id {
 			s.revision++
-			s.deleteKey(k)
+			s.deleteKey(key)
 		}
 	}
 	s.wakeWatches()
--- a/internal/fake/store_limits.go
+++ b/internal/fake/store_limits.go
@@ -28,12 +28,12 @@
 }
 
 // Limit makes the limits smaller from now on, without notice.
-func (s *Store) Limit(l config.StateLimits) {
+func (s *Store) Limit(limits config.StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limitsLowered = true
-	s.MaxOps, s.MaxValue = l.TxnOps, l.ValueBytes()
-	s.writeRate = rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS))
+	s.MaxOps, s.MaxValue = limits.TxnOps, limits.ValueBytes()
+	s.writeRate = rate.NewLimiter(rate.Limit(limits.WriteRPS), int(limits.WriteRPS))
 }
 
 // LimitRequests sets how many requests a second are served.
--- a/internal/fake/store_transaction.go
+++ b/internal/fake/store_transaction.go
@@ -27,14 +27,14 @@
 
 // withoutValues is the transaction without its values.
 func (t *storeTransaction) withoutValues() *protocol.Transaction {
-	out := &protocol.Transaction{Preconditions: t.Preconditions}
+	stripped := &protocol.Transaction{Preconditions: t.Preconditions}
 	for _, mutation := range t.Mutations {
-		out.Mutations = append(out.Mutations, protocol.Mutation{Set: mutation.Set, Delete: mutation.Delete})
+		stripped.Mutations = append(stripped.Mutations, protocol.Mutation{Set: mutation.Set, Delete: mutation.Delete})
 	}
-	return out
+	return stripped
 }
 
-// commitNowOrLate carries a commit out, or leaves it unanswered until its fault's time.
+// commitNowOrLate carries a commit stripped, or leaves it unanswered until its fault's time.
 func (s *Store) commitNowOrLate(w http.ResponseWriter, body []byte) {
 	var delay time.Duration
 	if s.Late != nil {
@@ -81,7 +81,7 @@
 	writeReply(w, http.StatusOK, protocol.TransactionReply{Revision: s.revision})
 }
 
-// refusedByFault answers a commit that its fault keeps from being carried out, and
+// refusedByFault answers a commit that its fault keeps from being carried stripped, and
 // tells whether it did.
 func refusedByFault(w http.ResponseWriter, fault Fault) bool {
 	switch fault {
@@ -169,7 +169,7 @@
 	return failed
 }
 
-// apply carries out all mutations of a transaction as one revision.
+// apply carries stripped all mutations of a transaction as one revision.
 func (s *Store) apply(transaction *storeTransaction) {
 	if len(transaction.Mutations) == 0 {
 		return
@@ -190,13 +190,13 @@
 	if raw == nil {
 		return 0
 	}
-	var v any
-	if err := msgpack.Unmarshal(raw, &v); err != nil {
+	var decoded any
+	if err := msgpack.Unmarshal(raw, &decoded); err != nil {
 		panic(err)
 	}
-	b, err := json.Marshal(v)
+	encoded, err := json.Marshal(decoded)
 	if err != nil {
 		panic(err)
 	}
-	return len(b)
+	return len(encoded)
 }
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -59,12 +59,12 @@
 	registered.submitted = true
 	before := *registered
 	e.mu.Unlock()
-	status, st := e.ask(http.MethodPost, "/v1/jobs", JobMap(&job), 5*time.Second, 60*time.Second)
+	status, jobStatus := e.ask(http.MethodPost, "/v1/jobs", JobMap(&job), 5*time.Second, 60*time.Second)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if status == 200 || status == 201 {
 		registered.accepted = true
-		e.checkJobStatus(registered, before, st)
+		e.checkJobStatus(registered, before, jobStatus)
 	} else if before.accepted && (status == 400 || status == 422) {
 		e.addViolation("forgotten: %s submitted again gets %d", job.ID, status)
 	}
@@ -80,7 +80,7 @@
 		before = *job
 	}
 	e.mu.Unlock()
-	status, st := e.ask(http.MethodGet, "/v1/jobs/"+string(jobID), nil, 2*time.Second, 0)
+	status, jobStatus := e.ask(http.MethodGet, "/v1/jobs/"+string(jobID), nil, 2*time.Second, 0)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	job = e.jobs[jobID]
@@ -90,9 +90,9 @@
 	case status == 404 && before.accepted:
 		e.addViolation("forgotten: %s gets 404", jobID)
 	case status == 200:
-		e.checkJobStatus(job, before, st)
+		e.checkJobStatus(job, before, jobStatus)
 	}
-	return status, st
+	return status, jobStatus
 }
 
 // Cancel cancels a job, repeating the request until it is answered.
@@ -102,26 +102,26 @@
 	job.cancelRequested = true
 	before := *job
 	e.mu.Unlock()
-	status, st := e.ask(http.MethodPost, "/v1/jobs/"+string(jobID)+"/withdraw", nil, 5*time.Second, 120*time.Second)
+	status, jobStatus := e.ask(http.MethodPost, "/v1/jobs/"+string(jobID)+"/withdraw", nil, 5*time.Second, 120*time.Second)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if status == 200 {
-		e.checkJobStatus(job, before, st)
+		e.checkJobStatus(job, before, jobStatus)
 	}
-	return status, st
+	return status, jobStatus
 }
 
 // Refused submits a job that must not be accepted, and judges the answer: change
 // makes it so, and want is the status that PROTOCOL names.
-func (e *Environment) Refused(job protocol.Job, change func(m map[string]any), want int) {
-	m := JobMap(&job)
-	change(m)
-	status, _ := e.ask(http.MethodPost, "/v1/jobs", m, 5*time.Second, 60*time.Second)
+func (e *Environment) Refused(job protocol.Job, change func(fields map[string]any), want int) {
+	fields := JobMap(&job)
+	change(fields)
+	status, _ := e.ask(http.MethodPost, "/v1/jobs", fields, 5*time.Second, 60*time.Second)
 	answered := status > 0 && status < 500 && status != http.StatusTooManyRequests // else its user asks again
 	if answered && status != want {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.addViolation("accepted: a job that cannot be, %v, gets %d instead of %d", m, status, want)
+		e.addViolation("accepted: a job that cannot be, %v, gets %d instead of %d", fields, status, want)
 	}
 }
 
@@ -161,21 +161,21 @@
 
 // JobMap spells a job as users do; only what has a value where null is allowed.
 func JobMap(job *protocol.Job) map[string]any {
-	m := map[string]any{"ref": job.ID, "workload": job.Class, "owner": job.Team, "shape": job.Kind, "rank": job.Priority,
+	fields := map[string]any{"ref": job.ID, "workload": job.Class, "owner": job.Team, "shape": job.Kind, "rank": job.Priority,
 		"pieces": job.Tasks, "cores": job.Cores, "cards": job.GPUs, "memGb": job.MemGB, "bundle": job.Image,
 		"imageGb": job.ImageGB, "samePlace": job.OneZone, "spread": job.Spread, "loaners": job.Spot,
 		"guessS": job.EstimateS, "snapshotS": job.CheckpointIntervalS, "flushS": job.CheckpointSaveS, "quarry": nil, "unheardOf": []int{1}}
 	if job.MachineTypes != nil {
-		m["flavors"] = job.MachineTypes
+		fields["flavors"] = job.MachineTypes
 	}
 	if job.Zone != "" {
-		m["quarry"] = job.Zone
+		fields["quarry"] = job.Zone
 	}
 	if job.DeadlineS > 0 {
-		m["dueS"] = job.DeadlineS
+		fields["dueS"] = job.DeadlineS
 	}
 	if job.DependsOn != nil {
-		m["awaits"] = job.DependsOn
+		fields["awaits"] = job.DependsOn
 	}
-	return m
+	return fields
 }
