--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -9,22 +9,22 @@
 	"marblehaven/internal/protocol"
 )
 
-// agents is what the machines' agents have in common.
+// agents holds the machines' agents and what tests set or count for all of them.
 type agents struct {
-	Step          time.Duration              // between two looks of a machine at what it runs
-	Uneven        float64                    // how much longer each task of an array runs than the one before
-	OnDone        func(jobID protocol.JobID) // told when the last task of an array has completed
-	Saved         int                        // tasks that were stopped and saved
-	LeaseExpiries int                        // leases that ran out with tasks
+	Step          time.Duration              // how often a machine advances its tasks
+	Uneven        float64                    // by which share each task of an array runs longer than the one before
+	OnDone        func(jobID protocol.JobID) // called when the last task of a job has completed
+	Saved         int                        // tasks that stopped with a checkpoint
+	LeaseExpiries int                        // leases that expired while the agent had tasks
 
 	machines map[string]*machineAgent
 }
 
-// defaultStep is fine enough for the times in the rules; a world of thousands of machines
-// may take longer steps.
+// defaultStep is fine enough for the times in the rules. A test with thousands of machines
+// may set a longer Environment.Step.
 const defaultStep = 50 * time.Millisecond
 
-// machineIdentity is what a machine is from its provisioning to its removal.
+// machineIdentity is what does not change from a machine's provisioning to its removal.
 type machineIdentity struct {
 	id            string
 	addr          string
@@ -34,15 +34,18 @@
 	provisionedAt time.Time
 }
 
-// agentIncarnation is what an agent knows of its present incarnation.
+// agentIncarnation is an agent's state within its present incarnation. An incarnation ends,
+// with all its tasks, when the agent's lease expires or the machine reboots.
 type agentIncarnation struct {
 	incarnation      protocol.Incarnation
 	sequence         uint64
 	token            protocol.FencingToken
-	incarnationStart time.Time // of the session
-	leaseRenewed     time.Time // when the last answered report was sent
+	incarnationStart time.Time
+	leaseRenewed     time.Time // when the last answered heartbeat was sent
 }
 
+// machineAgent simulates one machine with its agent. It sends heartbeats to a controller,
+// carries out commands from the replies and from direct calls, and lets its tasks advance.
 type machineAgent struct {
 	machineIdentity
 	agentIncarnation
@@ -57,6 +60,7 @@
 	nodeIndex     int
 }
 
+// newMachine makes a machine that starts up after its type's boot time. The caller holds the mutex.
 func (e *Environment) newMachine(typeName, zone string, spot bool) string {
 	id := fmt.Sprintf("m-%06d", e.nextID)
 	e.nextID++
@@ -77,6 +81,7 @@
 	return id
 }
 
+// run boots the machine and then advances its tasks, until it is removed or the test ends.
 func (m *machineAgent) run() {
 	time.Sleep(time.Duration(m.machineType.BootS * float64(time.Second)))
 	m.env.mu.Lock()
@@ -95,7 +100,7 @@
 			m.env.mu.Unlock()
 			return
 		}
-		m.expireLease() // a hanging machine's lease ends all the same
+		m.expireLease() // the lease of a hung machine expires all the same
 		if !m.hung {
 			m.advanceTasks(m.env.Step.Seconds())
 		}
@@ -106,7 +111,9 @@
 // isOver tells whether the machine was removed or the test has ended.
 func (m *machineAgent) isOver() bool { return m.removed || m.env.life.Err() != nil }
 
-// expire ends the session if its lease is over.
+// expireLease ends the incarnation if the agent's lease has expired: the tasks stop and the
+// next incarnation starts empty. The lease runs from the incarnation's start or from the last
+// heartbeat that was answered.
 func (m *machineAgent) expireLease() {
 	from := m.incarnationStart
 	if m.leaseRenewed.After(from) {
@@ -121,13 +128,14 @@
 	}
 }
 
+// setToken keeps the highest fencing token that the agent has received.
 func (m *machineAgent) setToken(token protocol.FencingToken) {
 	if token > m.token {
 		m.token, m.statusChanged = token, true
 	}
 }
 
-// Machines lists the machines that are up.
+// Machines lists the IDs of the machines that are up, in order.
 func (e *Environment) Machines() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,7 +149,8 @@
 	return out
 }
 
-// MachinesOf lists the machines on which tasks of a job are, with or without image.
+// MachinesOf lists the machines that hold tasks of a job that have not exited, in order, once
+// for each task. Tasks whose image is still being fetched count.
 func (e *Environment) MachinesOf(jobID protocol.JobID) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -157,7 +166,7 @@
 	return out
 }
 
-// Zone is a machine's zone.
+// Zone returns a machine's zone, or "" for an unknown machine.
 func (e *Environment) Zone(id string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -167,6 +176,8 @@
 	return ""
 }
 
+// markRemoved makes the machine's loops end at their next step.
 func (m *machineAgent) markRemoved() { m.removed = true }
 
+// markStatusChanged makes the next heartbeat due early.
 func (m *machineAgent) markStatusChanged() { m.statusChanged = true }
--- a/internal/fake/agent_commands.go
+++ b/internal/fake/agent_commands.go
@@ -11,7 +11,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// serve answers direct commands. A hanging machine answers when it goes on.
+// serveCommands answers a controller's direct commands and status queries. A hung machine
+// answers when it goes on. Commands with an old fencing token or for another incarnation are
+// refused, so that a deposed leader cannot act.
 func (m *machineAgent) serveCommands(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	m.env.mu.Lock()
@@ -42,7 +44,8 @@
 	writeReply(w, http.StatusOK, m.heartbeat())
 }
 
-// hangBeforeAnswer releases the lock while the machine hangs, once.
+// hangBeforeAnswer makes the machine hang once, with the commands carried out and the answer
+// not yet sent. It releases the mutex meanwhile.
 func (m *machineAgent) hangBeforeAnswer() {
 	hang := m.nextCommandHang
 	m.nextCommandHang, m.hung = 0, true
@@ -52,6 +55,8 @@
 	m.hung = false
 }
 
+// executeCommands carries out commands in their order. Every command is idempotent: a start of
+// a known attempt, and a stop or release of an unknown one, has no effect.
 func (m *machineAgent) executeCommands(commands []protocol.Command) {
 	for _, command := range commands {
 		jobID, index := parseTaskName(command.Task)
@@ -71,8 +76,9 @@
 	}
 }
 
-// stopTask lets a running task save a checkpoint if the grace period is long enough,
-// and ends it at once otherwise. One that saves is left to it unless there is no grace.
+// stopTask stops a task. A running task saves a checkpoint first if its job has them and the
+// grace period is long enough. A task that is saving already goes on unless the grace period
+// is zero.
 func (m *machineAgent) stopTask(task *agentTask, gracePeriodS float64) {
 	spec := &m.env.jobs[task.jobID].job
 	savesCheckpoint := task.state == protocol.TaskRunning && spec.CheckpointIntervalS > 0 && gracePeriodS >= spec.CheckpointSaveS
@@ -84,7 +90,7 @@
 	}
 }
 
-// releaseTask forgets a task that has exited.
+// releaseTask forgets a task that has exited, once the controller has recorded its exit.
 func (m *machineAgent) releaseTask(released *agentTask) {
 	for i, task := range m.tasks {
 		if task == released && task.state == protocol.TaskExited {
@@ -95,6 +101,8 @@
 	}
 }
 
+// startTask adds a task that fetches its image, or one that has exited at once with the
+// reason for which it cannot start.
 func (m *machineAgent) startTask(jobID protocol.JobID, index int, attempt uint64) {
 	task := &agentTask{jobID: jobID, index: index, attempt: attempt, state: protocol.TaskExited, stateSince: time.Now()}
 	m.statusChanged = true
@@ -113,6 +121,7 @@
 	m.tasks = append(m.tasks, task)
 }
 
+// parseTaskName splits a task's name, the job ID and the index with a slash between them.
 func parseTaskName(name string) (protocol.JobID, int) {
 	jobID, index, _ := strings.Cut(name, "/")
 	number, _ := strconv.Atoi(index)
--- a/internal/fake/agent_faults.go
+++ b/internal/fake/agent_faults.go
@@ -8,16 +8,17 @@
 type machineFaults struct {
 	hung            bool
 	preemptionAt    time.Time
-	nextCommandHang time.Duration // how long it hangs in the middle of the next command
+	nextCommandHang time.Duration // how long the machine hangs within the next command; 0: not at all
 }
 
-// Kill takes a machine away without a word.
+// Kill removes a machine without notice: it neither answers nor sends anything any more.
 func (e *Environment) Kill(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.remove(id)
 }
 
+// remove ends a machine. The caller holds the mutex.
 func (e *Environment) remove(id string) {
 	if machine := e.machines[id]; machine != nil {
 		machine.markRemoved()
@@ -27,7 +28,8 @@
 	}
 }
 
-// NoticePreemption announces that a machine will be taken.
+// NoticePreemption sends a preemption notice for a machine, and kills the machine when the
+// notice ends.
 func (e *Environment) NoticePreemption(id string, in time.Duration) {
 	e.mu.Lock()
 	machine := e.machines[id]
@@ -40,8 +42,8 @@
 	}()
 }
 
-// Reboot ends all that a machine knows and runs, its counters and its token with
-// it; it is back after the given time.
+// Reboot ends a machine's tasks and makes its agent lose its image cache, counters and
+// fencing token. The machine is back after the given time, in its first incarnation.
 func (e *Environment) Reboot(id string, after time.Duration) {
 	e.mu.Lock()
 	machine := e.machines[id]
@@ -58,8 +60,8 @@
 	}()
 }
 
-// Hang stops a machine from doing anything until the returned function is
-// called.
+// Hang stops a machine from advancing its tasks, sending and answering, until the returned
+// function is called. Its lease expires all the same.
 func (e *Environment) Hang(id string) func() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -72,8 +74,8 @@
 	}
 }
 
-// HangInCommand makes a machine hang between carrying out the next direct command
-// and answering it.
+// HangInCommand makes a machine hang between carrying out the next direct command and
+// answering it.
 func (e *Environment) HangInCommand(id string, length time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -82,7 +84,7 @@
 	}
 }
 
-// awaitNotHung releases the lock until the machine goes on or is removed.
+// awaitNotHung releases the mutex until the machine no longer hangs or is removed.
 func (m *machineAgent) awaitNotHung() {
 	for m.hung && !m.removed {
 		m.env.mu.Unlock()
--- a/internal/fake/agent_heartbeat.go
+++ b/internal/fake/agent_heartbeat.go
@@ -10,6 +10,7 @@
 	"marblehaven/internal/protocol"
 )
 
+// heartbeat makes the agent's next heartbeat, with the next sequence number of the incarnation.
 func (m *machineAgent) heartbeat() protocol.Heartbeat {
 	m.sequence++
 	heartbeat := protocol.Heartbeat{Machine: m.id, Addr: m.addr, MachineType: m.machineType.Name, Zone: m.zone, Spot: m.spot, Incarnation: m.incarnation,
@@ -25,7 +26,9 @@
 	return heartbeat
 }
 
-// sendHeartbeats is the loop of reports.
+// sendHeartbeats sends heartbeats to one node after another until the leader answers, and
+// then to the leader. The lease is renewed as of the time when the answered heartbeat was
+// sent, which is before the controller received it. So it expires at the agent first.
 func (m *machineAgent) sendHeartbeats() {
 	hc := &http.Client{Transport: m.env.Network.From(m.env.life, m.id)}
 	lastSent := longAgo()
@@ -47,7 +50,7 @@
 		lastSent = time.Now()
 		answer := m.postHeartbeat(hc, addr, msg)
 		m.env.mu.Lock()
-		m.awaitNotHung() // it takes the answer when it goes on
+		m.awaitNotHung() // a hung machine takes the answer when it goes on
 		if answer.accepted && time.Since(lastSent) <= heartbeatTimeout {
 			m.applyReply(&answer.reply, msg.Incarnation, lastSent)
 			m.env.mu.Unlock()
@@ -69,10 +72,11 @@
 	nodeRetryInterval = time.Second
 )
 
-// longAgo is a time after which a heartbeat is due in any case.
+// longAgo returns a time since which a heartbeat is due in any case.
 func longAgo() time.Time { return time.Now().Add(-time.Hour) }
 
-// heartbeatDue tells whether it is time for the next heartbeat.
+// heartbeatDue tells whether the next heartbeat is due: after the usual interval, and earlier
+// after a change of the tasks.
 func (m *machineAgent) heartbeatDue(lastSent time.Time) bool {
 	if m.hung || len(m.env.Nodes) == 0 {
 		return false
@@ -83,13 +87,14 @@
 	return m.statusChanged && time.Since(lastSent) >= minHeartbeatInterval
 }
 
-// heartbeatAnswer is what a node answered to a heartbeat.
+// heartbeatAnswer is what a node answered to a heartbeat, or that it did not answer.
 type heartbeatAnswer struct {
 	accepted bool
 	reply    protocol.HeartbeatReply // if accepted
-	redirect protocol.Redirect       // names the leader if the node knows another
+	redirect protocol.Redirect       // names the leader, if the node knows of one
 }
 
+// postHeartbeat sends a heartbeat to a node and waits for the answer.
 func (m *machineAgent) postHeartbeat(hc *http.Client, addr string, msg protocol.Heartbeat) heartbeatAnswer {
 	ctx, cancel := context.WithTimeout(m.env.life, heartbeatTimeout)
 	defer cancel()
@@ -99,8 +104,8 @@
 	return heartbeatAnswer{status == http.StatusOK && err == nil, reply, redirect}
 }
 
-// applyReply renews the lease and carries out the commands, unless the answer is one to
-// an earlier incarnation or from a former leader.
+// applyReply renews the lease and carries out the commands of a reply. It ignores replies
+// with an old fencing token and replies to an earlier incarnation.
 func (m *machineAgent) applyReply(reply *protocol.HeartbeatReply, incarnation protocol.Incarnation, sent time.Time) {
 	if reply.Token < m.token || incarnation != m.incarnation || m.removed {
 		return
@@ -110,8 +115,8 @@
 	m.executeCommands(reply.Commands)
 }
 
-// indexOfLeader finds the node of the leader that a redirect names; -1: there is none,
-// or it is the node that was asked.
+// indexOfLeader returns the index of the leader's node that a redirect names, or -1 if there
+// is no redirect or it names the node that was asked.
 func (m *machineAgent) indexOfLeader(leader, askedAddr string) int {
 	index := -1
 	for i, addr := range m.env.Nodes {
@@ -122,7 +127,8 @@
 	return index
 }
 
-// selectNode picks the node for the next heartbeat: the leader's if it is known.
+// selectNode picks the node for the next heartbeat: the leader's if it is known, otherwise the
+// next one after a pause.
 func (m *machineAgent) selectNode(leaderIndex int) {
 	if leaderIndex >= 0 {
 		m.nodeIndex = leaderIndex
--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -6,6 +6,7 @@
 	"marblehaven/internal/protocol"
 )
 
+// agentTask is one attempt of a task on a machine, until the controller releases it.
 type agentTask struct {
 	jobID        protocol.JobID
 	index        int
@@ -13,17 +14,19 @@
 	state        protocol.TaskState
 	exitReason   protocol.ExitReason
 	checkpointed bool
-	stateSince   time.Time // of state
-	remainingS   float64   // seconds of work, while running
-	// unrecorded: it was on a machine without being in a run record.
+	stateSince   time.Time // when the state began
+	remainingS   float64   // seconds of work left, while running
+	// unrecorded is set once the checker has found that no run record names the task.
 	unrecorded bool
 }
 
+// onMachine tells whether the task occupies the machine for the checker's rules, which is
+// from the end of the image's fetching to the exit.
 func (t *agentTask) onMachine() bool {
 	return t.state != protocol.TaskExited && t.state != protocol.TaskFetching
 }
 
-// step lets tasks go on.
+// advanceTasks moves each task on by the elapsed time, through the states of the protocol.
 func (m *machineAgent) advanceTasks(elapsedS float64) {
 	for _, task := range m.tasks {
 		job := m.env.jobs[task.jobID]
@@ -49,7 +52,7 @@
 	}
 }
 
-// endFetching starts a task whose image is there; one of a gang waits for the others.
+// endFetching starts a task whose image has arrived. A task of a gang waits for the others.
 func (m *machineAgent) endFetching(task *agentTask, job *userJob) {
 	m.imageCache[job.job.Image] = true
 	switch {
@@ -65,8 +68,8 @@
 	m.env.updateGangs()
 }
 
-// advanceRunning lets a running task work, and ends it when its work is done. A
-// service never is.
+// advanceRunning lets a running task work, and ends it when its work is done. A service
+// never ends by itself.
 func (m *machineAgent) advanceRunning(task *agentTask, job *userJob, elapsedS float64) {
 	if job.job.Kind == protocol.KindService {
 		return
@@ -82,10 +85,12 @@
 	}
 }
 
+// setState changes a task's state and makes the next heartbeat due early.
 func (m *machineAgent) setState(task *agentTask, state protocol.TaskState) {
 	task.state, task.stateSince, m.statusChanged = state, time.Now(), true
 }
 
+// exit ends a task for a reason. A gang that lost a task ends with it.
 func (m *machineAgent) exit(task *agentTask, reason protocol.ExitReason) {
 	task.exitReason = reason
 	m.setState(task, protocol.TaskExited)
@@ -94,6 +99,7 @@
 	}
 }
 
+// findTask returns the first attempt of a task that the machine has, or nil.
 func (m *machineAgent) findTask(jobID protocol.JobID, index int) *agentTask {
 	for _, task := range m.tasks {
 		if task.jobID == jobID && task.index == index {
@@ -103,7 +109,7 @@
 	return nil
 }
 
-// findAttempt finds an attempt of a task; nil: the machine has none.
+// findAttempt returns an attempt of a task, or nil if the machine has none.
 func (m *machineAgent) findAttempt(jobID protocol.JobID, index int, attempt uint64) *agentTask {
 	var found *agentTask
 	for _, task := range m.tasks {
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -14,17 +14,19 @@
 // checkInterval is the time between two looks of the checker at all machines and jobs.
 const checkInterval = 200 * time.Millisecond
 
-// checker judges what the users and the machines see by the rules.
+// checker compares what users and machines see with the rules, and records each violation. It
+// looks at task starts and at answers to users as they happen, and at all machines and jobs
+// periodically. It reads the fakes' own state, never the controllers'.
 type checker struct {
 	LateStart time.Duration // the longest time from a confirmed cancellation to a start
 
 	env         *Environment
 	records     *runRecordReader
 	violations  []string
-	faultsEnded bool // all troubles are over
+	faultsEnded bool // the test causes no more faults
 }
 
-// checkPeriodically looks for the rules that are broken without a message.
+// checkPeriodically finds violations that no message shows, such as a task that goes on too long.
 func (c *checker) checkPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(checkInterval)
@@ -34,18 +36,19 @@
 	}
 }
 
-// Violations lists the rules broken so far.
+// Violations lists the violations so far. Each text starts with the name of its rule.
 func (c *checker) Violations() []string {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
 	return slices.Clone(c.violations)
 }
 
+// addViolation records a violation. The caller holds the mutex.
 func (c *checker) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// checkStart judges a task that begins to be on a machine.
+// checkStart checks all rules on a task that starts to occupy a machine.
 func (c *checker) checkStart(machine *machineAgent, task *agentTask) {
 	job := c.env.jobs[task.jobID]
 	others := c.surveyOthers(task)
@@ -64,20 +67,20 @@
 	c.checkCancelledTask(machine, task)
 }
 
-// placedTask is a task on its machine.
+// placedTask is a task with the machine that holds it.
 type placedTask struct {
 	machine *machineAgent
 	task    *agentTask
 }
 
-// otherTasks sums up what is on all machines beside a task.
+// otherTasks sums up the tasks that occupy machines, apart from the one that starts.
 type otherTasks struct {
-	sameTask            []placedTask   // other attempts of the task
+	sameTask            []placedTask   // other attempts of the same task
 	jobZones            map[string]int // tasks of its job by zone
 	teamCores, teamGPUs float64        // what its team uses
 }
 
-// surveyOthers looks once at all tasks on machines, but for the given one.
+// surveyOthers looks at the tasks of all machines once, because tests have thousands of them.
 func (c *checker) surveyOthers(task *agentTask) otherTasks {
 	others := otherTasks{jobZones: map[string]int{}}
 	team := c.env.jobs[task.jobID].job.Team
@@ -101,7 +104,7 @@
 	return others
 }
 
-// checkRanTwice judges that no other attempt of a task is on a machine.
+// checkRanTwice guards that at most one attempt of a task occupies a machine at any time.
 func (c *checker) checkRanTwice(machine *machineAgent, task *agentTask, sameTask []placedTask) {
 	for _, other := range sameTask {
 		c.addViolation("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v",
@@ -110,7 +113,7 @@
 	}
 }
 
-// checkQuota judges that a task's team stays within its limits.
+// checkQuota guards that the tasks of a team stay within its quota limits.
 func (c *checker) checkQuota(machine *machineAgent, task *agentTask, usedCores, usedGPUs float64) {
 	spec := &c.env.jobs[task.jobID].job
 	cores, gpus := usedCores+spec.Cores, usedGPUs+spec.GPUs
@@ -122,13 +125,14 @@
 	}
 }
 
-// exceedsQuota tells whether so much is beyond a team's limits; a limit of 0 is none.
+// exceedsQuota tells whether the given use is beyond a team's limits. A limit of 0 is none.
 func exceedsQuota(team *config.Team, cores, gpus float64) bool {
 	return (team.CoresMax > 0 && cores > team.CoresMax+capacityTolerance) ||
 		(team.GPUsMax > 0 && gpus > team.GPUsMax+capacityTolerance)
 }
 
-// checkPlacement judges that a task's machine and zone are ones that its job accepts.
+// checkPlacement guards that a task runs on a machine that its job accepts, and that the job's
+// tasks share a zone or spread over zones as the job asks.
 func (c *checker) checkPlacement(machine *machineAgent, task *agentTask, otherZones map[string]int) {
 	spec := &c.env.jobs[task.jobID].job
 	zones := maps.Clone(otherZones)
@@ -140,10 +144,12 @@
 	}
 }
 
-// maxTasksInZone is how many tasks of a job that spreads may be in one zone.
+// maxTasksInZone is how many tasks of a job that spreads over zones may be in one of them.
 func maxTasksInZone(spec *protocol.Job) int { return (spec.Tasks + 1) / 2 }
 
-// checkJobStatus takes in what a user is told, who knew before what it asked with.
+// checkJobStatus guards that a job's status never goes back and is true. The argument before is
+// the job as the user knew it when the request was sent, because answers may overtake each
+// other.
 func (c *checker) checkJobStatus(job *userJob, before userJob, jobStatus protocol.JobStatus) {
 	switch {
 	case before.doneConfirmed && jobStatus.Phase != protocol.PhaseDone, !before.cancelConfirmed.IsZero() && jobStatus.Phase != protocol.PhaseCancelled:
@@ -167,8 +173,8 @@
 	}
 }
 
-// checkCancelledTask judges a task on a machine whose job is cancelled, by its own user or with
-// one that it needs.
+// checkCancelledTask guards that no task occupies a machine for too long after its job, or a
+// dependency of it, was confirmed as cancelled.
 func (c *checker) checkCancelledTask(machine *machineAgent, task *agentTask) {
 	job := c.env.jobs[task.jobID]
 	since := job.cancelConfirmed
@@ -180,6 +186,7 @@
 	}
 }
 
+// checkCancelled applies checkCancelledTask to the tasks of all machines.
 func (c *checker) checkCancelled() {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
--- a/internal/fake/checker_dependencies.go
+++ b/internal/fake/checker_dependencies.go
@@ -6,7 +6,7 @@
 	"marblehaven/internal/protocol"
 )
 
-// dependenciesOf lists the jobs that a job needs, directly or through others.
+// dependenciesOf lists the direct and indirect dependencies of a job.
 func (c *checker) dependenciesOf(job *userJob) []*userJob {
 	var dependencies []*userJob
 	seen := map[protocol.JobID]bool{}
@@ -23,7 +23,7 @@
 	return dependencies
 }
 
-// MayFinish tells whether no user has asked to cancel the job or one that it needs.
+// MayFinish tells whether no user has requested to cancel the job or a dependency of it.
 func (c *checker) MayFinish(jobID protocol.JobID) bool {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -31,8 +31,9 @@
 	return !requested && !c.env.jobs[jobID].cancelRequested
 }
 
-// dependenciesDone tells whether all jobs that a job needs are done: one whose user was told
-// that it is cancelled never is, though all its tasks may be complete.
+// dependenciesDone tells whether a job may start as far as its dependencies are concerned. A
+// dependency that was confirmed as cancelled at its user's request is never done, even if all
+// its tasks are complete.
 func (c *checker) dependenciesDone(job *userJob) bool {
 	for _, dependency := range c.dependenciesOf(job) {
 		if !dependency.complete() || !dependency.ownCancelConfirmed.IsZero() {
@@ -42,8 +43,8 @@
 	return true
 }
 
-// isStartable tells whether a job may start and nothing has cancelled it: one that it
-// needs may be cancelled after its last task is done and before that is recorded.
+// isStartable tells whether a job may start and no cancellation can still prevent it. A
+// dependency may be cancelled after its last task has completed but before that is recorded.
 func (c *checker) isStartable(job *userJob) bool {
 	for _, dependency := range c.dependenciesOf(job) {
 		if dependency.cancelRequested && !dependency.doneConfirmed {
@@ -53,8 +54,8 @@
 	return !job.cancelRequested && c.dependenciesDone(job)
 }
 
-// dependencyCancelled tells whether a user has asked to cancel a job that this one
-// needs, and since when one was told that it is; zero: none was.
+// dependencyCancelled tells whether a user has requested to cancel a dependency of the job, and
+// when the first such cancellation was confirmed, or zero if none was.
 func (c *checker) dependencyCancelled(job *userJob) (requested bool, confirmedAt time.Time) {
 	for _, dependency := range c.dependenciesOf(job) {
 		requested = requested || dependency.cancelRequested
@@ -65,7 +66,8 @@
 	return requested, confirmedAt
 }
 
-// checkDependentStatus judges what the user of a job that needs others is told.
+// checkDependentStatus guards that a job is no longer called queued or running when enough time
+// has passed since a dependency of it was confirmed as cancelled.
 func (c *checker) checkDependentStatus(job *userJob, phase protocol.JobPhase) {
 	if phase != protocol.PhaseQueued && phase != protocol.PhaseRunning {
 		return
--- a/internal/fake/checker_records.go
+++ b/internal/fake/checker_records.go
@@ -8,25 +8,26 @@
 	"marblehaven/internal/records"
 )
 
-// runRecordReader reads run records in the state service, decoding each version once.
+// runRecordReader reads run records from the key-value store and decodes each version once.
 type runRecordReader struct {
 	store    *Store
 	segments map[string]decodedSegment // by key
 }
 
-// decodedSegment is a version of a piece of a run record.
+// decodedSegment is one version of a segment of a run record.
 type decodedSegment struct {
 	version  protocol.Version
 	run      records.RunRecord
 	readable bool
 }
 
+// newRunRecordReader makes a reader of a store's run records.
 func newRunRecordReader(store *Store) *runRecordReader {
 	return &runRecordReader{store: store, segments: map[string]decodedSegment{}}
 }
 
-// segment returns the piece that counts for a task: its own if that was written,
-// otherwise the first of its job.
+// segment returns the record segment that holds a task: the task's own segment if it was
+// written, otherwise the first of the job.
 func (r *runRecordReader) segment(jobID protocol.JobID, task int) decodedSegment {
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
@@ -35,7 +36,7 @@
 	if !written {
 		key = records.SegmentKey(jobID, 0)
 		if stored, written = r.store.keys[key]; !written {
-			return decodedSegment{readable: true} // it names nothing
+			return decodedSegment{readable: true} // an absent record names no task
 		}
 	}
 	if known, ok := r.segments[key]; ok && known.version == stored.version {
@@ -47,8 +48,8 @@
 	return segment
 }
 
-// mayRecord tells whether the records name an attempt of a task on a machine, or
-// cannot be read.
+// mayRecord tells whether the record names the attempt on the machine. An unreadable segment
+// may name it, and is given the benefit of the doubt.
 func (r *runRecordReader) mayRecord(task *agentTask, machine string) bool {
 	segment := r.segment(task.jobID, task.index)
 	if !segment.readable {
@@ -62,9 +63,9 @@
 	return false
 }
 
-// checkRunRecords judges that every task on a machine is in the run record of its job,
-// from before its start until it has surely ended: what no record names, the next
-// leader knows nothing of.
+// checkRunRecords guards that every task on a machine is named in the run record of its job,
+// from before its start until after its exit. The next leader knows only what is recorded, so
+// a task without a record would never be stopped.
 func (c *checker) checkRunRecords() {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -73,7 +74,7 @@
 			if task.state == protocol.TaskExited || task.unrecorded || c.records.mayRecord(task, machine.id) {
 				continue
 			}
-			task.unrecorded = true // told once
+			task.unrecorded = true // one violation a task is enough
 			c.addViolation("orphaned: no record names %s/%d try %d (%s) on %s at %v", task.jobID, task.index, task.attempt, task.state, machine.id, time.Now())
 		}
 	}
--- a/internal/fake/checker_waiting.go
+++ b/internal/fake/checker_waiting.go
@@ -6,19 +6,20 @@
 	"marblehaven/internal/protocol"
 )
 
-// EndTroubles says that all troubles are over: from now on no job may be left waiting.
+// EndTroubles tells the checker that the test causes no more faults. From now on no job may be
+// left waiting beside free capacity.
 func (c *checker) EndTroubles() {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
 	c.faultsEnded = true
 }
 
-// maxWaitWithCapacity is how long a job may wait beside a machine that fits and has room,
-// as the operators say.
+// maxWaitWithCapacity is how long a job may wait while a machine has capacity for it, as the
+// operators require.
 const maxWaitWithCapacity = 90 * time.Second
 
-// checkWaiting judges the jobs that wait although there is room. Gangs, for which
-// much must be free at once, are not among them.
+// checkWaiting guards that no job starves while a machine has capacity for it. It leaves out
+// gangs, which need capacity for all their tasks at the same time.
 func (c *checker) checkWaiting() {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -40,7 +41,8 @@
 	}
 }
 
-// hasCapacityFor tells whether a task of a job waits while a machine could take it.
+// hasCapacityFor tells whether a task of the job is not placed although its team's quota limits
+// and a machine allow it.
 func (c *checker) hasCapacityFor(job *userJob) bool {
 	spec := &job.job
 	placed := c.surveyPlaced(spec)
@@ -60,19 +62,21 @@
 	return false
 }
 
-// isUsable tells whether nothing keeps a machine from taking tasks.
+// isUsable tells whether the machine can take tasks: it is up, does not hang, and has no
+// preemption notice.
 func (m *machineAgent) isUsable() bool {
 	return m.up && !m.hung && m.preemptionAt.IsZero()
 }
 
-// placedTasks sums up what machines have of a job and of its team, with tasks whose
-// image is still fetched.
+// placedTasks sums up the tasks of a job and of its team that have not exited. Unlike
+// otherTasks it includes those whose image is still being fetched.
 type placedTasks struct {
 	jobTasks            int
 	jobZones            map[string]int // tasks of the job by zone
 	teamCores, teamGPUs float64
 }
 
+// surveyPlaced looks at the tasks of all machines once.
 func (c *checker) surveyPlaced(spec *protocol.Job) placedTasks {
 	placed := placedTasks{jobZones: map[string]int{}}
 	for _, machine := range c.env.machines {
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -20,20 +20,22 @@
 	maxDeprovisionCount = 100
 )
 
-// cloud provisions and removes machines.
+// cloud simulates the cloud's HTTP interface: it provisions machines within the capacity that a
+// test sets, removes them, and lists them late, as the protocol allows.
 type cloud struct {
-	Calls     map[string]int         // calls of the cloud, by path
-	LoseReply func(path string) bool // answers of the cloud that get lost
-	CloudDown bool                   // it answers 503 "trouble"
+	Calls     map[string]int         // number of calls by path
+	LoseReply func(path string) bool // picks the calls whose answers are lost
+	CloudDown bool                   // every call gets 503 "trouble"
 	PageMost  int                    // machines in a page of the list at most; 0: as many as asked for
 
 	env         *Environment
 	types       map[string]protocol.MachineType
-	capacity    map[string]int // per type, zone and kind; absent: plenty
+	capacity    map[string]int // by type, zone and kind; absent: unlimited
 	provisioned map[string][]string
 	nextID      int
 }
 
+// newCloud makes a cloud with plenty of machines of each type.
 func newCloud(env *Environment, types []protocol.MachineType) *cloud {
 	c := &cloud{
 		Calls:       map[string]int{},
@@ -48,18 +50,19 @@
 	return c
 }
 
-// Limit sets how many machines of a type, zone and kind there are.
+// Limit sets the capacity of a pool: how many machines of a type, zone and kind there may be.
 func (c *cloud) Limit(machineType, zone string, spot bool, count int) {
 	c.capacity[fmt.Sprint(machineType, zone, spot)] = count
 }
 
-// MachinesProvisioned is how many machines were ever rented.
+// MachinesProvisioned returns how many machines were ever provisioned.
 func (c *cloud) MachinesProvisioned() int {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
 	return c.nextID
 }
 
+// serveCloud answers a call. If LoseReply picks it, the call is carried out and its answer lost.
 func (c *cloud) serveCloud(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	c.env.mu.Lock()
@@ -76,6 +79,7 @@
 	writeReply(w, status, reply)
 }
 
+// dispatchCloudCall hands a call to its handler.
 func (c *cloud) dispatchCloudCall(r *http.Request, body []byte) (status int, reply any) {
 	switch {
 	case r.URL.Path == "/catalog":
@@ -100,8 +104,8 @@
 	return catalog
 }
 
-// provision makes as many machines as are asked for and as the capacity allows. A
-// repeated request gets the machines of the first.
+// provision answers a provisioning request with as many machines as are asked for and as the
+// capacity allows. Requests are idempotent: a repeated one gets the machines of the first.
 func (c *cloud) provision(body []byte) (status int, reply any) {
 	var request protocol.ProvisionRequest
 	if codec.Unmarshal(body, &request) != nil || request.Count < 1 || request.Count > maxProvisionCount {
@@ -122,7 +126,7 @@
 	return http.StatusOK, protocol.MachineIDs{IDs: machineIDs}
 }
 
-// available is how many of the machines that a request asks for can be had.
+// available returns how many of the requested machines the capacity pool still has.
 func (c *cloud) available(request *protocol.ProvisionRequest) int {
 	free, limited := c.capacity[fmt.Sprint(request.Type, request.Zone, request.Spot)]
 	if !limited {
@@ -136,7 +140,7 @@
 	return min(request.Count, free)
 }
 
-// deprovision removes machines.
+// deprovision removes machines. Unknown ones are ignored.
 func (c *cloud) deprovision(body []byte) (status int) {
 	var request protocol.MachineIDs
 	if codec.Unmarshal(body, &request) != nil || len(request.IDs) > maxDeprovisionCount {
@@ -148,7 +152,8 @@
 	return http.StatusOK
 }
 
-// listMachines lists the machines that are old enough to be in the list.
+// listMachines lists the machines by ID. A new machine is listed only after the lag that the
+// deployment declares.
 func (c *cloud) listMachines(query url.Values) protocol.MachineList {
 	list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
 	for id, machine := range c.env.machines {
@@ -168,7 +173,7 @@
 	return list
 }
 
-// paginate leaves the page of a list that was asked for.
+// paginate reduces a list to the page that the query asks for.
 func (c *cloud) paginate(list *protocol.MachineList, query url.Values) {
 	after := query.Get("after")
 	list.Machines = slices.DeleteFunc(list.Machines, func(m protocol.ListedMachine) bool { return m.ID <= after })
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -9,8 +9,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// Environment is the cloud, its workers and the users, with the checker that judges
-// what they see. One mutex guards it all.
+// Environment is everything outside the controllers: the network, the key-value store, the
+// cloud, the agents and the users, together with the checker of the rules. One mutex guards
+// all of it but the network and the store, which have their own.
 type Environment struct {
 	Network *Network
 	Store   *Store
@@ -23,10 +24,11 @@
 	life      context.Context
 	mu        sync.Mutex
 	jobs      map[protocol.JobID]*userJob
-	nodeAddrs map[string]string // node name -> address
+	nodeAddrs map[string]string // by node name
 }
 
-// NewEnvironment makes a world on a network. Its life ends with ctx.
+// NewEnvironment makes an environment without machines and jobs and lets it serve the store
+// and the cloud on the network. The environment ends with ctx.
 func NewEnvironment(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *Environment {
 	e := &Environment{
 		Network:        net,
@@ -47,7 +49,8 @@
 	return e
 }
 
-// AddNode tells users and workers of a node.
+// AddNode makes a controller node known to users and agents, under its name and the address
+// of its users' and agents' HTTP.
 func (e *Environment) AddNode(name, addr string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -55,5 +58,6 @@
 	e.nodeAddrs[name] = addr
 }
 
-// Random is between 0 and 1, by the network's seed.
+// Random draws the next number between 0 and 1 from the network's seeded sequence. Tests that
+// draw from it take part in that sequence, so an extra draw changes every later message.
 func (e *Environment) Random() float64 { return e.Network.randomFloat() }
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -6,14 +6,14 @@
 	"marblehaven/internal/protocol"
 )
 
-// gang is an attempt of a job whose tasks run all at once.
+// gang identifies one attempt of a gang job, all tasks of which run at the same time.
 type gang struct {
 	jobID   protocol.JobID
 	attempt uint64
 }
 
-// updateGangs starts gangs that are complete and ends running ones that lost
-// a task. (A lost task is noticed at once here, which PROTOCOL allows.)
+// updateGangs starts the gangs whose tasks all wait, and ends the running gangs that lost a
+// task. The protocol gives agents some time to notice a lost task; here they notice at once.
 func (e *Environment) updateGangs() {
 	waiting, running := e.gangTasks()
 	for id, tasks := range waiting {
@@ -30,8 +30,8 @@
 	}
 }
 
-// gangTasks lists the tasks of each gang that wait for the others, and those that run
-// or have saved a checkpoint.
+// gangTasks groups the gangs' tasks into those that wait for the others and those that run or
+// have saved a checkpoint.
 func (e *Environment) gangTasks() (waiting, running map[gang][]*agentTask) {
 	waiting, running = map[gang][]*agentTask{}, map[gang][]*agentTask{}
 	for _, machine := range e.machines {
@@ -49,14 +49,15 @@
 	return waiting, running
 }
 
+// startGang starts the tasks of a gang that is complete.
 func startGang(job *userJob, tasks []*agentTask) {
 	for _, task := range tasks {
 		task.state, task.stateSince, task.remainingS = protocol.TaskRunning, time.Now(), job.runS
 	}
 }
 
-// endGang ends the running tasks of a gang that has lost one. If one is done, all are:
-// they complete together.
+// endGang ends the running tasks of a gang that has lost one. If any task of the job is done,
+// the others are done with it, because the tasks of a gang complete together.
 func endGang(job *userJob, tasks []*agentTask) {
 	for _, task := range tasks {
 		if task.state != protocol.TaskRunning {
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -9,19 +9,21 @@
 	"time"
 )
 
-// Network connects hosts by name. It is safe for concurrent use.
+// Network connects hosts by name and delivers their HTTP requests. It is safe for concurrent
+// use. All random numbers come from one seeded sequence, so the order and number of draws
+// decide how a test with a fixed seed plays.
 type Network struct {
 	mu              sync.Mutex
 	random          *rand.Rand
-	hosts           map[string]string       // address -> host
-	handlers        map[string]http.Handler // address -> handler; absent: refused
+	hosts           map[string]string       // host by address
+	handlers        map[string]http.Handler // handler by address; absent: connections are refused
 	cuts            map[[2]string]*linkCut
-	inboundBlocked  map[string]*linkCut // hosts that nothing reaches, though they send
+	inboundBlocked  map[string]*linkCut // hosts that no message reaches
 	outboundBlocked map[string]bool     // hosts that cannot open connections
-	// Delay is how much longer a message takes; nil: none does.
+	// Delay returns how much longer than usual a message takes; nil: no longer.
 	Delay func(from, to string) time.Duration
-	// Repeat makes the network deliver some requests twice, the second time up
-	// to so much later, by path.
+	// Repeat makes some requests on a path arrive twice, the second time later by up
+	// to the given duration.
 	Repeat map[string]time.Duration
 }
 
@@ -31,7 +33,7 @@
 		handlers: map[string]http.Handler{}, cuts: map[[2]string]*linkCut{}, inboundBlocked: map[string]*linkCut{}, outboundBlocked: map[string]bool{}}
 }
 
-// Listen puts a handler at an address; nil takes it away.
+// Listen lets a handler answer at an address. With a nil handler the address refuses connections.
 func (n *Network) Listen(host, addr string, handler http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -43,13 +45,15 @@
 	}
 }
 
+// randomFloat draws the next number between 0 and 1 of the seeded sequence.
 func (n *Network) randomFloat() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.random.Float64()
 }
 
-// awaitDelivery lets one message pass from one host to another: it takes its time and waits out cuts.
+// awaitDelivery blocks for as long as one message takes from one host to another, and for as
+// long as the link holds messages. It fails if the link resets connections.
 func (n *Network) awaitDelivery(from, to string) error {
 	time.Sleep(time.Millisecond + time.Duration(n.randomFloat()*float64(4*time.Millisecond)))
 	if n.Delay != nil {
@@ -67,7 +71,8 @@
 	}
 }
 
-// Call passes a call between peers, with the same cuts as other messages.
+// Call makes a call between controllers that does not use HTTP. Messages in both directions
+// are subject to the same faults as others.
 func (n *Network) Call(ctx context.Context, from, to string, call func()) error {
 	done := make(chan error, 1)
 	go func() {
--- a/internal/fake/network_faults.go
+++ b/internal/fake/network_faults.go
@@ -4,21 +4,23 @@
 	"sync"
 )
 
-// Cut says what a cut does to messages.
+// Cut is what a cut link does to messages.
 type Cut int
 
 const (
-	// Hold delivers messages after the cut, even if the sender gave up.
+	// Hold delivers messages after the cut is healed, even if the sender gave up.
 	Hold Cut = iota + 1
-	// Reset refuses at once.
+	// Reset fails messages at once.
 	Reset
 )
 
+// linkCut is a cut of a link, or of everything to one host, until it is healed.
 type linkCut struct {
 	mode   Cut
 	healed chan struct{}
 }
 
+// linkKey returns the same key for both directions of a link.
 func linkKey(hostA, hostB string) [2]string {
 	if hostA > hostB {
 		hostA, hostB = hostB, hostA
@@ -26,7 +28,7 @@
 	return [2]string{hostA, hostB}
 }
 
-// Cut cuts two hosts off each other until the returned function is called.
+// Cut cuts the link between two hosts until the returned function is called.
 func (n *Network) Cut(hostA, hostB string, mode Cut) (heal func()) {
 	cut := &linkCut{mode, make(chan struct{})}
 	n.mu.Lock()
@@ -42,8 +44,8 @@
 	}
 }
 
-// DropInbound makes nothing reach a host until the returned function is called; what
-// it sends arrives.
+// DropInbound starts a one-way partition: nothing reaches the host until the returned function
+// is called, while the messages that it sends arrive.
 func (n *Network) DropInbound(host string) (heal func()) {
 	cut := &linkCut{Hold, make(chan struct{})}
 	n.mu.Lock()
@@ -57,8 +59,8 @@
 	})
 }
 
-// BlockOutbound makes a host unable to open connections until the returned function is
-// called; what others send to it arrives, and is answered.
+// BlockOutbound starts a one-way partition: the host cannot open connections until the returned
+// function is called, while requests of others to it arrive and are answered.
 func (n *Network) BlockOutbound(host string) (heal func()) {
 	set := func(on bool) {
 		n.mu.Lock()
@@ -69,6 +71,7 @@
 	return sync.OnceFunc(func() { set(false) })
 }
 
+// cut returns the cut that a message from one host to another meets, or nil.
 func (n *Network) cut(from, to string) *linkCut {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/network_transport.go
+++ b/internal/fake/network_transport.go
@@ -10,23 +10,27 @@
 	"time"
 )
 
-// From is the transport of a host. It stops sending when the host's life ends;
-// what was sent before arrives all the same.
+// From returns the HTTP transport of a host. The host stops sending when life ends, but a
+// request that was sent before arrives all the same.
 func (n *Network) From(life context.Context, host string) http.RoundTripper {
 	return transport{n, life, host}
 }
 
+// transport sends the HTTP requests of one host over the network.
 type transport struct {
 	network *Network
 	life    context.Context
 	host    string
 }
 
+// roundTripResult is the outcome of one request.
 type roundTripResult struct {
 	response *http.Response
 	err      error
 }
 
+// RoundTrip implements http.RoundTripper. If the caller gives up, the request is delivered
+// all the same, which is what makes the outcome of a request unknown.
 func (t transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if t.life.Err() != nil {
 		return nil, t.life.Err()
@@ -52,7 +56,7 @@
 	}
 }
 
-// connect finds the host at an address.
+// connect returns the host at an address, if this host can open connections.
 func (t transport) connect(addr string) (host string, err error) {
 	t.network.mu.Lock()
 	defer t.network.mu.Unlock()
@@ -66,7 +70,7 @@
 	return host, nil
 }
 
-// exchange delivers a request, lets it be carried out, and delivers the answer.
+// exchange delivers a request, lets the handler carry it out, and delivers the answer.
 func (t transport) exchange(req *http.Request, body []byte, to string) roundTripResult {
 	if err := t.network.awaitDelivery(t.host, to); err != nil {
 		return roundTripResult{nil, err}
@@ -76,7 +80,7 @@
 		return roundTripResult{nil, errors.New("connection refused")}
 	}
 	recorder := t.network.serve(handler, req, body, t.host)
-	if duplicated && recorder.Code == http.StatusOK { // only what was carried out is repeated
+	if duplicated && recorder.Code == http.StatusOK { // only a request that was carried out is repeated
 		go t.deliverDuplicate(req, body, maxDelay)
 	}
 	if err := t.network.awaitDelivery(to, t.host); err != nil {
@@ -85,11 +89,12 @@
 	return roundTripResult{recorder.Result(), nil}
 }
 
-// duplicateProbability is how likely a request is delivered twice, of those that may be.
+// duplicateProbability is the probability that a request on a path in Repeat arrives twice.
 const duplicateProbability = 0.2
 
-// receive finds the handler of a request, and picks whether it is delivered twice, the
-// second time how much later at most. The random number is drawn even if there is no handler.
+// receive returns the handler of a request, and decides whether the request will arrive a
+// second time and how much later at most. The random number is drawn even without a handler,
+// which keeps the sequence of fixed seeds.
 func (n *Network) receive(req *http.Request) (handler http.Handler, duplicated bool, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -98,17 +103,18 @@
 	return n.handlers[req.URL.Host], duplicated, maxDelay
 }
 
-// deliverDuplicate delivers a request for the second time, to whoever is there by then.
+// deliverDuplicate delivers a request a second time, to the handler that listens by then.
 func (t transport) deliverDuplicate(req *http.Request, body []byte, maxDelay time.Duration) {
 	time.Sleep(time.Duration(t.network.randomFloat() * float64(maxDelay)))
 	t.network.mu.Lock()
-	handler := t.network.handlers[req.URL.Host] // there may be a new process by now
+	handler := t.network.handlers[req.URL.Host] // a new process may listen by now
 	t.network.mu.Unlock()
 	if handler != nil {
 		t.network.serve(handler, req, body, t.host)
 	}
 }
 
+// serve lets a handler answer a request that has arrived from a host.
 func (n *Network) serve(handler http.Handler, request *http.Request, body []byte, from string) *httptest.ResponseRecorder {
 	delivered := httptest.NewRequest(request.Method, request.URL.String(), bytes.NewReader(body))
 	delivered.RemoteAddr = from
--- a/internal/fake/reply.go
+++ b/internal/fake/reply.go
@@ -6,6 +6,7 @@
 	"marblehaven/internal/codec"
 )
 
+// writeReply writes a status and, unless it is nil, a body in MessagePack.
 func writeReply(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
 	if body != nil {
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -11,23 +11,26 @@
 	"marblehaven/internal/protocol"
 )
 
+// storeEntry is the value of a key with its version, and the lease it is bound to, if any.
 type storeEntry struct {
 	value   msgpack.RawMessage
 	version protocol.Version
 	lease   protocol.LeaseID
 }
 
+// storeChange is a change of one key, as watches see it.
 type storeChange struct {
 	key   string
 	event protocol.WatchEvent
 }
 
-// Store is the state service.
+// Store simulates the key-value store: versioned keys, transactions with preconditions, leases
+// and watches, over the HTTP interface of the protocol.
 type Store struct {
 	StoreLimits
 	StoreFaults
 
-	// OnCommit is told of every applied commit.
+	// OnCommit is called after every transaction that was carried out.
 	OnCommit func(transaction *protocol.Transaction)
 
 	mu        sync.Mutex
@@ -39,7 +42,7 @@
 	changed   chan struct{} // closed and replaced at each change
 }
 
-// NewStore makes an empty state service.
+// NewStore makes an empty store.
 func NewStore() *Store {
 	return &Store{
 		StoreLimits: StoreLimits{Refusals: map[int]int{}},
@@ -50,7 +53,7 @@
 	}
 }
 
-// Put stores a record, as an earlier process would have.
+// Put stores a record directly, as an earlier process would have left it.
 func (s *Store) Put(key string, value any) {
 	raw, err := codec.Marshal(value)
 	if err != nil {
@@ -63,7 +66,7 @@
 	s.wakeWatches()
 }
 
-// Remove takes a record away.
+// Remove deletes a key directly.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +75,7 @@
 	s.wakeWatches()
 }
 
-// Corrupt makes the value of a key unreadable for whoever expects a record there.
+// Corrupt replaces the value of a key by one that cannot be decoded as a record.
 func (s *Store) Corrupt(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,14 +84,14 @@
 	s.wakeWatches()
 }
 
-// Value is the value under a key; nil if there is none.
+// Value returns the value of a key, or nil if there is none.
 func (s *Store) Value(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.keys[key].value
 }
 
-// Keys lists the keys with a prefix.
+// Keys lists the keys with a prefix, in order.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,11 +105,14 @@
 	return keys
 }
 
+// setKey sets a key and records the change for watches. The caller has advanced the revision.
 func (s *Store) setKey(key string, entry storeEntry) {
 	s.keys[key] = entry
 	s.changeLog = append(s.changeLog, storeChange{key, protocol.WatchEvent{Set: key, Value: entry.value, Version: entry.version}})
 }
 
+// deleteKey deletes a key, if there is one, and records the change for watches. The caller has
+// advanced the revision.
 func (s *Store) deleteKey(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
@@ -114,6 +120,7 @@
 	}
 }
 
+// wakeWatches makes open watches look for new changes.
 func (s *Store) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -12,11 +12,13 @@
 	"marblehaven/internal/protocol"
 )
 
+// revisionReply answers a read of a key that does not exist.
 type revisionReply struct {
 	Revision protocol.Revision `msgpack:"epoch"`
 }
 
-// ServeHTTP answers as PROTOCOL says.
+// ServeHTTP implements the protocol of the key-value store, after the faults and limits that a
+// test has set.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.Slow != nil {
 		time.Sleep(s.Slow(r.URL.Path))
@@ -36,7 +38,7 @@
 	s.route(w, r, body)
 }
 
-// route hands a call to its handler.
+// route hands a call to its handler. The caller holds the mutex.
 func (s *Store) route(w http.ResponseWriter, r *http.Request, body []byte) {
 	switch path := r.URL.Path; {
 	case path == "/keys":
@@ -88,15 +90,16 @@
 	writeReply(w, http.StatusOK, s.keyValue(key))
 }
 
+// keyValue returns a key as it appears in answers.
 func (s *Store) keyValue(key string) protocol.KeyValue {
 	entry := s.keys[key]
 	return protocol.KeyValue{Key: key, Value: entry.value, Version: entry.version}
 }
 
-// defaultPageSize is how many keys a page of a list has at most, as PROTOCOL says.
+// defaultPageSize is how many keys a page holds at most by the protocol.
 const defaultPageSize = 1000
 
-// pageSize is how many keys a page has if so many are asked for.
+// pageSize returns how many keys a page holds if the caller asks for the given number.
 func (s *Store) pageSize(limit int) int {
 	if s.PageMost > 0 {
 		return min(limit, s.PageMost)
--- a/internal/fake/store_lease.go
+++ b/internal/fake/store_lease.go
@@ -9,12 +9,14 @@
 	"marblehaven/internal/protocol"
 )
 
+// storeLease binds keys to a client that keeps it alive.
 type storeLease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// expireLeases ends leases that are over; nothing expires while nobody is served.
+// expireLeases ends the leases whose time is over, with the keys that are bound to them. No
+// lease expires during an outage for all hosts, because no keep-alive could arrive.
 func (s *Store) expireLeases() {
 	if s.unavailable[""] {
 		return
@@ -26,6 +28,7 @@
 	}
 }
 
+// endLease deletes a lease and the keys that are bound to it.
 func (s *Store) endLease(id protocol.LeaseID) {
 	delete(s.leases, id)
 	for key, entry := range s.keys {
@@ -37,6 +40,8 @@
 	s.wakeWatches()
 }
 
+// expireLeaseOnTime looks for expired leases until the given one has ended, so that a lease
+// expires on time even if no call arrives.
 func (s *Store) expireLeaseOnTime(id protocol.LeaseID, ttl time.Duration) {
 	for {
 		time.Sleep(ttl / 10)
@@ -50,6 +55,7 @@
 	}
 }
 
+// parseLeaseID reads a lease ID from a path. An unreadable ID becomes 0, which no lease has.
 func parseLeaseID(text string) protocol.LeaseID {
 	number, _ := strconv.ParseUint(text, 10, 64)
 	return protocol.LeaseID(number)
@@ -69,7 +75,7 @@
 	writeReply(w, http.StatusOK, protocol.Lease{ID: id})
 }
 
-// keepLeaseAlive gives a lease its full time again, unless it has expired.
+// keepLeaseAlive gives a lease its full time to live again, unless it has expired.
 func (s *Store) keepLeaseAlive(w http.ResponseWriter, id protocol.LeaseID) {
 	lease := s.leases[id]
 	if lease == nil {
--- a/internal/fake/store_limits.go
+++ b/internal/fake/store_limits.go
@@ -8,26 +8,26 @@
 	"marblehaven/internal/config"
 )
 
-// StoreLimits is what the store accepts at most, and how often it refused.
+// StoreLimits is what the store accepts at most, and counts what it refused.
 type StoreLimits struct {
-	// Limits of a commit; 0 is none. Breaking one is the caller's mistake.
+	// MaxOps and MaxValue limit a transaction's mutations and the bytes of a value; 0: no limit.
 	MaxOps, MaxValue int
-	// PageMost is how many keys a page of a list has at most; 0: as many as PROTOCOL says.
+	// PageMost is how many keys a page of a list has at most; 0: as many as the protocol allows.
 	PageMost int
-	// Refusals counts what the limits refused, by status.
+	// Refusals counts the transactions that the limits refused, by status.
 	Refusals map[int]int
 
-	// limitsLowered: the limits have become smaller without notice. Breaking one gets 400,
-	// and changes beyond the rate get 429.
+	// limitsLowered is set once the limits were lowered without notice. From then on a
+	// transaction beyond a limit gets 400, and one beyond the rate of writes gets 429.
 	limitsLowered bool
 	writeRate     *rate.Limiter
-	// requestRate is the limit of requests; nil is none. requestCount counts them all, and
+	// requestRate limits the requests; nil: no limit. requestCount counts all of them, and
 	// throttledCount those beyond the limit.
 	requestRate                  *rate.Limiter
 	requestCount, throttledCount int
 }
 
-// Limit makes the limits smaller from now on, without notice.
+// Limit lowers the limits from now on, without notice to the controllers.
 func (s *Store) Limit(limits config.StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,21 +36,21 @@
 	s.writeRate = rate.NewLimiter(rate.Limit(limits.WriteRPS), int(limits.WriteRPS))
 }
 
-// LimitRequests sets how many requests a second are served.
+// LimitRequests sets how many requests per second are served.
 func (s *Store) LimitRequests(rps float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requestRate = rate.NewLimiter(rate.Limit(rps), int(rps))
 }
 
-// Asked is how many requests there were, and how many of them were throttled.
+// Asked returns how many requests there were, and how many of them were throttled.
 func (s *Store) Asked() (requests, throttled int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requestCount, s.throttledCount
 }
 
-// admitRequest counts a request, and tells whether it is within the limit.
+// admitRequest counts a request and tells whether it is within the rate limit.
 func (l *StoreLimits) admitRequest() bool {
 	l.requestCount++
 	if l.requestRate != nil && !l.requestRate.Allow() {
@@ -60,7 +60,7 @@
 	return true
 }
 
-// admitMutations tells whether so many mutations are within the limit of writes.
+// admitMutations tells whether the given number of mutations is within the rate limit of writes.
 func (l *StoreLimits) admitMutations(count int) bool {
 	return l.writeRate == nil || l.writeRate.AllowN(time.Now(), count)
 }
--- a/internal/fake/store_transaction.go
+++ b/internal/fake/store_transaction.go
@@ -14,7 +14,7 @@
 	"marblehaven/internal/protocol"
 )
 
-// storeTransaction is a commit as it arrives.
+// storeTransaction is a transaction as it arrives, with the values still encoded.
 type storeTransaction struct {
 	Preconditions []protocol.Precondition `msgpack:"guards"`
 	Mutations     []struct {
@@ -25,7 +25,7 @@
 	} `msgpack:"then"`
 }
 
-// withoutValues is the transaction without its values.
+// withoutValues returns the transaction's keys and preconditions for a test's hooks.
 func (t *storeTransaction) withoutValues() *protocol.Transaction {
 	stripped := &protocol.Transaction{Preconditions: t.Preconditions}
 	for _, mutation := range t.Mutations {
@@ -34,7 +34,8 @@
 	return stripped
 }
 
-// commitNowOrLate carries a commit stripped, or leaves it unanswered until its fault's time.
+// commitNowOrLate carries a transaction out, or leaves it unanswered and carries it out after
+// the delay that Late returns. Newer transactions may overtake it.
 func (s *Store) commitNowOrLate(w http.ResponseWriter, body []byte) {
 	var delay time.Duration
 	if s.Late != nil {
@@ -53,6 +54,7 @@
 	writeReply(w, http.StatusBadGateway, nil)
 }
 
+// commit carries a transaction out unless a fault, a limit or a failed precondition prevents it.
 func (s *Store) commit(w http.ResponseWriter, body []byte) {
 	var transaction storeTransaction
 	if err := codec.Unmarshal(body, &transaction); err != nil {
@@ -81,8 +83,7 @@
 	writeReply(w, http.StatusOK, protocol.TransactionReply{Revision: s.revision})
 }
 
-// refusedByFault answers a commit that its fault keeps from being carried stripped, and
-// tells whether it did.
+// refusedByFault answers a transaction that its fault prevents, and tells whether it did.
 func refusedByFault(w http.ResponseWriter, fault Fault) bool {
 	switch fault {
 	case NotExecuted:
@@ -97,8 +98,9 @@
 	return true
 }
 
-// refusedByLimits answers a commit that breaks a limit or names an expired lease, and
-// tells whether it did. A limit that was known from the start may not be broken at all.
+// refusedByLimits answers a transaction that breaks a limit or names an expired lease, and
+// tells whether it did. Breaking a limit that the controllers were told of is a bug of theirs,
+// so it panics unless the limits were lowered without notice.
 func (s *Store) refusedByLimits(w http.ResponseWriter, transaction *storeTransaction, encodedBytes int) bool {
 	violation := s.limitViolation(transaction, encodedBytes)
 	switch {
@@ -124,7 +126,7 @@
 	overheadPerKey = 60
 )
 
-// limitViolation describes the limit that a transaction breaks; "": none.
+// limitViolation describes the limit that a transaction breaks, or returns "".
 func (s *Store) limitViolation(transaction *storeTransaction, encodedBytes int) string {
 	violation := ""
 	preconditions, mutations := len(transaction.Preconditions), len(transaction.Mutations)
@@ -148,7 +150,7 @@
 	return violation
 }
 
-// namesExpiredLease tells whether a mutation binds its key to a lease that is over.
+// namesExpiredLease tells whether a mutation binds its key to a lease that has ended.
 func (s *Store) namesExpiredLease(transaction *storeTransaction) bool {
 	for _, mutation := range transaction.Mutations {
 		if mutation.Lease != 0 && s.leases[mutation.Lease] == nil {
@@ -158,7 +160,7 @@
 	return false
 }
 
-// failedPreconditions lists the keys whose version is not the one that is expected.
+// failedPreconditions lists the keys whose version is not the expected one.
 func (s *Store) failedPreconditions(transaction *storeTransaction) []string {
 	var failed []string
 	for _, precondition := range transaction.Preconditions {
@@ -169,7 +171,7 @@
 	return failed
 }
 
-// apply carries stripped all mutations of a transaction as one revision.
+// apply carries out all mutations of a transaction in one revision.
 func (s *Store) apply(transaction *storeTransaction) {
 	if len(transaction.Mutations) == 0 {
 		return
@@ -185,7 +187,8 @@
 	s.wakeWatches()
 }
 
-// jsonSize is what a value takes as JSON, by the standard library's encoder.
+// jsonSize returns the size of a value as JSON. It uses the standard library's encoder, to be
+// independent of the controllers' own measure of the size.
 func jsonSize(raw msgpack.RawMessage) int {
 	if raw == nil {
 		return 0
--- a/internal/fake/store_watch.go
+++ b/internal/fake/store_watch.go
@@ -9,12 +9,11 @@
 	"marblehaven/internal/protocol"
 )
 
-// outageRetryInterval is the time between two looks of a watch, whose time is over,
-// at whether an outage has ended.
+// outageRetryInterval is how often a watch that has timed out looks whether an outage is over.
 const outageRetryInterval = 100 * time.Millisecond
 
-// watch answers with the changes after a revision, as soon as there are any, and
-// without any when its time is over.
+// watch answers with the changes after a revision as soon as there are any, or with none when
+// the time that the caller is ready to wait is over.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	number, _ := strconv.ParseUint(query.Get("after"), 10, 64)
@@ -24,7 +23,7 @@
 	defer timer.Stop()
 	for timedOut := false; ; {
 		reply := s.eventsAfter(after, query.Get("prefix"))
-		// During an outage open watches stay open.
+		// During an outage open watches stay open, and answer when it is over.
 		if (len(reply.Events) > 0 || timedOut) && !s.isUnavailableTo(r.RemoteAddr) {
 			writeReply(w, http.StatusOK, reply)
 			return
@@ -48,8 +47,8 @@
 	return reply
 }
 
-// awaitChange releases the lock until a key changes or the timer ends, and tells
-// whether it has ended.
+// awaitChange releases the mutex until a key changes or the timer ends. It returns whether the
+// timer has ended.
 func (s *Store) awaitChange(timer *time.Timer, timedOut bool) bool {
 	changed := s.changed
 	s.mu.Unlock()
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -9,47 +9,47 @@
 	"marblehaven/internal/protocol"
 )
 
-// userJob is a job as its user knows it.
+// userJob is a job as its user knows it, with what the user requested and was told.
 type userJob struct {
 	job                protocol.Job
 	runS               float64
 	submitted          bool
 	accepted           bool
 	cancelRequested    bool
-	cancelConfirmed    time.Time // when the user was told
-	ownCancelConfirmed time.Time // the same, of a job whose user asked for it
-	doneConfirmed      bool      // the user was told
+	cancelConfirmed    time.Time // when the user was first told that the job is cancelled
+	ownCancelConfirmed time.Time // the same, for a cancellation that this user requested
+	doneConfirmed      bool      // the user was told that the job is done
 	finished           map[int]bool
-	waitingSince       time.Time // since when it has waited although there was room; zero: it has not
+	waitingSince       time.Time // since when the job waits beside free capacity; zero: it does not
 }
 
-// complete tells whether all tasks of a job are done.
+// complete tells whether all tasks of the job are done.
 func (j *userJob) complete() bool { return len(j.finished) >= j.job.Tasks }
 
-// Register makes a job one whose user has submitted it, and was told that it is
-// accepted.
+// Register adds a job as if its user had submitted it and had been told that it is accepted.
 func (e *Environment) Register(job protocol.Job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.jobs[job.ID] = &userJob{job: job, submitted: true, accepted: true, finished: map[int]bool{}}
 }
 
-// Job is a job as its user submitted it.
+// Job returns a job as its user submitted it.
 func (e *Environment) Job(jobID protocol.JobID) protocol.Job {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.jobs[jobID].job
 }
 
-// Cancelled tells whether a job's user asked to cancel it.
+// Cancelled tells whether the user of a job requested to cancel it.
 func (e *Environment) Cancelled(jobID protocol.JobID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.jobs[jobID].cancelRequested
 }
 
-// Submit registers a job (users upload its description) and submits it until
-// it gets an answer that is not retried. It returns the status.
+// Submit submits a job and retries until the outcome is known or 60 seconds have passed. It
+// returns the status of the last answer. A repeated submission is idempotent, so an accepted job
+// that is refused later was forgotten, which is a violation.
 func (e *Environment) Submit(job protocol.Job, runS float64) int {
 	e.mu.Lock()
 	if e.jobs[job.ID] == nil {
@@ -71,11 +71,11 @@
 	return status
 }
 
-// Poll asks once for a job's state.
+// Poll asks once for the status of a job, and checks the answer.
 func (e *Environment) Poll(jobID protocol.JobID) (int, protocol.JobStatus) {
 	e.mu.Lock()
 	job := e.jobs[jobID]
-	var before userJob // what the user had been told when it asked
+	var before userJob // the job as the user knew it when the request was sent
 	if job != nil {
 		before = *job
 	}
@@ -95,7 +95,7 @@
 	return status, jobStatus
 }
 
-// Cancel cancels a job, repeating the request until it is answered.
+// Cancel cancels a job, retries until the outcome is known, and checks the answer.
 func (e *Environment) Cancel(jobID protocol.JobID) (int, protocol.JobStatus) {
 	e.mu.Lock()
 	job := e.jobs[jobID]
@@ -111,13 +111,13 @@
 	return status, jobStatus
 }
 
-// Refused submits a job that must not be accepted, and judges the answer: change
-// makes it so, and want is the status that PROTOCOL names.
+// Refused submits a job that must not be accepted, and checks that it gets the status that the
+// protocol requires. The argument change makes the job unacceptable.
 func (e *Environment) Refused(job protocol.Job, change func(fields map[string]any), want int) {
 	fields := JobMap(&job)
 	change(fields)
 	status, _ := e.ask(http.MethodPost, "/v1/jobs", fields, 5*time.Second, 60*time.Second)
-	answered := status > 0 && status < 500 && status != http.StatusTooManyRequests // else its user asks again
+	answered := status > 0 && status < 500 && status != http.StatusTooManyRequests // otherwise the user would retry
 	if answered && status != want {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -128,14 +128,14 @@
 // workloadClient sends the users' requests to the controllers.
 type workloadClient struct {
 	Network *Network
-	Nodes   []string // addresses of the users' side of the nodes
-	Asked   []string // those that users ask; nil: all
+	Nodes   []string // addresses of the controllers' nodes
+	Asked   []string // the nodes that users ask; nil: all
 
 	life context.Context
 }
 
-// ask makes a call to some node, again and again until it is answered or the
-// time is over.
+// ask sends a request to a random node, and retries until it gets an answer other than "try
+// again" or the total time is over.
 func (w *workloadClient) ask(method, path string, in any, each, total time.Duration) (int, protocol.JobStatus) {
 	start := time.Now()
 	for {
@@ -159,7 +159,8 @@
 	}
 }
 
-// JobMap spells a job as users do; only what has a value where null is allowed.
+// JobMap returns a job in the users' spelling, with a field of an unknown name, which the
+// controllers must ignore. Fields without a value are left out or null, as the protocol allows.
 func JobMap(job *protocol.Job) map[string]any {
 	fields := map[string]any{"ref": job.ID, "workload": job.Class, "owner": job.Team, "shape": job.Kind, "rank": job.Priority,
 		"pieces": job.Tasks, "cores": job.Cores, "cards": job.GPUs, "memGb": job.MemGB, "bundle": job.Image,
