--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	first  = "req-000001"
-	second = "req-000002" // waits for the first
+	firstJob     = "req-000001"
+	dependentJob = "req-000002" // depends on the first
 )
 
 // history is a world without controllers, whose history a test makes up.
@@ -28,24 +28,24 @@
 func newHistory(ctx context.Context) *history {
 	cfg := config.Deployment{Workers: config.Workers{ReportS: 2.5, LeaseS: 1000, CancelS: 37}}
 	e := NewEnvironment(ctx, NewNetwork(1), cfg, []protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
-	e.Register(protocol.Job{ID: first, Kind: protocol.KindArray, Tasks: 1, Cores: 1})
-	e.Register(protocol.Job{ID: second, Kind: protocol.KindArray, Tasks: 1, Cores: 1, DependsOn: []protocol.JobID{first}})
+	e.Register(protocol.Job{ID: firstJob, Kind: protocol.KindArray, Tasks: 1, Cores: 1})
+	e.Register(protocol.Job{ID: dependentJob, Kind: protocol.KindArray, Tasks: 1, Cores: 1, DependsOn: []protocol.JobID{firstJob}})
 	h := &history{Environment: e}
 	e.mu.Lock()
 	id := e.newMachine("big", "a", false)
 	h.machine = e.machines[id]
 	e.mu.Unlock()
 	time.Sleep(time.Second) // it is up
-	h.record(first, id)
+	h.recordPlacement(firstJob, id)
 	return h
 }
 
-func (h *history) record(jobID protocol.JobID, machine string) {
+func (h *history) recordPlacement(jobID protocol.JobID, machine string) {
 	h.Store.Put(records.SegmentKey(jobID, 0), records.RunRecord{NextAttempt: 2, Placements: []records.Placement{{Attempt: 1, Machine: machine}}})
 }
 
-// run makes a job's task run on the machine, as if a controller had started it.
-func (h *history) run(jobID protocol.JobID) *agentTask {
+// startTask makes a job's task run on the machine, as if a controller had started it.
+func (h *history) startTask(jobID protocol.JobID) *agentTask {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	running := &agentTask{jobID: jobID, attempt: 1, state: protocol.TaskRunning, stateSince: time.Now(), remainingS: 1e6}
@@ -54,94 +54,94 @@
 	return running
 }
 
-// tell judges that a job's user is told a phase.
-func (h *history) tell(jobID protocol.JobID, phase protocol.JobPhase) {
+// answerUser judges that a job's user is told a phase.
+func (h *history) answerUser(jobID protocol.JobID, phase protocol.JobPhase) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	job := h.jobs[jobID]
 	h.checkJobStatus(job, *job, protocol.JobStatus{ID: jobID, Phase: phase})
 }
 
-// cancel makes a job's user cancel it and be told so.
-func (h *history) cancel(jobID protocol.JobID) {
+// cancelAndConfirm makes a job's user cancel it and be told so.
+func (h *history) cancelAndConfirm(jobID protocol.JobID) {
 	h.mu.Lock()
 	h.jobs[jobID].cancelRequested = true
 	h.mu.Unlock()
-	h.tell(jobID, protocol.PhaseCancelled)
+	h.answerUser(jobID, protocol.PhaseCancelled)
 }
 
 // The checker finds each broken rule in a history that breaks it, and none in the one
 // that does not.
-func TestCheckerFindsBrokenRules(t *testing.T) {
-	const pastCancel = 40 * time.Second
-	for _, b := range []struct {
-		name string
-		play func(h *history)
-		want string // "": no rule is broken
+func TestCheckerFindsViolations(t *testing.T) {
+	const cancelLimitPassed = 40 * time.Second
+	for _, test := range []struct {
+		name          string
+		play          func(h *history)
+		wantViolation string // "": no rule is broken
 	}{
-		{"a recorded task runs", func(h *history) { h.run(first) }, ""},
-		{"a task runs that no record names", func(h *history) { h.record(first, "m-000009"); h.run(first) }, "orphaned: no record names"},
-		{"the record goes before the task", func(h *history) {
-			h.run(first)
-			h.Store.Remove(records.SegmentKey(first, 0))
+		{"recorded task runs", func(h *history) { h.startTask(firstJob) }, ""},
+		{"task runs on a machine that its record does not name", func(h *history) { h.recordPlacement(firstJob, "m-000009"); h.startTask(firstJob) }, "orphaned: no record names"},
+		{"record is removed before the task exits", func(h *history) {
+			h.startTask(firstJob)
+			h.Store.Remove(records.SegmentKey(firstJob, 0))
 		}, "orphaned: no record names"},
-		{"a record that can't be read", func(h *history) { h.run(first); h.Store.Corrupt(records.SegmentKey(first, 0)) }, ""},
-		{"a job starts before the one that it waits for is done", func(h *history) {
-			h.record(second, h.machine.id)
-			h.run(second)
+		{"record is undecodable", func(h *history) { h.startTask(firstJob); h.Store.Corrupt(records.SegmentKey(firstJob, 0)) }, ""},
+		{"job starts before its dependency is done", func(h *history) {
+			h.recordPlacement(dependentJob, h.machine.id)
+			h.startTask(dependentJob)
 		}, "too_early"},
-		{"a job starts though the one that it waits for was cancelled at its end", func(h *history) {
-			h.jobs[first].finished[0] = true
-			h.cancel(first)
-			h.record(second, h.machine.id)
-			h.run(second)
+		{"job starts after its complete dependency was cancelled", func(h *history) {
+			h.jobs[firstJob].finished[0] = true
+			h.cancelAndConfirm(firstJob)
+			h.recordPlacement(dependentJob, h.machine.id)
+			h.startTask(dependentJob)
 		}, "too_early"},
-		{"a cancelled job's task goes on", func(h *history) {
-			h.run(first)
-			h.cancel(first)
-			time.Sleep(pastCancel)
+		{"task runs on after its job was cancelled", func(h *history) {
+			h.startTask(firstJob)
+			h.cancelAndConfirm(firstJob)
+			time.Sleep(cancelLimitPassed)
 		}, "ran_cancelled"},
-		{"it ends in time", func(h *history) {
-			running := h.run(first)
-			h.cancel(first)
+		{"task exits in time after its job was cancelled", func(h *history) {
+			running := h.startTask(firstJob)
+			h.cancelAndConfirm(firstJob)
 			h.mu.Lock()
 			h.machine.exit(running, protocol.ExitStopped)
 			h.mu.Unlock()
-			time.Sleep(pastCancel)
+			time.Sleep(cancelLimitPassed)
 		}, ""},
-		{"a job's task goes on after one that it needs was cancelled", func(h *history) {
-			h.record(second, h.machine.id)
-			h.jobs[first].finished[0] = true
-			h.run(second)
-			h.cancel(first)
-			time.Sleep(pastCancel)
+		{"task runs on after a dependency was cancelled", func(h *history) {
+			h.recordPlacement(dependentJob, h.machine.id)
+			h.jobs[firstJob].finished[0] = true
+			h.startTask(dependentJob)
+			h.cancelAndConfirm(firstJob)
+			time.Sleep(cancelLimitPassed)
 		}, "ran_cancelled"},
-		{"a job is called queued long after one that it needs was cancelled", func(h *history) {
-			h.cancel(first)
-			time.Sleep(pastCancel)
-			h.tell(second, protocol.PhaseQueued)
-		}, "orphaned: " + second},
-		{"it is called cancelled", func(h *history) {
-			h.cancel(first)
-			time.Sleep(pastCancel)
-			h.tell(second, protocol.PhaseCancelled)
+		{"job is called queued long after a dependency was cancelled", func(h *history) {
+			h.cancelAndConfirm(firstJob)
+			time.Sleep(cancelLimitPassed)
+			h.answerUser(dependentJob, protocol.PhaseQueued)
+		}, "orphaned: " + dependentJob},
+		{"job is called cancelled after a dependency was cancelled", func(h *history) {
+			h.cancelAndConfirm(firstJob)
+			time.Sleep(cancelLimitPassed)
+			h.answerUser(dependentJob, protocol.PhaseCancelled)
 		}, ""},
-		{"a job is called done before it is", func(h *history) { h.run(first); h.tell(first, protocol.PhaseDone) }, "not_done"},
-		{"a cancelled job is called queued", func(h *history) {
-			h.cancel(first)
-			h.tell(first, protocol.PhaseQueued)
+		{"job is called done before it is done", func(h *history) { h.startTask(firstJob); h.answerUser(firstJob, protocol.PhaseDone) }, "not_done"},
+		{"cancelled job is called queued", func(h *history) {
+			h.cancelAndConfirm(firstJob)
+			h.answerUser(firstJob, protocol.PhaseQueued)
 		}, "went_back"},
-		{"a task starts while it runs", func(h *history) { h.run(first); h.run(first) }, "ran_twice"},
+		{"task starts while it runs already", func(h *history) { h.startTask(firstJob); h.startTask(firstJob) }, "ran_twice"},
 	} {
-		t.Run(b.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				h := newHistory(ctx)
-				b.play(h)
+				test.play(h)
 				time.Sleep(time.Second)
-				broken := strings.Join(h.Violations(), "\n")
-				if (b.want == "" && broken != "") || !strings.Contains(broken, b.want) {
-					t.Errorf("found %q, not %q", broken, b.want)
+				violations := strings.Join(h.Violations(), "\n")
+				if (test.wantViolation == "" && violations != "") || !strings.Contains(violations, test.wantViolation) {
+					t.Errorf("found %q, not %q", violations, test.wantViolation)
 				}
 				cancel()
 				time.Sleep(time.Second) // all that is under way ends
