--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -15,18 +16,22 @@
 const (
 	firstJob     = "req-000001"
 	dependentJob = "req-000002" // depends on the first
+
+	cancelLimit = 37 * time.Second // how long a task may run after its job was cancelled
+	// unknownMachine is one that the cloud never provisioned.
+	unknownMachine = "m-000009"
 )
 
-// history is a world without controllers, whose history a test makes up.
+// history is an environment without controllers, in which a test makes up what happens.
 type history struct {
 	*Environment
 	machine *machineAgent
 }
 
-// newHistory has two jobs of a task each, accepted, a machine that is up, and a record
-// that places the first job's task there.
+// newHistory makes a history of two accepted jobs of one task each, and of a machine that
+// is up. A run record places the first job's task on the machine.
 func newHistory(ctx context.Context) *history {
-	cfg := config.Deployment{Workers: config.Workers{ReportS: 2.5, LeaseS: 1000, CancelS: 37}}
+	cfg := config.Deployment{Workers: config.Workers{ReportS: 2.5, LeaseS: 1000, CancelS: cancelLimit.Seconds()}}
 	e := NewEnvironment(ctx, NewNetwork(1), cfg, []protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
 	e.Register(protocol.Job{ID: firstJob, Kind: protocol.KindArray, Tasks: 1, Cores: 1})
 	e.Register(protocol.Job{ID: dependentJob, Kind: protocol.KindArray, Tasks: 1, Cores: 1, DependsOn: []protocol.JobID{firstJob}})
@@ -35,13 +40,15 @@
 	id := e.newMachine("big", "a", false)
 	h.machine = e.machines[id]
 	e.mu.Unlock()
-	time.Sleep(time.Second) // it is up
+	time.Sleep(time.Second) // the machine boots
 	h.recordPlacement(firstJob, id)
 	return h
 }
 
+// recordPlacement stores a run record that places a job's task on a machine.
 func (h *history) recordPlacement(jobID protocol.JobID, machine string) {
-	h.Store.Put(records.SegmentKey(jobID, 0), records.RunRecord{NextAttempt: 2, Placements: []records.Placement{{Attempt: 1, Machine: machine}}})
+	placement := records.Placement{Attempt: 1, Machine: machine}
+	h.Store.Put(records.SegmentKey(jobID, 0), records.RunRecord{NextAttempt: 2, Placements: []records.Placement{placement}})
 }
 
 // startTask makes a job's task run on the machine, as if a controller had started it.
@@ -54,7 +61,25 @@
 	return running
 }
 
-// answerUser judges that a job's user is told a phase.
+// startRecordedTask records the placement of a job's task on the machine and starts it there.
+func (h *history) startRecordedTask(jobID protocol.JobID) {
+	h.recordPlacement(jobID, h.machine.id)
+	h.startTask(jobID)
+}
+
+// stopTask makes a task exit as if a controller had stopped it.
+func (h *history) stopTask(running *agentTask) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.machine.exit(running, protocol.ExitStopped)
+}
+
+// completeJob marks the only task of a job as done.
+func (h *history) completeJob(jobID protocol.JobID) {
+	h.jobs[jobID].finished[0] = true
+}
+
+// answerUser lets the checker see that a job's user is told a phase.
 func (h *history) answerUser(jobID protocol.JobID, phase protocol.JobPhase) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,7 +87,7 @@
 	h.checkJobStatus(job, *job, protocol.JobStatus{ID: jobID, Phase: phase})
 }
 
-// cancelAndConfirm makes a job's user cancel it and be told so.
+// cancelAndConfirm lets a job's user cancel it and be told that it is cancelled.
 func (h *history) cancelAndConfirm(jobID protocol.JobID) {
 	h.mu.Lock()
 	h.jobs[jobID].cancelRequested = true
@@ -70,82 +95,109 @@
 	h.answerUser(jobID, protocol.PhaseCancelled)
 }
 
-// The checker finds each broken rule in a history that breaks it, and none in the one
-// that does not.
+// passCancelLimit waits until no task of a cancelled job may run any more.
+func passCancelLimit() { time.Sleep(cancelLimit + 3*time.Second) }
+
+// checkerTest is a history with the violation that the checker must find in it.
+type checkerTest struct {
+	name          string
+	play          func(h *history)
+	wantViolation string // "": no rule is broken
+}
+
+// recordTests are histories of run records that do or do not name the tasks.
+var recordTests = []checkerTest{
+	{"recorded task runs", func(h *history) { h.startTask(firstJob) }, ""},
+	{"task runs on a machine that its record does not name", func(h *history) {
+		h.recordPlacement(firstJob, unknownMachine)
+		h.startTask(firstJob)
+	}, "orphaned: no record names"},
+	{"record is removed before the task exits", func(h *history) {
+		h.startTask(firstJob)
+		h.Store.Remove(records.SegmentKey(firstJob, 0))
+	}, "orphaned: no record names"},
+	{"record is undecodable", func(h *history) {
+		h.startTask(firstJob)
+		h.Store.Corrupt(records.SegmentKey(firstJob, 0))
+	}, ""},
+	{"task starts while it runs already", func(h *history) {
+		h.startTask(firstJob)
+		h.startTask(firstJob)
+	}, "ran_twice"},
+}
+
+// dependencyTests are histories of a job and the one that depends on it.
+var dependencyTests = []checkerTest{
+	{"job starts before its dependency is done", func(h *history) {
+		h.startRecordedTask(dependentJob)
+	}, "too_early"},
+	{"job starts after its complete dependency was cancelled", func(h *history) {
+		h.completeJob(firstJob)
+		h.cancelAndConfirm(firstJob)
+		h.startRecordedTask(dependentJob)
+	}, "too_early"},
+	{"task runs on after a dependency was cancelled", func(h *history) {
+		h.recordPlacement(dependentJob, h.machine.id)
+		h.completeJob(firstJob)
+		h.startTask(dependentJob)
+		h.cancelAndConfirm(firstJob)
+		passCancelLimit()
+	}, "ran_cancelled"},
+	{"job is called queued long after a dependency was cancelled", func(h *history) {
+		h.cancelAndConfirm(firstJob)
+		passCancelLimit()
+		h.answerUser(dependentJob, protocol.PhaseQueued)
+	}, "orphaned: " + dependentJob},
+	{"job is called cancelled after a dependency was cancelled", func(h *history) {
+		h.cancelAndConfirm(firstJob)
+		passCancelLimit()
+		h.answerUser(dependentJob, protocol.PhaseCancelled)
+	}, ""},
+}
+
+// cancellationTests are histories of a job that its user cancels, and of wrong answers.
+var cancellationTests = []checkerTest{
+	{"task runs on after its job was cancelled", func(h *history) {
+		h.startTask(firstJob)
+		h.cancelAndConfirm(firstJob)
+		passCancelLimit()
+	}, "ran_cancelled"},
+	{"task exits in time after its job was cancelled", func(h *history) {
+		running := h.startTask(firstJob)
+		h.cancelAndConfirm(firstJob)
+		h.stopTask(running)
+		passCancelLimit()
+	}, ""},
+	{"job is called done before it is done", func(h *history) {
+		h.startTask(firstJob)
+		h.answerUser(firstJob, protocol.PhaseDone)
+	}, "not_done"},
+	{"cancelled job is called queued", func(h *history) {
+		h.cancelAndConfirm(firstJob)
+		h.answerUser(firstJob, protocol.PhaseQueued)
+	}, "went_back"},
+}
+
+// The checker finds each broken rule in a history that breaks it, and none in a history
+// that breaks none.
 func TestCheckerFindsViolations(t *testing.T) {
-	const cancelLimitPassed = 40 * time.Second
-	for _, test := range []struct {
-		name          string
-		play          func(h *history)
-		wantViolation string // "": no rule is broken
-	}{
-		{"recorded task runs", func(h *history) { h.startTask(firstJob) }, ""},
-		{"task runs on a machine that its record does not name", func(h *history) { h.recordPlacement(firstJob, "m-000009"); h.startTask(firstJob) }, "orphaned: no record names"},
-		{"record is removed before the task exits", func(h *history) {
-			h.startTask(firstJob)
-			h.Store.Remove(records.SegmentKey(firstJob, 0))
-		}, "orphaned: no record names"},
-		{"record is undecodable", func(h *history) { h.startTask(firstJob); h.Store.Corrupt(records.SegmentKey(firstJob, 0)) }, ""},
-		{"job starts before its dependency is done", func(h *history) {
-			h.recordPlacement(dependentJob, h.machine.id)
-			h.startTask(dependentJob)
-		}, "too_early"},
-		{"job starts after its complete dependency was cancelled", func(h *history) {
-			h.jobs[firstJob].finished[0] = true
-			h.cancelAndConfirm(firstJob)
-			h.recordPlacement(dependentJob, h.machine.id)
-			h.startTask(dependentJob)
-		}, "too_early"},
-		{"task runs on after its job was cancelled", func(h *history) {
-			h.startTask(firstJob)
-			h.cancelAndConfirm(firstJob)
-			time.Sleep(cancelLimitPassed)
-		}, "ran_cancelled"},
-		{"task exits in time after its job was cancelled", func(h *history) {
-			running := h.startTask(firstJob)
-			h.cancelAndConfirm(firstJob)
-			h.mu.Lock()
-			h.machine.exit(running, protocol.ExitStopped)
-			h.mu.Unlock()
-			time.Sleep(cancelLimitPassed)
-		}, ""},
-		{"task runs on after a dependency was cancelled", func(h *history) {
-			h.recordPlacement(dependentJob, h.machine.id)
-			h.jobs[firstJob].finished[0] = true
-			h.startTask(dependentJob)
-			h.cancelAndConfirm(firstJob)
-			time.Sleep(cancelLimitPassed)
-		}, "ran_cancelled"},
-		{"job is called queued long after a dependency was cancelled", func(h *history) {
-			h.cancelAndConfirm(firstJob)
-			time.Sleep(cancelLimitPassed)
-			h.answerUser(dependentJob, protocol.PhaseQueued)
-		}, "orphaned: " + dependentJob},
-		{"job is called cancelled after a dependency was cancelled", func(h *history) {
-			h.cancelAndConfirm(firstJob)
-			time.Sleep(cancelLimitPassed)
-			h.answerUser(dependentJob, protocol.PhaseCancelled)
-		}, ""},
-		{"job is called done before it is done", func(h *history) { h.startTask(firstJob); h.answerUser(firstJob, protocol.PhaseDone) }, "not_done"},
-		{"cancelled job is called queued", func(h *history) {
-			h.cancelAndConfirm(firstJob)
-			h.answerUser(firstJob, protocol.PhaseQueued)
-		}, "went_back"},
-		{"task starts while it runs already", func(h *history) { h.startTask(firstJob); h.startTask(firstJob) }, "ran_twice"},
-	} {
+	for _, test := range slices.Concat(recordTests, dependencyTests, cancellationTests) {
 		t.Run(test.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				ctx, cancel := context.WithCancel(t.Context())
-				h := newHistory(ctx)
-				test.play(h)
-				time.Sleep(time.Second)
-				violations := strings.Join(h.Violations(), "\n")
-				if (test.wantViolation == "" && violations != "") || !strings.Contains(violations, test.wantViolation) {
-					t.Errorf("found %q, not %q", violations, test.wantViolation)
-				}
-				cancel()
-				time.Sleep(time.Second) // all that is under way ends
-			})
+			synctest.Test(t, func(t *testing.T) { test.run(t) })
 		})
 	}
 }
+
+// run plays the history in synthetic time and compares the violations found.
+func (test checkerTest) run(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	h := newHistory(ctx)
+	test.play(h)
+	time.Sleep(time.Second)
+	violations := strings.Join(h.Violations(), "\n")
+	if (test.wantViolation == "" && violations != "") || !strings.Contains(violations, test.wantViolation) {
+		t.Errorf("found %q, not %q", violations, test.wantViolation)
+	}
+	cancel()
+	time.Sleep(time.Second) // the environment's goroutines end
+}
