--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -180,7 +180,7 @@
 
 // The checker finds each broken rule in a history that breaks it, and none in a history
 // that breaks none.
-func TestCheckerFindsViolations(t *testing.T) {
+func TestCheckerFindsBrokenRules(t *testing.T) {
 	for _, test := range slices.Concat(recordTests, dependencyTests, cancellationTests) {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { test.run(t) })
