--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -38,7 +38,7 @@
 			}
 		case protocol.TaskWaiting:
 			if age > m.env.Cfg.Workers.GangWaitS {
-				m.exit(task, "incomplete")
+				m.exit(task, exitGangIncomplete)
 			}
 		case protocol.TaskRunning:
 			m.advanceRunning(task, job, elapsedS)
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -20,6 +20,9 @@
 	maxDeprovisionCount = 100
 )
 
+// machineRunning is the state of a listed machine that is up.
+const machineRunning protocol.MachineState = "running"
+
 // cloud simulates the cloud's HTTP interface: it provisions machines within the capacity that a
 // test sets, removes them, and lists them late, as the protocol allows.
 type cloud struct {
@@ -163,7 +166,7 @@
 		}
 		phase := protocol.MachineStarting
 		if machine.up {
-			phase = "running"
+			phase = machineRunning
 		}
 		list.Machines = append(list.Machines, protocol.ListedMachine{ID: id, Addr: machine.addr, Type: machine.machineType.Name,
 			Zone: machine.zone, Spot: machine.spot, State: phase, AgeS: age})
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -6,6 +6,12 @@
 	"marblehaven/internal/protocol"
 )
 
+// Reasons for which the tasks of a gang exit.
+const (
+	exitGangIncomplete protocol.ExitReason = "incomplete" // the others did not start in time
+	exitGangPeerLost   protocol.ExitReason = "peers"      // another task of the gang was lost
+)
+
 // gang identifies one attempt of a gang job, all tasks of which run at the same time.
 type gang struct {
 	jobID   protocol.JobID
@@ -63,7 +69,7 @@
 		if task.state != protocol.TaskRunning {
 			continue
 		}
-		task.state, task.stateSince, task.exitReason = protocol.TaskExited, time.Now(), "peers"
+		task.state, task.stateSince, task.exitReason = protocol.TaskExited, time.Now(), exitGangPeerLost
 		if len(job.finished) > 0 {
 			job.finished[task.index], task.exitReason = true, protocol.ExitDone
 		}
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -62,10 +62,10 @@
 	status, jobStatus := e.ask(http.MethodPost, "/v1/jobs", JobMap(&job), 5*time.Second, 60*time.Second)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if status == 200 || status == 201 {
+	if status == http.StatusOK || status == http.StatusCreated {
 		registered.accepted = true
 		e.checkJobStatus(registered, before, jobStatus)
-	} else if before.accepted && (status == 400 || status == 422) {
+	} else if before.accepted && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity) {
 		e.addViolation("forgotten: %s submitted again gets %d", job.ID, status)
 	}
 	return status
@@ -85,11 +85,11 @@
 	defer e.mu.Unlock()
 	job = e.jobs[jobID]
 	switch {
-	case status == 200 && (job == nil || !job.submitted):
+	case status == http.StatusOK && (job == nil || !job.submitted):
 		e.addViolation("invented: %s", jobID)
-	case status == 404 && before.accepted:
+	case status == http.StatusNotFound && before.accepted:
 		e.addViolation("forgotten: %s gets 404", jobID)
-	case status == 200:
+	case status == http.StatusOK:
 		e.checkJobStatus(job, before, jobStatus)
 	}
 	return status, jobStatus
@@ -105,7 +105,7 @@
 	status, jobStatus := e.ask(http.MethodPost, "/v1/jobs/"+string(jobID)+"/withdraw", nil, 5*time.Second, 120*time.Second)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if status == 200 {
+	if status == http.StatusOK {
 		e.checkJobStatus(job, before, jobStatus)
 	}
 	return status, jobStatus
@@ -117,7 +117,7 @@
 	fields := JobMap(&job)
 	change(fields)
 	status, _ := e.ask(http.MethodPost, "/v1/jobs", fields, 5*time.Second, 60*time.Second)
-	answered := status > 0 && status < 500 && status != http.StatusTooManyRequests // otherwise the user would retry
+	answered := status > 0 && status < http.StatusInternalServerError && status != http.StatusTooManyRequests // otherwise the user would retry
 	if answered && status != want {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -149,7 +149,7 @@
 		status, err := httpclient.Call(ctx, &http.Client{Transport: w.Network.From(w.life, "users")}, method, "http://"+addr+path, in,
 			map[int]any{200: &st, 201: &st})
 		cancel()
-		if err == nil && status != 429 && status < 500 {
+		if err == nil && status != http.StatusTooManyRequests && status < http.StatusInternalServerError {
 			return status, st
 		}
 		if w.life.Err() != nil || time.Since(start) > total {
