--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -155,7 +155,7 @@
 	case before.doneConfirmed && jobStatus.Phase != protocol.PhaseDone, !before.cancelConfirmed.IsZero() && jobStatus.Phase != protocol.PhaseCancelled:
 		c.addViolation("went_back: %s is called %s", job.job.ID, jobStatus.Phase)
 	case jobStatus.Phase == protocol.PhaseCancelled && !job.cancelRequested:
-		if asked, _ := c.dependencyCancelled(job); !asked {
+		if requested, _ := c.dependencyCancelled(job); !requested {
 			c.addViolation("went_back: %s is called cancelled, its user did not ask", job.job.ID)
 		}
 	case jobStatus.Phase == protocol.PhaseDone && len(job.finished) < job.job.Tasks:
@@ -178,8 +178,8 @@
 func (c *checker) checkCancelledTask(machine *machineAgent, task *agentTask) {
 	job := c.env.jobs[task.jobID]
 	since := job.cancelConfirmed
-	if _, told := c.dependencyCancelled(job); since.IsZero() || (!told.IsZero() && told.Before(since)) {
-		since = told
+	if _, confirmedAt := c.dependencyCancelled(job); since.IsZero() || (!confirmedAt.IsZero() && confirmedAt.Before(since)) {
+		since = confirmedAt
 	}
 	if !since.IsZero() && time.Since(since).Seconds() > c.env.Cfg.Workers.CancelS && task.onMachine() {
 		c.addViolation("ran_cancelled: %s/%d on %s", task.jobID, task.index, machine.id)
