--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -29,8 +29,14 @@
 
 // NewNetwork makes a network without hosts.
 func NewNetwork(seed uint64) *Network {
-	return &Network{random: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]string{},
-		handlers: map[string]http.Handler{}, cuts: map[[2]string]*linkCut{}, inboundBlocked: map[string]*linkCut{}, outboundBlocked: map[string]bool{}}
+	return &Network{
+		random:          rand.New(rand.NewPCG(seed, 1)),
+		hosts:           map[string]string{},
+		handlers:        map[string]http.Handler{},
+		cuts:            map[[2]string]*linkCut{},
+		inboundBlocked:  map[string]*linkCut{},
+		outboundBlocked: map[string]bool{},
+	}
 }
 
 // Listen lets a handler answer at an address. With a nil handler the address refuses connections.
