--- /dev/null
+++ b/internal/fake/agent.go
@@ -0,0 +1,183 @@
+package fake
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"time"
+
+	"marblehaven/internal/protocol"
+)
+
+// agents holds the machines' agents and what tests set or count for all of them.
+type agents struct {
+	Step          time.Duration              // how often a machine advances its tasks
+	Uneven        float64                    // by which share each task of an array runs longer than the one before
+	OnDone        func(jobID protocol.JobID) // called when the last task of a job has completed
+	Saved         int                        // tasks that stopped with a checkpoint
+	LeaseExpiries int                        // leases that expired while the agent had tasks
+
+	machines map[string]*machineAgent
+}
+
+// defaultStep is fine enough for the times in the rules. A test with thousands of machines
+// may set a longer Environment.Step.
+const defaultStep = 50 * time.Millisecond
+
+// machineIdentity is what does not change from a machine's provisioning to its removal.
+type machineIdentity struct {
+	id            string
+	addr          string
+	machineType   protocol.MachineType
+	zone          string
+	spot          bool
+	provisionedAt time.Time
+}
+
+// agentIncarnation is an agent's state within its present incarnation. An incarnation ends,
+// with all its tasks, when the agent's lease expires or the machine reboots.
+type agentIncarnation struct {
+	incarnation      protocol.Incarnation
+	sequence         uint64
+	token            protocol.FencingToken
+	incarnationStart time.Time
+	leaseRenewed     time.Time // when the last answered heartbeat was sent
+}
+
+// machineAgent simulates one machine with its agent. It sends heartbeats to a controller,
+// carries out commands from the replies and from direct calls, and lets its tasks advance.
+type machineAgent struct {
+	machineIdentity
+	agentIncarnation
+	machineFaults
+
+	env           *Environment
+	up            bool
+	removed       bool
+	tasks         []*agentTask
+	imageCache    map[string]bool
+	statusChanged bool
+	nodeIndex     int
+}
+
+// newMachine makes a machine that starts up after its type's boot time. The caller holds the mutex.
+func (e *Environment) newMachine(typeName, zone string, spot bool) string {
+	id := fmt.Sprintf("m-%06d", e.nextID)
+	e.nextID++
+	machine := &machineAgent{
+		machineIdentity: machineIdentity{
+			id:            id,
+			addr:          id + ":9000",
+			machineType:   e.types[typeName],
+			zone:          zone,
+			spot:          spot,
+			provisionedAt: time.Now(),
+		},
+		env:        e,
+		imageCache: map[string]bool{},
+	}
+	e.machines[id] = machine
+	go machine.run()
+	return id
+}
+
+// run boots the machine and then advances its tasks, until it is removed or the test ends.
+func (m *machineAgent) run() {
+	time.Sleep(time.Duration(m.machineType.BootS * float64(time.Second)))
+	m.env.mu.Lock()
+	if m.removed {
+		m.env.mu.Unlock()
+		return
+	}
+	m.up, m.incarnation, m.incarnationStart = true, 1, time.Now()
+	m.env.mu.Unlock()
+	m.env.Network.Listen(m.id, m.addr, http.HandlerFunc(m.serveCommands))
+	go m.sendHeartbeats()
+	for {
+		time.Sleep(m.env.Step)
+		m.env.mu.Lock()
+		if m.isOver() {
+			m.env.mu.Unlock()
+			return
+		}
+		m.expireLease() // the lease of a hung machine expires all the same
+		if !m.hung {
+			m.advanceTasks(m.env.Step.Seconds())
+		}
+		m.env.mu.Unlock()
+	}
+}
+
+// isOver tells whether the machine was removed or the test has ended.
+func (m *machineAgent) isOver() bool { return m.removed || m.env.life.Err() != nil }
+
+// expireLease ends the incarnation if the agent's lease has expired: the tasks stop and the
+// next incarnation starts empty. The lease runs from the incarnation's start or from the last
+// heartbeat that was answered.
+func (m *machineAgent) expireLease() {
+	from := m.incarnationStart
+	if m.leaseRenewed.After(from) {
+		from = m.leaseRenewed
+	}
+	if time.Since(from).Seconds() > m.env.Cfg.Workers.LeaseS {
+		if len(m.tasks) > 0 {
+			m.env.LeaseExpiries++
+		}
+		m.tasks, m.incarnation, m.incarnationStart, m.statusChanged = nil, m.incarnation+1, time.Now(), true
+		m.env.updateGangs()
+	}
+}
+
+// setToken keeps the highest fencing token that the agent has received.
+func (m *machineAgent) setToken(token protocol.FencingToken) {
+	if token > m.token {
+		m.token, m.statusChanged = token, true
+	}
+}
+
+// Machines lists the IDs of the machines that are up, in order.
+func (e *Environment) Machines() []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	var out []string
+	for id, machine := range e.machines {
+		if machine.up {
+			out = append(out, id)
+		}
+	}
+	slices.Sort(out)
+	return out
+}
+
+// MachinesOf lists the machines that hold tasks of a job that have not exited, in order, once
+// for each task. Tasks whose image is still being fetched count.
+func (e *Environment) MachinesOf(jobID protocol.JobID) []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	var out []string
+	for id, machine := range e.machines {
+		for _, task := range machine.tasks {
+			if task.jobID == jobID && task.state != protocol.TaskExited {
+				out = append(out, id)
+			}
+		}
+	}
+	slices.Sort(out)
+	return out
+}
+
+// Zone returns a machine's zone, or "" for an unknown machine.
+func (e *Environment) Zone(id string) string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if machine := e.machines[id]; machine != nil {
+		return machine.zone
+	}
+	return ""
+}
+
+// markRemoved makes the machine's loops end at their next step.
+func (m *machineAgent) markRemoved() { m.removed = true }
+
+// markStatusChanged makes the next heartbeat due early.
+func (m *machineAgent) markStatusChanged() { m.statusChanged = true }
--- /dev/null
+++ b/internal/fake/agent_commands.go
@@ -0,0 +1,129 @@
+package fake
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"marblehaven/internal/codec"
+	"marblehaven/internal/protocol"
+)
+
+// serveCommands answers a controller's direct commands and status queries. A hung machine
+// answers when it goes on. Commands with an old fencing token or for another incarnation are
+// refused, so that a deposed leader cannot act.
+func (m *machineAgent) serveCommands(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	m.env.mu.Lock()
+	defer m.env.mu.Unlock()
+	m.awaitNotHung()
+	if m.removed {
+		writeReply(w, http.StatusBadGateway, nil)
+		return
+	}
+	if r.URL.Path == "/status" {
+		writeReply(w, http.StatusOK, m.heartbeat())
+		return
+	}
+	var request protocol.CommandRequest
+	if codec.Unmarshal(body, &request) != nil {
+		writeReply(w, http.StatusBadRequest, nil)
+		return
+	}
+	if request.Token < m.token || request.Incarnation != m.incarnation {
+		writeReply(w, http.StatusConflict, m.heartbeat())
+		return
+	}
+	m.setToken(request.Token)
+	m.executeCommands(request.Commands)
+	if m.nextCommandHang > 0 && len(request.Commands) > 0 {
+		m.hangBeforeAnswer()
+	}
+	writeReply(w, http.StatusOK, m.heartbeat())
+}
+
+// hangBeforeAnswer makes the machine hang once, with the commands carried out and the answer
+// not yet sent. It releases the mutex meanwhile.
+func (m *machineAgent) hangBeforeAnswer() {
+	hang := m.nextCommandHang
+	m.nextCommandHang, m.hung = 0, true
+	m.env.mu.Unlock()
+	time.Sleep(hang)
+	m.env.mu.Lock()
+	m.hung = false
+}
+
+// executeCommands carries out commands in their order. Every command is idempotent: a start of
+// a known attempt, and a stop or release of an unknown one, has no effect.
+func (m *machineAgent) executeCommands(commands []protocol.Command) {
+	for _, command := range commands {
+		jobID, index := parseTaskName(command.Task)
+		addressed := m.findAttempt(jobID, index, command.Attempt)
+		switch command.Verb {
+		case protocol.VerbStart:
+			if addressed == nil {
+				m.startTask(jobID, index, command.Attempt)
+			}
+		case protocol.VerbStop:
+			if addressed != nil && addressed.state != protocol.TaskExited {
+				m.stopTask(addressed, command.GracePeriodS)
+			}
+		case protocol.VerbRelease:
+			m.releaseTask(addressed)
+		}
+	}
+}
+
+// stopTask stops a task. A running task saves a checkpoint first if its job has them and the
+// grace period is long enough. A task that is saving already goes on unless the grace period
+// is zero.
+func (m *machineAgent) stopTask(task *agentTask, gracePeriodS float64) {
+	spec := &m.env.jobs[task.jobID].job
+	savesCheckpoint := task.state == protocol.TaskRunning && spec.CheckpointIntervalS > 0 && gracePeriodS >= spec.CheckpointSaveS
+	switch {
+	case savesCheckpoint:
+		m.setState(task, protocol.TaskSaving)
+	case task.state != protocol.TaskSaving || gracePeriodS == 0:
+		m.exit(task, protocol.ExitStopped)
+	}
+}
+
+// releaseTask forgets a task that has exited, once the controller has recorded its exit.
+func (m *machineAgent) releaseTask(released *agentTask) {
+	for i, task := range m.tasks {
+		if task == released && task.state == protocol.TaskExited {
+			m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
+			m.statusChanged = true
+			return
+		}
+	}
+}
+
+// startTask adds a task that fetches its image, or one that has exited at once with the
+// reason for which it cannot start.
+func (m *machineAgent) startTask(jobID protocol.JobID, index int, attempt uint64) {
+	task := &agentTask{jobID: jobID, index: index, attempt: attempt, state: protocol.TaskExited, stateSince: time.Now()}
+	m.statusChanged = true
+	job := m.env.jobs[jobID]
+	existing := m.findTask(jobID, index)
+	switch {
+	case job == nil:
+		task.exitReason = protocol.ExitUnknownTask
+	case existing != nil && existing.state != protocol.TaskExited:
+		task.exitReason = protocol.ExitDuplicate
+	case !m.hasCapacityFor(&job.job):
+		task.exitReason = protocol.ExitNoCapacity
+	default:
+		task.state = protocol.TaskFetching
+	}
+	m.tasks = append(m.tasks, task)
+}
+
+// parseTaskName splits a task's name, the job ID and the index with a slash between them.
+func parseTaskName(name string) (protocol.JobID, int) {
+	jobID, index, _ := strings.Cut(name, "/")
+	number, _ := strconv.Atoi(index)
+	return protocol.JobID(jobID), number
+}
--- /dev/null
+++ b/internal/fake/agent_heartbeat.go
@@ -0,0 +1,139 @@
+package fake
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+
+	"marblehaven/internal/httpclient"
+	"marblehaven/internal/protocol"
+)
+
+// heartbeat makes the agent's next heartbeat, with the next sequence number of the incarnation.
+func (m *machineAgent) heartbeat() protocol.Heartbeat {
+	m.sequence++
+	heartbeat := protocol.Heartbeat{Machine: m.id, Addr: m.addr, MachineType: m.machineType.Name, Zone: m.zone, Spot: m.spot, Incarnation: m.incarnation,
+		Sequence: m.sequence, Token: m.token, Tasks: []protocol.TaskStatus{}}
+	if !m.preemptionAt.IsZero() {
+		remainingS := time.Until(m.preemptionAt).Seconds()
+		heartbeat.PreemptionNoticeS = &remainingS
+	}
+	for _, task := range m.tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: fmt.Sprintf("%s/%d", task.jobID, task.index), Attempt: task.attempt,
+			State: task.state, ExitReason: task.exitReason, Checkpointed: task.checkpointed})
+	}
+	return heartbeat
+}
+
+// sendHeartbeats sends heartbeats to one node after another until the leader answers, and
+// then to the leader. The lease is renewed as of the time when the answered heartbeat was
+// sent, which is before the controller received it. So it expires at the agent first.
+func (m *machineAgent) sendHeartbeats() {
+	hc := &http.Client{Transport: m.env.Network.From(m.env.life, m.id)}
+	lastSent := longAgo()
+	for {
+		time.Sleep(2 * m.env.Step)
+		m.env.mu.Lock()
+		if m.isOver() {
+			m.env.mu.Unlock()
+			return
+		}
+		if !m.heartbeatDue(lastSent) {
+			m.env.mu.Unlock()
+			continue
+		}
+		m.statusChanged = false
+		msg := m.heartbeat()
+		addr := m.env.Nodes[m.nodeIndex%len(m.env.Nodes)]
+		m.env.mu.Unlock()
+		lastSent = time.Now()
+		answer := m.postHeartbeat(hc, addr, msg)
+		m.env.mu.Lock()
+		m.awaitNotHung() // a hung machine takes the answer when it goes on
+		if answer.accepted && time.Since(lastSent) <= heartbeatTimeout {
+			m.applyReply(&answer.reply, msg.Incarnation, lastSent)
+			m.env.mu.Unlock()
+			continue
+		}
+		leaderIndex := m.indexOfLeader(answer.redirect.Leader, addr)
+		m.env.mu.Unlock()
+		m.selectNode(leaderIndex)
+		lastSent = longAgo()
+	}
+}
+
+const (
+	// heartbeatTimeout is how long an agent waits for the answer to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// minHeartbeatInterval is the least time between heartbeats after a change of the tasks.
+	minHeartbeatInterval = 500 * time.Millisecond
+	// nodeRetryInterval is the pause before an agent asks the next node.
+	nodeRetryInterval = time.Second
+)
+
+// longAgo returns a time since which a heartbeat is due in any case.
+func longAgo() time.Time { return time.Now().Add(-time.Hour) }
+
+// heartbeatDue tells whether the next heartbeat is due: after the usual interval, and earlier
+// after a change of the tasks.
+func (m *machineAgent) heartbeatDue(lastSent time.Time) bool {
+	if m.hung || len(m.env.Nodes) == 0 {
+		return false
+	}
+	if time.Since(lastSent).Seconds() >= m.env.Cfg.Workers.ReportS {
+		return true
+	}
+	return m.statusChanged && time.Since(lastSent) >= minHeartbeatInterval
+}
+
+// heartbeatAnswer is what a node answered to a heartbeat, or that it did not answer.
+type heartbeatAnswer struct {
+	accepted bool
+	reply    protocol.HeartbeatReply // if accepted
+	redirect protocol.Redirect       // names the leader, if the node knows of one
+}
+
+// postHeartbeat sends a heartbeat to a node and waits for the answer.
+func (m *machineAgent) postHeartbeat(hc *http.Client, addr string, msg protocol.Heartbeat) heartbeatAnswer {
+	ctx, cancel := context.WithTimeout(m.env.life, heartbeatTimeout)
+	defer cancel()
+	var reply protocol.HeartbeatReply
+	var redirect protocol.Redirect
+	status, err := httpclient.Call(ctx, hc, http.MethodPost, "http://"+addr+"/hello", msg, map[int]any{200: &reply, 421: &redirect})
+	return heartbeatAnswer{status == http.StatusOK && err == nil, reply, redirect}
+}
+
+// applyReply renews the lease and carries out the commands of a reply. It ignores replies
+// with an old fencing token and replies to an earlier incarnation.
+func (m *machineAgent) applyReply(reply *protocol.HeartbeatReply, incarnation protocol.Incarnation, sent time.Time) {
+	if reply.Token < m.token || incarnation != m.incarnation || m.removed {
+		return
+	}
+	m.leaseRenewed = sent
+	m.setToken(reply.Token)
+	m.executeCommands(reply.Commands)
+}
+
+// indexOfLeader returns the index of the leader's node that a redirect names, or -1 if there
+// is no redirect or it names the node that was asked.
+func (m *machineAgent) indexOfLeader(leader, askedAddr string) int {
+	index := -1
+	for i, addr := range m.env.Nodes {
+		if leader != "" && m.env.nodeAddrs[leader] == addr && addr != askedAddr {
+			index = i
+		}
+	}
+	return index
+}
+
+// selectNode picks the node for the next heartbeat: the leader's if it is known, otherwise the
+// next one after a pause.
+func (m *machineAgent) selectNode(leaderIndex int) {
+	if leaderIndex >= 0 {
+		m.nodeIndex = leaderIndex
+		return
+	}
+	m.nodeIndex++
+	time.Sleep(nodeRetryInterval)
+}
--- /dev/null
+++ b/internal/fake/checker_dependencies.go
@@ -0,0 +1,82 @@
+package fake
+
+import (
+	"time"
+
+	"marblehaven/internal/protocol"
+)
+
+// dependenciesOf lists the direct and indirect dependencies of a job.
+func (c *checker) dependenciesOf(job *userJob) []*userJob {
+	var dependencies []*userJob
+	seen := map[protocol.JobID]bool{}
+	remaining := job.job.DependsOn
+	for len(remaining) > 0 {
+		jobID := remaining[0]
+		remaining = remaining[1:]
+		if dependency := c.env.jobs[jobID]; dependency != nil && !seen[jobID] {
+			seen[jobID] = true
+			dependencies = append(dependencies, dependency)
+			remaining = append(remaining, dependency.job.DependsOn...)
+		}
+	}
+	return dependencies
+}
+
+// MayFinish tells whether no user has requested to cancel the job or a dependency of it.
+func (c *checker) MayFinish(jobID protocol.JobID) bool {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	requested, _ := c.dependencyCancelled(c.env.jobs[jobID])
+	return !requested && !c.env.jobs[jobID].cancelRequested
+}
+
+// dependenciesDone tells whether a job may start as far as its dependencies are concerned. A
+// dependency that was confirmed as cancelled at its user's request is never done, even if all
+// its tasks are complete.
+func (c *checker) dependenciesDone(job *userJob) bool {
+	for _, dependency := range c.dependenciesOf(job) {
+		if !dependency.complete() || !dependency.ownCancelConfirmed.IsZero() {
+			return false
+		}
+	}
+	return true
+}
+
+// isStartable tells whether a job may start and no cancellation can still prevent it. A
+// dependency may be cancelled after its last task has completed but before that is recorded.
+func (c *checker) isStartable(job *userJob) bool {
+	for _, dependency := range c.dependenciesOf(job) {
+		if dependency.cancelRequested && !dependency.doneConfirmed {
+			return false
+		}
+	}
+	return !job.cancelRequested && c.dependenciesDone(job)
+}
+
+// dependencyCancelled tells whether a user has requested to cancel a dependency of the job, and
+// when the first such cancellation was confirmed, or zero if none was.
+func (c *checker) dependencyCancelled(job *userJob) (requested bool, confirmedAt time.Time) {
+	for _, dependency := range c.dependenciesOf(job) {
+		requested = requested || dependency.cancelRequested
+		if cancelledAt := dependency.ownCancelConfirmed; !cancelledAt.IsZero() && (confirmedAt.IsZero() || cancelledAt.Before(confirmedAt)) {
+			confirmedAt = cancelledAt
+		}
+	}
+	return requested, confirmedAt
+}
+
+// checkDependentStatus guards that a job is no longer called queued or running when enough time
+// has passed since a dependency of it was confirmed as cancelled.
+func (c *checker) checkDependentStatus(job *userJob, phase protocol.JobPhase) {
+	if phase != protocol.PhaseQueued && phase != protocol.PhaseRunning {
+		return
+	}
+	_, confirmedAt := c.dependencyCancelled(job)
+	if confirmedAt.IsZero() {
+		return
+	}
+	if late := time.Since(confirmedAt); late.Seconds() > c.env.Cfg.Workers.CancelS {
+		c.addViolation("orphaned: %s is called %s %v after a job that it needs was cancelled", job.job.ID, phase, late)
+	}
+}
--- /dev/null
+++ b/internal/fake/environment.go
@@ -0,0 +1,63 @@
+package fake
+
+import (
+	"context"
+	"net/http"
+	"sync"
+
+	"marblehaven/internal/config"
+	"marblehaven/internal/protocol"
+)
+
+// Environment is everything outside the controllers: the network, the key-value store, the
+// cloud, the agents and the users, together with the checker of the rules. One mutex guards
+// all of it but the network and the store, which have their own.
+type Environment struct {
+	Network *Network
+	Store   *Store
+	Cfg     config.Deployment
+	agents
+	*cloud
+	*workloadClient
+	*checker
+
+	life      context.Context
+	mu        sync.Mutex
+	jobs      map[protocol.JobID]*userJob
+	nodeAddrs map[string]string // by node name
+}
+
+// NewEnvironment makes an environment without machines and jobs and lets it serve the store
+// and the cloud on the network. The environment ends with ctx.
+func NewEnvironment(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *Environment {
+	e := &Environment{
+		Network:        net,
+		Store:          NewStore(),
+		Cfg:            cfg,
+		agents:         agents{machines: map[string]*machineAgent{}, Step: defaultStep},
+		workloadClient: &workloadClient{Network: net, life: ctx},
+		life:           ctx,
+		jobs:           map[protocol.JobID]*userJob{},
+		nodeAddrs:      map[string]string{},
+	}
+	e.cloud = newCloud(e, types)
+	e.checker = &checker{env: e, records: newRunRecordReader(e.Store)}
+	e.Store.MaxOps, e.Store.MaxValue = cfg.State.TxnOps, int(cfg.State.ValueKB*1024)
+	net.Listen("state", "state:1", e.Store)
+	net.Listen("cloud", "cloud:1", http.HandlerFunc(e.serveCloud))
+	go e.checkPeriodically(ctx)
+	return e
+}
+
+// AddNode makes a controller node known to users and agents, under its name and the address
+// of its users' and agents' HTTP.
+func (e *Environment) AddNode(name, addr string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.Nodes = append(e.Nodes, addr)
+	e.nodeAddrs[name] = addr
+}
+
+// Random draws the next number between 0 and 1 from the network's seeded sequence. Tests that
+// draw from it take part in that sequence, so an extra draw changes every later message.
+func (e *Environment) Random() float64 { return e.Network.randomFloat() }
--- /dev/null
+++ b/internal/fake/network_transport.go
@@ -0,0 +1,124 @@
+package fake
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"time"
+)
+
+// From returns the HTTP transport of a host. The host stops sending when life ends, but a
+// request that was sent before arrives all the same.
+func (n *Network) From(life context.Context, host string) http.RoundTripper {
+	return transport{n, life, host}
+}
+
+// transport sends the HTTP requests of one host over the network.
+type transport struct {
+	network *Network
+	life    context.Context
+	host    string
+}
+
+// roundTripResult is the outcome of one request.
+type roundTripResult struct {
+	response *http.Response
+	err      error
+}
+
+// RoundTrip implements http.RoundTripper. If the caller gives up, the request is delivered
+// all the same, which is what makes the outcome of a request unknown.
+func (t transport) RoundTrip(req *http.Request) (*http.Response, error) {
+	if t.life.Err() != nil {
+		return nil, t.life.Err()
+	}
+	var body []byte
+	if req.Body != nil {
+		body, _ = io.ReadAll(req.Body)
+		req.Body.Close()
+	}
+	to, err := t.connect(req.URL.Host)
+	if err != nil {
+		return nil, err
+	}
+	done := make(chan roundTripResult, 1)
+	go func() { done <- t.exchange(req, body, to) }()
+	select {
+	case result := <-done:
+		return result.response, result.err
+	case <-req.Context().Done():
+		return nil, req.Context().Err()
+	case <-t.life.Done():
+		return nil, t.life.Err()
+	}
+}
+
+// connect returns the host at an address, if this host can open connections.
+func (t transport) connect(addr string) (host string, err error) {
+	t.network.mu.Lock()
+	defer t.network.mu.Unlock()
+	host, known := t.network.hosts[addr]
+	switch {
+	case !known:
+		return "", errors.New("no such host")
+	case t.network.outboundBlocked[t.host]:
+		return "", errors.New("no connection")
+	}
+	return host, nil
+}
+
+// exchange delivers a request, lets the handler carry it out, and delivers the answer.
+func (t transport) exchange(req *http.Request, body []byte, to string) roundTripResult {
+	if err := t.network.awaitDelivery(t.host, to); err != nil {
+		return roundTripResult{nil, err}
+	}
+	handler, duplicated, maxDelay := t.network.receive(req)
+	if handler == nil {
+		return roundTripResult{nil, errors.New("connection refused")}
+	}
+	recorder := t.network.serve(handler, req, body, t.host)
+	if duplicated && recorder.Code == http.StatusOK { // only a request that was carried out is repeated
+		go t.deliverDuplicate(req, body, maxDelay)
+	}
+	if err := t.network.awaitDelivery(to, t.host); err != nil {
+		return roundTripResult{nil, err}
+	}
+	return roundTripResult{recorder.Result(), nil}
+}
+
+// duplicateProbability is the probability that a request on a path in Repeat arrives twice.
+const duplicateProbability = 0.2
+
+// receive returns the handler of a request, and decides whether the request will arrive a
+// second time and how much later at most. The random number is drawn even without a handler,
+// which keeps the sequence of fixed seeds.
+func (n *Network) receive(req *http.Request) (handler http.Handler, duplicated bool, maxDelay time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	maxDelay, repeatable := n.Repeat[req.URL.Path]
+	duplicated = repeatable && n.random.Float64() < duplicateProbability
+	return n.handlers[req.URL.Host], duplicated, maxDelay
+}
+
+// deliverDuplicate delivers a request a second time, to the handler that listens by then.
+func (t transport) deliverDuplicate(req *http.Request, body []byte, maxDelay time.Duration) {
+	time.Sleep(time.Duration(t.network.randomFloat() * float64(maxDelay)))
+	t.network.mu.Lock()
+	handler := t.network.handlers[req.URL.Host] // a new process may listen by now
+	t.network.mu.Unlock()
+	if handler != nil {
+		t.network.serve(handler, req, body, t.host)
+	}
+}
+
+// serve lets a handler answer a request that has arrived from a host.
+func (n *Network) serve(handler http.Handler, request *http.Request, body []byte, from string) *httptest.ResponseRecorder {
+	delivered := httptest.NewRequest(request.Method, request.URL.String(), bytes.NewReader(body))
+	delivered.RemoteAddr = from
+	recorder := httptest.NewRecorder()
+	handler.ServeHTTP(recorder, delivered)
+	return recorder
+}
