--- a/internal/peer/exchange.go
+++ b/internal/peer/exchange.go
@@ -8,49 +8,50 @@
 	"marblehaven/internal/tuning"
 )
 
-// statusAnswer is what a peer last answered. Its status was made between the two times.
-type statusAnswer struct {
-	asked, answered time.Time
-	status          Status
+// exchange is the last successful exchange of statuses with a peer. The peer made its
+// status at some moment between the two times.
+type exchange struct {
+	askedAt, answeredAt time.Time
+	status              Status
 }
 
 // Run exchanges statuses with all peers until ctx ends.
 func (g *Group) Run(ctx context.Context) {
 	for _, link := range g.links {
 		go func() {
-			t := time.NewTicker(tuning.PeerExchangeInterval)
-			defer t.Stop()
+			ticker := time.NewTicker(tuning.PeerExchangeInterval)
+			defer ticker.Stop()
 			for {
 				g.exchangeStatus(ctx, link, false)
 				select {
 				case <-ctx.Done():
 					return
-				case <-t.C:
+				case <-ticker.C:
 				}
 			}
 		}()
 	}
 }
 
-func (g *Group) exchangeStatus(ctx context.Context, link *peerLink, summary bool) (Status, bool) {
+func (g *Group) exchangeStatus(ctx context.Context, link *peerLink, withSummary bool) (Status, bool) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerTimeout)
 	defer cancel()
-	a := statusAnswer{asked: time.Now()}
-	req := &StatusRequest{Leader: g.local.Status(&StatusRequest{}).Leader, Summary: summary, Acknowledged: g.local.IsLeader()}
-	err := link.conn.Invoke(ctx, "/"+service+"/Status", req, &a.status)
+	current := exchange{askedAt: time.Now()}
+	request := &StatusRequest{Leader: g.local.Status(&StatusRequest{}).Leader, Summary: withSummary, Acknowledged: g.local.IsLeader()}
+	err := link.conn.Invoke(ctx, "/"+serviceName+"/Status", request, &current.status)
 	if err != nil {
 		g.log.Debug("peer silent", "peer", link.name, "err", err)
 		return Status{}, false
 	}
-	a.answered = time.Now()
-	g.local.ObserveTerm(a.status.Leader)
+	current.answeredAt = time.Now()
+	g.local.ObserveTerm(current.status.Leader)
 	g.mu.Lock()
-	link.last = a
-	if a.answered.Sub(link.markAt) >= tuning.PeerWindow {
-		link.before, link.redirected, link.markAt = link.redirected, a.status.Redirected, a.answered
+	link.last = current
+	if current.answeredAt.Sub(link.markedAt) >= tuning.PeerWindow {
+		link.earlierCount, link.latestCount, link.markedAt = link.latestCount, current.status.Redirected, current.answeredAt
 	}
 	g.mu.Unlock()
-	return a.status, true
+	return current.status, true
 }
 
 // Acknowledged returns the jobs that the peers have told users are cancelled, and
@@ -63,13 +64,13 @@
 	for _, link := range g.links {
 		// The peer reckoned CompleteMS before it answered, so this is too late
 		// rather than too early.
-		complete := link.last.answered.Add(-time.Duration(link.last.status.CompleteMS) * time.Millisecond)
-		if link.last.asked.IsZero() || !complete.Before(since) {
+		complete := link.last.answeredAt.Add(-time.Duration(link.last.status.CompleteMS) * time.Millisecond)
+		if link.last.askedAt.IsZero() || !complete.Before(since) {
 			return time.Time{}, nil, false
 		}
 		jobIDs = append(jobIDs, link.last.status.Acknowledged...)
-		if asOf.IsZero() || link.last.asked.Before(asOf) {
-			asOf = link.last.asked
+		if asOf.IsZero() || link.last.askedAt.Before(asOf) {
+			asOf = link.last.askedAt
 		}
 	}
 	return asOf, jobIDs, true
@@ -80,25 +81,25 @@
 func (g *Group) Redirected() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	n := uint64(0)
+	total := uint64(0)
 	for _, link := range g.links {
-		switch t := link.last.status.Redirected; {
-		case time.Since(link.last.answered) > tuning.PeerFresh:
-		case t < link.before: // a new process
-			n += t
+		switch counter := link.last.status.Redirected; {
+		case time.Since(link.last.answeredAt) > tuning.PeerFresh:
+		case counter < link.earlierCount: // a new process
+			total += counter
 		default:
-			n += t - link.before
+			total += counter - link.earlierCount
 		}
 	}
-	return int(n)
+	return int(total)
 }
 
 // Summary fetches the leader's summary.
 func (g *Group) Summary(ctx context.Context, node string) []byte {
 	for _, link := range g.links {
 		if link.name == node {
-			s, _ := g.exchangeStatus(ctx, link, true)
-			return s.Summary
+			status, _ := g.exchangeStatus(ctx, link, true)
+			return status.Summary
 		}
 	}
 	return nil
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -9,17 +9,17 @@
 
 // StoreServedAfter tells whether the state service has served some peer after the
 // given time, and lately.
-func (g *Group) StoreServedAfter(t time.Time) bool {
-	_, ok := g.servedAfter(t)
+func (g *Group) StoreServedAfter(after time.Time) bool {
+	_, ok := g.linkServedAfter(after)
 	return ok
 }
 
-func (g *Group) servedAfter(t time.Time) (*peerLink, bool) {
+func (g *Group) linkServedAfter(after time.Time) (*peerLink, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, link := range g.links {
-		at := link.last.answered.Add(-time.Duration(link.last.status.StateMS) * time.Millisecond)
-		if !link.last.asked.IsZero() && at.After(t) && time.Since(at) < tuning.PeerFresh {
+		servedAt := link.last.answeredAt.Add(-time.Duration(link.last.status.StateMS) * time.Millisecond)
+		if !link.last.askedAt.IsZero() && servedAt.After(after) && time.Since(servedAt) < tuning.PeerFresh {
 			return link, true
 		}
 	}
@@ -27,16 +27,16 @@
 }
 
 // Forward passes a user's call to a peer that the state service serves.
-func (g *Group) Forward(ctx context.Context, c *UserCall) (*UserAnswer, bool) {
-	link, ok := g.servedAfter(time.Time{})
+func (g *Group) Forward(ctx context.Context, call *UserCall) (*UserAnswer, bool) {
+	link, ok := g.linkServedAfter(time.Time{})
 	if !ok {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.ForwardTimeout)
 	defer cancel()
-	a := new(UserAnswer)
-	if err := link.conn.Invoke(ctx, "/"+service+"/UserCall", c, a); err != nil {
+	answer := new(UserAnswer)
+	if err := link.conn.Invoke(ctx, "/"+serviceName+"/UserCall", call, answer); err != nil {
 		return nil, false
 	}
-	return a, true
+	return answer, true
 }
--- a/internal/peer/group.go
+++ b/internal/peer/group.go
@@ -16,10 +16,10 @@
 type peerLink struct {
 	name string
 	conn grpc.ClientConnInterface
-	last statusAnswer
-	// What Redirected was at the two latest times that lie PeerWindow apart.
-	redirected, before uint64
-	markAt             time.Time
+	last exchange
+	// What the counter of redirected heartbeats was at the two latest times that lie PeerWindow apart.
+	latestCount, earlierCount uint64
+	markedAt                  time.Time
 }
 
 // Group is a node's view of its peers. It is safe for concurrent use.
@@ -32,33 +32,33 @@
 
 // Dial prepares a connection to a peer; it is made when used.
 func Dial(p config.Peer) (grpc.ClientConnInterface, error) {
-	bo := backoff.Config{BaseDelay: tuning.PeerRedial, Multiplier: 1.5, MaxDelay: tuning.PeerExchangeInterval}
+	redial := backoff.Config{BaseDelay: tuning.PeerRedial, Multiplier: 1.5, MaxDelay: tuning.PeerExchangeInterval}
 	return grpc.NewClient("passthrough:///"+p.Address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.ForceCodec(messageCodec{})),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: bo, MinConnectTimeout: tuning.PeerTimeout}),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: redial, MinConnectTimeout: tuning.PeerTimeout}),
 		grpc.WithNoProxy(), grpc.WithDisableServiceConfig())
 }
 
 // NewGroup makes the view of the peers over connections from dial.
 func NewGroup(peers []config.Peer, dial func(config.Peer) (grpc.ClientConnInterface, error), local LocalNode, log *slog.Logger) (*Group, error) {
-	g := &Group{local: local, log: log}
+	group := &Group{local: local, log: log}
 	for _, p := range peers {
 		conn, err := dial(p)
 		if err != nil {
 			return nil, err
 		}
-		g.links = append(g.links, &peerLink{name: p.Node, conn: conn})
+		group.links = append(group.links, &peerLink{name: p.Node, conn: conn})
 	}
-	return g, nil
+	return group, nil
 }
 
 // Unreachable tells whether there are peers and none has answered for so long.
-func (g *Group) Unreachable(d time.Duration) bool {
+func (g *Group) Unreachable(silence time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, link := range g.links {
-		if time.Since(link.last.answered) < d {
+		if time.Since(link.last.answeredAt) < silence {
 			return false
 		}
 	}
--- a/internal/peer/protocol.go
+++ b/internal/peer/protocol.go
@@ -74,28 +74,28 @@
 func (messageCodec) Unmarshal(data []byte, v any) error { return codec.Unmarshal(data, v) }
 func (messageCodec) Name() string                       { return "msgpack" }
 
-const service = "marblehaven.Peer"
+const serviceName = "marblehaven.Peer"
 
 // Service describes the calls between peers.
 var Service = grpc.ServiceDesc{
-	ServiceName: service,
+	ServiceName: serviceName,
 	HandlerType: (*LocalNode)(nil),
 	Methods: []grpc.MethodDesc{
-		unary("Status", func(l LocalNode, _ context.Context, r *StatusRequest) *Status {
-			l.ObserveTerm(r.Leader)
-			s := l.Status(r)
-			return &s
+		unaryMethod("Status", func(node LocalNode, _ context.Context, request *StatusRequest) *Status {
+			node.ObserveTerm(request.Leader)
+			status := node.Status(request)
+			return &status
 		}),
-		unary("UserCall", func(l LocalNode, ctx context.Context, c *UserCall) *UserAnswer { return l.UserCall(ctx, c) }),
+		unaryMethod("UserCall", func(node LocalNode, ctx context.Context, call *UserCall) *UserAnswer { return node.UserCall(ctx, call) }),
 	},
 }
 
-func unary[Req, Resp any](name string, f func(LocalNode, context.Context, *Req) *Resp) grpc.MethodDesc {
-	return grpc.MethodDesc{MethodName: name, Handler: func(srv any, ctx context.Context, dec func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
-		in := new(Req)
-		if err := dec(in); err != nil {
+func unaryMethod[Request, Response any](name string, answer func(LocalNode, context.Context, *Request) *Response) grpc.MethodDesc {
+	return grpc.MethodDesc{MethodName: name, Handler: func(node any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
+		request := new(Request)
+		if err := decode(request); err != nil {
 			return nil, err
 		}
-		return f(srv.(LocalNode), ctx, in), nil
+		return answer(node.(LocalNode), ctx, request), nil
 	}}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -10,12 +10,12 @@
 )
 
 // Serve answers peers on the listener until ctx ends.
-func Serve(ctx context.Context, ln net.Listener, local LocalNode) error {
-	s := grpc.NewServer(grpc.ForceServerCodec(messageCodec{}), grpc.MaxRecvMsgSize(2*tuning.MaxBody))
-	s.RegisterService(&Service, local)
+func Serve(ctx context.Context, listener net.Listener, local LocalNode) error {
+	server := grpc.NewServer(grpc.ForceServerCodec(messageCodec{}), grpc.MaxRecvMsgSize(2*tuning.MaxBody))
+	server.RegisterService(&Service, local)
 	go func() {
 		<-ctx.Done()
-		s.Stop()
+		server.Stop()
 	}()
-	return s.Serve(ln)
+	return server.Serve(listener)
 }
