--- a/internal/peer/exchange.go
+++ b/internal/peer/exchange.go
@@ -8,64 +8,110 @@
 	"marblehaven/internal/tuning"
 )
 
-// exchange is the last successful exchange of statuses with a peer. The peer made its
-// status at some moment between the two times.
+// exchange is a successful exchange of statuses with a peer. The peer made its status
+// at some moment between the two times. Both are zero before the first exchange.
 type exchange struct {
-	askedAt, answeredAt time.Time
-	status              Status
+	askedAt    time.Time
+	answeredAt time.Time
+	status     Status
 }
 
-// Run exchanges statuses with all peers until ctx ends.
+// completed tells whether there was an exchange at all.
+func (e *exchange) completed() bool { return !e.askedAt.IsZero() }
+
+// storeServedAt is when the key-value store last served the peer.
+func (e *exchange) storeServedAt() time.Time {
+	return e.answeredAt.Add(-milliseconds(e.status.StateMS))
+}
+
+// acknowledgedCompleteSince is the moment since which the peer's list of acknowledged
+// cancellations is complete. The peer measured CompleteMS before it answered, so the
+// result is too late rather than too early.
+func (e *exchange) acknowledgedCompleteSince() time.Time {
+	return e.answeredAt.Add(-milliseconds(e.status.CompleteMS))
+}
+
+func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
+
+// redirectWindow holds a peer's counter of redirected heartbeats at the two latest
+// marks, which lie at least tuning.PeerWindow apart.
+type redirectWindow struct {
+	earlier  uint64
+	latest   uint64
+	markedAt time.Time
+}
+
+// observe sets a new mark if the latest one is old enough.
+func (w *redirectWindow) observe(counter uint64, at time.Time) {
+	if at.Sub(w.markedAt) < tuning.PeerWindow {
+		return
+	}
+	w.earlier, w.latest, w.markedAt = w.latest, counter, at
+}
+
+// count returns the heartbeats redirected since the earlier mark. A counter below the
+// mark is that of a restarted process.
+func (w *redirectWindow) count(counter uint64) uint64 {
+	if counter < w.earlier {
+		return counter
+	}
+	return counter - w.earlier
+}
+
+// Run exchanges statuses with all peers until the context ends.
 func (g *Group) Run(ctx context.Context) {
 	for _, link := range g.links {
-		go func() {
-			ticker := time.NewTicker(tuning.PeerExchangeInterval)
-			defer ticker.Stop()
-			for {
-				g.exchangeStatus(ctx, link, false)
-				select {
-				case <-ctx.Done():
-					return
-				case <-ticker.C:
-				}
-			}
-		}()
+		go g.exchangePeriodically(ctx, link)
+	}
+}
+
+func (g *Group) exchangePeriodically(ctx context.Context, link *peerLink) {
+	ticker := time.NewTicker(tuning.PeerExchangeInterval)
+	defer ticker.Stop()
+	for {
+		g.exchangeStatus(ctx, link, false)
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
 	}
 }
 
+// exchangeStatus asks a peer for its status and names the leader known here.
 func (g *Group) exchangeStatus(ctx context.Context, link *peerLink, withSummary bool) (Status, bool) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerTimeout)
 	defer cancel()
 	current := exchange{askedAt: time.Now()}
-	request := &StatusRequest{Leader: g.local.Status(&StatusRequest{}).Leader, Summary: withSummary, Acknowledged: g.local.IsLeader()}
-	err := link.conn.Invoke(ctx, "/"+serviceName+"/Status", request, &current.status)
+	request := &StatusRequest{
+		Leader:       g.local.Status(&StatusRequest{}).Leader,
+		Summary:      withSummary,
+		Acknowledged: g.local.IsLeader(),
+	}
+	err := link.conn.Invoke(ctx, methodPath(methodStatus), request, &current.status)
 	if err != nil {
-		g.log.Debug("peer silent", "peer", link.name, "err", err)
+		g.log.Debug("status exchange with a peer failed, its last status is kept", "peer", link.name, "err", err)
 		return Status{}, false
 	}
 	current.answeredAt = time.Now()
 	g.local.ObserveTerm(current.status.Leader)
 	g.mu.Lock()
 	link.last = current
-	if current.answeredAt.Sub(link.markedAt) >= tuning.PeerWindow {
-		link.earlierCount, link.latestCount, link.markedAt = link.latestCount, current.status.Redirected, current.answeredAt
-	}
+	link.redirected.observe(current.status.Redirected, current.answeredAt)
 	g.mu.Unlock()
 	return current.status, true
 }
 
-// Acknowledged returns the jobs that the peers have told users are cancelled, and
-// the latest time up to which none of those told after since is missing; it is
-// zero without peers. A peer that restarted after since, or has told users of
-// more jobs than it names, cannot say, nor can one that has not been asked.
+// Acknowledged returns the jobs whose cancellation the peers have acknowledged to
+// users, and the time up to which the list is complete for acknowledgments after
+// since. The time is zero without peers. The result is not ok if some peer cannot
+// vouch for that: it has restarted after since, has acknowledged more cancellations
+// than it keeps, or has not been asked yet.
 func (g *Group) Acknowledged(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, link := range g.links {
-		// The peer reckoned CompleteMS before it answered, so this is too late
-		// rather than too early.
-		complete := link.last.answeredAt.Add(-time.Duration(link.last.status.CompleteMS) * time.Millisecond)
-		if link.last.askedAt.IsZero() || !complete.Before(since) {
+		if !link.last.completed() || !link.last.acknowledgedCompleteSince().Before(since) {
 			return time.Time{}, nil, false
 		}
 		jobIDs = append(jobIDs, link.last.status.Acknowledged...)
@@ -76,25 +122,22 @@
 	return asOf, jobIDs, true
 }
 
-// Redirected is how many workers' reports the peers that can be heard have sent on
-// to other nodes lately.
+// Redirected is how many heartbeats the peers that answer have redirected to other
+// controllers within the last one or two of tuning.PeerWindow.
 func (g *Group) Redirected() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	total := uint64(0)
 	for _, link := range g.links {
-		switch counter := link.last.status.Redirected; {
-		case time.Since(link.last.answeredAt) > tuning.PeerFresh:
-		case counter < link.earlierCount: // a new process
-			total += counter
-		default:
-			total += counter - link.earlierCount
+		if time.Since(link.last.answeredAt) <= tuning.PeerFresh {
+			total += link.redirected.count(link.last.status.Redirected)
 		}
 	}
 	return int(total)
 }
 
-// Summary fetches the leader's summary.
+// Summary fetches the leader's status page data from the named controller; nil if
+// that controller is no peer or does not answer.
 func (g *Group) Summary(ctx context.Context, node string) []byte {
 	for _, link := range g.links {
 		if link.name == node {
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -7,26 +7,27 @@
 	"marblehaven/internal/tuning"
 )
 
-// StoreServedAfter tells whether the state service has served some peer after the
-// given time, and lately.
+// StoreServedAfter tells whether the key-value store has served some peer after the
+// given time, and within tuning.PeerFresh.
 func (g *Group) StoreServedAfter(after time.Time) bool {
 	_, ok := g.linkServedAfter(after)
 	return ok
 }
 
+// linkServedAfter returns the first link to a peer that StoreServedAfter holds for.
 func (g *Group) linkServedAfter(after time.Time) (*peerLink, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, link := range g.links {
-		servedAt := link.last.answeredAt.Add(-time.Duration(link.last.status.StateMS) * time.Millisecond)
-		if !link.last.askedAt.IsZero() && servedAt.After(after) && time.Since(servedAt) < tuning.PeerFresh {
+		servedAt := link.last.storeServedAt()
+		if link.last.completed() && servedAt.After(after) && time.Since(servedAt) < tuning.PeerFresh {
 			return link, true
 		}
 	}
 	return nil, false
 }
 
-// Forward passes a user's call to a peer that the state service serves.
+// Forward passes a user's call to a peer that the key-value store serves.
 func (g *Group) Forward(ctx context.Context, call *UserCall) (*UserAnswer, bool) {
 	link, ok := g.linkServedAfter(time.Time{})
 	if !ok {
@@ -35,7 +36,7 @@
 	ctx, cancel := context.WithTimeout(ctx, tuning.ForwardTimeout)
 	defer cancel()
 	answer := new(UserAnswer)
-	if err := link.conn.Invoke(ctx, "/"+serviceName+"/UserCall", call, answer); err != nil {
+	if err := link.conn.Invoke(ctx, methodPath(methodUserCall), call, answer); err != nil {
 		return nil, false
 	}
 	return answer, true
--- a/internal/peer/group.go
+++ b/internal/peer/group.go
@@ -13,26 +13,28 @@
 	"marblehaven/internal/tuning"
 )
 
-type peerLink struct {
-	name string
-	conn grpc.ClientConnInterface
-	last exchange
-	// What the counter of redirected heartbeats was at the two latest times that lie PeerWindow apart.
-	latestCount, earlierCount uint64
-	markedAt                  time.Time
-}
-
-// Group is a node's view of its peers. It is safe for concurrent use.
+// Group is a controller's view of its peers. It is safe for concurrent use.
 type Group struct {
 	local LocalNode
 	log   *slog.Logger
-	mu    sync.Mutex // guards the links' last answers
+	mu    sync.Mutex // guards what the links hold of the last exchanges
 	links []*peerLink
 }
 
-// Dial prepares a connection to a peer; it is made when used.
+// peerLink is the connection to one peer and the results of the exchanges over it.
+type peerLink struct {
+	name       string
+	conn       grpc.ClientConnInterface
+	last       exchange
+	redirected redirectWindow
+}
+
+// redialMultiplier is the factor from one pause between dials to the next.
+const redialMultiplier = 1.5
+
+// Dial prepares a connection to a peer. The connection is established on first use.
 func Dial(p config.Peer) (grpc.ClientConnInterface, error) {
-	redial := backoff.Config{BaseDelay: tuning.PeerRedial, Multiplier: 1.5, MaxDelay: tuning.PeerExchangeInterval}
+	redial := backoff.Config{BaseDelay: tuning.PeerRedial, Multiplier: redialMultiplier, MaxDelay: tuning.PeerExchangeInterval}
 	return grpc.NewClient("passthrough:///"+p.Address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.ForceCodec(messageCodec{})),
@@ -40,7 +42,7 @@
 		grpc.WithNoProxy(), grpc.WithDisableServiceConfig())
 }
 
-// NewGroup makes the view of the peers over connections from dial.
+// NewGroup creates the view of the peers over the connections that dial prepares.
 func NewGroup(peers []config.Peer, dial func(config.Peer) (grpc.ClientConnInterface, error), local LocalNode, log *slog.Logger) (*Group, error) {
 	group := &Group{local: local, log: log}
 	for _, p := range peers {
@@ -53,7 +55,8 @@
 	return group, nil
 }
 
-// Unreachable tells whether there are peers and none has answered for so long.
+// Unreachable tells whether there are peers and none of them has answered for the
+// given time.
 func (g *Group) Unreachable(silence time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/peer/protocol.go
+++ b/internal/peer/protocol.go
@@ -1,7 +1,15 @@
-// Package peer is what controllers say to each other, over gRPC: who leads,
-// whether the state service answers them, and users' calls on behalf of a node
-// that the state service refuses. Messages are MessagePack, as everywhere in
-// the service, so no generated code is needed.
+// Package peer is the protocol between the controllers of a cluster, over gRPC: they
+// exchange who leads, whether the key-value store serves them and which
+// cancellations they have acknowledged, and they answer users' calls for a
+// controller that the store refuses to serve.
+//
+// The package owns the connections to the peers and each peer's last status. It
+// never decides who leads and never touches the key-value store: the controller
+// behind LocalNode does both.
+//
+// Messages are MessagePack, as everywhere in the service, so no generated code is
+// needed. The names of the gRPC service and its methods, the tags and the values of
+// Operation are read by other versions during an upgrade and must not change.
 package peer
 
 import (
@@ -14,29 +22,30 @@
 	"marblehaven/internal/records"
 )
 
-// Status is what a node says of itself.
+// Status is the state of a controller as it describes itself to its peers.
 type Status struct {
 	Leader records.LeaderRecord `msgpack:"l"`
-	// StateMS is the time since the state service last served the node.
+	// StateMS is the time since the key-value store last served the controller.
 	StateMS int64 `msgpack:"s"`
-	// Acknowledged names the jobs that the node has told users are cancelled, if
-	// asked for, and CompleteMS is the time since which none is missing there.
+	// Acknowledged lists the jobs whose cancellation the controller has acknowledged
+	// to users, if the request asks for them. CompleteMS is the age of the moment
+	// since which the list is complete.
 	Acknowledged []protocol.JobID `msgpack:"k,omitempty"`
 	CompleteMS   int64            `msgpack:"c,omitempty"`
-	// Redirected counts the workers' reports that the node sent on to others.
+	// Redirected counts the heartbeats that the controller redirected to others.
 	Redirected uint64 `msgpack:"t"`
-	// Summary is the leader's status, encoded; only if asked for.
+	// Summary is the leader's status page data, encoded, if the request asks for it.
 	Summary []byte `msgpack:"y,omitempty"`
 }
 
-// StatusRequest asks for a node's status.
+// StatusRequest asks for a controller's status and names the leader known to the sender.
 type StatusRequest struct {
 	Leader       records.LeaderRecord `msgpack:"l"`
 	Summary      bool                 `msgpack:"y,omitempty"`
 	Acknowledged bool                 `msgpack:"k,omitempty"`
 }
 
-// Operation is what a user's call asks for.
+// Operation is the kind of a user's call.
 type Operation string
 
 // The operations of users; the values travel between controllers.
@@ -46,25 +55,29 @@
 	OperationCancel Operation = "withdraw"
 )
 
-// UserCall is a user's call passed on.
+// UserCall is a user's call that one controller forwards to another.
 type UserCall struct {
 	Operation Operation      `msgpack:"o"`
 	JobID     protocol.JobID `msgpack:"r"`
 	Body      []byte         `msgpack:"b"`
 }
 
-// UserAnswer answers it.
+// UserAnswer is the answer to a UserCall: an HTTP status and an encoded body.
 type UserAnswer struct {
 	Status int    `msgpack:"s"`
 	Body   []byte `msgpack:"b"`
 }
 
-// LocalNode is what a node offers its peers.
+// LocalNode is the controller of this process, as its peers see it.
 type LocalNode interface {
+	// Status describes the controller, with the parts that the request asks for.
 	Status(r *StatusRequest) Status
-	// IsLeader tells whether the node leads, and so must know what others acknowledge.
+	// IsLeader tells whether the controller leads. A leader asks its peers which
+	// cancellations they have acknowledged.
 	IsLeader() bool
+	// ObserveTerm takes note of the leader and the term that a peer has named.
 	ObserveTerm(t records.LeaderRecord)
+	// UserCall answers a user's call for a peer that the key-value store refuses.
 	UserCall(ctx context.Context, c *UserCall) *UserAnswer
 }
 
@@ -74,28 +87,44 @@
 func (messageCodec) Unmarshal(data []byte, v any) error { return codec.Unmarshal(data, v) }
 func (messageCodec) Name() string                       { return "msgpack" }
 
-const serviceName = "marblehaven.Peer"
+// The names of the gRPC service and its methods.
+const (
+	serviceName    = "marblehaven.Peer"
+	methodStatus   = "Status"
+	methodUserCall = "UserCall"
+)
+
+// methodPath is the path of a method as gRPC clients name it.
+func methodPath(method string) string { return "/" + serviceName + "/" + method }
 
 // Service describes the calls between peers.
 var Service = grpc.ServiceDesc{
 	ServiceName: serviceName,
 	HandlerType: (*LocalNode)(nil),
 	Methods: []grpc.MethodDesc{
-		unaryMethod("Status", func(node LocalNode, _ context.Context, request *StatusRequest) *Status {
-			node.ObserveTerm(request.Leader)
-			status := node.Status(request)
-			return &status
-		}),
-		unaryMethod("UserCall", func(node LocalNode, ctx context.Context, call *UserCall) *UserAnswer { return node.UserCall(ctx, call) }),
+		unaryMethod(methodStatus, answerStatus),
+		unaryMethod(methodUserCall, answerUserCall),
 	},
 }
 
+func answerStatus(node LocalNode, _ context.Context, request *StatusRequest) *Status {
+	node.ObserveTerm(request.Leader)
+	status := node.Status(request)
+	return &status
+}
+
+func answerUserCall(node LocalNode, ctx context.Context, call *UserCall) *UserAnswer {
+	return node.UserCall(ctx, call)
+}
+
+// unaryMethod describes a method with one request and one response.
 func unaryMethod[Request, Response any](name string, answer func(LocalNode, context.Context, *Request) *Response) grpc.MethodDesc {
-	return grpc.MethodDesc{MethodName: name, Handler: func(node any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
+	handler := func(node any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		request := new(Request)
 		if err := decode(request); err != nil {
 			return nil, err
 		}
 		return answer(node.(LocalNode), ctx, request), nil
-	}}
+	}
+	return grpc.MethodDesc{MethodName: name, Handler: handler}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -9,7 +9,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// Serve answers peers on the listener until ctx ends.
+// Serve answers the calls of peers on the listener until the context ends.
 func Serve(ctx context.Context, listener net.Listener, local LocalNode) error {
 	server := grpc.NewServer(grpc.ForceServerCodec(messageCodec{}), grpc.MaxRecvMsgSize(2*tuning.MaxBody))
 	server.RegisterService(&Service, local)
