--- /dev/null
+++ b/internal/config/operator.go
@@ -0,0 +1,45 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Operator holds what DESIGN leaves open to the operators.
+type Operator struct {
+	// Rho is the modifying factor of the run-time estimate in eq. 28.
+	Rho float64 `toml:"rho"`
+	// DeadlineFactor times the estimate is the deadline of a job without one.
+	DeadlineFactor float64 `toml:"default_deadline_factor"`
+	// GiveBackFactor times its type's boot time is how long an idle machine is
+	// kept at the type's lowest price, and the shorter the dearer it is.
+	GiveBackFactor float64 `toml:"give_back_boot_factor"`
+	// CallBudget is the share of the cloud's calls a second that is used.
+	CallBudget float64 `toml:"cloud_call_share"`
+	// Estimator is "recent" (PAPER's recent average, corrected per class) or
+	// "user" (the owner's estimate as it is).
+	Estimator string `toml:"estimator"`
+}
+
+// DefaultOperator returns the values used without an operators' file.
+func DefaultOperator() Operator {
+	return Operator{Rho: 1, DeadlineFactor: 3, GiveBackFactor: 4, CallBudget: 0.8, Estimator: "recent"}
+}
+
+func (o Operator) check() error {
+	in := func(name string, v, low, high float64) error {
+		if !(v >= low && v <= high) {
+			return fmt.Errorf("field %s: %v is not within %v to %v", name, v, low, high)
+		}
+		return nil
+	}
+	if o.Estimator != "recent" && o.Estimator != "user" {
+		return fmt.Errorf("field estimator: %q is neither \"recent\" nor \"user\"", o.Estimator)
+	}
+	return errors.Join(
+		in("rho", o.Rho, 0, 10),
+		in("default_deadline_factor", o.DeadlineFactor, 1, 100),
+		in("give_back_boot_factor", o.GiveBackFactor, 0, 100),
+		in("cloud_call_share", o.CallBudget, 0.05, 1),
+	)
+}
