--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,82 +9,151 @@
 	"marblehaven/internal/tuning"
 )
 
+// check returns the first fault of the settings. Settings that the service cannot work
+// with are refused at the start; it starts with all others.
 func (c *Config) check() error {
-	d := &c.Deployment
-	for _, f := range []struct{ name, value string }{
-		{"api_addr", c.APIAddr}, {"peer_bind", c.PeerBind},
-		{"services.cloud", c.Services.Cloud}, {"services.state", c.Services.State},
+	deployment := &c.Deployment
+	checks := []func() error{
+		c.checkAddresses,
+		c.checkNode,
+		c.checkPeers,
+		deployment.checkTeams,
+		deployment.checkPositive,
+		deployment.Workers.checkTimings,
+		c.checkSockets,
+		deployment.Limits.checkMemory,
+		c.checkStateLimits,
+	}
+	for _, check := range checks {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c *Config) checkAddresses() error {
+	for _, address := range []struct{ field, value string }{
+		{"api_addr", c.APIAddr},
+		{"peer_bind", c.PeerBind},
+		{"services.cloud", c.Services.Cloud},
+		{"services.state", c.Services.State},
 	} {
-		if _, _, err := net.SplitHostPort(f.value); err != nil {
-			return fmt.Errorf("field %s: not an address with port: %q", f.name, f.value)
+		if err := checkAddress(address.field, address.value); err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+func checkAddress(field, value string) error {
+	if _, _, err := net.SplitHostPort(value); err != nil {
+		return fmt.Errorf("field %s: not an address with port: %q", field, value)
+	}
+	return nil
+}
+
+func (c *Config) checkNode() error {
 	if c.Node == "" {
 		return errors.New("field node: missing")
 	}
-	for i, p := range c.Peers {
-		if p.Node == "" || p.Node == c.Node {
+	return nil
+}
+
+func (c *Config) checkPeers() error {
+	for i, peer := range c.Peers {
+		if peer.Node == "" || peer.Node == c.Node {
 			return fmt.Errorf("field peers[%d].node: missing or this node itself", i)
 		}
-		if _, _, err := net.SplitHostPort(p.Address); err != nil {
-			return fmt.Errorf("field peers[%d].address: not an address with port: %q", i, p.Address)
+		if err := checkAddress(fmt.Sprintf("peers[%d].address", i), peer.Address); err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+func (d *Deployment) checkTeams() error {
 	seen := map[string]bool{}
-	for i, t := range d.Teams {
-		if t.Name == "" || seen[t.Name] {
+	for i, team := range d.Teams {
+		if team.Name == "" || seen[team.Name] {
 			return fmt.Errorf("field deployment.teams[%d].name: missing or repeated", i)
 		}
-		seen[t.Name] = true
-		if t.Cores < 0 || t.CoresMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
+		seen[team.Name] = true
+		if team.Cores < 0 || team.CoresMax < 0 || team.GPUs < 0 || team.GPUsMax < 0 {
 			return fmt.Errorf("field deployment.teams[%d]: negative amount", i)
 		}
 	}
-	w := d.Workers
-	for _, f := range []struct {
-		name  string
+	return nil
+}
+
+// checkPositive checks the numbers that have no meaning unless they are above 0.
+func (d *Deployment) checkPositive() error {
+	for _, number := range []struct {
+		field string
 		value float64
 	}{
-		{"deployment.workers.report_s", w.ReportS}, {"deployment.workers.lease_s", w.LeaseS},
-		{"deployment.workers.gang_wait_s", w.GangWaitS}, {"deployment.workers.gang_peer_s", w.GangPeerS},
-		{"deployment.workers.cancel_s", w.CancelS}, {"deployment.state.rps", d.State.RPS},
-		{"deployment.state.write_rps", d.State.WriteRPS}, {"deployment.state.value_kb", d.State.ValueKB},
-		{"deployment.state.txn_ops", float64(d.State.TxnOps)}, {"deployment.cloud.rps", d.Cloud.RPS},
-		{"deployment.limits.memory_mb", d.Limits.MemoryMB}, {"deployment.limits.sockets", float64(d.Limits.Sockets)},
+		{"deployment.workers.report_s", d.Workers.ReportS},
+		{"deployment.workers.lease_s", d.Workers.LeaseS},
+		{"deployment.workers.gang_wait_s", d.Workers.GangWaitS},
+		{"deployment.workers.gang_peer_s", d.Workers.GangPeerS},
+		{"deployment.workers.cancel_s", d.Workers.CancelS},
+		{"deployment.state.rps", d.State.RPS},
+		{"deployment.state.write_rps", d.State.WriteRPS},
+		{"deployment.state.value_kb", d.State.ValueKB},
+		{"deployment.state.txn_ops", float64(d.State.TxnOps)},
+		{"deployment.cloud.rps", d.Cloud.RPS},
+		{"deployment.limits.memory_mb", d.Limits.MemoryMB},
+		{"deployment.limits.sockets", float64(d.Limits.Sockets)},
 	} {
-		if !(f.value > 0) || math.IsInf(f.value, 0) {
-			return fmt.Errorf("field %s: missing or not above 0", f.name)
+		// The condition is negated so that it also refuses a value that is not a number.
+		if !(number.value > 0) || math.IsInf(number.value, 0) {
+			return fmt.Errorf("field %s: missing or not above 0", number.field)
 		}
 	}
-	if err := w.check(); err != nil {
-		return err
-	}
-	// What cannot be served with is said at once; whatever can, starts.
-	if s := d.Sockets(len(c.Peers)); s.Incoming < tuning.SocketsMin || s.Commands < 1 || s.Users < 1 {
-		return fmt.Errorf("field deployment.limits.sockets: %d is too few to serve with", d.Limits.Sockets)
-	}
-	if d.Limits.MemoryMB < tuning.MemoryMinMB {
-		return fmt.Errorf("field deployment.limits.memory_mb: %v is too little to serve with, below %d", d.Limits.MemoryMB, tuning.MemoryMinMB)
-	}
-	if err := d.State.check("deployment.state"); err != nil {
-		return err
-	}
-	return d.State.Smaller().check("deployment.state.next")
+	return nil
 }
 
-// check refuses times with which machines would lose their leases without any failure.
-func (w Workers) check() error {
+// checkTimings refuses times with which machines would lose their leases without any
+// failure.
+func (w Workers) checkTimings() error {
 	least := w.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
 	if w.CancelS < least {
 		return fmt.Errorf("field deployment.workers.cancel_s: %v is below %v, lease_s and what a leader needs to answer reports", w.CancelS, least)
 	}
-	if w.LeaseS <= tuning.HeartbeatJitter*w.ReportS {
-		return fmt.Errorf("field deployment.workers.lease_s: %v is not above %v, the longest pause between two reports", w.LeaseS, tuning.HeartbeatJitter*w.ReportS)
+	longestPause := tuning.HeartbeatJitter * w.ReportS
+	if w.LeaseS <= longestPause {
+		return fmt.Errorf("field deployment.workers.lease_s: %v is not above %v, the longest pause between two reports", w.LeaseS, longestPause)
+	}
+	return nil
+}
+
+// checkSockets refuses a limit that leaves some use without a socket.
+func (c *Config) checkSockets() error {
+	sockets := c.Deployment.Sockets(len(c.Peers))
+	if sockets.Incoming < tuning.SocketsMin || sockets.Commands < 1 || sockets.Users < 1 {
+		return fmt.Errorf("field deployment.limits.sockets: %d is too few to serve with", c.Deployment.Limits.Sockets)
+	}
+	return nil
+}
+
+func (l Limits) checkMemory() error {
+	if l.MemoryMB < tuning.MemoryMinMB {
+		return fmt.Errorf("field deployment.limits.memory_mb: %v is too little to serve with, below %d", l.MemoryMB, tuning.MemoryMinMB)
 	}
 	return nil
 }
 
-// check refuses limits within which the service could not keep its records.
+// checkStateLimits checks the present limits of the key-value store and those that hold
+// after the announced change.
+func (c *Config) checkStateLimits() error {
+	state := c.Deployment.State
+	if err := state.check("deployment.state"); err != nil {
+		return err
+	}
+	return state.Smaller().check("deployment.state.next")
+}
+
+// check refuses limits within which the service could not store its records.
 func (l StateLimits) check(field string) error {
 	switch {
 	case !(l.RPS > 0):
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -7,8 +7,6 @@
 	"errors"
 	"fmt"
 	"os"
-
-	"github.com/BurntSushi/toml"
 )
 
 // Peer is another controller.
@@ -88,38 +86,42 @@
 	Operator   Operator   `json:"-"`
 }
 
-// Load reads the platform's file and, unless its path is empty, the operators'.
+// Load reads the platform's file and, unless its path is empty, the operators' file.
+// An error names the file and, where there is one, the field.
 func Load(path, operatorPath string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err
+		return nil, err // names the file already
 	}
 	c := &Config{Operator: DefaultOperator()}
-	if err := json.Unmarshal(raw, c); err != nil {
-		var typ *json.UnmarshalTypeError
-		if errors.As(err, &typ) {
-			return nil, fmt.Errorf("%s: field %s: cannot be %s", path, typ.Field, typ.Value)
-		}
-		return nil, fmt.Errorf("%s: not valid JSON: %w", path, err)
+	if err := c.decode(raw); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if operatorPath != "" {
-		md, err := toml.DecodeFile(operatorPath, &c.Operator)
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", operatorPath, err)
-		}
-		if un := md.Undecoded(); len(un) > 0 {
-			return nil, fmt.Errorf("%s: field %s: unknown", operatorPath, un[0])
-		}
-		if err := c.Operator.check(); err != nil {
-			return nil, fmt.Errorf("%s: %w", operatorPath, err)
-		}
+	if operatorPath == "" {
+		return c, nil
+	}
+	if err := c.Operator.load(operatorPath); err != nil {
+		return nil, fmt.Errorf("%s: %w", operatorPath, err)
 	}
 	return c, nil
 }
 
+// decode reads the platform's settings. Fields that are not known are ignored.
+func (c *Config) decode(raw []byte) error {
+	err := json.Unmarshal(raw, c)
+	if err == nil {
+		return nil
+	}
+	var wrongType *json.UnmarshalTypeError
+	if errors.As(err, &wrongType) {
+		return fmt.Errorf("field %s: cannot be %s", wrongType.Field, wrongType.Value)
+	}
+	return fmt.Errorf("not valid JSON: %w", err)
+}
+
 // Team finds a team by name.
 func (c *Config) Team(name string) *Team {
 	for i := range c.Deployment.Teams {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"fmt"
+
+	"github.com/BurntSushi/toml"
 )
 
 // Operator holds what DESIGN leaves open to the operators.
@@ -23,23 +25,44 @@
 
 // DefaultOperator returns the values used without an operators' file.
 func DefaultOperator() Operator {
-	return Operator{Rho: 1, DeadlineFactor: 3, GiveBackFactor: 4, CallBudget: 0.8, Estimator: "recent"}
+	return Operator{Rho: 1, DeadlineFactor: 3, GiveBackFactor: 4, CallBudget: 0.8, Estimator: estimatorRecent}
 }
 
-func (o Operator) check() error {
-	in := func(name string, v, low, high float64) error {
-		if !(v >= low && v <= high) {
-			return fmt.Errorf("field %s: %v is not within %v to %v", name, v, low, high)
-		}
-		return nil
+// load reads the operators' file over the values that the settings have now.
+func (o *Operator) load(path string) error {
+	metadata, err := toml.DecodeFile(path, o)
+	if err != nil {
+		return err
+	}
+	if unknown := metadata.Undecoded(); len(unknown) > 0 {
+		return fmt.Errorf("field %s: unknown", unknown[0])
 	}
-	if o.Estimator != "recent" && o.Estimator != "user" {
+	return o.check()
+}
+
+// The values of Estimator.
+const (
+	estimatorRecent = "recent"
+	estimatorUser   = "user"
+)
+
+// check names the unknown estimator, or every number that is out of its range.
+func (o Operator) check() error {
+	if o.Estimator != estimatorRecent && o.Estimator != estimatorUser {
 		return fmt.Errorf("field estimator: %q is neither \"recent\" nor \"user\"", o.Estimator)
 	}
 	return errors.Join(
-		in("rho", o.Rho, 0, 10),
-		in("default_deadline_factor", o.DeadlineFactor, 1, 100),
-		in("give_back_boot_factor", o.GiveBackFactor, 0, 100),
-		in("cloud_call_share", o.CallBudget, 0.05, 1),
+		checkRange("rho", o.Rho, 0, 10),
+		checkRange("default_deadline_factor", o.DeadlineFactor, 1, 100),
+		checkRange("give_back_boot_factor", o.GiveBackFactor, 0, 100),
+		checkRange("cloud_call_share", o.CallBudget, 0.05, 1),
 	)
 }
+
+// checkRange also refuses a value that is not a number, for which no comparison holds.
+func checkRange(field string, value, low, high float64) error {
+	if !(value >= low && value <= high) {
+		return fmt.Errorf("field %s: %v is not within %v to %v", field, value, low, high)
+	}
+	return nil
+}
