--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,10 @@
-// Package config reads and checks the platform's settings (JSON) and the
-// operators' own (TOML).
+// Package config reads and checks the settings of a controller: the platform's file
+// (JSON) and the operators' file (TOML).
+//
+// The package owns the names of the settings' fields and the texts of the errors that
+// refuse them; operators and the deploy file depend on both. Settings are read once at
+// the start. The package never changes them afterwards and knows nothing of the
+// components that use them.
 package config
 
 import (
@@ -9,14 +14,15 @@
 	"os"
 )
 
-// Peer is another controller.
+// Peer is another controller of the cluster.
 type Peer struct {
 	Node    string `json:"node"`
 	Zone    string `json:"domain"`
 	Address string `json:"address"`
 }
 
-// Team has a guarantee and a limit. A limit of 0 is none declared.
+// Team has a guaranteed quota and a quota limit of each resource. A limit of 0 means
+// that there is none.
 type Team struct {
 	Name     string  `json:"name"`
 	Cores    float64 `json:"cpus"`
@@ -25,33 +31,43 @@
 	GPUsMax  float64 `json:"gpus_max"`
 }
 
-// Objective is an aim on starting or finishing the jobs of a class.
+// Objective is a service-level objective (SLO) on starting or finishing the jobs of a
+// class.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
 	WithinS float64 `json:"within_s"`
-	// Times is the multiple of its deadline by which a job should be complete, for
-	// aims of kind "deadline".
+	// Times is the multiple of its deadline within which a job should be complete, for
+	// objectives of kind "deadline".
 	Times float64 `json:"times"`
 	Share float64 `json:"share"`
 }
 
-// Workers says how workers behave, in seconds.
+// Workers holds the timings of agents, in seconds. The type has the name of its field
+// in the settings.
 type Workers struct {
-	ReportS   float64 `json:"report_s"`
-	LeaseS    float64 `json:"lease_s"`
+	// ReportS is the interval between two heartbeats of an agent.
+	ReportS float64 `json:"report_s"`
+	// LeaseS is the life of an agent's lease after its last answered heartbeat.
+	LeaseS float64 `json:"lease_s"`
+	// GangWaitS is how long a task of a gang waits for the other tasks to start.
 	GangWaitS float64 `json:"gang_wait_s"`
+	// GangPeerS is the time within which the other tasks of a running gang notice that
+	// one is lost.
 	GangPeerS float64 `json:"gang_peer_s"`
-	CancelS   float64 `json:"cancel_s"`
+	// CancelS is the time after an acknowledged cancellation within which no task of
+	// the job may run any more.
+	CancelS float64 `json:"cancel_s"`
 }
 
-// Cloud holds the limits of the cloud.
+// Cloud holds the limits of the cloud: calls a second, and how far its list of machines
+// may lag behind.
 type Cloud struct {
 	RPS      float64 `json:"rps"`
 	ListLagS float64 `json:"list_lag_s"`
 }
 
-// Limits are the means of this process.
+// Limits are the resources that this process may use.
 type Limits struct {
 	CPUShare float64 `json:"cpu_share"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -71,7 +87,7 @@
 	ClockErrorMS float64     `json:"clock_error_ms"`
 }
 
-// Config is everything a controller is told.
+// Config holds all settings of a controller.
 type Config struct {
 	Node     string `json:"node"`
 	Zone     string `json:"domain"`
@@ -122,7 +138,7 @@
 	return fmt.Errorf("not valid JSON: %w", err)
 }
 
-// Team finds a team by name.
+// Team returns the team with the name, nil if there is none.
 func (c *Config) Team(name string) *Team {
 	for i := range c.Deployment.Teams {
 		if c.Deployment.Teams[i].Name == name {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -7,19 +7,20 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Operator holds what DESIGN leaves open to the operators.
+// Operator holds the settings in the operators' own file.
 type Operator struct {
-	// Rho is the modifying factor of the run-time estimate in eq. 28.
+	// Rho is the factor by which an estimated run time and its queueing time count
+	// when the slack before a deadline is computed.
 	Rho float64 `toml:"rho"`
-	// DeadlineFactor times the estimate is the deadline of a job without one.
+	// DeadlineFactor times the estimated run time is the deadline of a job without one.
 	DeadlineFactor float64 `toml:"default_deadline_factor"`
-	// GiveBackFactor times its type's boot time is how long an idle machine is
-	// kept at the type's lowest price, and the shorter the dearer it is.
+	// GiveBackFactor times the boot time of its type is how long an idle machine is
+	// kept before scale in, at the type's lowest price. A higher price shortens it.
 	GiveBackFactor float64 `toml:"give_back_boot_factor"`
-	// CallBudget is the share of the cloud's calls a second that is used.
+	// CallBudget is the share of the cloud's call rate limit that is used.
 	CallBudget float64 `toml:"cloud_call_share"`
-	// Estimator is "recent" (PAPER's recent average, corrected per class) or
-	// "user" (the owner's estimate as it is).
+	// Estimator chooses the run-time estimate: estimatorRecent corrects the user's
+	// estimate by the recent runs of the job's class, estimatorUser takes it as it is.
 	Estimator string `toml:"estimator"`
 }
 
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -2,19 +2,20 @@
 
 import "marblehaven/internal/tuning"
 
-// Sockets is how a process divides the sockets that it may have, so that no use
+// Sockets is the division of a process's sockets among their uses, so that no use
 // starves another.
 type Sockets struct {
-	// Users is for users' calls being worked on, each of which may take one to
-	// the state service.
+	// Users is for users' calls in flight, each of which may hold one connection to
+	// the key-value store.
 	Users int
-	// Incoming is for connections made by users, workers and health checks.
+	// Incoming is for connections made by users, agents and health checks.
 	Incoming int
-	// Commands is for direct commands to workers.
+	// Commands is for direct commands to agents.
 	Commands int
 }
 
-// Sockets divides the limit; what a process needs for itself comes off first.
+// Sockets divides the limit. The process's own sockets, two for each peer and those
+// of users' calls come off first.
 func (d *Deployment) Sockets(peers int) Sockets {
 	users := min(tuning.MaxInflight, d.Limits.Sockets/tuning.SocketsUsers)
 	left := d.Limits.Sockets - tuning.SocketsOwn - 2*peers - users
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -1,6 +1,7 @@
 package config
 
-// StateLimits holds limits of the state service.
+// StateLimits holds limits of the key-value store: requests and writes a second, the
+// size of a value, and the mutations in a transaction.
 type StateLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -8,8 +9,8 @@
 	TxnOps   int     `json:"txn_ops"`
 }
 
-// NextLimits holds the limits that the state service will have; a field left out
-// stays as it is.
+// NextLimits holds the announced limits of the key-value store. A field that is left
+// out stays at its present limit.
 type NextLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -17,15 +18,15 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// State holds the present limits of the state service and those announced for
-// some moment after an upgrade.
+// State holds the present limits of the key-value store and the announced ones, which
+// take effect at some moment after an upgrade.
 type State struct {
 	StateLimits
 	Next NextLimits `json:"next"`
 }
 
-// Smaller returns for each limit the smaller of the present and the announced
-// one: what respects it is accepted before and after the change.
+// Smaller returns for each limit the smaller of the present and the announced one. A
+// request within these limits is accepted before and after the change.
 func (s State) Smaller() StateLimits {
 	return StateLimits{
 		RPS:      smaller(s.RPS, s.Next.RPS),
@@ -42,5 +43,5 @@
 	return min(present, *next)
 }
 
-// ValueBytes is the largest value in bytes as JSON.
+// ValueBytes is the size limit of a value, in bytes of its JSON form.
 func (l StateLimits) ValueBytes() int { return int(l.ValueKB * 1024) }
