--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -234,7 +234,7 @@
 // dependencyCheck is how long a node relies on what it knows of the jobs that others
 // wait for.
 func dependencyCheck(c *config.Config) time.Duration {
-	return time.Duration(c.Deployment.Workers.CancelS * tuning.DependencyCheckShare * float64(time.Second))
+	return c.Deployment.Workers.CancellationShare(tuning.DependencyCheckShare)
 }
 
 // forgetOpen forgets that a job was open: its user is about to be told that it is
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -49,10 +49,9 @@
 // NewServer makes the server of a node.
 func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, cs *httpclient.MalformedLog) *Server {
 	sockets := cfg.Deployment.Sockets(len(cfg.Peers))
-	reports := time.Duration(cfg.Deployment.Workers.ReportS * float64(time.Second))
 	return &Server{name: cfg.Node, users: users, node: node, peers: peers, log: log, malformed: cs,
 		slots: make(chan struct{}, sockets.Users), conns: newConnectionTable(sockets.Incoming),
-		idle: max(tuning.IdleMin, tuning.IdleHeartbeats*reports)}
+		idle: max(tuning.IdleMin, tuning.IdleHeartbeats*cfg.Deployment.Workers.HeartbeatInterval())}
 }
 
 // Serve answers on the listener until ctx ends.
