--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -13,10 +13,10 @@
 // them all may go on answering workers. A job is added before the answer leaves,
 // so the list never claims too much.
 type acknowledgedJobs struct {
-	mu    sync.Mutex
-	known map[protocol.JobID]bool
-	jobs  []acknowledgment // in the order of their first acknowledgment
-	since time.Time        // of all first acknowledged after it none is missing
+	mu            sync.Mutex
+	known         map[protocol.JobID]bool
+	jobs          []acknowledgment // in the order of their first acknowledgment
+	completeSince time.Time        // of all first acknowledged after it none is missing
 }
 
 type acknowledgment struct {
@@ -24,10 +24,10 @@
 	at    time.Time
 }
 
-// newAcknowledged begins a list. An earlier process of this node may have told
+// newAcknowledgedJobs begins a list. An earlier process of this node may have told
 // users anything until just before the start.
 func newAcknowledgedJobs(start time.Time) acknowledgedJobs {
-	return acknowledgedJobs{known: map[protocol.JobID]bool{}, since: start}
+	return acknowledgedJobs{known: map[protocol.JobID]bool{}, completeSince: start}
 }
 
 func (a *acknowledgedJobs) add(jobID protocol.JobID) {
@@ -37,7 +37,7 @@
 		return // only the first acknowledgment starts cancel_s
 	}
 	if len(a.jobs) >= tuning.AcknowledgedJobs {
-		a.since = a.jobs[0].at
+		a.completeSince = a.jobs[0].at
 		delete(a.known, a.jobs[0].jobID)
 		a.jobs = a.jobs[1:]
 	}
@@ -49,8 +49,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	jobIDs = make([]protocol.JobID, len(a.jobs))
-	for i, k := range a.jobs {
-		jobIDs[i] = k.jobID
+	for i, acknowledged := range a.jobs {
+		jobIDs[i] = acknowledged.jobID
 	}
-	return jobIDs, a.since
+	return jobIDs, a.completeSince
 }
--- a/internal/api/connections.go
+++ b/internal/api/connections.go
@@ -17,48 +17,48 @@
 	idleSince map[net.Conn]time.Time // when it became idle; zero: it is in use
 }
 
-func newConnectionTable(most int) *connectionTable {
-	return &connectionTable{limit: most, idleSince: map[net.Conn]time.Time{}}
+func newConnectionTable(limit int) *connectionTable {
+	return &connectionTable{limit: limit, idleSince: map[net.Conn]time.Time{}}
 }
 
 // track is the server's hook for changes of its connections.
-func (c *connectionTable) track(conn net.Conn, s http.ConnState) {
-	if victim := c.record(conn, s, time.Now()); victim != nil {
-		victim.Close()
+func (c *connectionTable) track(conn net.Conn, state http.ConnState) {
+	if evicted := c.record(conn, state, time.Now()); evicted != nil {
+		evicted.Close()
 	}
 }
 
-func (c *connectionTable) record(conn net.Conn, s http.ConnState, now time.Time) (victim net.Conn) {
+func (c *connectionTable) record(conn net.Conn, state http.ConnState, now time.Time) (evicted net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch s {
+	switch state {
 	case http.StateNew:
 		if len(c.idleSince) >= c.limit {
-			if victim = c.longestIdle(); victim == nil {
+			if evicted = c.longestIdle(); evicted == nil {
 				return conn // all are in use
 			}
-			delete(c.idleSince, victim)
+			delete(c.idleSince, evicted)
 		}
 		c.idleSince[conn] = time.Time{}
 	case http.StateActive, http.StateIdle:
-		if _, kept := c.idleSince[conn]; !kept {
+		if _, tracked := c.idleSince[conn]; !tracked {
 			return nil // it is being closed
 		}
-		if s == http.StateActive {
+		if state == http.StateActive {
 			now = time.Time{}
 		}
 		c.idleSince[conn] = now
 	default:
 		delete(c.idleSince, conn)
 	}
-	return victim
+	return evicted
 }
 
 func (c *connectionTable) longestIdle() (longest net.Conn) {
 	var since time.Time
-	for conn, at := range c.idleSince {
-		if !at.IsZero() && (longest == nil || at.Before(since)) {
-			longest, since = conn, at
+	for conn, idleSince := range c.idleSince {
+		if !idleSince.IsZero() && (longest == nil || idleSince.Before(since)) {
+			longest, since = conn, idleSince
 		}
 	}
 	return longest
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -28,37 +28,37 @@
 // undone, so it holds for good. The time is zero if not all could be looked at: what is
 // left out is read for the next answer, and the leader knows all open jobs.
 func (u *Users) dependencies(ctx context.Context, jobIDs []protocol.JobID) (state dependencyState, asOf time.Time, err error) {
-	w := &dependencyWalk{Users: u, asOf: time.Now(), seen: map[protocol.JobID]bool{}}
+	walk := &dependencyWalk{Users: u, asOf: time.Now(), seen: map[protocol.JobID]bool{}}
 	for direct := true; len(jobIDs) > 0; direct = false {
-		jobs, err := w.findLevel(ctx, jobIDs)
+		jobs, err := walk.lookUpLevel(ctx, jobIDs)
 		if err != nil {
-			return dependencyOpen, w.asOf, err
+			return dependencyOpen, walk.asOf, err
 		}
 		// Whether all were accepted comes first: that one of them is cancelled says
 		// nothing of the others.
 		if direct && slices.ContainsFunc(jobs, lookupResult.neverAccepted) {
-			return dependencyUnknown, w.asOf, nil
+			return dependencyUnknown, walk.asOf, nil
 		}
 		jobIDs = nil
-		for _, f := range jobs {
-			cancelled, err := w.visit(f)
+		for _, result := range jobs {
+			cancelled, err := walk.visit(result)
 			switch {
 			case err != nil:
-				return dependencyOpen, w.asOf, err
+				return dependencyOpen, walk.asOf, err
 			case cancelled:
-				return dependencyCancelled, w.asOf, nil
-			case f.isOpen():
-				jobIDs = append(jobIDs, f.job.open.Job.DependsOn...)
+				return dependencyCancelled, walk.asOf, nil
+			case result.isOpen():
+				jobIDs = append(jobIDs, result.job.open.Job.DependsOn...)
 			}
 		}
 	}
-	if w.incomplete {
+	if walk.incomplete {
 		return dependencyOpen, time.Time{}, nil
 	}
-	for _, jobID := range w.open {
-		u.confirmOpen(jobID, w.asOf)
+	for _, jobID := range walk.open {
+		u.confirmOpen(jobID, walk.asOf)
 	}
-	return dependencyOpen, w.asOf, nil
+	return dependencyOpen, walk.asOf, nil
 }
 
 // dependencyWalk goes through the jobs that a job needs, level by level.
@@ -71,79 +71,79 @@
 	incomplete  bool                    // not all that is over could be read
 }
 
-// findLevel finds the jobs among those named that were not met before and that this
+// lookUpLevel finds the jobs among those named that were not met before and that this
 // node does not know to be open. Few are read one by one, more all at once; what is not
 // open then is read one by one again, not more than tuning.DependencyReads for an
 // answer, and remembered.
-func (w *dependencyWalk) findLevel(ctx context.Context, jobIDs []protocol.JobID) ([]lookupResult, error) {
-	level := w.unseen(jobIDs)
-	listing, ok := w.openJobReads.latestValid()
-	out, left := w.findListed(level, listing, ok)
-	if len(left) > 0 && !ok && !w.openJobReads.allowSingleReads(len(left)) {
-		listing, err := w.openJobReads.read(ctx)
+func (walk *dependencyWalk) lookUpLevel(ctx context.Context, jobIDs []protocol.JobID) ([]lookupResult, error) {
+	unseen := walk.markUnseen(jobIDs)
+	listing, valid := walk.openJobReads.latestValid()
+	results, remaining := walk.lookUpListed(unseen, listing, valid)
+	if len(remaining) > 0 && !valid && !walk.openJobReads.allowSingleReads(len(remaining)) {
+		listing, err := walk.openJobReads.read(ctx)
 		if err != nil {
 			return nil, err
 		}
 		var listed []lookupResult
-		listed, left = w.findListed(left, listing, true)
-		out = append(out, listed...)
+		listed, remaining = walk.lookUpListed(remaining, listing, true)
+		results = append(results, listed...)
 	}
-	if most := max(0, tuning.DependencyReads-w.singleReads); len(left) > most {
-		left, w.incomplete = left[:most], true
+	if limit := max(0, tuning.DependencyReads-walk.singleReads); len(remaining) > limit {
+		remaining, walk.incomplete = remaining[:limit], true
 	}
-	w.singleReads += len(left)
-	return append(out, w.findAll(ctx, left)...), nil
+	walk.singleReads += len(remaining)
+	return append(results, walk.readAll(ctx, remaining)...), nil
 }
 
-// unseen picks the jobs that were not met before and that are not known to be open.
-func (w *dependencyWalk) unseen(jobIDs []protocol.JobID) (out []protocol.JobID) {
+// markUnseen picks the jobs that were not met before and that are not known to be open.
+func (walk *dependencyWalk) markUnseen(jobIDs []protocol.JobID) (unseen []protocol.JobID) {
 	for _, jobID := range jobIDs {
-		if w.seen[jobID] {
+		if walk.seen[jobID] {
 			continue
 		}
-		w.seen[jobID] = true
-		if at, ok := w.openAsOf(jobID); !ok {
-			out = append(out, jobID)
-		} else if at.Before(w.asOf) {
-			w.asOf = at
+		walk.seen[jobID] = true
+		if at, ok := walk.openAsOf(jobID); !ok {
+			unseen = append(unseen, jobID)
+		} else if at.Before(walk.asOf) {
+			walk.asOf = at
 		}
 	}
-	return out
+	return unseen
 }
 
-// findListed finds jobs without a request, in what is remembered of those that are over
+// lookUpListed finds jobs without a request, in what is remembered of those that are over
 // and in a reading of the open ones, and returns which are left.
-func (w *dependencyWalk) findListed(jobIDs []protocol.JobID, listing jobListing, reliable bool) (out []lookupResult, left []protocol.JobID) {
+func (walk *dependencyWalk) lookUpListed(jobIDs []protocol.JobID, listing jobListing, valid bool) (results []lookupResult, remaining []protocol.JobID) {
 	for _, jobID := range jobIDs {
 		open, listed := listing.jobs[jobID]
-		switch status, over := w.finalStatus(jobID); {
-		case over:
-			out = append(out, lookupResult{jobID: jobID, job: &jobRecord{status: status}})
-		case reliable && listed:
-			out = append(out, lookupResult{jobID: jobID, job: &jobRecord{version: openVersion, open: open, status: openStatus(jobID, &open)}})
-			if listing.asOf.Before(w.asOf) {
-				w.asOf = listing.asOf
+		switch status, final := walk.finalStatus(jobID); {
+		case final:
+			results = append(results, lookupResult{jobID: jobID, job: &jobRecord{status: status}})
+		case valid && listed:
+			results = append(results, lookupResult{jobID: jobID, job: &jobRecord{version: openVersion, open: open, status: openStatus(jobID, &open)}})
+			if listing.asOf.Before(walk.asOf) {
+				walk.asOf = listing.asOf
 			}
 		default:
-			left = append(left, jobID)
+			remaining = append(remaining, jobID)
 		}
 	}
-	return out, left
+	return results, remaining
 }
 
 // visit draws the conclusions from a job that was found.
-func (w *dependencyWalk) visit(f lookupResult) (cancelled bool, err error) {
+func (walk *dependencyWalk) visit(result lookupResult) (cancelled bool, err error) {
 	switch {
-	case errors.Is(f.err, errUnreadable):
-		w.Log.Error("dependency", "err", f.err) // the job waits
-	case f.err != nil:
-		return false, f.err
-	case f.job == nil:
-		w.Log.Error("dependency of a dependency without record", "job", f.jobID) // the job waits
-	case f.job.status.Phase == protocol.PhaseCancelled:
+	case errors.Is(result.err, errUnreadable):
+		walk.Log.Error("dependency", "err", result.err) // the job waits
+	case result.err != nil:
+		return false, result.err
+	case result.job == nil:
+		walk.Log.Error("dependency of a dependency without record", "job", result.jobID) // the job waits
+	case result.job.status.Phase == protocol.PhaseCancelled:
 		return true, nil
-	case f.isOpen():
-		w.open = append(w.open, f.jobID)
+	case result.isOpen():
+		walk.open = append(walk.open, result.jobID)
 	}
 	return false, nil
 }
@@ -167,28 +167,28 @@
 	err   error
 }
 
-func (f lookupResult) isOpen() bool { return f.job != nil && f.job.version != 0 }
+func (r lookupResult) isOpen() bool { return r.job != nil && r.job.version != 0 }
 
-func (f lookupResult) neverAccepted() bool { return f.err == nil && f.job == nil }
+func (r lookupResult) neverAccepted() bool { return r.err == nil && r.job == nil }
 
-// findAll reads some jobs at the same time.
-func (u *Users) findAll(ctx context.Context, jobIDs []protocol.JobID) []lookupResult {
-	out := make([]lookupResult, len(jobIDs))
+// readAll reads some jobs at the same time.
+func (u *Users) readAll(ctx context.Context, jobIDs []protocol.JobID) []lookupResult {
+	results := make([]lookupResult, len(jobIDs))
 	var wg sync.WaitGroup
 	for i, jobID := range jobIDs {
-		out[i].jobID = jobID
-		wg.Go(func() { out[i].job, out[i].err = u.find(ctx, jobID) })
+		results[i].jobID = jobID
+		wg.Go(func() { results[i].job, results[i].err = u.readJob(ctx, jobID) })
 	}
 	wg.Wait()
-	return out
+	return results
 }
 
-// current reads a job as find does. If a job that it needs is cancelled, so is this
+// readCurrent reads a job as readJob does. If a job that it needs is cancelled, so is this
 // one, and its own record says so before its user is told: then no controller can
 // tell the user anything else, whatever it knows of the others.
-func (u *Users) current(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
+func (u *Users) readCurrent(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
 	start := time.Now()
-	record, err := u.find(ctx, jobID)
+	record, err := u.readJob(ctx, jobID)
 	if err != nil || record == nil || record.version == 0 || record.open.Cancelled {
 		return record, err
 	}
@@ -228,13 +228,13 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	at = u.confirmedOpen[jobID]
-	return at, time.Since(at) < dependencyCheck(u.Config)
+	return at, time.Since(at) < dependencyValidity(u.Config)
 }
 
-// dependencyCheck is how long a node relies on what it knows of the jobs that others
+// dependencyValidity is how long a node relies on what it knows of the jobs that others
 // wait for.
-func dependencyCheck(c *config.Config) time.Duration {
-	return c.Deployment.Workers.CancellationShare(tuning.DependencyCheckShare)
+func dependencyValidity(cfg *config.Config) time.Duration {
+	return cfg.Deployment.Workers.CancellationShare(tuning.DependencyCheckShare)
 }
 
 // forgetOpen forgets that a job was open: its user is about to be told that it is
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -24,22 +24,22 @@
 		writeReply(w, http.StatusBadRequest, nil)
 		return
 	}
-	if c := s.node.LocalLeader(); c != nil {
+	if localLeader := s.node.LocalLeader(); localLeader != nil {
 		ctx, cancel := context.WithTimeout(r.Context(), tuning.HeartbeatDeadline)
 		defer cancel()
-		if h, err := c.Heartbeat(ctx, &heartbeat); err == nil {
-			writeReply(w, http.StatusOK, h)
+		if reply, err := localLeader.Heartbeat(ctx, &heartbeat); err == nil {
+			writeReply(w, http.StatusOK, reply)
 			return
 		}
 		writeReply(w, http.StatusServiceUnavailable, nil)
 		return
 	}
-	var to protocol.Redirect
-	if t, ok := s.node.Leader(); ok && t.Node != s.name {
-		to.Leader = t.Node
+	var redirect protocol.Redirect
+	if leader, ok := s.node.Leader(); ok && leader.Node != s.name {
+		redirect.Leader = leader.Node
 	}
 	s.redirected.Add(1)
-	writeReply(w, http.StatusMisdirectedRequest, to)
+	writeReply(w, http.StatusMisdirectedRequest, redirect)
 }
 
 // Redirected counts the workers' reports that were not for this node.
--- a/internal/api/jobrecord.go
+++ b/internal/api/jobrecord.go
@@ -23,25 +23,25 @@
 	unreadable bool             // its open record cannot be read, so it cannot be rewritten
 }
 
-// find reads a job; nil means that it was never accepted. The final record is
+// readJob reads a job; nil means that it was never accepted. The final record is
 // read after the open one, and closing moves the job in one commit, so a job
 // found at neither place was at neither when the open record was read.
-func (u *Users) find(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
-	if st, ok := u.finalStatus(jobID); ok {
-		return &jobRecord{status: st}, nil
+func (u *Users) readJob(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
+	if status, ok := u.finalStatus(jobID); ok {
+		return &jobRecord{status: status}, nil
 	}
-	entries, err := u.openRecords(ctx, jobID)
+	entries, err := u.readOpenRecords(ctx, jobID)
 	if err != nil {
 		return nil, err
 	}
 	if len(entries) > 0 {
-		return u.openJob(jobID, entries), nil
+		return u.decodeOpen(jobID, entries), nil
 	}
-	return u.finalJob(ctx, jobID)
+	return u.readFinal(ctx, jobID)
 }
 
-// openRecords reads the records of an open job; none if it is not open.
-func (u *Users) openRecords(ctx context.Context, jobID protocol.JobID) ([]protocol.KeyValue, error) {
+// readOpenRecords reads the records of an open job; none if it is not open.
+func (u *Users) readOpenRecords(ctx context.Context, jobID protocol.JobID) ([]protocol.KeyValue, error) {
 	if u.sharedReads.enabled() {
 		return u.sharedReads.records(ctx, jobID)
 	}
@@ -67,8 +67,8 @@
 	return status, ok
 }
 
-// openJob makes of an open job's records what its user may be told.
-func (u *Users) openJob(jobID protocol.JobID, entries []protocol.KeyValue) *jobRecord {
+// decodeOpen makes of an open job's records what its user may be told.
+func (u *Users) decodeOpen(jobID protocol.JobID, entries []protocol.KeyValue) *jobRecord {
 	record := &jobRecord{version: entries[0].Version, status: protocol.JobStatus{ID: jobID, Phase: protocol.PhaseQueued}}
 	if err := codec.Unmarshal(entries[0].Value, &record.open); err != nil {
 		// That the record is there says that the job was accepted. Refusing
@@ -77,16 +77,16 @@
 		record.open = records.OpenJob{Cancelled: records.MarkedCancelled(entries[0].Value)}
 		record.unreadable = true
 	}
-	pieces := map[int]records.RunRecord{}
+	segments := map[int]records.RunRecord{}
 	for _, entry := range entries[1:] {
-		of, number := records.ParseOpenKey(entry.Key)
-		var r records.RunRecord
-		if of == jobID && number != records.NoSegment && codec.Unmarshal(entry.Value, &r) == nil {
-			pieces[number] = r
+		owner, segment := records.ParseOpenKey(entry.Key)
+		var run records.RunRecord
+		if owner == jobID && segment != records.NoSegment && codec.Unmarshal(entry.Value, &run) == nil {
+			segments[segment] = run
 		}
 	}
-	run := records.JoinSegments(pieces)
-	record.status.Done, record.status.Running = run.Done.Count(), len(run.Placements)
+	joined := records.JoinSegments(segments)
+	record.status.Done, record.status.Running = joined.Done.Count(), len(joined.Placements)
 	if record.status.Running > 0 {
 		record.status.Phase = protocol.PhaseRunning
 	}
@@ -97,8 +97,8 @@
 	return record
 }
 
-// finalJob reads the final record of a job; nil means that there is none.
-func (u *Users) finalJob(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
+// readFinal reads the final record of a job; nil means that there is none.
+func (u *Users) readFinal(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
 	entry, err := u.Store.Get(ctx, records.FinalKey(jobID))
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil, nil
@@ -106,18 +106,18 @@
 	if err != nil {
 		return nil, err
 	}
-	var f records.FinalRecord
-	if err := codec.Unmarshal(entry.Value, &f); err != nil {
+	var final records.FinalRecord
+	if err := codec.Unmarshal(entry.Value, &final); err != nil {
 		return nil, fmt.Errorf("%w of %s: %w", errUnreadable, jobID, err)
 	}
 	// Nothing of a job with a final record can run, so to say that it is cancelled
 	// is no acknowledgment that a leader would have to know of.
-	st := protocol.JobStatus{ID: jobID, Phase: f.Phase, Done: f.TasksDone}
+	status := protocol.JobStatus{ID: jobID, Phase: final.Phase, Done: final.TasksDone}
 	u.mu.Lock()
 	if len(u.finals) >= tuning.FinalCache {
 		clear(u.finals)
 	}
-	u.finals[jobID] = st
+	u.finals[jobID] = status
 	u.mu.Unlock()
-	return &jobRecord{status: st}, nil
+	return &jobRecord{status: status}, nil
 }
--- a/internal/api/messages.go
+++ b/internal/api/messages.go
@@ -17,8 +17,8 @@
 		return body, true
 	}
 	status := http.StatusBadRequest
-	var big *http.MaxBytesError
-	if errors.As(err, &big) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		status = http.StatusRequestEntityTooLarge
 	}
 	w.WriteHeader(status)
@@ -28,22 +28,22 @@
 func writeReply(w http.ResponseWriter, status int, body any) {
 	var raw []byte
 	if body != nil {
-		if b, ok := body.([]byte); ok {
-			raw = b
+		if encoded, ok := body.([]byte); ok {
+			raw = encoded
 		} else {
 			raw, _ = codec.Marshal(body)
 		}
 	}
-	h := w.Header()
+	header := w.Header()
 	if len(raw) > 0 {
-		h.Set("Content-Type", "application/msgpack")
+		header.Set("Content-Type", "application/msgpack")
 	}
-	h.Set("Content-Length", strconv.Itoa(len(raw)))
+	header.Set("Content-Length", strconv.Itoa(len(raw)))
 	if status == http.StatusServiceUnavailable {
-		h.Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
+		header.Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
 		// Connections are not moved: a user whose node cannot answer would ask it
 		// again and again while the others could.
-		h.Set("Connection", "close")
+		header.Set("Connection", "close")
 	}
 	w.WriteHeader(status)
 	w.Write(raw)
--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -23,9 +23,9 @@
 
 	mu     sync.Mutex // guards the rest
 	latest jobListing
-	// singleReads counts the jobs read one by one since the time, see maySingle.
-	singleReads int
-	since       time.Time
+	// singleReads counts the jobs read one by one since the time, see allowSingleReads.
+	singleReads  int
+	countedSince time.Time
 }
 
 // jobListing is all open jobs at some time.
@@ -34,8 +34,8 @@
 	jobs map[protocol.JobID]records.OpenJob
 }
 
-func newOpenJobs(store *kvstore.Client, lasts time.Duration) *openJobs {
-	return &openJobs{store: store, validFor: lasts, reading: make(chan struct{}, 1)}
+func newOpenJobs(store *kvstore.Client, validFor time.Duration) *openJobs {
+	return &openJobs{store: store, validFor: validFor, reading: make(chan struct{}, 1)}
 }
 
 // latestValid returns the latest reading if it may still be relied on.
@@ -50,8 +50,8 @@
 func (o *openJobs) allowSingleReads(jobs int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if time.Since(o.since) >= o.validFor {
-		o.singleReads, o.since = 0, time.Now()
+	if time.Since(o.countedSince) >= o.validFor {
+		o.singleReads, o.countedSince = 0, time.Now()
 	}
 	if o.singleReads+jobs > tuning.DependencyReads {
 		return false
@@ -76,14 +76,14 @@
 	if err != nil {
 		return jobListing{}, err
 	}
-	for _, item := range page.Entries {
-		jobID, piece := records.ParseOpenKey(item.Key)
-		if piece != records.NoSegment {
+	for _, entry := range page.Entries {
+		jobID, segment := records.ParseOpenKey(entry.Key)
+		if segment != records.NoSegment {
 			continue
 		}
 		var open records.OpenJob
-		if err := codec.Unmarshal(item.Value, &open); err != nil {
-			open = records.OpenJob{Cancelled: records.MarkedCancelled(item.Value)}
+		if err := codec.Unmarshal(entry.Value, &open); err != nil {
+			open = records.OpenJob{Cancelled: records.MarkedCancelled(entry.Value)}
 		}
 		listing.jobs[jobID] = open
 	}
--- a/internal/api/retrybudget.go
+++ b/internal/api/retrybudget.go
@@ -16,15 +16,15 @@
 
 func newRetryBudget() *retryBudget { return &retryBudget{tokens: tuning.RetryBudget} }
 
-// succeeded notes a call that was answered.
-func (b *retryBudget) succeeded() {
+// recordSuccess notes a call that was answered.
+func (b *retryBudget) recordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(tuning.RetryBudget, b.tokens+tuning.RetryShare)
 }
 
-// take tells whether a call may be made again now.
-func (b *retryBudget) take() bool {
+// allowRetry tells whether a call may be made again now.
+func (b *retryBudget) allowRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -34,40 +34,40 @@
 
 // Server serves the users' address.
 type Server struct {
-	name       string
-	users      *Users
-	node       Node
-	peers      *peer.Group
-	log        *slog.Logger
-	slots      chan struct{}
-	conns      *connectionTable
-	idle       time.Duration // how long a connection is kept idle
-	redirected atomic.Uint64 // reports that were sent on to another node
-	malformed  *httpclient.MalformedLog
+	name        string
+	users       *Users
+	node        Node
+	peers       *peer.Group
+	log         *slog.Logger
+	inFlight    chan struct{}
+	connections *connectionTable
+	idleTimeout time.Duration // how long a connection is kept idle
+	redirected  atomic.Uint64 // reports that were sent on to another node
+	malformed   *httpclient.MalformedLog
 }
 
 // NewServer makes the server of a node.
-func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, cs *httpclient.MalformedLog) *Server {
+func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, malformed *httpclient.MalformedLog) *Server {
 	sockets := cfg.Deployment.Sockets(len(cfg.Peers))
-	return &Server{name: cfg.Node, users: users, node: node, peers: peers, log: log, malformed: cs,
-		slots: make(chan struct{}, sockets.Users), conns: newConnectionTable(sockets.Incoming),
-		idle: max(tuning.IdleMin, tuning.IdleHeartbeats*cfg.Deployment.Workers.HeartbeatInterval())}
+	return &Server{name: cfg.Node, users: users, node: node, peers: peers, log: log, malformed: malformed,
+		inFlight: make(chan struct{}, sockets.Users), connections: newConnectionTable(sockets.Incoming),
+		idleTimeout: max(tuning.IdleMin, tuning.IdleHeartbeats*cfg.Deployment.Workers.HeartbeatInterval())}
 }
 
 // Serve answers on the listener until ctx ends.
-func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
-	srv := &http.Server{
+func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
+	server := &http.Server{
 		Handler:           s,
 		ReadHeaderTimeout: tuning.UserDeadline,
 		ReadTimeout:       2 * tuning.UserDeadline,
-		IdleTimeout:       s.idle,
-		ConnState:         s.conns.track,
+		IdleTimeout:       s.idleTimeout,
+		ConnState:         s.connections.track,
 		MaxHeaderBytes:    8 << 10,
 		ErrorLog:          slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 	}
 	go func() {
 		<-ctx.Done()
-		srv.Close()
+		server.Close()
 	}()
-	return srv.Serve(ln)
+	return server.Serve(listener)
 }
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -26,17 +26,17 @@
 	// turn is held by the reading under way, so that there is one at a time.
 	turn chan struct{}
 
-	mu        sync.Mutex // guards the rest
-	throttled time.Time  // when a request was throttled last
-	next      *sharedRead
-	notBefore time.Time // of the next reading
+	mu          sync.Mutex // guards the rest
+	throttledAt time.Time  // when a request was throttled last
+	next        *sharedRead
+	notBefore   time.Time // of the next reading
 }
 
 // sharedRead is one reading, for all who asked before it began.
 type sharedRead struct {
-	done  chan struct{} // closed when the rest is set
-	items []protocol.KeyValue
-	err   error
+	done    chan struct{} // closed when the rest is set
+	entries []protocol.KeyValue
+	err     error
 }
 
 func newSharedReads(store *kvstore.Client, cfg *config.Config) *sharedReads {
@@ -49,29 +49,29 @@
 func (s *sharedReads) noteThrottled() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.throttled = time.Now()
+	s.throttledAt = time.Now()
 }
 
 // enabled tells whether reads are to be shared: some were throttled lately.
 func (s *sharedReads) enabled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.throttled.IsZero() && time.Since(s.throttled) < tuning.SharedReadsFor
+	return !s.throttledAt.IsZero() && time.Since(s.throttledAt) < tuning.SharedReadsFor
 }
 
 // records returns the records of an open job, as a reading that begins after the call
 // finds them; none if it is not open.
 func (s *sharedReads) records(ctx context.Context, jobID protocol.JobID) ([]protocol.KeyValue, error) {
-	r := s.join()
+	reading := s.join()
 	select {
-	case <-r.done:
+	case <-reading.done:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if r.err != nil {
-		return nil, r.err
+	if reading.err != nil {
+		return nil, reading.err
 	}
-	return recordsOf(r.items, jobID), nil
+	return recordsOf(reading.entries, jobID), nil
 }
 
 // join returns the next reading that begins.
@@ -86,7 +86,7 @@
 }
 
 // run carries a reading out when it is its turn.
-func (s *sharedReads) run(r *sharedRead) {
+func (s *sharedReads) run(reading *sharedRead) {
 	s.turn <- struct{}{}
 	defer func() { <-s.turn }()
 	s.mu.Lock()
@@ -99,14 +99,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.UserDeadline)
 	defer cancel()
 	began := time.Now()
-	all, err := s.store.ListAll(ctx, records.PrefixOpen)
-	r.items, r.err = all.Entries, err
-	close(r.done)
+	page, err := s.store.ListAll(ctx, records.PrefixOpen)
+	reading.entries, reading.err = page.Entries, err
+	close(reading.done)
 	if errors.Is(err, kvstore.ErrThrottled) {
 		s.noteThrottled()
 	}
 	s.mu.Lock()
-	s.notBefore = began.Add(s.pause(all.Entries))
+	s.notBefore = began.Add(s.pause(page.Entries))
 	s.mu.Unlock()
 }
 
--- a/internal/api/statuspage_test.go
+++ b/internal/api/statuspage_test.go
@@ -11,13 +11,13 @@
 // The status page counts and names the tasks that no record names, and says nothing of
 // them where there are none.
 func TestPageNamesUnknownTasks(t *testing.T) {
-	show := func(s leader.Status) string {
+	show := func(status leader.Status) string {
 		var out bytes.Buffer
 		if err := pageTemplate.Execute(&out, struct {
-			Name, Leader  string
-			StateOK, Have bool
-			S             leader.Status
-		}{Name: "marble-0", Have: true, S: s}); err != nil {
+			Name, Leader               string
+			StoreReachable, HasSummary bool
+			Summary                    leader.Status
+		}{Name: "marble-0", HasSummary: true, Summary: status}); err != nil {
 			t.Fatal(err)
 		}
 		return out.String()
--- a/internal/api/usercalls.go
+++ b/internal/api/usercalls.go
@@ -11,25 +11,25 @@
 // refused early, at once and alike.
 func (s *Server) serveUser(w http.ResponseWriter, r *http.Request, operation peer.Operation, jobID protocol.JobID, body []byte) {
 	select {
-	case s.slots <- struct{}{}:
-		defer func() { <-s.slots }()
+	case s.inFlight <- struct{}{}:
+		defer func() { <-s.inFlight }()
 	default:
 		writeReply(w, http.StatusServiceUnavailable, nil)
 		return
 	}
-	var a answer
+	var reply userReply
 	if !s.node.RefusedAlone() {
-		a = s.users.Handle(r.Context(), operation, jobID, body)
+		reply = s.users.Handle(r.Context(), operation, jobID, body)
 	} else {
-		a = refused
+		reply = storeRefusedReply
 	}
-	if a.refused {
+	if reply.storeRefused {
 		// The state service may refuse this node alone: a peer that it serves
 		// can answer for us.
-		if f, ok := s.peers.Forward(r.Context(), &peer.UserCall{Operation: operation, JobID: jobID, Body: body}); ok {
-			writeReply(w, f.Status, f.Body)
+		if forwarded, ok := s.peers.Forward(r.Context(), &peer.UserCall{Operation: operation, JobID: jobID, Body: body}); ok {
+			writeReply(w, forwarded.Status, forwarded.Body)
 			return
 		}
 	}
-	writeReply(w, a.status, a.body)
+	writeReply(w, reply.status, reply.body)
 }
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -39,19 +39,19 @@
 }
 
 // NewUsers makes the users' side of a node.
-func NewUsers(c *config.Config, store *kvstore.Client, log *slog.Logger) *Users {
-	return &Users{Config: c, Store: store, Log: log, acknowledged: newAcknowledgedJobs(time.Now()),
-		openJobReads: newOpenJobs(store, dependencyCheck(c)), sharedReads: newSharedReads(store, c), retries: newRetryBudget(),
+func NewUsers(cfg *config.Config, store *kvstore.Client, log *slog.Logger) *Users {
+	return &Users{Config: cfg, Store: store, Log: log, acknowledged: newAcknowledgedJobs(time.Now()),
+		openJobReads: newOpenJobs(store, dependencyValidity(cfg)), sharedReads: newSharedReads(store, cfg), retries: newRetryBudget(),
 		finals: map[protocol.JobID]protocol.JobStatus{}, confirmedOpen: map[protocol.JobID]time.Time{}}
 }
 
 // SetTypes tells which machine types there are; before, nothing is accepted.
 func (u *Users) SetTypes(types []protocol.MachineType) {
-	out := make([]scheduler.MachineType, len(types))
-	for i, t := range types {
-		out[i] = scheduler.MachineType{Name: t.Name, Capacity: scheduler.Resources{Cores: t.Cores, GPUs: t.GPUs, MemGB: t.MemGB}, Zones: t.Zones}
+	known := make([]scheduler.MachineType, len(types))
+	for i, machineType := range types {
+		known[i] = scheduler.MachineType{Name: machineType.Name, Capacity: scheduler.Resources{Cores: machineType.Cores, GPUs: machineType.GPUs, MemGB: machineType.MemGB}, Zones: machineType.Zones}
 	}
-	u.types.Store(&out)
+	u.types.Store(&known)
 }
 
 // HasTypes tells whether machine types are known.
@@ -63,30 +63,30 @@
 	return u.acknowledged.list()
 }
 
-// answer is a user's answer; body is nil where only the status matters.
-type answer struct {
+// userReply is a user's answer; body is nil where only the status matters.
+type userReply struct {
 	status int
 	body   any
-	// refused: the state service does not serve this node; a peer may do.
-	refused bool
+	// storeRefused: the state service does not serve this node; a peer may do.
+	storeRefused bool
 }
 
 var (
-	busy    = answer{status: 503}
-	refused = answer{status: 503, refused: true}
+	unavailableReply  = userReply{status: 503}
+	storeRefusedReply = userReply{status: 503, storeRefused: true}
 )
 
-func failure(status int, err error) answer {
-	return answer{status: status, body: protocol.ErrorReply{Error: err.Error()}}
+func errorReply(status int, err error) userReply {
+	return userReply{status: status, body: protocol.ErrorReply{Error: err.Error()}}
 }
 
 // Handle answers one call.
-func (u *Users) Handle(ctx context.Context, operation peer.Operation, jobID protocol.JobID, body []byte) answer {
-	limit := tuning.UserDeadline
+func (u *Users) Handle(ctx context.Context, operation peer.Operation, jobID protocol.JobID, body []byte) userReply {
+	deadline := tuning.UserDeadline
 	if operation == peer.OperationStatus {
-		limit = tuning.PollDeadline
+		deadline = tuning.PollDeadline
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, deadline)
 	defer cancel()
 	switch operation {
 	case peer.OperationSubmit:
@@ -96,101 +96,101 @@
 	case peer.OperationCancel:
 		return u.cancel(ctx, jobID)
 	}
-	return busy
+	return unavailableReply
 }
 
 // UserCall answers a call that a peer passed on.
-func (u *Users) UserCall(ctx context.Context, c *peer.UserCall) *peer.UserAnswer {
-	a := u.Handle(ctx, c.Operation, c.JobID, c.Body)
-	out := &peer.UserAnswer{Status: a.status}
-	if a.body != nil {
-		out.Body, _ = codec.Marshal(a.body)
+func (u *Users) UserCall(ctx context.Context, call *peer.UserCall) *peer.UserAnswer {
+	reply := u.Handle(ctx, call.Operation, call.JobID, call.Body)
+	answer := &peer.UserAnswer{Status: reply.status}
+	if reply.body != nil {
+		answer.Body, _ = codec.Marshal(reply.body)
 	}
-	return out
+	return answer
 }
 
 // retryUntilKnown runs one attempt after another until there is a certain answer. Being
 // throttled is waited out a few times, within the budget for retries; a refusal is
 // passed on at once.
-func (u *Users) retryUntilKnown(ctx context.Context, tries int, try func() (answer, error)) answer {
+func (u *Users) retryUntilKnown(ctx context.Context, throttleRetries int, attempt func() (userReply, error)) userReply {
 	for throttled := 0; ; {
-		a, err := try()
+		reply, err := attempt()
 		switch {
 		case err == nil:
-			u.retries.succeeded()
-			return a
+			u.retries.recordSuccess()
+			return reply
 		case errors.Is(err, kvstore.ErrThrottled):
-			if throttled++; throttled > tries || !u.retries.take() {
-				return busy
+			if throttled++; throttled > throttleRetries || !u.retries.allowRetry() {
+				return unavailableReply
 			}
 		case errors.Is(err, kvstore.ErrUnavailable):
-			return refused
+			return storeRefusedReply
 		case errors.Is(err, kvstore.ErrInvalidRequest), errors.Is(err, kvstore.ErrTooLarge):
 			u.Log.Error("record refused", "err", err)
-			return busy
+			return unavailableReply
 		}
 		// Otherwise the outcome is unknown: the next try reads before it
 		// writes, or its write's guards find out.
 		if !clock.Sleep(ctx, tuning.UserRetryPause) {
-			return refused
+			return storeRefusedReply
 		}
 	}
 }
 
-func (u *Users) status(ctx context.Context, jobID protocol.JobID) answer {
+func (u *Users) status(ctx context.Context, jobID protocol.JobID) userReply {
 	if !protocol.ValidJobID(jobID) {
-		return failure(404, errors.New("no such job"))
+		return errorReply(404, errors.New("no such job"))
 	}
-	return u.retryUntilKnown(ctx, tuning.PollThrottleRetries, func() (answer, error) {
-		record, err := u.current(ctx, jobID)
+	return u.retryUntilKnown(ctx, tuning.PollThrottleRetries, func() (userReply, error) {
+		record, err := u.readCurrent(ctx, jobID)
 		if err != nil {
-			return answer{}, err
+			return userReply{}, err
 		}
 		if record == nil {
-			return failure(404, errors.New("no such job")), nil
+			return errorReply(404, errors.New("no such job")), nil
 		}
-		return answer{status: 200, body: record.status}, nil
+		return userReply{status: 200, body: record.status}, nil
 	})
 }
 
-func (u *Users) submit(ctx context.Context, body []byte) answer {
+func (u *Users) submit(ctx context.Context, body []byte) userReply {
 	job, err := protocol.DecodeJob(body)
 	if err != nil {
-		return failure(400, err)
+		return errorReply(400, err)
 	}
 	types := u.types.Load()
 	if types == nil {
-		return busy
+		return unavailableReply
 	}
-	if err := u.checkRunnable(job, *types); err != nil {
-		return u.refuse(ctx, job.ID, 422, err)
+	if err := u.checkSchedulable(job, *types); err != nil {
+		return u.rejectSubmission(ctx, job.ID, 422, err)
 	}
 	// Only types that exist are kept: a long list of others must not make the
 	// record too large for the state service.
 	job.MachineTypes = slices.DeleteFunc(job.MachineTypes, func(name string) bool {
-		return !slices.ContainsFunc(*types, func(t scheduler.MachineType) bool { return t.Name == name })
+		return !slices.ContainsFunc(*types, func(machineType scheduler.MachineType) bool { return machineType.Name == name })
 	})
 	slices.Sort(job.MachineTypes)
 	job.MachineTypes = slices.Compact(job.MachineTypes)
 	open := records.OpenJob{Job: *job, AcceptedMS: time.Now().UnixMilli()}
 	if err := u.checkRecordSize(open); err != nil {
-		return u.refuse(ctx, job.ID, 400, err)
+		return u.rejectSubmission(ctx, job.ID, 400, err)
 	}
-	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (answer, error) { return u.accept(ctx, open) })
+	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (userReply, error) { return u.writeOpenRecord(ctx, open) })
 }
 
-// refuse answers a submission that cannot be accepted. A job that was accepted
+// rejectSubmission answers a submission that cannot be accepted. A job that was accepted
 // stays accepted, also if the catalog has changed since.
-func (u *Users) refuse(ctx context.Context, jobID protocol.JobID, status int, reason error) answer {
-	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (answer, error) {
-		record, err := u.current(ctx, jobID)
+func (u *Users) rejectSubmission(ctx context.Context, jobID protocol.JobID, status int, reason error) userReply {
+	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (userReply, error) {
+		record, err := u.readCurrent(ctx, jobID)
 		switch {
 		case err != nil:
-			return answer{}, err
+			return userReply{}, err
 		case record != nil:
-			return answer{status: 200, body: record.status}, nil
+			return userReply{status: 200, body: record.status}, nil
 		}
-		return failure(status, reason), nil
+		return errorReply(status, reason), nil
 	})
 }
 
@@ -205,15 +205,15 @@
 	return err
 }
 
-// accept writes the record of a job, unless the job is known already.
-func (u *Users) accept(ctx context.Context, open records.OpenJob) (answer, error) {
+// writeOpenRecord writes the record of a job, unless the job is known already.
+func (u *Users) writeOpenRecord(ctx context.Context, open records.OpenJob) (userReply, error) {
 	jobID := open.Job.ID
 	state, asOf, err := u.dependencies(ctx, open.Job.DependsOn)
 	switch {
 	case err != nil:
-		return answer{}, err
+		return userReply{}, err
 	case state == dependencyUnknown:
-		return u.refuse(ctx, jobID, 422, errors.New("field awaits names a job that was never accepted")), nil
+		return u.rejectSubmission(ctx, jobID, 422, errors.New("field awaits names a job that was never accepted")), nil
 	}
 	open.Cancelled = state == dependencyCancelled
 	_, err = u.Store.Commit(ctx, protocol.Transaction{
@@ -227,23 +227,23 @@
 		} else {
 			u.confirmOpen(jobID, asOf)
 		}
-		return answer{status: 201, body: protocol.JobStatus{ID: jobID, Phase: phase}}, nil
+		return userReply{status: 201, body: protocol.JobStatus{ID: jobID, Phase: phase}}, nil
 	}
 	if !errors.Is(err, kvstore.ErrConflict) {
-		return answer{}, err
+		return userReply{}, err
 	}
-	record, err := u.current(ctx, jobID)
+	record, err := u.readCurrent(ctx, jobID)
 	if err != nil {
-		return answer{}, err
+		return userReply{}, err
 	}
 	if record == nil {
-		return answer{}, kvstore.ErrOutcomeUnknown // guards failed, yet nothing is there: look again
+		return userReply{}, kvstore.ErrOutcomeUnknown // guards failed, yet nothing is there: look again
 	}
-	return answer{status: 200, body: record.status}, nil
+	return userReply{status: 200, body: record.status}, nil
 }
 
-// checkRunnable tells why a job can never run.
-func (u *Users) checkRunnable(job *protocol.Job, types []scheduler.MachineType) error {
+// checkSchedulable tells why a job can never run.
+func (u *Users) checkSchedulable(job *protocol.Job, types []scheduler.MachineType) error {
 	team := u.Config.Team(job.Team)
 	if team == nil {
 		return errors.New("unknown team")
@@ -255,11 +255,11 @@
 	if !fits {
 		return errors.New("a task fits no allowed machine type")
 	}
-	n := float64(job.Tasks)
+	copies := float64(job.Tasks)
 	if job.Kind == protocol.KindArray {
-		n = 1
+		copies = 1
 	}
-	if exceeds(n*job.Cores, team.CoresMax) || exceeds(n*job.GPUs, team.GPUsMax) {
+	if exceeds(copies*job.Cores, team.CoresMax) || exceeds(copies*job.GPUs, team.GPUsMax) {
 		return errors.New("the job needs more than its team's limit")
 	}
 	return nil
@@ -268,26 +268,26 @@
 // exceeds compares with a limit, of which 0 is none.
 func exceeds(need, limit float64) bool { return limit > 0 && need > limit*(1+1e-9) }
 
-func (u *Users) cancel(ctx context.Context, jobID protocol.JobID) answer {
+func (u *Users) cancel(ctx context.Context, jobID protocol.JobID) userReply {
 	if !protocol.ValidJobID(jobID) {
-		return failure(404, errors.New("no such job"))
+		return errorReply(404, errors.New("no such job"))
 	}
-	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (answer, error) {
-		record, err := u.find(ctx, jobID)
+	return u.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (userReply, error) {
+		record, err := u.readJob(ctx, jobID)
 		switch {
 		case err != nil:
-			return answer{}, err
+			return userReply{}, err
 		case record == nil:
-			return failure(404, errors.New("no such job")), nil
+			return errorReply(404, errors.New("no such job")), nil
 		case record.version == 0 || record.open.Cancelled:
-			return answer{status: 200, body: record.status}, nil
+			return userReply{status: 200, body: record.status}, nil
 		case record.unreadable:
-			return busy, nil
+			return unavailableReply, nil
 		}
 		if err := u.markCancelled(ctx, record); err != nil {
-			return answer{}, err
+			return userReply{}, err
 		}
-		return answer{status: 200, body: record.status}, nil
+		return userReply{status: 200, body: record.status}, nil
 	})
 }
 
