--- a/internal/api/statuspage.go
+++ b/internal/api/statuspage.go
@@ -41,24 +41,30 @@
 </body></html>
 `))
 
+// statusPage is the data of the status page.
+type statusPage struct {
+	Name           string // this controller
+	Leader         string // empty if none is known
+	StoreReachable bool
+	HasSummary     bool // whether the leader has answered
+	Summary        leader.Status
+}
+
+// serveStatusPage serves the page for people who watch the cluster.
 func (s *Server) serveStatusPage(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.PeerTimeout)
 	defer cancel()
-	data := struct {
-		Name, Leader               string
-		StoreReachable, HasSummary bool
-		Summary                    leader.Status
-	}{Name: s.name, StoreReachable: s.node.StoreReachable()}
-	if t, ok := s.node.Leader(); ok {
-		data.Leader = t.Node
+	page := statusPage{Name: s.name, StoreReachable: s.node.StoreReachable()}
+	if current, ok := s.node.Leader(); ok {
+		page.Leader = current.Node
 	}
-	data.Summary, data.HasSummary = s.node.Summary(ctx)
-	var buf bytes.Buffer
-	if err := pageTemplate.Execute(&buf, data); err != nil {
+	page.Summary, page.HasSummary = s.node.Summary(ctx)
+	var html bytes.Buffer
+	if err := pageTemplate.Execute(&html, page); err != nil {
 		s.log.Error("status page", "err", err)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
-	w.Write(buf.Bytes())
+	w.Write(html.Bytes())
 }
--- a/internal/api/statuspage_test.go
+++ b/internal/api/statuspage_test.go
@@ -13,11 +13,7 @@
 func TestPageNamesUnknownTasks(t *testing.T) {
 	show := func(status leader.Status) string {
 		var out bytes.Buffer
-		if err := pageTemplate.Execute(&out, struct {
-			Name, Leader               string
-			StoreReachable, HasSummary bool
-			Summary                    leader.Status
-		}{Name: "marble-0", HasSummary: true, Summary: status}); err != nil {
+		if err := pageTemplate.Execute(&out, statusPage{Name: "marble-0", HasSummary: true, Summary: status}); err != nil {
 			t.Fatal(err)
 		}
 		return out.String()
