--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -26,8 +26,8 @@
 
 // newAcknowledgedJobs begins a list. An earlier process of this node may have told
 // users anything until just before the start.
-func newAcknowledgedJobs(start time.Time) acknowledgedJobs {
-	return acknowledgedJobs{known: map[protocol.JobID]bool{}, completeSince: start}
+func newAcknowledgedJobs(start time.Time) *acknowledgedJobs {
+	return &acknowledgedJobs{known: map[protocol.JobID]bool{}, completeSince: start}
 }
 
 func (a *acknowledgedJobs) add(jobID protocol.JobID) {
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -3,17 +3,15 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"slices"
-	"sync"
 	"time"
 
-	"marblehaven/internal/config"
 	"marblehaven/internal/protocol"
-	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
 )
 
-// dependencyState is what the jobs that a job waits for mean for it.
+// dependencyState is what the dependencies of a job mean for it.
 type dependencyState int
 
 const (
@@ -22,65 +20,76 @@
 	dependencyUnknown                          // one was never accepted
 )
 
-// dependencies finds out about the jobs that a job waits for, and those that these
-// wait for, as far as they are open, and returns the time that this is known for:
-// what was read here shortly before is not read again. That one is cancelled is never
-// undone, so it holds for good. The time is zero if not all could be looked at: what is
-// left out is read for the next answer, and the leader knows all open jobs.
-func (u *Users) dependencies(ctx context.Context, jobIDs []protocol.JobID) (state dependencyState, asOf time.Time, err error) {
-	walk := &dependencyWalk{Users: u, asOf: time.Now(), seen: map[protocol.JobID]bool{}}
+// resolution is the state of a job's dependencies.
+type resolution struct {
+	state dependencyState
+	// asOf is the time for which an open state holds. It is zero if not all
+	// dependencies could be read: the rest is read for the next reply, and the leader
+	// knows all open jobs. That one is cancelled is never undone, so it holds for good.
+	asOf time.Time
+}
+
+// dependencyResolver resolves the dependencies of a job: the direct ones, and as far as
+// these are open, the indirect ones. Jobs that were recently confirmed open are not read
+// again. It is safe for concurrent use.
+type dependencyResolver struct {
+	reader    *jobReader
+	listings  *openJobs
+	confirmed *confirmedOpenJobs
+	log       *slog.Logger
+}
+
+// resolve resolves the named direct dependencies of a job, level by level.
+func (d *dependencyResolver) resolve(ctx context.Context, jobIDs []protocol.JobID) (resolution, error) {
+	walk := &dependencyWalk{dependencyResolver: d, asOf: time.Now(), seen: map[protocol.JobID]bool{}}
 	for direct := true; len(jobIDs) > 0; direct = false {
 		jobs, err := walk.lookUpLevel(ctx, jobIDs)
 		if err != nil {
-			return dependencyOpen, walk.asOf, err
+			return resolution{}, err
 		}
-		// Whether all were accepted comes first: that one of them is cancelled says
-		// nothing of the others.
+		// An unknown dependency comes before a cancelled one: that one of them is
+		// cancelled does not tell whether the others were accepted.
 		if direct && slices.ContainsFunc(jobs, lookupResult.neverAccepted) {
-			return dependencyUnknown, walk.asOf, nil
+			return resolution{state: dependencyUnknown}, nil
+		}
+		cancelled, next, err := walk.visitLevel(jobs)
+		if err != nil {
+			return resolution{}, err
 		}
-		jobIDs = nil
-		for _, result := range jobs {
-			cancelled, err := walk.visit(result)
-			switch {
-			case err != nil:
-				return dependencyOpen, walk.asOf, err
-			case cancelled:
-				return dependencyCancelled, walk.asOf, nil
-			case result.isOpen():
-				jobIDs = append(jobIDs, result.job.open.Job.DependsOn...)
-			}
+		if cancelled {
+			return resolution{state: dependencyCancelled}, nil
 		}
+		jobIDs = next
 	}
 	if walk.incomplete {
-		return dependencyOpen, time.Time{}, nil
+		return resolution{state: dependencyOpen}, nil
 	}
 	for _, jobID := range walk.open {
-		u.confirmOpen(jobID, walk.asOf)
+		d.confirmed.confirm(jobID, walk.asOf)
 	}
-	return dependencyOpen, walk.asOf, nil
+	return resolution{state: dependencyOpen, asOf: walk.asOf}, nil
 }
 
-// dependencyWalk goes through the jobs that a job needs, level by level.
+// dependencyWalk is one walk through the dependencies of a job, breadth first.
 type dependencyWalk struct {
-	*Users
-	asOf        time.Time               // what is found holds for this time
-	seen        map[protocol.JobID]bool // jobs that were met
-	open        []protocol.JobID        // of them, those that are open
-	singleReads int                     // jobs that were read one by one
-	incomplete  bool                    // not all that is over could be read
+	*dependencyResolver
+	asOf        time.Time               // the time for which all results hold
+	seen        map[protocol.JobID]bool // the jobs visited or about to be
+	open        []protocol.JobID        // the open jobs among them
+	singleReads int                     // the jobs that were read one by one
+	incomplete  bool                    // some jobs were left out, see lookUpLevel
 }
 
-// lookUpLevel finds the jobs among those named that were not met before and that this
-// node does not know to be open. Few are read one by one, more all at once; what is not
-// open then is read one by one again, not more than tuning.DependencyReads for an
-// answer, and remembered.
+// lookUpLevel looks up the named jobs, except those that were seen before or are
+// confirmed open. A few are read one by one; for more, all open jobs are listed at once.
+// Jobs that the listing lacks are read one by one again, not more than
+// tuning.DependencyReads in a walk; their final statuses are cached.
 func (walk *dependencyWalk) lookUpLevel(ctx context.Context, jobIDs []protocol.JobID) ([]lookupResult, error) {
 	unseen := walk.markUnseen(jobIDs)
-	listing, valid := walk.openJobReads.latestValid()
+	listing, valid := walk.listings.latestValid()
 	results, remaining := walk.lookUpListed(unseen, listing, valid)
-	if len(remaining) > 0 && !valid && !walk.openJobReads.allowSingleReads(len(remaining)) {
-		listing, err := walk.openJobReads.read(ctx)
+	if len(remaining) > 0 && !valid && !walk.listings.allowSingleReads(len(remaining)) {
+		listing, err := walk.listings.read(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -92,38 +101,37 @@
 		remaining, walk.incomplete = remaining[:limit], true
 	}
 	walk.singleReads += len(remaining)
-	return append(results, walk.readAll(ctx, remaining)...), nil
+	return append(results, walk.reader.readAll(ctx, remaining)...), nil
 }
 
-// markUnseen picks the jobs that were not met before and that are not known to be open.
+// markUnseen returns the jobs that the walk has not seen before and that are not
+// confirmed open, and marks all as seen.
 func (walk *dependencyWalk) markUnseen(jobIDs []protocol.JobID) (unseen []protocol.JobID) {
 	for _, jobID := range jobIDs {
 		if walk.seen[jobID] {
 			continue
 		}
 		walk.seen[jobID] = true
-		if at, ok := walk.openAsOf(jobID); !ok {
+		if confirmedAt, ok := walk.confirmed.asOf(jobID); ok {
+			walk.limitAsOf(confirmedAt)
+		} else {
 			unseen = append(unseen, jobID)
-		} else if at.Before(walk.asOf) {
-			walk.asOf = at
 		}
 	}
 	return unseen
 }
 
-// lookUpListed finds jobs without a request, in what is remembered of those that are over
-// and in a reading of the open ones, and returns which are left.
+// lookUpListed looks up jobs without a request, in the cached final statuses and in a
+// listing of the open jobs if that is valid. It returns the jobs that are in neither.
 func (walk *dependencyWalk) lookUpListed(jobIDs []protocol.JobID, listing jobListing, valid bool) (results []lookupResult, remaining []protocol.JobID) {
 	for _, jobID := range jobIDs {
 		open, listed := listing.jobs[jobID]
-		switch status, final := walk.finalStatus(jobID); {
+		switch status, final := walk.reader.finals.get(jobID); {
 		case final:
 			results = append(results, lookupResult{jobID: jobID, job: &jobRecord{status: status}})
 		case valid && listed:
-			results = append(results, lookupResult{jobID: jobID, job: &jobRecord{version: openVersion, open: open, status: openStatus(jobID, &open)}})
-			if listing.asOf.Before(walk.asOf) {
-				walk.asOf = listing.asOf
-			}
+			results = append(results, lookupResult{jobID: jobID, job: listedJobRecord(jobID, &open)})
+			walk.limitAsOf(listing.asOf)
 		default:
 			remaining = append(remaining, jobID)
 		}
@@ -131,15 +139,38 @@
 	return results, remaining
 }
 
-// visit draws the conclusions from a job that was found.
+// limitAsOf notes that a result holds for the given time only.
+func (walk *dependencyWalk) limitAsOf(at time.Time) {
+	if at.Before(walk.asOf) {
+		walk.asOf = at
+	}
+}
+
+// visitLevel draws the conclusions from the jobs of a level and returns the dependencies
+// of those that are open, which are the next level.
+func (walk *dependencyWalk) visitLevel(jobs []lookupResult) (cancelled bool, next []protocol.JobID, err error) {
+	for _, result := range jobs {
+		cancelled, err := walk.visit(result)
+		if err != nil || cancelled {
+			return cancelled, nil, err
+		}
+		if result.isOpen() {
+			next = append(next, result.job.open.Job.DependsOn...)
+		}
+	}
+	return false, next, nil
+}
+
+// visit draws the conclusions from one job. A job without a readable record is neither
+// cancelled nor an error: the job that depends on it waits.
 func (walk *dependencyWalk) visit(result lookupResult) (cancelled bool, err error) {
 	switch {
 	case errors.Is(result.err, errUnreadable):
-		walk.Log.Error("dependency", "err", result.err) // the job waits
+		walk.log.Error("dependency", "err", result.err)
 	case result.err != nil:
 		return false, result.err
 	case result.job == nil:
-		walk.Log.Error("dependency of a dependency without record", "job", result.jobID) // the job waits
+		walk.log.Error("dependency of a dependency without record", "job", result.jobID)
 	case result.job.status.Phase == protocol.PhaseCancelled:
 		return true, nil
 	case result.isOpen():
@@ -147,100 +178,3 @@
 	}
 	return false, nil
 }
-
-// openVersion stands for the version of an open record that was read only to be known.
-const openVersion = 1
-
-// openStatus is the phase of an open job, as far as its own record says.
-func openStatus(jobID protocol.JobID, open *records.OpenJob) protocol.JobStatus {
-	status := protocol.JobStatus{ID: jobID, Phase: protocol.PhaseQueued}
-	if open.Cancelled {
-		status.Phase = protocol.PhaseCancelled
-	}
-	return status
-}
-
-// lookupResult is what a job was found to be, or why it could not be read.
-type lookupResult struct {
-	jobID protocol.JobID
-	job   *jobRecord
-	err   error
-}
-
-func (r lookupResult) isOpen() bool { return r.job != nil && r.job.version != 0 }
-
-func (r lookupResult) neverAccepted() bool { return r.err == nil && r.job == nil }
-
-// readAll reads some jobs at the same time.
-func (u *Users) readAll(ctx context.Context, jobIDs []protocol.JobID) []lookupResult {
-	results := make([]lookupResult, len(jobIDs))
-	var wg sync.WaitGroup
-	for i, jobID := range jobIDs {
-		results[i].jobID = jobID
-		wg.Go(func() { results[i].job, results[i].err = u.readJob(ctx, jobID) })
-	}
-	wg.Wait()
-	return results
-}
-
-// readCurrent reads a job as readJob does. If a job that it needs is cancelled, so is this
-// one, and its own record says so before its user is told: then no controller can
-// tell the user anything else, whatever it knows of the others.
-func (u *Users) readCurrent(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
-	start := time.Now()
-	record, err := u.readJob(ctx, jobID)
-	if err != nil || record == nil || record.version == 0 || record.open.Cancelled {
-		return record, err
-	}
-	if len(record.open.Job.DependsOn) == 0 {
-		u.confirmOpen(jobID, start)
-		return record, nil
-	}
-	if _, ok := u.openAsOf(jobID); ok {
-		return record, nil
-	}
-	state, asOf, err := u.dependencies(ctx, record.open.Job.DependsOn)
-	if err != nil {
-		return nil, err
-	}
-	if state == dependencyCancelled {
-		return record, u.markCancelled(ctx, record)
-	}
-	u.confirmOpen(jobID, asOf)
-	return record, nil
-}
-
-// confirmOpen remembers that at some time a job was accepted, and neither it nor any
-// that it needs was cancelled.
-func (u *Users) confirmOpen(jobID protocol.JobID, at time.Time) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if len(u.confirmedOpen) >= tuning.FinalCache {
-		clear(u.confirmedOpen)
-	}
-	u.confirmedOpen[jobID] = at
-}
-
-// openAsOf returns when that was last known, if it may still be answered by: the
-// leader closes a job soon after one that it needs is cancelled, and only if it cannot
-// must others find out within cancel_s.
-func (u *Users) openAsOf(jobID protocol.JobID) (at time.Time, ok bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	at = u.confirmedOpen[jobID]
-	return at, time.Since(at) < dependencyValidity(u.Config)
-}
-
-// dependencyValidity is how long a node relies on what it knows of the jobs that others
-// wait for.
-func dependencyValidity(cfg *config.Config) time.Duration {
-	return cfg.Deployment.Workers.CancellationShare(tuning.DependencyCheckShare)
-}
-
-// forgetOpen forgets that a job was open: its user is about to be told that it is
-// cancelled.
-func (u *Users) forgetOpen(jobID protocol.JobID) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	delete(u.confirmedOpen, jobID)
-}
--- /dev/null
+++ b/internal/api/finalstatuses.go
@@ -0,0 +1,36 @@
+package api
+
+import (
+	"sync"
+
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/tuning"
+)
+
+// finalStatuses caches the statuses of jobs that have a final record. Such a status
+// never changes, so an entry holds for good. When the cache is full it is emptied. It
+// is safe for concurrent use.
+type finalStatuses struct {
+	mu       sync.Mutex
+	statuses map[protocol.JobID]protocol.JobStatus
+}
+
+func newFinalStatuses() *finalStatuses {
+	return &finalStatuses{statuses: map[protocol.JobID]protocol.JobStatus{}}
+}
+
+func (f *finalStatuses) get(jobID protocol.JobID) (protocol.JobStatus, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	status, ok := f.statuses[jobID]
+	return status, ok
+}
+
+func (f *finalStatuses) put(status protocol.JobStatus) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if len(f.statuses) >= tuning.FinalCache {
+		clear(f.statuses)
+	}
+	f.statuses[status.ID] = status
+}
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -5,42 +5,65 @@
 	"net/http"
 
 	"marblehaven/internal/codec"
+	"marblehaven/internal/leader"
 	"marblehaven/internal/protocol"
 	"marblehaven/internal/tuning"
 )
 
+// serveHeartbeat passes an agent's heartbeat to the local leader, or redirects the agent
+// if this controller does not lead.
 func (s *Server) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r)
 	if !ok {
 		return
 	}
-	var heartbeat protocol.Heartbeat
-	err := codec.Unmarshal(body, &heartbeat)
-	if err == nil {
-		err = heartbeat.Check()
-	}
+	heartbeat, err := decodeHeartbeat(body)
 	if err != nil {
 		s.malformed.Record(r.RemoteAddr, err)
 		writeReply(w, http.StatusBadRequest, nil)
 		return
 	}
-	if localLeader := s.node.LocalLeader(); localLeader != nil {
-		ctx, cancel := context.WithTimeout(r.Context(), tuning.HeartbeatDeadline)
-		defer cancel()
-		if reply, err := localLeader.Heartbeat(ctx, &heartbeat); err == nil {
-			writeReply(w, http.StatusOK, reply)
-			return
-		}
+	if local := s.node.LocalLeader(); local != nil {
+		answerHeartbeat(w, r, local, heartbeat)
+		return
+	}
+	s.redirectHeartbeat(w)
+}
+
+func decodeHeartbeat(body []byte) (*protocol.Heartbeat, error) {
+	heartbeat := new(protocol.Heartbeat)
+	if err := codec.Unmarshal(body, heartbeat); err != nil {
+		return nil, err
+	}
+	if err := heartbeat.Check(); err != nil {
+		return nil, err
+	}
+	return heartbeat, nil
+}
+
+// answerHeartbeat replies with the local leader's answer. If the leader may not answer or
+// does not answer in time, the agent is asked to come back.
+func answerHeartbeat(w http.ResponseWriter, r *http.Request, local *leader.Leader, heartbeat *protocol.Heartbeat) {
+	ctx, cancel := context.WithTimeout(r.Context(), tuning.HeartbeatDeadline)
+	defer cancel()
+	reply, err := local.Heartbeat(ctx, heartbeat)
+	if err != nil {
 		writeReply(w, http.StatusServiceUnavailable, nil)
 		return
 	}
+	writeMessage(w, http.StatusOK, reply)
+}
+
+// redirectHeartbeat names the leader that the agent should send its heartbeats to, or
+// nobody if none is known.
+func (s *Server) redirectHeartbeat(w http.ResponseWriter) {
 	var redirect protocol.Redirect
-	if leader, ok := s.node.Leader(); ok && leader.Node != s.name {
-		redirect.Leader = leader.Node
+	if current, ok := s.node.Leader(); ok && current.Node != s.name {
+		redirect.Leader = current.Node
 	}
 	s.redirected.Add(1)
-	writeReply(w, http.StatusMisdirectedRequest, redirect)
+	writeMessage(w, http.StatusMisdirectedRequest, redirect)
 }
 
-// Redirected counts the workers' reports that were not for this node.
+// Redirected counts the heartbeats that this controller redirected.
 func (s *Server) Redirected() uint64 { return s.redirected.Load() }
--- /dev/null
+++ b/internal/api/jobreader.go
@@ -0,0 +1,144 @@
+package api
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"sync"
+
+	"marblehaven/internal/codec"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+	"marblehaven/internal/tuning"
+)
+
+// jobReader reads the records of jobs from the key-value store. Only final statuses are
+// answered from memory. It is safe for concurrent use.
+type jobReader struct {
+	store        *kvstore.Client
+	shared       *sharedReads
+	finals       *finalStatuses
+	acknowledged *acknowledgedJobs
+	log          *slog.Logger
+}
+
+// read returns a job; nil means that it was never accepted. The final record is read
+// after the open record, and closing replaces one by the other in one transaction, so a
+// job without either had neither when the open record was read.
+func (j *jobReader) read(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
+	if status, ok := j.finals.get(jobID); ok {
+		return &jobRecord{status: status}, nil
+	}
+	entries, err := j.openRecords(ctx, jobID)
+	if err != nil {
+		return nil, err
+	}
+	if len(entries) > 0 {
+		return j.decodeOpen(jobID, entries), nil
+	}
+	return j.readFinal(ctx, jobID)
+}
+
+// lookupResult is a job as it was read, nil if it was never accepted, or why it could
+// not be read.
+type lookupResult struct {
+	jobID protocol.JobID
+	job   *jobRecord
+	err   error
+}
+
+func (r lookupResult) isOpen() bool { return r.job != nil && r.job.isOpen() }
+
+func (r lookupResult) neverAccepted() bool { return r.err == nil && r.job == nil }
+
+// readAll reads some jobs at the same time.
+func (j *jobReader) readAll(ctx context.Context, jobIDs []protocol.JobID) []lookupResult {
+	results := make([]lookupResult, len(jobIDs))
+	var wg sync.WaitGroup
+	for i, jobID := range jobIDs {
+		results[i].jobID = jobID
+		wg.Go(func() { results[i].job, results[i].err = j.read(ctx, jobID) })
+	}
+	wg.Wait()
+	return results
+}
+
+// openRecords returns the open record of a job and the segments of its run record; none
+// if the job is not open.
+func (j *jobReader) openRecords(ctx context.Context, jobID protocol.JobID) ([]protocol.KeyValue, error) {
+	if j.shared.enabled() {
+		return j.shared.records(ctx, jobID)
+	}
+	// One list call reads them all: the keys of the open record and of the segments of
+	// the run record are next to each other in the order of keys.
+	page, err := j.store.List(ctx, records.OpenKey(jobID), "", 1+tuning.SegmentsRead)
+	if errors.Is(err, kvstore.ErrThrottled) {
+		j.shared.noteThrottled()
+	}
+	if err != nil {
+		return nil, err
+	}
+	if len(page.Entries) == 0 || page.Entries[0].Key != records.OpenKey(jobID) {
+		return nil, nil
+	}
+	return page.Entries, nil
+}
+
+// decodeOpen decodes the records of an open job. A cancelled job is added to the
+// acknowledged cancellations here, before any reply can name the cancellation.
+func (j *jobReader) decodeOpen(jobID protocol.JobID, entries []protocol.KeyValue) *jobRecord {
+	record := &jobRecord{version: entries[0].Version, status: protocol.JobStatus{ID: jobID, Phase: protocol.PhaseQueued}}
+	if err := codec.Unmarshal(entries[0].Value, &record.open); err != nil {
+		// An unreadable record still proves that the job was accepted. Without a reply
+		// the user would have to take the job for lost.
+		j.log.Error("unreadable job record", "job", jobID, "err", err)
+		record.open = records.OpenJob{Cancelled: records.MarkedCancelled(entries[0].Value)}
+		record.unreadable = true
+	}
+	run := decodeRun(jobID, entries[1:])
+	record.status.Done, record.status.Running = run.Done.Count(), len(run.Placements)
+	if record.status.Running > 0 {
+		record.status.Phase = protocol.PhaseRunning
+	}
+	if record.open.Cancelled {
+		record.status.Phase = protocol.PhaseCancelled
+		j.acknowledged.add(jobID)
+	}
+	return record
+}
+
+// decodeRun joins the segments of a job's run record. Entries of other jobs and segments
+// that cannot be decoded are left out: the counts of tasks are for display only.
+func decodeRun(jobID protocol.JobID, entries []protocol.KeyValue) records.RunRecord {
+	segments := map[int]records.RunRecord{}
+	for _, entry := range entries {
+		owner, segment := records.ParseOpenKey(entry.Key)
+		var run records.RunRecord
+		if owner == jobID && segment != records.NoSegment && codec.Unmarshal(entry.Value, &run) == nil {
+			segments[segment] = run
+		}
+	}
+	return records.JoinSegments(segments)
+}
+
+// readFinal reads the final record of a job; nil means that there is none. Nothing of a
+// job with a final record can run, so a reply that such a job is cancelled is no
+// acknowledgment that a leader would have to know of.
+func (j *jobReader) readFinal(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
+	entry, err := j.store.Get(ctx, records.FinalKey(jobID))
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	var final records.FinalRecord
+	if err := codec.Unmarshal(entry.Value, &final); err != nil {
+		return nil, fmt.Errorf("%w of %s: %w", errUnreadable, jobID, err)
+	}
+	status := protocol.JobStatus{ID: jobID, Phase: final.Phase, Done: final.TasksDone}
+	j.finals.put(status)
+	return &jobRecord{status: status}, nil
+}
--- a/internal/api/messages.go
+++ b/internal/api/messages.go
@@ -10,7 +10,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// readBody reads a body up to the protocol's limit and no further.
+// readBody reads a request body up to the protocol's limit and no further. If that fails
+// it has answered the request.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.MaxBody))
 	if err == nil {
@@ -25,26 +26,25 @@
 	return nil, false
 }
 
-func writeReply(w http.ResponseWriter, status int, body any) {
-	var raw []byte
-	if body != nil {
-		if encoded, ok := body.([]byte); ok {
-			raw = encoded
-		} else {
-			raw, _ = codec.Marshal(body)
-		}
-	}
+// writeMessage encodes a message as the body of a reply.
+func writeMessage(w http.ResponseWriter, status int, message any) {
+	body, _ := codec.Marshal(message) // the messages of this package always have an encoding
+	writeReply(w, status, body)
+}
+
+// writeReply writes a reply with an encoded body, which may be empty.
+func writeReply(w http.ResponseWriter, status int, body []byte) {
 	header := w.Header()
-	if len(raw) > 0 {
+	if len(body) > 0 {
 		header.Set("Content-Type", "application/msgpack")
 	}
-	header.Set("Content-Length", strconv.Itoa(len(raw)))
+	header.Set("Content-Length", strconv.Itoa(len(body)))
 	if status == http.StatusServiceUnavailable {
 		header.Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
-		// Connections are not moved: a user whose node cannot answer would ask it
-		// again and again while the others could.
+		// A kept connection stays with this controller. Its user would ask here again
+		// and again while other controllers could answer.
 		header.Set("Connection", "close")
 	}
 	w.WriteHeader(status)
-	w.Write(raw)
+	w.Write(body)
 }
--- a/internal/api/routing.go
+++ b/internal/api/routing.go
@@ -8,51 +8,61 @@
 	"marblehaven/internal/protocol"
 )
 
-// ServeHTTP routes by hand: seven paths, and wrong methods need 405.
+// The paths of the HTTP interface.
+const (
+	pathStatusPage = "/"
+	pathHeartbeat  = "/hello"
+	pathHealth     = "/up"
+	pathJobs       = "/v1/jobs"
+	pathJobPrefix  = pathJobs + "/"
+	suffixCancel   = "/withdraw"
+)
+
+// ServeHTTP routes a request by its path and method. The router of the standard library
+// is not used: it would redirect paths that it cleans and send other Allow headers.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	path := r.URL.Path
 	switch {
-	case path == "/hello":
-		if requireMethod(w, r, http.MethodPost) {
-			s.serveHeartbeat(w, r)
-		}
-	case path == "/up":
-		if requireMethod(w, r, http.MethodGet) {
-			if s.node.Healthy() {
-				w.WriteHeader(http.StatusOK)
-			} else {
-				w.WriteHeader(http.StatusServiceUnavailable)
-			}
-		}
-	case path == "/v1/jobs":
-		if requireMethod(w, r, http.MethodPost) {
-			if body, ok := readBody(w, r); ok {
-				s.serveUser(w, r, peer.OperationSubmit, "", body)
-			}
-		}
-	case strings.HasPrefix(path, "/v1/jobs/"):
-		name := strings.TrimPrefix(path, "/v1/jobs/")
-		if name, ok := strings.CutSuffix(name, "/withdraw"); ok {
-			if requireMethod(w, r, http.MethodPost) {
-				s.serveUser(w, r, peer.OperationCancel, protocol.JobID(name), nil)
-			}
-		} else if requireMethod(w, r, http.MethodGet) {
-			s.serveUser(w, r, peer.OperationStatus, protocol.JobID(name), nil)
-		}
-	case path == "/":
-		if requireMethod(w, r, http.MethodGet) {
-			s.serveStatusPage(w, r)
-		}
+	case path == pathHeartbeat:
+		serveMethod(w, r, http.MethodPost, s.serveHeartbeat)
+	case path == pathHealth:
+		serveMethod(w, r, http.MethodGet, s.serveHealth)
+	case path == pathJobs:
+		serveMethod(w, r, http.MethodPost, s.serveSubmission)
+	case strings.HasPrefix(path, pathJobPrefix):
+		s.routeJob(w, r, strings.TrimPrefix(path, pathJobPrefix))
+	case path == pathStatusPage:
+		serveMethod(w, r, http.MethodGet, s.serveStatusPage)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-func requireMethod(w http.ResponseWriter, r *http.Request, want string) bool {
-	if r.Method == want || (want == http.MethodGet && r.Method == http.MethodHead) {
-		return true
+// routeJob routes a request for one job, whose name may be anything. The parts that
+// answer the call check the name.
+func (s *Server) routeJob(w http.ResponseWriter, r *http.Request, name string) {
+	method, call := http.MethodGet, &peer.UserCall{Operation: peer.OperationStatus, JobID: protocol.JobID(name)}
+	if cancelled, ok := strings.CutSuffix(name, suffixCancel); ok {
+		method, call = http.MethodPost, &peer.UserCall{Operation: peer.OperationCancel, JobID: protocol.JobID(cancelled)}
+	}
+	serveMethod(w, r, method, func(w http.ResponseWriter, r *http.Request) { s.serveUserCall(w, r, call) })
+}
+
+// serveMethod calls the handler if the request has the method. HEAD counts as GET.
+func serveMethod(w http.ResponseWriter, r *http.Request, method string, handler http.HandlerFunc) {
+	if r.Method == method || (method == http.MethodGet && r.Method == http.MethodHead) {
+		handler(w, r)
+		return
 	}
-	w.Header().Set("Allow", want)
+	w.Header().Set("Allow", method)
 	w.WriteHeader(http.StatusMethodNotAllowed)
-	return false
+}
+
+// serveHealth tells health checks whether this controller can answer requests.
+func (s *Server) serveHealth(w http.ResponseWriter, _ *http.Request) {
+	if s.node.Healthy() {
+		w.WriteHeader(http.StatusOK)
+	} else {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
 }
--- /dev/null
+++ b/internal/api/status.go
@@ -0,0 +1,62 @@
+package api
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/tuning"
+)
+
+// statusQueries answers users' questions for the status of a job.
+type statusQueries struct {
+	reader        *jobReader
+	resolver      *dependencyResolver
+	confirmed     *confirmedOpenJobs
+	cancellations *cancellations
+	retrier       *outcomeRetrier
+}
+
+func (s *statusQueries) status(ctx context.Context, jobID protocol.JobID) userReply {
+	if !protocol.ValidJobID(jobID) {
+		return noSuchJobReply()
+	}
+	return s.retrier.untilKnown(ctx, tuning.PollThrottleRetries, func() (userReply, error) {
+		record, err := s.current(ctx, jobID)
+		if err != nil {
+			return userReply{}, err
+		}
+		if record == nil {
+			return noSuchJobReply(), nil
+		}
+		return jobReply(http.StatusOK, record.status), nil
+	})
+}
+
+// current reads a job as jobReader.read does. If a dependency is cancelled, so is the
+// job, and its own open record is marked before any user is told: then no controller can
+// reply otherwise, whatever it knows of the dependencies.
+func (s *statusQueries) current(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
+	start := time.Now()
+	record, err := s.reader.read(ctx, jobID)
+	if err != nil || record == nil || !record.isOpen() || record.open.Cancelled {
+		return record, err
+	}
+	if len(record.open.Job.DependsOn) == 0 {
+		s.confirmed.confirm(jobID, start)
+		return record, nil
+	}
+	if _, ok := s.confirmed.asOf(jobID); ok {
+		return record, nil
+	}
+	resolved, err := s.resolver.resolve(ctx, record.open.Job.DependsOn)
+	if err != nil {
+		return nil, err
+	}
+	if resolved.state == dependencyCancelled {
+		return record, s.cancellations.mark(ctx, record)
+	}
+	s.confirmed.confirm(jobID, resolved.asOf)
+	return record, nil
+}
--- a/internal/api/usercalls.go
+++ b/internal/api/usercalls.go
@@ -4,12 +4,17 @@
 	"net/http"
 
 	"marblehaven/internal/peer"
-	"marblehaven/internal/protocol"
 )
 
-// serveUser answers a user's call. When more come than can be worked on they are
-// refused early, at once and alike.
-func (s *Server) serveUser(w http.ResponseWriter, r *http.Request, operation peer.Operation, jobID protocol.JobID, body []byte) {
+func (s *Server) serveSubmission(w http.ResponseWriter, r *http.Request) {
+	if body, ok := readBody(w, r); ok {
+		s.serveUserCall(w, r, &peer.UserCall{Operation: peer.OperationSubmit, Body: body})
+	}
+}
+
+// serveUserCall answers a user's call. Calls beyond the limit of those in flight are
+// refused at once, whatever they ask.
+func (s *Server) serveUserCall(w http.ResponseWriter, r *http.Request, call *peer.UserCall) {
 	select {
 	case s.inFlight <- struct{}{}:
 		defer func() { <-s.inFlight }()
@@ -17,16 +22,14 @@
 		writeReply(w, http.StatusServiceUnavailable, nil)
 		return
 	}
-	var reply userReply
+	reply := storeRefusedReply
 	if !s.node.RefusedAlone() {
-		reply = s.users.Handle(r.Context(), operation, jobID, body)
-	} else {
-		reply = storeRefusedReply
+		reply = s.users.answer(r.Context(), call)
 	}
 	if reply.storeRefused {
-		// The state service may refuse this node alone: a peer that it serves
-		// can answer for us.
-		if forwarded, ok := s.peers.Forward(r.Context(), &peer.UserCall{Operation: operation, JobID: jobID, Body: body}); ok {
+		// The key-value store may refuse this controller alone. Then a peer that the
+		// store serves can answer.
+		if forwarded, ok := s.peers.Forward(r.Context(), call); ok {
 			writeReply(w, forwarded.Status, forwarded.Body)
 			return
 		}
