--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -8,11 +8,11 @@
 	"marblehaven/internal/tuning"
 )
 
-// acknowledgedJobs remembers the jobs that this process has told users are cancelled,
+// acknowledgedCancellations remembers the jobs that this process has told users are cancelled,
 // the latest tuning.AcknowledgedJobs of them. A leader without state service that knows
 // them all may go on answering workers. A job is added before the answer leaves,
 // so the list never claims too much.
-type acknowledgedJobs struct {
+type acknowledgedCancellations struct {
 	mu            sync.Mutex
 	known         map[protocol.JobID]bool
 	jobs          []acknowledgment // in the order of their first acknowledgment
@@ -24,13 +24,13 @@
 	at    time.Time
 }
 
-// newAcknowledgedJobs begins a list. An earlier process of this node may have told
+// newAcknowledgedCancellations begins a list. An earlier process of this node may have told
 // users anything until just before the start.
-func newAcknowledgedJobs(start time.Time) *acknowledgedJobs {
-	return &acknowledgedJobs{known: map[protocol.JobID]bool{}, completeSince: start}
+func newAcknowledgedCancellations(start time.Time) *acknowledgedCancellations {
+	return &acknowledgedCancellations{known: map[protocol.JobID]bool{}, completeSince: start}
 }
 
-func (a *acknowledgedJobs) add(jobID protocol.JobID) {
+func (a *acknowledgedCancellations) add(jobID protocol.JobID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.known[jobID] {
@@ -45,7 +45,7 @@
 	a.jobs = append(a.jobs, acknowledgment{jobID, time.Now()})
 }
 
-func (a *acknowledgedJobs) list() (jobIDs []protocol.JobID, since time.Time) {
+func (a *acknowledgedCancellations) list() (jobIDs []protocol.JobID, since time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	jobIDs = make([]protocol.JobID, len(a.jobs))
--- a/internal/api/acknowledged_test.go
+++ b/internal/api/acknowledged_test.go
@@ -17,7 +17,7 @@
 func TestAcknowledgedIsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(1, 2))
-		a := newAcknowledgedJobs(time.Now())
+		a := newAcknowledgedCancellations(time.Now())
 		first := map[protocol.JobID]time.Time{}
 		dropped := false
 		for range 4 * tuning.AcknowledgedJobs {
--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -19,7 +19,7 @@
 	limits       *config.State
 	reader       *jobReader
 	confirmed    *confirmedOpenJobs
-	acknowledged *acknowledgedJobs
+	acknowledged *acknowledgedCancellations
 	retrier      *outcomeRetrier
 }
 
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -34,7 +34,7 @@
 // again. It is safe for concurrent use.
 type dependencyResolver struct {
 	reader    *jobReader
-	listings  *openJobs
+	listings  *openJobListings
 	confirmed *confirmedOpenJobs
 	log       *slog.Logger
 }
--- a/internal/api/jobreader.go
+++ b/internal/api/jobreader.go
@@ -20,7 +20,7 @@
 	store        *kvstore.Client
 	shared       *sharedReads
 	finals       *finalStatuses
-	acknowledged *acknowledgedJobs
+	acknowledged *acknowledgedCancellations
 	log          *slog.Logger
 }
 
--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -12,10 +12,10 @@
 	"marblehaven/internal/tuning"
 )
 
-// openJobs reads all open jobs at once and keeps them as long as may be relied on.
+// openJobListings reads all open jobs at once and keeps them as long as may be relied on.
 // Where many jobs wait for others, reading what they need job by job would take more
 // requests than the state service answers. It is safe for concurrent use.
-type openJobs struct {
+type openJobListings struct {
 	store    *kvstore.Client
 	validFor time.Duration // how long a reading may be relied on
 	// reading is held by whoever reads; the others wait for the same reading.
@@ -34,12 +34,12 @@
 	jobs map[protocol.JobID]records.OpenJob
 }
 
-func newOpenJobs(store *kvstore.Client, validFor time.Duration) *openJobs {
-	return &openJobs{store: store, validFor: validFor, reading: make(chan struct{}, 1)}
+func newOpenJobListings(store *kvstore.Client, validFor time.Duration) *openJobListings {
+	return &openJobListings{store: store, validFor: validFor, reading: make(chan struct{}, 1)}
 }
 
 // latestValid returns the latest reading if it may still be relied on.
-func (o *openJobs) latestValid() (jobListing, bool) {
+func (o *openJobListings) latestValid() (jobListing, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.latest, time.Since(o.latest.asOf) < o.validFor
@@ -47,7 +47,7 @@
 
 // allowSingleReads tells whether some more jobs may be read one by one: not more than
 // tuning.DependencyReads in the time for which a reading lasts.
-func (o *openJobs) allowSingleReads(jobs int) bool {
+func (o *openJobListings) allowSingleReads(jobs int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if time.Since(o.countedSince) >= o.validFor {
@@ -61,7 +61,7 @@
 }
 
 // read returns a reading that may be relied on, a new one if need be.
-func (o *openJobs) read(ctx context.Context) (jobListing, error) {
+func (o *openJobListings) read(ctx context.Context) (jobListing, error) {
 	select {
 	case o.reading <- struct{}{}:
 		defer func() { <-o.reading }()
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -25,7 +25,7 @@
 
 // Users answers users' calls from the key-value store, whichever controller leads.
 type Users struct {
-	acknowledged  *acknowledgedJobs
+	acknowledged  *acknowledgedCancellations
 	submissions   *submissions
 	cancellations *cancellations
 	statuses      *statusQueries
@@ -34,7 +34,7 @@
 // NewUsers creates the users' side of a controller.
 func NewUsers(cfg *config.Config, store *kvstore.Client, log *slog.Logger) *Users {
 	validFor := dependencyValidity(cfg)
-	acknowledged := newAcknowledgedJobs(time.Now())
+	acknowledged := newAcknowledgedCancellations(time.Now())
 	confirmed := newConfirmedOpenJobs(validFor)
 	retrier := &outcomeRetrier{budget: newRetryBudget(), log: log}
 	reader := &jobReader{
@@ -46,7 +46,7 @@
 	}
 	resolver := &dependencyResolver{
 		reader:    reader,
-		listings:  newOpenJobs(store, validFor),
+		listings:  newOpenJobListings(store, validFor),
 		confirmed: confirmed,
 		log:       log,
 	}
