--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -8,33 +8,36 @@
 	"marblehaven/internal/tuning"
 )
 
-// acknowledgedCancellations remembers the jobs that this process has told users are cancelled,
-// the latest tuning.AcknowledgedJobs of them. A leader without state service that knows
-// them all may go on answering workers. A job is added before the answer leaves,
-// so the list never claims too much.
+// acknowledgedCancellations remembers the jobs whose cancellation this process has
+// acknowledged to users, the latest tuning.AcknowledgedJobs of them. A leader without the
+// key-value store that knows the lists of all controllers may go on answering heartbeats.
+// A job is added before the reply leaves, so the list is never shorter than it claims.
+// It is safe for concurrent use.
 type acknowledgedCancellations struct {
 	mu            sync.Mutex
 	known         map[protocol.JobID]bool
-	jobs          []acknowledgment // in the order of their first acknowledgment
-	completeSince time.Time        // of all first acknowledged after it none is missing
+	jobs          []acknowledgment // in the order of their acknowledgments
+	completeSince time.Time        // no acknowledgment after this time is missing
 }
 
+// acknowledgment is the first reply that told a user of a job's cancellation.
 type acknowledgment struct {
 	jobID protocol.JobID
 	at    time.Time
 }
 
-// newAcknowledgedCancellations begins a list. An earlier process of this node may have told
-// users anything until just before the start.
+// newAcknowledgedCancellations begins a list at the start of the process. An earlier
+// process of this controller may have acknowledged cancellations until just before.
 func newAcknowledgedCancellations(start time.Time) *acknowledgedCancellations {
 	return &acknowledgedCancellations{known: map[protocol.JobID]bool{}, completeSince: start}
 }
 
+// add notes a job whose cancellation is about to be acknowledged.
 func (a *acknowledgedCancellations) add(jobID protocol.JobID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.known[jobID] {
-		return // only the first acknowledgment starts cancel_s
+		return // the time limit cancel_s counts from the first acknowledgment
 	}
 	if len(a.jobs) >= tuning.AcknowledgedJobs {
 		a.completeSince = a.jobs[0].at
@@ -45,6 +48,7 @@
 	a.jobs = append(a.jobs, acknowledgment{jobID, time.Now()})
 }
 
+// list returns the jobs and the time since which the list is complete.
 func (a *acknowledgedCancellations) list() (jobIDs []protocol.JobID, since time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/api/connections.go
+++ b/internal/api/connections.go
@@ -7,27 +7,29 @@
 	"time"
 )
 
-// connectionTable bounds the connections that users, workers and health checks hold. When
-// there are more than may be, the one longest idle is closed, whose owner then
-// makes another when it has something to say: refusing new ones would keep out
-// just those who do, for as long as the others hold theirs.
+// connectionTable bounds the connections of users, agents and health checks. A new
+// connection beyond the limit evicts the one that has been idle for the longest time; its
+// owner connects anew for its next request. To refuse new connections instead would keep
+// out those who have a request for as long as the others keep idle connections. It is
+// safe for concurrent use.
 type connectionTable struct {
 	limit     int
-	mu        sync.Mutex
-	idleSince map[net.Conn]time.Time // when it became idle; zero: it is in use
+	mu        sync.Mutex             // guards idleSince
+	idleSince map[net.Conn]time.Time // when the connection became idle; zero: in use
 }
 
 func newConnectionTable(limit int) *connectionTable {
 	return &connectionTable{limit: limit, idleSince: map[net.Conn]time.Time{}}
 }
 
-// track is the server's hook for changes of its connections.
+// track is the HTTP server's hook for state changes of its connections.
 func (c *connectionTable) track(conn net.Conn, state http.ConnState) {
 	if evicted := c.record(conn, state, time.Now()); evicted != nil {
 		evicted.Close()
 	}
 }
 
+// record notes the state of a connection and returns the connection to close, if any.
 func (c *connectionTable) record(conn net.Conn, state http.ConnState, now time.Time) (evicted net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,14 +37,14 @@
 	case http.StateNew:
 		if len(c.idleSince) >= c.limit {
 			if evicted = c.longestIdle(); evicted == nil {
-				return conn // all are in use
+				return conn // all others are in use
 			}
 			delete(c.idleSince, evicted)
 		}
 		c.idleSince[conn] = time.Time{}
 	case http.StateActive, http.StateIdle:
 		if _, tracked := c.idleSince[conn]; !tracked {
-			return nil // it is being closed
+			return nil // the connection is being closed
 		}
 		if state == http.StateActive {
 			now = time.Time{}
@@ -54,6 +56,7 @@
 	return evicted
 }
 
+// longestIdle returns the connection that became idle first, nil if all are in use.
 func (c *connectionTable) longestIdle() (longest net.Conn) {
 	var since time.Time
 	for conn, idleSince := range c.idleSince {
--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -12,23 +12,30 @@
 	"marblehaven/internal/tuning"
 )
 
-// openJobListings reads all open jobs at once and keeps them as long as may be relied on.
-// Where many jobs wait for others, reading what they need job by job would take more
-// requests than the state service answers. It is safe for concurrent use.
+// openJobListings lists all open jobs at once for the resolution of dependencies and keeps
+// the latest listing as long as a resolution may rely on it. Where many jobs have
+// dependencies, reading these one by one would take more requests than the key-value
+// store answers. It is safe for concurrent use.
+//
+// sharedReads cannot serve in its place: its reading begins after the call, is not kept,
+// and is paced by the store's request rate, while a listing here may be older than the
+// call, is read under the caller's deadline and without a pause, and holds decoded open
+// records only. To use one for both would change how often the store is read.
 type openJobListings struct {
 	store    *kvstore.Client
-	validFor time.Duration // how long a reading may be relied on
-	// reading is held by whoever reads; the others wait for the same reading.
+	validFor time.Duration // how long a listing may be relied on
+	// reading is held by the caller that lists; other callers wait and use its listing.
 	reading chan struct{}
 
 	mu     sync.Mutex // guards the rest
 	latest jobListing
-	// singleReads counts the jobs read one by one since the time, see allowSingleReads.
+	// singleReads counts the jobs read one by one since countedSince, see
+	// allowSingleReads.
 	singleReads  int
 	countedSince time.Time
 }
 
-// jobListing is all open jobs at some time.
+// jobListing holds the open records of all open jobs as of some time.
 type jobListing struct {
 	asOf time.Time
 	jobs map[protocol.JobID]records.OpenJob
@@ -38,15 +45,15 @@
 	return &openJobListings{store: store, validFor: validFor, reading: make(chan struct{}, 1)}
 }
 
-// latestValid returns the latest reading if it may still be relied on.
+// latestValid returns the latest listing and whether it may still be relied on.
 func (o *openJobListings) latestValid() (jobListing, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.latest, time.Since(o.latest.asOf) < o.validFor
 }
 
-// allowSingleReads tells whether some more jobs may be read one by one: not more than
-// tuning.DependencyReads in the time for which a reading lasts.
+// allowSingleReads tells whether some more jobs may be read one by one, and counts them if
+// so: not more than tuning.DependencyReads in the time for which a listing is valid.
 func (o *openJobListings) allowSingleReads(jobs int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -60,7 +67,7 @@
 	return true
 }
 
-// read returns a reading that may be relied on, a new one if need be.
+// read returns a listing that may be relied on, a new one if the latest is too old.
 func (o *openJobListings) read(ctx context.Context) (jobListing, error) {
 	select {
 	case o.reading <- struct{}{}:
--- a/internal/api/retrybudget.go
+++ b/internal/api/retrybudget.go
@@ -6,24 +6,25 @@
 	"marblehaven/internal/tuning"
 )
 
-// retryBudget bounds retries to a part of the calls that succeed. Without it each call
-// that the state service throttles is made again and again, which keeps it throttling
-// long after what began it is over. It is safe for concurrent use.
+// retryBudget limits the retries of throttled calls to a share of the calls that succeed.
+// Without a budget all throttled calls are retried, and the retries keep the key-value
+// store throttling long after the overload that began it has ended. It is safe for
+// concurrent use.
 type retryBudget struct {
 	mu     sync.Mutex
-	tokens float64
+	tokens float64 // the retries that may be made now
 }
 
 func newRetryBudget() *retryBudget { return &retryBudget{tokens: tuning.RetryBudget} }
 
-// recordSuccess notes a call that was answered.
+// recordSuccess adds tuning.RetryShare of a retry for a call that succeeded.
 func (b *retryBudget) recordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(tuning.RetryBudget, b.tokens+tuning.RetryShare)
 }
 
-// allowRetry tells whether a call may be made again now.
+// allowRetry tells whether a call may be retried now, and takes the retry if so.
 func (b *retryBudget) allowRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -16,37 +16,41 @@
 	"marblehaven/internal/tuning"
 )
 
-// Node is what the server asks about its node.
+// Node is the controller of this process, as its HTTP server sees it.
 type Node interface {
-	// LocalLeader is the leader of this node's term, nil if it has none.
+	// LocalLeader is the leader that runs in this process, nil if the controller does
+	// not lead.
 	LocalLeader() *leader.Leader
-	// Leader is who leads, as far as known.
+	// Leader is the record of the current leader and term, as far as this controller
+	// knows; not ok if it knows none.
 	Leader() (records.LeaderRecord, bool)
-	// Healthy tells whether the node can take requests.
+	// Healthy is the answer to health checks: whether the controller can take requests.
 	Healthy() bool
-	// Summary is the leader's status, from whichever node.
+	// Summary fetches the leader's status, from this process or from a peer; not ok if
+	// the leader does not answer.
 	Summary(ctx context.Context) (leader.Status, bool)
-	// RefusedAlone tells whether it serves others but not this node.
+	// RefusedAlone tells whether the key-value store refuses this controller while it
+	// serves some peer. Users' calls are then forwarded.
 	RefusedAlone() bool
-	// StoreReachable tells whether the state service serves this node.
+	// StoreReachable tells whether the key-value store serves this controller.
 	StoreReachable() bool
 }
 
-// Server serves the users' address.
+// Server is the HTTP server of a controller, for users, agents and health checks.
 type Server struct {
 	name        string
 	users       *Users
 	node        Node
 	peers       *peer.Group
 	log         *slog.Logger
-	inFlight    chan struct{}
+	inFlight    chan struct{} // holds a value for each user's call being answered
 	connections *connectionTable
-	idleTimeout time.Duration // how long a connection is kept idle
-	redirected  atomic.Uint64 // reports that were sent on to another node
+	idleTimeout time.Duration // how long an idle connection is kept
+	redirected  atomic.Uint64 // heartbeats that were redirected
 	malformed   *httpclient.MalformedLog
 }
 
-// NewServer makes the server of a node.
+// NewServer creates the HTTP server of a controller.
 func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, malformed *httpclient.MalformedLog) *Server {
 	sockets := cfg.Deployment.Sockets(len(cfg.Peers))
 	return &Server{name: cfg.Node, users: users, node: node, peers: peers, log: log, malformed: malformed,
@@ -54,7 +58,7 @@
 		idleTimeout: max(tuning.IdleMin, tuning.IdleHeartbeats*cfg.Deployment.Workers.HeartbeatInterval())}
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve answers requests on the listener until the context ends.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{
 		Handler:           s,
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -15,26 +15,29 @@
 	"marblehaven/internal/tuning"
 )
 
-// sharedReads reads the records of all open jobs for everybody who asks about one of them.
-// Where more is asked than the state service answers requests, a read for each question
-// leaves some jobs without an answer for minutes. What is returned was read after the
-// question came, as with a read of its own. It is safe for concurrent use.
+// sharedReads reads the records of all open jobs for many callers at once, each of which
+// asks for one job. Where users ask for more jobs than the key-value store answers
+// requests, one read for each call leaves some users without an answer for minutes. A
+// caller gets records that were read after its call, as with a read of its own. It is
+// safe for concurrent use.
+//
+// See openJobListings for why the two are not one.
 type sharedReads struct {
 	store *kvstore.Client
-	// rate is how many pages a second this node may read in this way.
+	// rate is how many pages a second this controller may read in this way.
 	rate float64
-	// turn is held by the reading under way, so that there is one at a time.
+	// turn is held by the reading in progress, so that there is one at a time.
 	turn chan struct{}
 
-	mu          sync.Mutex // guards the rest
-	throttledAt time.Time  // when a request was throttled last
-	next        *sharedRead
-	notBefore   time.Time // of the next reading
+	mu          sync.Mutex  // guards the rest
+	throttledAt time.Time   // when a request was throttled last
+	next        *sharedRead // the reading that has not begun, nil if nobody waits for one
+	notBefore   time.Time   // when the next reading may begin
 }
 
-// sharedRead is one reading, for all who asked before it began.
+// sharedRead is one reading for all callers that came before it began.
 type sharedRead struct {
-	done    chan struct{} // closed when the rest is set
+	done    chan struct{} // closed when the other fields are set
 	entries []protocol.KeyValue
 	err     error
 }
@@ -45,22 +48,23 @@
 		rate: cfg.Deployment.State.Smaller().RPS * tuning.SharedReadsShare / nodes}
 }
 
-// noteThrottled notes that the state service has throttled a read.
+// noteThrottled notes that the key-value store has throttled a read.
 func (s *sharedReads) noteThrottled() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.throttledAt = time.Now()
 }
 
-// enabled tells whether reads are to be shared: some were throttled lately.
+// enabled tells whether callers are to share their reads, since the store has throttled
+// one within tuning.SharedReadsFor.
 func (s *sharedReads) enabled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.throttledAt.IsZero() && time.Since(s.throttledAt) < tuning.SharedReadsFor
 }
 
-// records returns the records of an open job, as a reading that begins after the call
-// finds them; none if it is not open.
+// records returns the records of an open job from a reading that begins after the call;
+// none if the job is not open.
 func (s *sharedReads) records(ctx context.Context, jobID protocol.JobID) ([]protocol.KeyValue, error) {
 	reading := s.join()
 	select {
@@ -74,7 +78,7 @@
 	return recordsOf(reading.entries, jobID), nil
 }
 
-// join returns the next reading that begins.
+// join returns the reading that begins next, and schedules one if there is none.
 func (s *sharedReads) join() *sharedRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +89,7 @@
 	return s.next
 }
 
-// run carries a reading out when it is its turn.
+// run carries out a reading when its turn has come and the pause is over.
 func (s *sharedReads) run(reading *sharedRead) {
 	s.turn <- struct{}{}
 	defer func() { <-s.turn }()
@@ -94,7 +98,7 @@
 	s.mu.Unlock()
 	time.Sleep(pause)
 	s.mu.Lock()
-	s.next = nil // who asks from now on waits for another
+	s.next = nil // callers from now on wait for another reading
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.UserDeadline)
 	defer cancel()
@@ -110,8 +114,8 @@
 	s.mu.Unlock()
 }
 
-// pause is how long after the beginning of a reading that found some records the next
-// may begin.
+// pause is the time from the beginning of a reading that returned some records to the
+// beginning of the next. It keeps the pages read within the rate.
 func (s *sharedReads) pause(entries []protocol.KeyValue) time.Duration {
 	bytes := 0
 	for _, entry := range entries {
@@ -121,8 +125,8 @@
 	return min(tuning.SharedReadsPause, time.Duration(pages/s.rate*float64(time.Second)))
 }
 
-// recordsOf picks the records of a job among those of all open jobs, in the order of
-// their keys.
+// recordsOf returns the records of a job among those of all open jobs, which are in the
+// order of their keys.
 func recordsOf(entries []protocol.KeyValue, jobID protocol.JobID) []protocol.KeyValue {
 	key := records.OpenKey(jobID)
 	first, found := slices.BinarySearchFunc(entries, key, func(entry protocol.KeyValue, key string) int { return strings.Compare(entry.Key, key) })
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -35,7 +35,7 @@
 }
 
 // current reads a job as jobReader.read does. If a dependency is cancelled, so is the
-// job, and its own open record is marked before any user is told: then no controller can
+// job, and its own open record is marked before the reply leaves: then no controller can
 // reply otherwise, whatever it knows of the dependencies.
 func (s *statusQueries) current(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
 	start := time.Now()
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -2,7 +2,7 @@
 // heartbeats, health checks and the status page.
 //
 // A user's call is answered from the key-value store by whichever controller receives
-// it, leader or not: Users holds the parts that do this. What a user is told is durable
+// it, leader or not: Users holds the parts that do this. What a reply says is durable
 // before the reply leaves. A heartbeat is answered by the local leader or redirected.
 //
 // The package owns the connections made to this process, the caches of what users'
