--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -166,11 +166,11 @@
 func (walk *dependencyWalk) visit(result lookupResult) (cancelled bool, err error) {
 	switch {
 	case errors.Is(result.err, errUnreadable):
-		walk.log.Error("dependency", "err", result.err)
+		walk.log.Error("record of a dependency cannot be decoded, the dependent job waits", "job", result.jobID, "err", result.err)
 	case result.err != nil:
 		return false, result.err
 	case result.job == nil:
-		walk.log.Error("dependency of a dependency without record", "job", result.jobID)
+		walk.log.Error("dependency has no record, the dependent job waits", "job", result.jobID)
 	case result.job.status.Phase == protocol.PhaseCancelled:
 		return true, nil
 	case result.isOpen():
--- a/internal/api/jobreader.go
+++ b/internal/api/jobreader.go
@@ -93,7 +93,7 @@
 	if err := codec.Unmarshal(entries[0].Value, &record.open); err != nil {
 		// An unreadable record still proves that the job was accepted. Without a reply
 		// the user would have to take the job for lost.
-		j.log.Error("unreadable job record", "job", jobID, "err", err)
+		j.log.Error("open record cannot be decoded, its job counts as accepted all the same", "job", jobID, "err", err)
 		record.open = records.OpenJob{Cancelled: records.MarkedCancelled(entries[0].Value)}
 		record.unreadable = true
 	}
--- a/internal/api/outcomeretry.go
+++ b/internal/api/outcomeretry.go
@@ -34,7 +34,7 @@
 		case errors.Is(err, kvstore.ErrUnavailable):
 			return storeRefusedReply
 		case errors.Is(err, kvstore.ErrInvalidRequest), errors.Is(err, kvstore.ErrTooLarge):
-			o.log.Error("record refused", "err", err)
+			o.log.Error("key-value store refused a transaction as invalid or too large, the call is answered with 503", "err", err)
 			return unavailableReply
 		}
 		// The outcome of any other error is unknown. The next attempt reads before it
--- a/internal/api/statuspage.go
+++ b/internal/api/statuspage.go
@@ -61,7 +61,7 @@
 	page.Summary, page.HasSummary = s.node.Summary(ctx)
 	var html bytes.Buffer
 	if err := pageTemplate.Execute(&html, page); err != nil {
-		s.log.Error("status page", "err", err)
+		s.log.Error("status page cannot be rendered, the request is answered with 500", "err", err)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
