--- a/internal/api/statuspage_test.go
+++ b/internal/api/statuspage_test.go
@@ -8,7 +8,7 @@
 	"marblehaven/internal/leader"
 )
 
-// The status page counts and names the tasks that no record names, and says nothing of
+// The status page counts and lists the tasks that no record names, and has no heading for
 // them where there are none.
 func TestPageNamesUnknownTasks(t *testing.T) {
 	show := func(status leader.Status) string {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,21 +18,21 @@
 
 func TestLoad(t *testing.T) {
 	dir := t.TempDir()
-	file := func(name, text string) string {
-		p := filepath.Join(dir, name)
-		if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
+	writeFile := func(name, text string) string {
+		path := filepath.Join(dir, name)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return p
+		return path
 	}
-	c, err := Load(file("good.json", good), file("op.toml", "rho = 1.5\nestimator = \"user\"\n"))
+	c, err := Load(writeFile("good.json", good), writeFile("op.toml", "rho = 1.5\nestimator = \"user\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Operator.Rho != 1.5 || c.Operator.GiveBackFactor != DefaultOperator().GiveBackFactor || c.Team("t") == nil {
 		t.Errorf("read as %+v", c)
 	}
-	bad := []struct{ json, toml, names string }{
+	tests := []struct{ json, operator, wantName string }{
 		{"{", "", "bad.json"},
 		{strings.Replace(good, `"lease_s":12`, `"lease_s":"x"`, 1), "", "lease_s"},
 		{strings.Replace(good, `"lease_s":12`, `"lease_s":40`, 1), "", "cancel_s"},
@@ -56,26 +56,26 @@
 		{good, "unheard_of = 1", "unheard_of"},
 		{good, "rho = ", "bad.toml"},
 	}
-	for _, b := range bad {
-		op := ""
-		if b.toml != "" {
-			op = file("bad.toml", b.toml)
+	for _, test := range tests {
+		operatorPath := ""
+		if test.operator != "" {
+			operatorPath = writeFile("bad.toml", test.operator)
 		}
-		_, err := Load(file("bad.json", b.json), op)
-		if err == nil || !strings.Contains(err.Error(), b.names) || strings.Contains(strings.TrimSpace(err.Error()), "\n") {
-			t.Errorf("expected one line naming %s, got %v", b.names, err)
+		_, err := Load(writeFile("bad.json", test.json), operatorPath)
+		if err == nil || !strings.Contains(err.Error(), test.wantName) || strings.Contains(strings.TrimSpace(err.Error()), "\n") {
+			t.Errorf("expected one line naming %s, got %v", test.wantName, err)
 		}
 	}
 }
 
 // Announced limits count only where they are smaller; without any, today's stand.
 func TestSmallerLimits(t *testing.T) {
-	today := StateLimits{RPS: 250, WriteRPS: 25, ValueKB: 32, TxnOps: 20}
-	if got := (State{StateLimits: today}).Smaller(); got != today {
+	present := StateLimits{RPS: 250, WriteRPS: 25, ValueKB: 32, TxnOps: 20}
+	if got := (State{StateLimits: present}).Smaller(); got != present {
 		t.Errorf("without announced limits %+v", got)
 	}
 	rps, value, ops := 400.0, 2.0, 6
-	got := State{StateLimits: today, Next: NextLimits{RPS: &rps, ValueKB: &value, TxnOps: &ops}}.Smaller()
+	got := State{StateLimits: present, Next: NextLimits{RPS: &rps, ValueKB: &value, TxnOps: &ops}}.Smaller()
 	if want := (StateLimits{RPS: 250, WriteRPS: 25, ValueKB: 2, TxnOps: 6}); got != want {
 		t.Errorf("smaller limits %+v instead of %+v", got, want)
 	}
