--- a/internal/api/sharedreads_test.go
+++ b/internal/api/sharedreads_test.go
@@ -8,8 +8,9 @@
 	"marblehaven/internal/records"
 )
 
-// Of the records of all open jobs each job gets its own: its open record and the pieces of
-// its run record, none of another whose name begins the same, and nothing if it is not open.
+// Each job gets its own records among those of all open jobs: its open record and the
+// segments of its run record, no record of a job whose name begins the same, and none at
+// all if the job is not open.
 func TestRecordsOf(t *testing.T) {
 	var entries []protocol.KeyValue
 	for _, key := range []string{
@@ -18,19 +19,25 @@
 	} {
 		entries = append(entries, protocol.KeyValue{Key: key})
 	}
-	for jobID, want := range map[protocol.JobID][]string{
-		"req-1":  {"o/req-1", "o/req-1/t", "o/req-1/t/3"},
-		"req-10": {"o/req-10", "o/req-10/t"},
-		"req-11": nil, // closed: what is left of its run record counts for nobody
-		"req-2":  {"o/req-2"},
-		"req-3":  nil,
+	for _, test := range []struct {
+		name  string
+		jobID protocol.JobID
+		want  []string
+	}{
+		{"open record and two segments", "req-1", []string{"o/req-1", "o/req-1/t", "o/req-1/t/3"}},
+		{"name that begins with another job's name", "req-10", []string{"o/req-10", "o/req-10/t"}},
+		{"closed job with a leftover segment", "req-11", nil},
+		{"open record alone", "req-2", []string{"o/req-2"}},
+		{"job without records", "req-3", nil},
 	} {
-		var got []string
-		for _, entry := range recordsOf(entries, jobID) {
-			got = append(got, entry.Key)
-		}
-		if !slices.Equal(got, want) {
-			t.Errorf("records of %s: %v instead of %v", jobID, got, want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			var got []string
+			for _, entry := range recordsOf(entries, test.jobID) {
+				got = append(got, entry.Key)
+			}
+			if !slices.Equal(got, test.want) {
+				t.Errorf("records of %s: %v instead of %v", test.jobID, got, test.want)
+			}
+		})
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,59 +16,72 @@
 "state":{"rps":250,"write_rps":25,"value_kb":32,"txn_ops":20},"cloud":{"rps":4,"list_lag_s":10},
 "limits":{"cpu_share":0.1,"memory_mb":180,"sockets":1800},"clock_error_ms":25}}`
 
-func TestLoad(t *testing.T) {
-	dir := t.TempDir()
-	writeFile := func(name, text string) string {
-		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return path
+// writeFile creates a file in the directory and returns its path.
+func writeFile(t *testing.T, dir, name, text string) string {
+	t.Helper()
+	path := filepath.Join(dir, name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
 	}
-	c, err := Load(writeFile("good.json", good), writeFile("op.toml", "rho = 1.5\nestimator = \"user\"\n"))
+	return path
+}
+
+func TestLoad(t *testing.T) {
+	dir := t.TempDir() // not of a subtest: its path must not contain what errors must name
+	c, err := Load(writeFile(t, dir, "good.json", good), writeFile(t, dir, "op.toml", "rho = 1.5\nestimator = \"user\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Operator.Rho != 1.5 || c.Operator.GiveBackFactor != DefaultOperator().GiveBackFactor || c.Team("t") == nil {
 		t.Errorf("read as %+v", c)
 	}
-	tests := []struct{ json, operator, wantName string }{
-		{"{", "", "bad.json"},
-		{strings.Replace(good, `"lease_s":12`, `"lease_s":"x"`, 1), "", "lease_s"},
-		{strings.Replace(good, `"lease_s":12`, `"lease_s":40`, 1), "", "cancel_s"},
-		{strings.Replace(good, `"cancel_s":37`, `"cancel_s":17.5`, 1), "", "cancel_s"},
-		{strings.Replace(good, `"report_s":3,`, ``, 1), "", "report_s"},
-		{strings.Replace(good, `"report_s":3,`, `"report_s":9.6,`, 1), "", "lease_s"},
-		{strings.Replace(good, `10.0.0.1:80`, `nowhere`, 1), "", "api_addr"},
-		{strings.Replace(good, `"n-1"`, `"n-0"`, 1), "", "peers[0].node"},
-		{strings.Replace(good, `"cpus":1`, `"cpus":-1`, 1), "", "teams[0]"},
-		{strings.Replace(good, `"sockets":1800`, `"sockets":60`, 1), "", "limits.sockets"},
-		{strings.Replace(good, `"memory_mb":180`, `"memory_mb":8`, 1), "", "limits.memory_mb"},
-		{strings.Replace(good, `"txn_ops":20`, `"txn_ops":20,"next":{"txn_ops":3}`, 1), "", "state.next.txn_ops"},
-		{strings.Replace(good, `"txn_ops":20`, `"txn_ops":20,"next":{"value_kb":0}`, 1), "", "state.next.value_kb"},
-		{strings.Replace(good, `"txn_ops":20`, `"txn_ops":20,"next":{"write_rps":-4}`, 1), "", "state.next.write_rps"},
-		{strings.Replace(good, `"txn_ops":20`, `"txn_ops":20,"next":{"rps":0}`, 1), "", "state.next.rps"},
-		{strings.Replace(good, `"txn_ops":20`, `"txn_ops":20,"next":{"rps":"x"}`, 1), "", "state.next.rps"},
-		{strings.Replace(good, `"value_kb":32`, `"value_kb":1.5`, 1), "", "state.value_kb"},
-		{good, "rho = -1", "rho"},
-		{good, "estimator = \"guess\"", "estimator"},
-		{good, "cloud_call_share = 2.0", "cloud_call_share"},
-		{good, "unheard_of = 1", "unheard_of"},
-		{good, "rho = ", "bad.toml"},
-	}
-	for _, test := range tests {
-		operatorPath := ""
-		if test.operator != "" {
-			operatorPath = writeFile("bad.toml", test.operator)
-		}
-		_, err := Load(writeFile("bad.json", test.json), operatorPath)
-		if err == nil || !strings.Contains(err.Error(), test.wantName) || strings.Contains(strings.TrimSpace(err.Error()), "\n") {
-			t.Errorf("expected one line naming %s, got %v", test.wantName, err)
-		}
+	// Settings that the service cannot work with are refused by one line that names the
+	// file or the field.
+	replaced := func(old, new string) string { return strings.Replace(good, old, new, 1) }
+	for _, test := range []struct {
+		name     string
+		json     string
+		operator string // the operators' file; empty: none
+		wantName string // what the error must name
+	}{
+		{"platform file is not JSON", "{", "", "bad.json"},
+		{"lease is not a number", replaced(`"lease_s":12`, `"lease_s":"x"`), "", "lease_s"},
+		{"lease is longer than the cancellation limit", replaced(`"lease_s":12`, `"lease_s":40`), "", "cancel_s"},
+		{"cancellation limit leaves the leader no time", replaced(`"cancel_s":37`, `"cancel_s":17.5`), "", "cancel_s"},
+		{"heartbeat interval is missing", replaced(`"report_s":3,`, ``), "", "report_s"},
+		{"heartbeat interval is as long as the lease", replaced(`"report_s":3,`, `"report_s":9.6,`), "", "lease_s"},
+		{"address has no port", replaced(`10.0.0.1:80`, `nowhere`), "", "api_addr"},
+		{"peer has the name of this node", replaced(`"n-1"`, `"n-0"`), "", "peers[0].node"},
+		{"guaranteed quota is negative", replaced(`"cpus":1`, `"cpus":-1`), "", "teams[0]"},
+		{"too few sockets", replaced(`"sockets":1800`, `"sockets":60`), "", "limits.sockets"},
+		{"too little memory", replaced(`"memory_mb":180`, `"memory_mb":8`), "", "limits.memory_mb"},
+		{"announced transactions are too short", replaced(`"txn_ops":20`, `"txn_ops":20,"next":{"txn_ops":3}`), "", "state.next.txn_ops"},
+		{"announced value limit is 0", replaced(`"txn_ops":20`, `"txn_ops":20,"next":{"value_kb":0}`), "", "state.next.value_kb"},
+		{"announced write rate is negative", replaced(`"txn_ops":20`, `"txn_ops":20,"next":{"write_rps":-4}`), "", "state.next.write_rps"},
+		{"announced request rate is 0", replaced(`"txn_ops":20`, `"txn_ops":20,"next":{"rps":0}`), "", "state.next.rps"},
+		{"announced request rate is not a number", replaced(`"txn_ops":20`, `"txn_ops":20,"next":{"rps":"x"}`), "", "state.next.rps"},
+		{"value limit is too low for a record", replaced(`"value_kb":32`, `"value_kb":1.5`), "", "state.value_kb"},
+		{"operator factor is negative", good, "rho = -1", "rho"},
+		{"operator estimator is unknown", good, "estimator = \"guess\"", "estimator"},
+		{"operator share is above 1", good, "cloud_call_share = 2.0", "cloud_call_share"},
+		{"operator field is unknown", good, "unheard_of = 1", "unheard_of"},
+		{"operator file is not TOML", good, "rho = ", "bad.toml"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			operatorPath := ""
+			if test.operator != "" {
+				operatorPath = writeFile(t, dir, "bad.toml", test.operator)
+			}
+			_, err := Load(writeFile(t, dir, "bad.json", test.json), operatorPath)
+			if err == nil || !strings.Contains(err.Error(), test.wantName) || strings.Contains(strings.TrimSpace(err.Error()), "\n") {
+				t.Errorf("expected one line naming %s, got %v", test.wantName, err)
+			}
+		})
 	}
 }
 
-// Announced limits count only where they are smaller; without any, today's stand.
+// An announced limit counts only where it is smaller than the present one. Without
+// announced limits the present ones stand.
 func TestSmallerLimits(t *testing.T) {
 	present := StateLimits{RPS: 250, WriteRPS: 25, ValueKB: 32, TxnOps: 20}
 	if got := (State{StateLimits: present}).Smaller(); got != present {
@@ -81,8 +94,8 @@
 	}
 }
 
-// The parts of the sockets never make up more than there are, and what serves
-// users and workers gets the most of them.
+// The parts of the sockets never add up to more than the limit, and the connections of
+// users and agents get the most of them.
 func TestSockets(t *testing.T) {
 	for _, n := range []int{200, 1000, 1800, 3000, 4000, 20000} {
 		for _, peers := range []int{2, 4, 6, 10} {
@@ -92,18 +105,18 @@
 				t.Errorf("%d sockets, %d peers: %+v", n, peers, s)
 			}
 			if n >= 1000 && s.Incoming < n/2 {
-				t.Errorf("%d sockets, %d peers: only %d for users and workers", n, peers, s.Incoming)
+				t.Errorf("%d sockets, %d peers: only %d for users and agents", n, peers, s.Incoming)
 			}
 		}
 	}
 }
 
-// Each of 4,000 workers may hold a connection to the leader where there are 5,000
-// sockets. Commands once took a fifth of what was left, so that workers' connections
-// were closed in turn.
+// Each of 4,000 agents may hold a connection to the leader where there are 5,000 sockets.
+// Commands once took a fifth of the sockets left, so that the connections of agents were
+// evicted in turn.
 func TestSocketsForFourThousandMachines(t *testing.T) {
 	d := Deployment{Limits: Limits{Sockets: 5000}}
 	if s := d.Sockets(2); s.Incoming < 4000 {
-		t.Errorf("only %d connections for users and workers", s.Incoming)
+		t.Errorf("only %d connections for users and agents", s.Incoming)
 	}
 }
--- a/internal/peer/compatible_test.go
+++ b/internal/peer/compatible_test.go
@@ -15,10 +15,10 @@
 	"marblehaven/internal/records"
 )
 
-// testdata/production.json holds records and peers' messages as the version in
-// production (deploy/service.toml) writes them, in hexadecimal. During an upgrade
-// each version works on the other's, so what this one makes of them, and what it
-// writes where nothing new is said, must stay the same to the byte.
+// testdata/production.json holds records and peers' messages as the version in production
+// (deploy/service.toml) writes them, in hexadecimal. During an upgrade each version reads
+// the other's, so this version must decode them to the same values, and where no newer
+// field is set, encode them to the same bytes.
 func TestProductionFormats(t *testing.T) {
 	raw, err := os.ReadFile("testdata/production.json")
 	if err != nil {
@@ -49,20 +49,7 @@
 		"userCall":   &UserCall{Operation: "poll", JobID: "req-000412", Body: []byte{0x80}},
 		"userAnswer": &UserAnswer{Status: 200, Body: []byte{0x80}},
 	} {
-		old, err := hex.DecodeString(kept[name])
-		if err != nil || len(old) == 0 {
-			t.Fatalf("%s: %v", name, err)
-		}
-		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
-		if err := codec.Unmarshal(old, got); err != nil {
-			t.Errorf("%s: %v", name, err)
-		}
-		if d := cmp.Diff(want, got); d != "" {
-			t.Errorf("%s is read differently: %s", name, d)
-		}
-		if now, err := codec.Marshal(want); err != nil || !bytes.Equal(now, old) {
-			t.Errorf("%s is written as\n%x, in production as\n%x", name, now, old)
-		}
+		t.Run(name, func(t *testing.T) { compareWithProduction(t, kept[name], want) })
 		delete(kept, name)
 	}
 	for name := range kept {
@@ -70,8 +57,29 @@
 	}
 }
 
-// What this version writes beyond that is passed over by the one in production, whose
-// structures are these: the names of a job's dependencies, and when a job was closed.
+// compareWithProduction decodes a message of the version in production, compares it with
+// the wanted value, and encodes that value to the same bytes.
+func compareWithProduction(t *testing.T, encoded string, want any) {
+	t.Helper()
+	old, err := hex.DecodeString(encoded)
+	if err != nil || len(old) == 0 {
+		t.Fatalf("no production bytes: %v", err)
+	}
+	got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
+	if err := codec.Unmarshal(old, got); err != nil {
+		t.Error(err)
+	}
+	if d := cmp.Diff(want, got); d != "" {
+		t.Errorf("decoded differently: %s", d)
+	}
+	if now, err := codec.Marshal(want); err != nil || !bytes.Equal(now, old) {
+		t.Errorf("encoded as\n%x, in production as\n%x", now, old)
+	}
+}
+
+// The version in production ignores the fields that this version adds to records: the
+// names of a job's dependencies, and when a job was closed. The structures are those of
+// the version in production.
 func TestReadByProduction(t *testing.T) {
 	open, _ := codec.Marshal(records.OpenJob{Job: protocol.Job{ID: "req-000001", Tasks: 3, DependsOn: []protocol.JobID{"req-000002"}}, AcceptedMS: 7})
 	var job struct {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -80,7 +80,8 @@
 				settings = append(settings, config.Peer{Node: fmt.Sprint("marble-", i)})
 				peers[settings[i].Node] = &fakePeer{rng: rand.New(rand.NewPCG(seed, uint64(10+i))), since: time.Now()}
 			}
-			group, err := NewGroup(settings, func(p config.Peer) (grpc.ClientConnInterface, error) { return peers[p.Node], nil }, leadingNode{}, slog.New(slog.DiscardHandler))
+			dial := func(p config.Peer) (grpc.ClientConnInterface, error) { return peers[p.Node], nil }
+			group, err := NewGroup(settings, dial, leadingNode{}, slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
 			}
