--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -78,12 +78,23 @@
 	if listing, ok := o.latestValid(); ok {
 		return listing, nil
 	}
-	listing := jobListing{asOf: time.Now(), jobs: map[protocol.JobID]records.OpenJob{}}
+	asOf := time.Now()
 	page, err := o.store.ListAll(ctx, records.PrefixOpen)
 	if err != nil {
 		return jobListing{}, err
 	}
-	for _, entry := range page.Entries {
+	listing := jobListing{asOf: asOf, jobs: decodeOpenJobs(page.Entries)}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.latest = listing
+	return listing, nil
+}
+
+// decodeOpenJobs decodes the open records and leaves out the segments of run records. Of
+// an open record that cannot be decoded only the mark of a cancellation is known.
+func decodeOpenJobs(entries []protocol.KeyValue) map[protocol.JobID]records.OpenJob {
+	jobs := map[protocol.JobID]records.OpenJob{}
+	for _, entry := range entries {
 		jobID, segment := records.ParseOpenKey(entry.Key)
 		if segment != records.NoSegment {
 			continue
@@ -92,10 +103,7 @@
 		if err := codec.Unmarshal(entry.Value, &open); err != nil {
 			open = records.OpenJob{Cancelled: records.MarkedCancelled(entry.Value)}
 		}
-		listing.jobs[jobID] = open
+		jobs[jobID] = open
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.latest = listing
-	return listing, nil
+	return jobs
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -50,12 +50,24 @@
 	malformed   *httpclient.MalformedLog
 }
 
+// maxHeaderBytes limits the header of a request; agents and users send a few lines.
+const maxHeaderBytes = 8 << 10
+
 // NewServer creates the HTTP server of a controller.
 func NewServer(cfg *config.Config, users *Users, node Node, peers *peer.Group, log *slog.Logger, malformed *httpclient.MalformedLog) *Server {
 	sockets := cfg.Deployment.Sockets(len(cfg.Peers))
-	return &Server{name: cfg.Node, users: users, node: node, peers: peers, log: log, malformed: malformed,
-		inFlight: make(chan struct{}, sockets.Users), connections: newConnectionTable(sockets.Incoming),
-		idleTimeout: max(tuning.IdleMin, tuning.IdleHeartbeats*cfg.Deployment.Workers.HeartbeatInterval())}
+	heartbeatInterval := cfg.Deployment.Workers.HeartbeatInterval()
+	return &Server{
+		name:        cfg.Node,
+		users:       users,
+		node:        node,
+		peers:       peers,
+		log:         log,
+		malformed:   malformed,
+		inFlight:    make(chan struct{}, sockets.Users),
+		connections: newConnectionTable(sockets.Incoming),
+		idleTimeout: max(tuning.IdleMin, tuning.IdleHeartbeats*heartbeatInterval),
+	}
 }
 
 // Serve answers requests on the listener until the context ends.
@@ -66,7 +78,7 @@
 		ReadTimeout:       2 * tuning.UserDeadline,
 		IdleTimeout:       s.idleTimeout,
 		ConnState:         s.connections.track,
-		MaxHeaderBytes:    8 << 10,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 	}
 	go func() {
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -43,9 +43,12 @@
 }
 
 func newSharedReads(store *kvstore.Client, cfg *config.Config) *sharedReads {
-	nodes := float64(len(cfg.Peers) + 1)
-	return &sharedReads{store: store, turn: make(chan struct{}, 1),
-		rate: cfg.Deployment.State.Smaller().RPS * tuning.SharedReadsShare / nodes}
+	controllers := float64(len(cfg.Peers) + 1)
+	return &sharedReads{
+		store: store,
+		rate:  cfg.Deployment.State.Smaller().RPS * tuning.SharedReadsShare / controllers,
+		turn:  make(chan struct{}, 1),
+	}
 }
 
 // noteThrottled notes that the key-value store has throttled a read.
