--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -3,17 +3,15 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"slices"
-	"sync"
 	"time"
 
-	"marblehaven/internal/config"
 	"marblehaven/internal/protocol"
-	"marblehaven/internal/records"
 	"marblehaven/internal/tuning"
 )
 
-// dependencyState is what the jobs that a job waits for mean for it.
+// dependencyState is what the dependencies of a job mean for it.
 type dependencyState int
 
 const (
@@ -22,225 +20,161 @@
 	dependencyUnknown                          // one was never accepted
 )
 
-// dependencies finds out about the jobs that a job waits for, and those that these
-// wait for, as far as they are open, and returns the time that this is known for:
-// what was read here shortly before is not read again. That one is cancelled is never
-// undone, so it holds for good. The time is zero if not all could be looked at: what is
-// left out is read for the next answer, and the leader knows all open jobs.
-func (u *Users) dependencies(ctx context.Context, jobIDs []protocol.JobID) (state dependencyState, asOf time.Time, err error) {
-	w := &dependencyWalk{Users: u, asOf: time.Now(), seen: map[protocol.JobID]bool{}}
+// resolution is the state of a job's dependencies.
+type resolution struct {
+	state dependencyState
+	// asOf is the time for which an open state holds. It is zero if not all
+	// dependencies could be read: the rest is read for the next reply, and the leader
+	// knows all open jobs. That one is cancelled is never undone, so it holds for good.
+	asOf time.Time
+}
+
+// dependencyResolver resolves the dependencies of a job: the direct ones, and as far as
+// these are open, the indirect ones. Jobs that were recently confirmed open are not read
+// again. It is safe for concurrent use.
+type dependencyResolver struct {
+	reader    *jobReader
+	listings  *openJobListings
+	confirmed *confirmedOpenJobs
+	log       *slog.Logger
+}
+
+// resolve resolves the named direct dependencies of a job, level by level.
+func (d *dependencyResolver) resolve(ctx context.Context, jobIDs []protocol.JobID) (resolution, error) {
+	walk := &dependencyWalk{dependencyResolver: d, asOf: time.Now(), seen: map[protocol.JobID]bool{}}
 	for direct := true; len(jobIDs) > 0; direct = false {
-		jobs, err := w.findLevel(ctx, jobIDs)
+		jobs, err := walk.lookUpLevel(ctx, jobIDs)
 		if err != nil {
-			return dependencyOpen, w.asOf, err
+			return resolution{}, err
 		}
-		// Whether all were accepted comes first: that one of them is cancelled says
-		// nothing of the others.
+		// An unknown dependency comes before a cancelled one: that one of them is
+		// cancelled does not tell whether the others were accepted.
 		if direct && slices.ContainsFunc(jobs, lookupResult.neverAccepted) {
-			return dependencyUnknown, w.asOf, nil
+			return resolution{state: dependencyUnknown}, nil
 		}
-		jobIDs = nil
-		for _, f := range jobs {
-			cancelled, err := w.visit(f)
-			switch {
-			case err != nil:
-				return dependencyOpen, w.asOf, err
-			case cancelled:
-				return dependencyCancelled, w.asOf, nil
-			case f.isOpen():
-				jobIDs = append(jobIDs, f.job.open.Job.DependsOn...)
-			}
+		cancelled, next, err := walk.visitLevel(jobs)
+		if err != nil {
+			return resolution{}, err
 		}
+		if cancelled {
+			return resolution{state: dependencyCancelled}, nil
+		}
+		jobIDs = next
 	}
-	if w.incomplete {
-		return dependencyOpen, time.Time{}, nil
+	if walk.incomplete {
+		return resolution{state: dependencyOpen}, nil
 	}
-	for _, jobID := range w.open {
-		u.confirmOpen(jobID, w.asOf)
+	for _, jobID := range walk.open {
+		d.confirmed.confirm(jobID, walk.asOf)
 	}
-	return dependencyOpen, w.asOf, nil
+	return resolution{state: dependencyOpen, asOf: walk.asOf}, nil
 }
 
-// dependencyWalk goes through the jobs that a job needs, level by level.
+// dependencyWalk is one walk through the dependencies of a job, breadth first.
 type dependencyWalk struct {
-	*Users
-	asOf        time.Time               // what is found holds for this time
-	seen        map[protocol.JobID]bool // jobs that were met
-	open        []protocol.JobID        // of them, those that are open
-	singleReads int                     // jobs that were read one by one
-	incomplete  bool                    // not all that is over could be read
+	*dependencyResolver
+	asOf        time.Time               // the time for which all results hold
+	seen        map[protocol.JobID]bool // the jobs visited or about to be
+	open        []protocol.JobID        // the open jobs among them
+	singleReads int                     // the jobs that were read one by one
+	incomplete  bool                    // some jobs were left out, see lookUpLevel
 }
 
-// findLevel finds the jobs among those named that were not met before and that this
-// node does not know to be open. Few are read one by one, more all at once; what is not
-// open then is read one by one again, not more than tuning.DependencyReads for an
-// answer, and remembered.
-func (w *dependencyWalk) findLevel(ctx context.Context, jobIDs []protocol.JobID) ([]lookupResult, error) {
-	level := w.unseen(jobIDs)
-	listing, ok := w.openJobReads.latestValid()
-	out, left := w.findListed(level, listing, ok)
-	if len(left) > 0 && !ok && !w.openJobReads.allowSingleReads(len(left)) {
-		listing, err := w.openJobReads.read(ctx)
+// lookUpLevel looks up the named jobs, except those that were seen before or are
+// confirmed open. A few are read one by one; for more, all open jobs are listed at once.
+// Jobs that the listing lacks are read one by one again, not more than
+// tuning.DependencyReads in a walk; their final statuses are cached.
+func (walk *dependencyWalk) lookUpLevel(ctx context.Context, jobIDs []protocol.JobID) ([]lookupResult, error) {
+	unseen := walk.markUnseen(jobIDs)
+	listing, valid := walk.listings.latestValid()
+	results, remaining := walk.lookUpListed(unseen, listing, valid)
+	if len(remaining) > 0 && !valid && !walk.listings.allowSingleReads(len(remaining)) {
+		listing, err := walk.listings.read(ctx)
 		if err != nil {
 			return nil, err
 		}
 		var listed []lookupResult
-		listed, left = w.findListed(left, listing, true)
-		out = append(out, listed...)
+		listed, remaining = walk.lookUpListed(remaining, listing, true)
+		results = append(results, listed...)
 	}
-	if most := max(0, tuning.DependencyReads-w.singleReads); len(left) > most {
-		left, w.incomplete = left[:most], true
+	if limit := max(0, tuning.DependencyReads-walk.singleReads); len(remaining) > limit {
+		remaining, walk.incomplete = remaining[:limit], true
 	}
-	w.singleReads += len(left)
-	return append(out, w.findAll(ctx, left)...), nil
+	walk.singleReads += len(remaining)
+	return append(results, walk.reader.readAll(ctx, remaining)...), nil
 }
 
-// unseen picks the jobs that were not met before and that are not known to be open.
-func (w *dependencyWalk) unseen(jobIDs []protocol.JobID) (out []protocol.JobID) {
+// markUnseen returns the jobs that the walk has not seen before and that are not
+// confirmed open, and marks all as seen.
+func (walk *dependencyWalk) markUnseen(jobIDs []protocol.JobID) (unseen []protocol.JobID) {
 	for _, jobID := range jobIDs {
-		if w.seen[jobID] {
+		if walk.seen[jobID] {
 			continue
 		}
-		w.seen[jobID] = true
-		if at, ok := w.openAsOf(jobID); !ok {
-			out = append(out, jobID)
-		} else if at.Before(w.asOf) {
-			w.asOf = at
+		walk.seen[jobID] = true
+		if confirmedAt, ok := walk.confirmed.asOf(jobID); ok {
+			walk.limitAsOf(confirmedAt)
+		} else {
+			unseen = append(unseen, jobID)
 		}
 	}
-	return out
+	return unseen
 }
 
-// findListed finds jobs without a request, in what is remembered of those that are over
-// and in a reading of the open ones, and returns which are left.
-func (w *dependencyWalk) findListed(jobIDs []protocol.JobID, listing jobListing, reliable bool) (out []lookupResult, left []protocol.JobID) {
+// lookUpListed looks up jobs without a request, in the cached final statuses and in a
+// listing of the open jobs if that is valid. It returns the jobs that are in neither.
+func (walk *dependencyWalk) lookUpListed(jobIDs []protocol.JobID, listing jobListing, valid bool) (results []lookupResult, remaining []protocol.JobID) {
 	for _, jobID := range jobIDs {
 		open, listed := listing.jobs[jobID]
-		switch status, over := w.finalStatus(jobID); {
-		case over:
-			out = append(out, lookupResult{jobID: jobID, job: &jobRecord{status: status}})
-		case reliable && listed:
-			out = append(out, lookupResult{jobID: jobID, job: &jobRecord{version: openVersion, open: open, status: openStatus(jobID, &open)}})
-			if listing.asOf.Before(w.asOf) {
-				w.asOf = listing.asOf
-			}
+		switch status, final := walk.reader.finals.get(jobID); {
+		case final:
+			results = append(results, lookupResult{jobID: jobID, job: &jobRecord{status: status}})
+		case valid && listed:
+			results = append(results, lookupResult{jobID: jobID, job: listedJobRecord(jobID, &open)})
+			walk.limitAsOf(listing.asOf)
 		default:
-			left = append(left, jobID)
+			remaining = append(remaining, jobID)
 		}
 	}
-	return out, left
-}
-
-// visit draws the conclusions from a job that was found.
-func (w *dependencyWalk) visit(f lookupResult) (cancelled bool, err error) {
-	switch {
-	case errors.Is(f.err, errUnreadable):
-		w.Log.Error("dependency", "err", f.err) // the job waits
-	case f.err != nil:
-		return false, f.err
-	case f.job == nil:
-		w.Log.Error("dependency of a dependency without record", "job", f.jobID) // the job waits
-	case f.job.status.Phase == protocol.PhaseCancelled:
-		return true, nil
-	case f.isOpen():
-		w.open = append(w.open, f.jobID)
-	}
-	return false, nil
+	return results, remaining
 }
 
-// openVersion stands for the version of an open record that was read only to be known.
-const openVersion = 1
-
-// openStatus is the phase of an open job, as far as its own record says.
-func openStatus(jobID protocol.JobID, open *records.OpenJob) protocol.JobStatus {
-	status := protocol.JobStatus{ID: jobID, Phase: protocol.PhaseQueued}
-	if open.Cancelled {
-		status.Phase = protocol.PhaseCancelled
+// limitAsOf notes that a result holds for the given time only.
+func (walk *dependencyWalk) limitAsOf(at time.Time) {
+	if at.Before(walk.asOf) {
+		walk.asOf = at
 	}
-	return status
 }
 
-// lookupResult is what a job was found to be, or why it could not be read.
-type lookupResult struct {
-	jobID protocol.JobID
-	job   *jobRecord
-	err   error
-}
-
-func (f lookupResult) isOpen() bool { return f.job != nil && f.job.version != 0 }
-
-func (f lookupResult) neverAccepted() bool { return f.err == nil && f.job == nil }
-
-// findAll reads some jobs at the same time.
-func (u *Users) findAll(ctx context.Context, jobIDs []protocol.JobID) []lookupResult {
-	out := make([]lookupResult, len(jobIDs))
-	var wg sync.WaitGroup
-	for i, jobID := range jobIDs {
-		out[i].jobID = jobID
-		wg.Go(func() { out[i].job, out[i].err = u.find(ctx, jobID) })
-	}
-	wg.Wait()
-	return out
-}
-
-// current reads a job as find does. If a job that it needs is cancelled, so is this
-// one, and its own record says so before its user is told: then no controller can
-// tell the user anything else, whatever it knows of the others.
-func (u *Users) current(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
-	start := time.Now()
-	record, err := u.find(ctx, jobID)
-	if err != nil || record == nil || record.version == 0 || record.open.Cancelled {
-		return record, err
-	}
-	if len(record.open.Job.DependsOn) == 0 {
-		u.confirmOpen(jobID, start)
-		return record, nil
-	}
-	if _, ok := u.openAsOf(jobID); ok {
-		return record, nil
-	}
-	state, asOf, err := u.dependencies(ctx, record.open.Job.DependsOn)
-	if err != nil {
-		return nil, err
-	}
-	if state == dependencyCancelled {
-		return record, u.markCancelled(ctx, record)
+// visitLevel draws the conclusions from the jobs of a level and returns the dependencies
+// of those that are open, which are the next level.
+func (walk *dependencyWalk) visitLevel(jobs []lookupResult) (cancelled bool, next []protocol.JobID, err error) {
+	for _, result := range jobs {
+		cancelled, err := walk.visit(result)
+		if err != nil || cancelled {
+			return cancelled, nil, err
+		}
+		if result.isOpen() {
+			next = append(next, result.job.open.Job.DependsOn...)
+		}
 	}
-	u.confirmOpen(jobID, asOf)
-	return record, nil
+	return false, next, nil
 }
 
-// confirmOpen remembers that at some time a job was accepted, and neither it nor any
-// that it needs was cancelled.
-func (u *Users) confirmOpen(jobID protocol.JobID, at time.Time) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if len(u.confirmedOpen) >= tuning.FinalCache {
-		clear(u.confirmedOpen)
+// visit draws the conclusions from one job. A job without a readable record is neither
+// cancelled nor an error: the job that depends on it waits.
+func (walk *dependencyWalk) visit(result lookupResult) (cancelled bool, err error) {
+	switch {
+	case errors.Is(result.err, errUnreadable):
+		walk.log.Error("record of a dependency cannot be decoded, the dependent job waits", "job", result.jobID, "err", result.err)
+	case result.err != nil:
+		return false, result.err
+	case result.job == nil:
+		walk.log.Error("dependency has no record, the dependent job waits", "job", result.jobID)
+	case result.job.status.Phase == protocol.PhaseCancelled:
+		return true, nil
+	case result.isOpen():
+		walk.open = append(walk.open, result.jobID)
 	}
-	u.confirmedOpen[jobID] = at
-}
-
-// openAsOf returns when that was last known, if it may still be answered by: the
-// leader closes a job soon after one that it needs is cancelled, and only if it cannot
-// must others find out within cancel_s.
-func (u *Users) openAsOf(jobID protocol.JobID) (at time.Time, ok bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	at = u.confirmedOpen[jobID]
-	return at, time.Since(at) < dependencyCheck(u.Config)
-}
-
-// dependencyCheck is how long a node relies on what it knows of the jobs that others
-// wait for.
-func dependencyCheck(c *config.Config) time.Duration {
-	return time.Duration(c.Deployment.Workers.CancelS * tuning.DependencyCheckShare * float64(time.Second))
-}
-
-// forgetOpen forgets that a job was open: its user is about to be told that it is
-// cancelled.
-func (u *Users) forgetOpen(jobID protocol.JobID) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	delete(u.confirmedOpen, jobID)
+	return false, nil
 }
--- /dev/null
+++ b/internal/config/operator.go
@@ -0,0 +1,69 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/BurntSushi/toml"
+)
+
+// Operator holds the settings in the operators' own file.
+type Operator struct {
+	// Rho is the factor by which an estimated run time and its queueing time count
+	// when the slack before a deadline is computed.
+	Rho float64 `toml:"rho"`
+	// DeadlineFactor times the estimated run time is the deadline of a job without one.
+	DeadlineFactor float64 `toml:"default_deadline_factor"`
+	// GiveBackFactor times the boot time of its type is how long an idle machine is
+	// kept before scale in, at the type's lowest price. A higher price shortens it.
+	GiveBackFactor float64 `toml:"give_back_boot_factor"`
+	// CallBudget is the share of the cloud's call rate limit that is used.
+	CallBudget float64 `toml:"cloud_call_share"`
+	// Estimator chooses the run-time estimate: estimatorRecent corrects the user's
+	// estimate by the recent runs of the job's class, estimatorUser takes it as it is.
+	Estimator string `toml:"estimator"`
+}
+
+// DefaultOperator returns the values used without an operators' file.
+func DefaultOperator() Operator {
+	return Operator{Rho: 1, DeadlineFactor: 3, GiveBackFactor: 4, CallBudget: 0.8, Estimator: estimatorRecent}
+}
+
+// load reads the operators' file over the values that the settings have now.
+func (o *Operator) load(path string) error {
+	metadata, err := toml.DecodeFile(path, o)
+	if err != nil {
+		return err
+	}
+	if unknown := metadata.Undecoded(); len(unknown) > 0 {
+		return fmt.Errorf("field %s: unknown", unknown[0])
+	}
+	return o.check()
+}
+
+// The values of Estimator.
+const (
+	estimatorRecent = "recent"
+	estimatorUser   = "user"
+)
+
+// check names the unknown estimator, or every number that is out of its range.
+func (o Operator) check() error {
+	if o.Estimator != estimatorRecent && o.Estimator != estimatorUser {
+		return fmt.Errorf("field estimator: %q is neither \"recent\" nor \"user\"", o.Estimator)
+	}
+	return errors.Join(
+		checkRange("rho", o.Rho, 0, 10),
+		checkRange("default_deadline_factor", o.DeadlineFactor, 1, 100),
+		checkRange("give_back_boot_factor", o.GiveBackFactor, 0, 100),
+		checkRange("cloud_call_share", o.CallBudget, 0.05, 1),
+	)
+}
+
+// checkRange also refuses a value that is not a number, for which no comparison holds.
+func checkRange(field string, value, low, high float64) error {
+	if !(value >= low && value <= high) {
+		return fmt.Errorf("field %s: %v is not within %v to %v", field, value, low, high)
+	}
+	return nil
+}
