--- a/internal/config/durations.go
+++ b/internal/config/durations.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// The settings files give times in seconds as decimal numbers. Callers that still
-// convert the fields themselves are to use these accessors.
-
+// The settings files give times in seconds as decimal numbers. Inside, they are
+// durations.
 func seconds(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
 
 // HeartbeatInterval is the pause between two heartbeats of an agent.
--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -191,7 +191,7 @@
 	if machine.CommandInFlight || machine.Deprovisioning || machine.Addr == "" || now.Before(machine.NextHandshake) {
 		return false
 	}
-	leaseOver := machine.Up && now.Sub(machine.LastContact) > seconds(l.Config.Deployment.Workers.LeaseS)
+	leaseOver := machine.Up && now.Sub(machine.LastContact) > l.Config.Deployment.Workers.LeaseDuration()
 	return machine.AcknowledgedToken < l.termToken() || leaseOver
 }
 
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -31,7 +31,7 @@
 }
 
 func newLeaderLease(agents config.Workers) leaderLease {
-	return leaderLease{duration: max(0, seconds(agents.CancelS-agents.LeaseS)-tuning.LeaderLeaseMargin)}
+	return leaderLease{duration: max(0, agents.CancellationLimit()-agents.LeaseDuration()-tuning.LeaderLeaseMargin)}
 }
 
 // lastConfirmation is the time up to which the key-value store itself has proved that
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -65,7 +65,7 @@
 	}
 	l.deprovision(failed, "failed", now)
 	l.planHandshakes(now)
-	lag := tuning.ListLags * seconds(l.Config.Deployment.Cloud.ListLagS)
+	lag := tuning.ListLags * l.Config.Deployment.Cloud.ListLag()
 	l.machines.pruneRemoved(result.began, lag)
 	l.markObsoleteRequests(listed)
 }
