--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -3,7 +3,6 @@
 
 import (
 	"context"
-	"fmt"
 	"net/http"
 
 	"marblehaven/internal/httpclient"
@@ -13,15 +12,15 @@
 
 // Client sends commands; it is safe for concurrent use.
 type Client struct {
-	caller httpclient.Caller
-	slots  chan struct{}
+	http  httpclient.Client
+	slots chan struct{}
 }
 
 // New makes a client over the given transport that has at most so many commands
 // under way at once: a hundred machines that hang take a socket each until the
 // commands to them are given up.
 func New(rt http.RoundTripper, cs *httpclient.MalformedLog, atOnce int) *Client {
-	return &Client{httpclient.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs}, make(chan struct{}, max(1, atOnce))}
+	return &Client{httpclient.Client{HTTP: &http.Client{Transport: rt}, Malformed: cs}, make(chan struct{}, max(1, atOnce))}
 }
 
 // SendCommands sends commands to the worker at addr and returns its report after them,
@@ -37,12 +36,10 @@
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommandTimeout)
 	defer cancel()
 	heartbeat := new(protocol.Heartbeat)
-	status, err := c.caller.Call(ctx, http.MethodPost, "http://"+addr+"/do", req, map[int]any{200: heartbeat, 409: heartbeat})
-	if err == nil && status != 200 && status != 409 {
-		err = fmt.Errorf("worker answered %d", status)
+	err := c.http.Do(ctx, httpclient.Request{Method: http.MethodPost, URL: "http://" + addr + "/do", Body: req,
+		Responses: map[int]any{http.StatusOK: heartbeat, http.StatusConflict: heartbeat}})
+	if err != nil && !httpclient.HasStatus(err, http.StatusConflict) {
+		return heartbeat, err
 	}
-	if err == nil {
-		err = heartbeat.Check()
-	}
-	return heartbeat, err
+	return heartbeat, heartbeat.Check()
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -28,13 +28,13 @@
 // Client is a client of the cloud. It is safe for concurrent use.
 type Client struct {
 	base    string
-	caller  httpclient.Caller
+	http    httpclient.Client
 	limiter *rate.Limiter
 }
 
 // New makes a client that makes at most rps calls a second.
 func New(addr string, rt http.RoundTripper, cs *httpclient.MalformedLog, rps float64) *Client {
-	return &Client{base: "http://" + addr, caller: httpclient.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs}, limiter: rate.NewLimiter(rate.Limit(rps), int(math.Max(1, rps*tuning.CloudBurst)))}
+	return &Client{base: "http://" + addr, http: httpclient.Client{HTTP: &http.Client{Transport: rt}, Malformed: cs}, limiter: rate.NewLimiter(rate.Limit(rps), int(math.Max(1, rps*tuning.CloudBurst)))}
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in any, out map[int]any) error {
@@ -43,14 +43,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
 	defer cancel()
-	status, err := c.caller.Call(ctx, method, c.base+path, in, out)
+	err := c.http.Do(ctx, httpclient.Request{Method: method, URL: c.base + path, Body: in, Responses: out})
 	switch {
+	case httpclient.HasStatus(err, http.StatusBadRequest):
+		return ErrInvalidRequest
 	case err != nil:
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
-	case status == http.StatusBadRequest:
-		return ErrInvalidRequest
-	case status != http.StatusOK:
-		return fmt.Errorf("%w: status %d", ErrUnavailable, status)
 	}
 	return nil
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -267,7 +267,7 @@
 
 // sendHeartbeats is the loop of reports.
 func (m *machineAgent) sendHeartbeats() {
-	hc := &http.Client{Transport: m.env.Network.From(m.env.life, m.id)}
+	client := httpclient.Client{HTTP: &http.Client{Transport: m.env.Network.From(m.env.life, m.id)}}
 	last := time.Now().Add(-time.Hour)
 	for {
 		time.Sleep(2 * m.env.Step)
@@ -289,7 +289,8 @@
 		ctx, cancel := context.WithTimeout(m.env.life, 4*time.Second)
 		var ans protocol.HeartbeatReply
 		var redirect protocol.Redirect
-		status, err := httpclient.Call(ctx, hc, http.MethodPost, "http://"+addr+"/hello", msg, map[int]any{200: &ans, 421: &redirect})
+		status := answeredStatus(client.Do(ctx, httpclient.Request{Method: http.MethodPost, URL: "http://" + addr + "/hello", Body: msg,
+			Responses: map[int]any{200: &ans, 421: &redirect}}))
 		cancel()
 		m.env.mu.Lock()
 		for m.hung && !m.removed { // it takes the answer when it goes on
@@ -300,7 +301,7 @@
 		if time.Since(last) > 4*time.Second {
 			status = 0
 		}
-		if status == 200 && err == nil {
+		if status == 200 {
 			if ans.Token >= m.token && msg.Incarnation == m.incarnation && !m.removed {
 				m.leaseRenewed = last
 				m.setToken(ans.Token)
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -432,10 +432,11 @@
 		addr := nodes[int(w.Network.float()*float64(len(nodes)))]
 		ctx, cancel := context.WithTimeout(w.life, each)
 		var st protocol.JobStatus
-		status, err := httpclient.Call(ctx, &http.Client{Transport: w.Network.From(w.life, "users")}, method, "http://"+addr+path, in,
-			map[int]any{200: &st, 201: &st})
+		client := httpclient.Client{HTTP: &http.Client{Transport: w.Network.From(w.life, "users")}}
+		status := answeredStatus(client.Do(ctx, httpclient.Request{Method: method, URL: "http://" + addr + path, Body: in,
+			Responses: map[int]any{200: &st, 201: &st}}))
 		cancel()
-		if err == nil && status != 429 && status < 500 {
+		if status != 0 && status != 429 && status < 500 {
 			return status, st
 		}
 		if w.life.Err() != nil || time.Since(start) > total {
--- /dev/null
+++ b/internal/httpclient/client.go
@@ -0,0 +1,94 @@
+// Package httpclient sends single HTTP requests with MessagePack bodies and says by typed
+// errors what is known of their outcome.
+//
+// It owns the encoding of requests, the decoding of answers and the rate-limited log of
+// malformed messages. It must never retry a request, nor take an answer that it could
+// not read for an answer: only the callers know whether a request may be repeated.
+package httpclient
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+
+	"marblehaven/internal/codec"
+)
+
+// Request is one HTTP request.
+type Request struct {
+	Method string
+	URL    string
+	// Body is sent as MessagePack; nil sends no body.
+	Body any
+	// Responses holds, by status, the value into which the answer's body is decoded.
+	// The body of an answer with any other status is ignored.
+	Responses map[int]any
+}
+
+// Client sends requests to one kind of service. It is safe for concurrent use.
+type Client struct {
+	HTTP *http.Client
+	// Malformed logs answers that cannot be decoded; nil logs none.
+	Malformed *MalformedLog
+}
+
+// Do sends a request once. It returns nil after an answer with status 200, a
+// *StatusError after one with another status, and a *NoAnswerError when there was no
+// usable answer. In each case a body that Responses asks for has been decoded, except
+// where there was no usable answer: what the values hold then means nothing.
+func (c Client) Do(ctx context.Context, request Request) error {
+	status, err := exchange(ctx, c.HTTP, request)
+	if err != nil {
+		if c.Malformed != nil && errors.Is(err, ErrMalformed) {
+			c.Malformed.Record(request.URL, err)
+		}
+		return &NoAnswerError{Method: request.Method, URL: request.URL, Err: err}
+	}
+	if status != http.StatusOK {
+		return &StatusError{Method: request.Method, URL: request.URL, Status: status}
+	}
+	return nil
+}
+
+// exchange sends the request and reads the whole answer. An error says that there is no
+// usable answer.
+func exchange(ctx context.Context, httpClient *http.Client, request Request) (status int, err error) {
+	httpRequest, err := encode(ctx, request)
+	if err != nil {
+		return 0, err
+	}
+	answer, err := httpClient.Do(httpRequest)
+	if err != nil {
+		return 0, err
+	}
+	defer answer.Body.Close()
+	body, err := io.ReadAll(answer.Body)
+	if err != nil {
+		return 0, err
+	}
+	if value := request.Responses[answer.StatusCode]; value != nil {
+		if err := codec.Unmarshal(body, value); err != nil {
+			return 0, fmt.Errorf("%w (status %d): %v", ErrMalformed, answer.StatusCode, err)
+		}
+	}
+	return answer.StatusCode, nil
+}
+
+func encode(ctx context.Context, request Request) (*http.Request, error) {
+	if request.Body == nil {
+		return http.NewRequestWithContext(ctx, request.Method, request.URL, nil)
+	}
+	body, err := codec.Marshal(request.Body)
+	if err != nil {
+		return nil, err
+	}
+	httpRequest, err := http.NewRequestWithContext(ctx, request.Method, request.URL, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	httpRequest.Header.Set("Content-Type", "application/msgpack")
+	return httpRequest, nil
+}
--- /dev/null
+++ b/internal/httpclient/client_test.go
@@ -0,0 +1,169 @@
+package httpclient_test
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"marblehaven/internal/codec"
+	"marblehaven/internal/httpclient"
+)
+
+type payload struct {
+	Text string `msgpack:"text"`
+}
+
+func encoded(t *testing.T, value any) []byte {
+	t.Helper()
+	body, err := codec.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return body
+}
+
+// TestAnswers pins which error an answer becomes, and whether its body is decoded.
+func TestAnswers(t *testing.T) {
+	whole := encoded(t, payload{"decoded"})
+	for _, c := range []struct {
+		name       string
+		status     int
+		body       []byte
+		wantStatus int  // of the StatusError; 200: no error; 0: no usable answer
+		malformed  bool // with ErrMalformed in the chain
+		wantText   string
+	}{
+		{name: "200 with a body", status: 200, body: whole, wantStatus: 200, wantText: "decoded"},
+		{name: "200 with an empty body", status: 200, malformed: true},
+		{name: "200 with half a body", status: 200, body: whole[:len(whole)-2], malformed: true},
+		{name: "200 with trailing bytes", status: 200, body: append(bytes.Clone(whole), 0xc0), malformed: true, wantText: "decoded"},
+		{name: "409 with a body that is asked for", status: 409, body: whole, wantStatus: 409, wantText: "decoded"},
+		{name: "409 with a body that cannot be decoded", status: 409, body: []byte("conflict"), malformed: true},
+		{name: "400 with an empty body that is asked for", status: 400, malformed: true},
+		{name: "404 whose body nobody asks for", status: 404, body: []byte("not found"), wantStatus: 404},
+		{name: "201 whose body nobody asks for", status: 201, body: whole, wantStatus: 201},
+		{name: "202 asked for with a nil value", status: 202, body: whole, wantStatus: 202},
+		{name: "503 without a body", status: 503, wantStatus: 503},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				w.WriteHeader(c.status)
+				w.Write(c.body)
+			}))
+			defer server.Close()
+			var logged bytes.Buffer
+			client := httpclient.Client{HTTP: server.Client(), Malformed: httpclient.NewMalformedLog(slog.New(slog.NewTextHandler(&logged, nil)))}
+			var got payload
+			err := client.Do(t.Context(), httpclient.Request{Method: http.MethodGet, URL: server.URL + "/path",
+				Responses: map[int]any{200: &got, 202: nil, 400: &got, 409: &got}})
+			checkError(t, err, c.wantStatus, server.URL+"/path")
+			if errors.Is(err, httpclient.ErrMalformed) != c.malformed {
+				t.Errorf("malformed is %v in %v", !c.malformed, err)
+			}
+			if wrote := strings.Contains(logged.String(), "malformed message"); wrote != c.malformed {
+				t.Errorf("logged %q", logged.String())
+			}
+			if got.Text != c.wantText {
+				t.Errorf("decoded %q instead of %q", got.Text, c.wantText)
+			}
+		})
+	}
+}
+
+// checkError checks that an error is the one for a status: 200 is none, 0 no usable
+// answer.
+func checkError(t *testing.T, err error, status int, url string) {
+	t.Helper()
+	var answered *httpclient.StatusError
+	var unanswered *httpclient.NoAnswerError
+	isAnswered, isUnanswered := errors.As(err, &answered), errors.As(err, &unanswered)
+	switch {
+	case status == http.StatusOK && err != nil:
+		t.Errorf("got %v", err)
+	case status == http.StatusOK:
+	case status == 0 && (!isUnanswered || isAnswered || unanswered.Method != http.MethodGet || unanswered.URL != url):
+		t.Errorf("got %v instead of no usable answer", err)
+	case status > 0 && (!isAnswered || isUnanswered || *answered != httpclient.StatusError{Method: http.MethodGet, URL: url, Status: status}):
+		t.Errorf("got %v instead of status %d", err, status)
+	case status > 0 && (!httpclient.HasStatus(err, status) || httpclient.HasStatus(err, status+1)):
+		t.Errorf("HasStatus misreads %v", err)
+	}
+}
+
+// TestNoAnswer pins that whatever keeps an answer from being read whole leaves the outcome
+// unknown, with the cause in the chain, and is not logged as malformed.
+func TestNoAnswer(t *testing.T) {
+	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+	breakOff := func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Length", "100")
+		w.Write([]byte("the start"))
+	}
+	for _, c := range []struct {
+		name    string
+		handler http.HandlerFunc
+		timeout time.Duration
+		body    any
+		cause   error // nil: any
+	}{
+		{name: "timeout", handler: hang, timeout: 20 * time.Millisecond, cause: context.DeadlineExceeded},
+		{name: "answer that breaks off", handler: breakOff, timeout: time.Minute, cause: io.ErrUnexpectedEOF},
+		{name: "body that cannot be encoded", handler: breakOff, timeout: time.Minute, body: func() {}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			server := httptest.NewServer(c.handler)
+			defer server.Close()
+			ctx, cancel := context.WithTimeout(t.Context(), c.timeout)
+			defer cancel()
+			var logged bytes.Buffer
+			client := httpclient.Client{HTTP: server.Client(), Malformed: httpclient.NewMalformedLog(slog.New(slog.NewTextHandler(&logged, nil)))}
+			err := client.Do(ctx, httpclient.Request{Method: http.MethodGet, URL: server.URL, Body: c.body})
+			checkError(t, err, 0, server.URL)
+			if c.cause != nil && !errors.Is(err, c.cause) {
+				t.Errorf("%v does not say %v", err, c.cause)
+			}
+			if errors.Is(err, httpclient.ErrMalformed) || logged.Len() > 0 {
+				t.Errorf("taken for malformed: %v, logged %q", err, logged.String())
+			}
+		})
+	}
+}
+
+// TestRequestSent pins what goes out: the method, the body as MessagePack with its
+// content type, and neither without a body.
+func TestRequestSent(t *testing.T) {
+	for _, c := range []struct {
+		name, method, wantType string
+		body                   any
+	}{
+		{name: "with a body", method: http.MethodPost, body: payload{"sent"}, wantType: "application/msgpack"},
+		{name: "without a body", method: http.MethodDelete},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var method, contentType string
+			var body []byte
+			server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+				method, contentType = r.Method, r.Header.Get("Content-Type")
+				body, _ = io.ReadAll(r.Body)
+			}))
+			defer server.Close()
+			client := httpclient.Client{HTTP: server.Client()}
+			if err := client.Do(t.Context(), httpclient.Request{Method: c.method, URL: server.URL, Body: c.body}); err != nil {
+				t.Fatal(err)
+			}
+			var want []byte
+			if c.body != nil {
+				want = encoded(t, c.body)
+			}
+			if method != c.method || contentType != c.wantType || !bytes.Equal(body, want) {
+				t.Errorf("sent %s %q %x", method, contentType, body)
+			}
+		})
+	}
+}
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -41,7 +41,7 @@
 // Client is a client of the state service. It is safe for concurrent use.
 type Client struct {
 	base       string
-	caller     httpclient.Caller
+	http       httpclient.Client
 	limits     *limits
 	lastServed atomic.Int64 // steady time of the last answer that shows service, ns since start
 	start      time.Time
@@ -50,7 +50,7 @@
 // New makes a client for the address host:port over the given transport, within
 // the limits that the settings give.
 func New(addr string, rt http.RoundTripper, cs *httpclient.MalformedLog, state config.State) *Client {
-	return &Client{base: "http://" + addr, caller: httpclient.Caller{HTTP: &http.Client{Transport: rt}, Malformed: cs},
+	return &Client{base: "http://" + addr, http: httpclient.Client{HTTP: &http.Client{Transport: rt}, Malformed: cs},
 		limits: newLimits(state), start: time.Now()}
 }
 
@@ -72,8 +72,13 @@
 func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, in any, out map[int]any) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	status, err := c.caller.Call(ctx, method, c.base+path, in, out)
-	if err != nil {
+	err := c.http.Do(ctx, httpclient.Request{Method: method, URL: c.base + path, Body: in, Responses: out})
+	status := http.StatusOK
+	var answered *httpclient.StatusError
+	switch {
+	case errors.As(err, &answered):
+		status = answered.Status
+	case err != nil:
 		return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 	}
 	if status != http.StatusServiceUnavailable {
