--- a/internal/kvstore/apply.go
+++ b/internal/kvstore/commit.go
@@ -11,11 +11,6 @@
 	"marblehaven/internal/tuning"
 )
 
-// ErrInDoubt: a try of the transaction was not answered, and it cannot be sent again.
-// It may have been executed, or be executed later. Nothing may be concluded from its
-// records until one of its conditions can no longer hold.
-var ErrInDoubt = errors.New("state service: transaction in doubt")
-
 // CommitUntilKnown carries a transaction through to an outcome that holds for good. Without an
 // answer it may have been executed, or be executed later, so it is sent again,
 // unchanged. The result is one of these:
