--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,5 +1,9 @@
-// Package kvstore speaks to the state service. It holds no policy: callers
-// decide what an unknown outcome means.
+// Package kvstore is the client of the key-value store.
+//
+// It owns the store's wire protocol, the limits that transactions are held to, and what
+// an answer says of an operation's outcome. All accesses to the store come through here.
+// It must never conclude that an operation was executed, or was not, without an answer
+// that proves it: callers decide what an unknown outcome means to them.
 package kvstore
 
 import (
@@ -14,59 +18,109 @@
 	"marblehaven/internal/httpclient"
 )
 
-// Client is a client of the state service. It is safe for concurrent use.
+// Client is a client of the key-value store. It is safe for concurrent use.
 type Client struct {
-	base       string
-	http       httpclient.Client
-	limits     *limits
-	lastServed atomic.Int64 // steady time of the last answer that shows service, ns since start
-	start      time.Time
+	baseURL string
+	http    httpclient.Client
+	limits  *limits
+	start   time.Time
+	// lastServed is when the store last answered with a status other than 503, in
+	// nanoseconds after start: durations since start are steady, wall-clock times are not.
+	lastServed atomic.Int64
 }
 
-// New makes a client for the address host:port over the given transport, within
-// the limits that the settings give.
-func New(addr string, rt http.RoundTripper, cs *httpclient.MalformedLog, state config.State) *Client {
-	return &Client{base: "http://" + addr, http: httpclient.Client{HTTP: &http.Client{Transport: rt}, Malformed: cs},
-		limits: newLimits(state), start: time.Now()}
+// New makes a client for the store at address host:port over the given transport. Its
+// transactions keep to the limits that the settings give.
+func New(address string, transport http.RoundTripper, malformed *httpclient.MalformedLog, state config.State) *Client {
+	return &Client{
+		baseURL: "http://" + address,
+		http:    httpclient.Client{HTTP: &http.Client{Transport: transport}, Malformed: malformed},
+		limits:  newLimits(state),
+		start:   time.Now(),
+	}
 }
 
-// MaxValueBytes is the largest value, in bytes as JSON, that may be written now.
+// MaxValueBytes is the size in bytes as JSON of the largest value that may be written now.
 func (c *Client) MaxValueBytes() int { return c.limits.valueBytes() }
 
-// MaxMutations is how many changes a transaction may have.
+// MaxMutations is how many mutations a transaction may have.
 func (c *Client) MaxMutations() int { return c.limits.smaller.TxnOps }
 
-// UseAnnouncedLimits keeps to the smaller of the present and the announced value limit
+// UseAnnouncedLimits holds values to the smaller of the present and the announced limit
 // from now on.
 func (c *Client) UseAnnouncedLimits() { c.limits.announced.Store(true) }
 
-// SinceServed is the time since the service last answered other than by refusing.
+// SinceServed is the time since the store last gave a usable answer other than 503.
 func (c *Client) SinceServed() time.Duration {
 	return time.Since(c.start) - time.Duration(c.lastServed.Load())
 }
 
-func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, in any, out map[int]any) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+// call is one request to the store for an operation.
+type call struct {
+	operation Operation
+	target    string
+	timeout   time.Duration
+
+	method    string
+	path      string // with the query
+	body      any
+	responses map[int]any
+	// statusErrors is what the statuses other than 200, 429 and 503 mean to the
+	// operation. Any that is not in it leaves the outcome unknown.
+	statusErrors map[int]error
+}
+
+// fail makes the error of the call.
+func (r *call) fail(err error) error {
+	return &OperationError{Operation: r.operation, Target: r.target, Err: err}
+}
+
+// fault is the error of a call whose answer breaks the store's protocol.
+func (r *call) fault(problem string) error {
+	return r.fail(fmt.Errorf("%w: %s", ErrOutcomeUnknown, problem))
+}
+
+// do sends the request of a call once, and returns nil after an answer 200.
+func (c *Client) do(ctx context.Context, request call) error {
+	ctx, cancel := context.WithTimeout(ctx, request.timeout)
 	defer cancel()
-	err := c.http.Do(ctx, httpclient.Request{Method: method, URL: c.base + path, Body: in, Responses: out})
-	status := http.StatusOK
-	var answered *httpclient.StatusError
-	switch {
-	case errors.As(err, &answered):
-		status = answered.Status
-	case err != nil:
-		return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
+	err := c.http.Do(ctx, httpclient.Request{
+		Method:    request.method,
+		URL:       c.baseURL + request.path,
+		Body:      request.body,
+		Responses: request.responses,
+	})
+	c.recordServed(err)
+	if err == nil {
+		return nil
 	}
-	if status != http.StatusServiceUnavailable {
-		c.lastServed.Store(int64(time.Since(c.start)))
+	return request.fail(outcome(err, request.statusErrors))
+}
+
+// recordServed notes when the store gave an answer that shows that it serves this node:
+// any but 503. An answer that cannot be decoded is none.
+func (c *Client) recordServed(err error) {
+	var unanswered *httpclient.NoAnswerError
+	if errors.As(err, &unanswered) || httpclient.HasStatus(err, http.StatusServiceUnavailable) {
+		return
+	}
+	c.lastServed.Store(int64(time.Since(c.start)))
+}
+
+// outcome translates an error of the HTTP client to what it says of an operation.
+func outcome(err error, statusErrors map[int]error) error {
+	var answered *httpclient.StatusError
+	if !errors.As(err, &answered) {
+		return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 	}
-	switch status {
+	switch answered.Status {
 	case http.StatusServiceUnavailable:
-		return status, ErrUnavailable
+		return ErrUnavailable
 	case http.StatusTooManyRequests:
-		return status, ErrThrottled
+		return ErrThrottled
 	}
-	return status, nil
+	if known := statusErrors[answered.Status]; known != nil {
+		return known
+	}
+	return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 }
-
-func unexpected(status int) error { return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status) }
--- a/internal/kvstore/commit.go
+++ b/internal/kvstore/commit.go
@@ -11,37 +11,35 @@
 	"marblehaven/internal/tuning"
 )
 
-// CommitUntilKnown carries a transaction through to an outcome that holds for good. Without an
-// answer it may have been executed, or be executed later, so it is sent again,
-// unchanged. The result is one of these:
+// CommitUntilKnown carries a transaction through to an outcome that holds for good.
+// Without an answer the transaction may have been executed, or may be executed later, so
+// it is sent again, unchanged. The result is one of these:
 //
-//   - nil: it was executed, once; the reply has its revision.
-//   - ErrConflict: it was not executed and never will be, or the condition on the fence
-//     has failed; the reply names the conditions that failed.
-//   - ErrInDoubt, or the context's end: see there.
-//   - any other error: no try of it was executed.
+//   - nil: executed once; the reply has the revision.
+//   - ErrConflict: not executed, and never will be, or the precondition on termKey has
+//     failed; the reply names the keys whose preconditions failed.
+//   - ErrInDoubt, or the context's error: unknown, see there.
+//   - any other error: no attempt was executed, nor will be.
 //
-// As long as the condition on the fence holds, the caller must be the only one to create
-// or delete any of the keys that the transaction changes under a condition, or to set
-// any that it sets, and must have one transaction under way at a time.
-func (c *Client) CommitUntilKnown(ctx context.Context, txn protocol.Transaction, fence string) (protocol.TransactionReply, error) {
-	unanswered := false
+// As long as the precondition on termKey holds, the caller must be the only one to create
+// or delete any key that the transaction mutates under a precondition, or to set any key
+// that it sets, and must have one transaction under way at a time.
+func (c *Client) CommitUntilKnown(ctx context.Context, txn protocol.Transaction, termKey string) (protocol.TransactionReply, error) {
+	unanswered := false // whether an earlier attempt may have been executed
 	for ctx.Err() == nil {
 		reply, err := c.Commit(ctx, txn)
 		switch {
 		case errors.Is(err, ErrOutcomeUnknown):
 			unanswered = true
-		case !unanswered:
+		case !unanswered, err == nil:
 			return reply, err
-		case errors.Is(err, ErrConflict) && slices.Contains(reply.FailedKeys, fence):
+		case errors.Is(err, ErrConflict) && slices.Contains(reply.FailedKeys, termKey):
 			return reply, err
 		case errors.Is(err, ErrConflict):
-			return c.resolveConflict(ctx, &txn, reply)
-		case err == nil:
-			return reply, nil
+			return c.resolveConflict(ctx, &txn, reply, err)
 		case !errors.Is(err, ErrUnavailable):
-			// It cannot be sent any more, for instance since the limits have
-			// become smaller. That says nothing of the first try.
+			// The transaction cannot be sent any more, for instance since the limits
+			// have become smaller. That says nothing of the first attempt.
 			return reply, fmt.Errorf("%w: %w", ErrInDoubt, err)
 		}
 		clock.Sleep(ctx, tuning.ElectionRetry)
@@ -49,50 +47,56 @@
 	return protocol.TransactionReply{}, ctx.Err()
 }
 
-// resolveConflict tells whether a conflict shows that an earlier, unanswered try was
-// executed: that would have changed every key that the transaction changes, so the
-// conditions on all of these fail. One that holds proves that it was not executed; and
-// since versions never come back it never will be.
-func (c *Client) resolveConflict(ctx context.Context, txn *protocol.Transaction, reply protocol.TransactionReply) (protocol.TransactionReply, error) {
-	set, executed := changedKeys(txn, reply.FailedKeys)
-	if !executed {
-		return reply, ErrConflict
-	}
-	if set == "" {
-		return protocol.TransactionReply{}, nil // it deleted records only, which leaves no version
+// resolveConflict tells whether a conflict shows that an earlier, unanswered attempt was
+// executed: that would have changed every key that the transaction mutates, so the
+// preconditions on all of these would fail. One that holds proves that no attempt was
+// executed; and none ever will be, since a key never gets an earlier version again.
+func (c *Client) resolveConflict(ctx context.Context, txn *protocol.Transaction, reply protocol.TransactionReply, conflict error) (protocol.TransactionReply, error) {
+	setKey, executed := executedBefore(txn, reply.FailedKeys)
+	switch {
+	case !executed:
+		return reply, conflict
+	case setKey == "":
+		return protocol.TransactionReply{}, nil // it only deleted keys, which leaves no version to read
 	}
+	return c.readRevision(ctx, setKey, reply)
+}
+
+// readRevision reads at which revision an executed transaction set a key.
+func (c *Client) readRevision(ctx context.Context, setKey string, conflict protocol.TransactionReply) (protocol.TransactionReply, error) {
 	for ctx.Err() == nil {
-		item, err := c.Get(ctx, set)
+		entry, err := c.Get(ctx, setKey)
 		switch {
 		case err == nil:
-			return protocol.TransactionReply{Revision: item.Version.Revision()}, nil
+			return protocol.TransactionReply{Revision: entry.Version.Revision()}, nil
 		case errors.Is(err, ErrNotFound):
-			return reply, fmt.Errorf("%w: %s is gone", ErrInDoubt, set)
+			return conflict, fmt.Errorf("%w: key %q, which it sets, does not exist", ErrInDoubt, setKey)
 		}
 		clock.Sleep(ctx, tuning.ElectionRetry)
 	}
 	return protocol.TransactionReply{}, ctx.Err()
 }
 
-// changedKeys tells whether all conditions on keys that a transaction changes have
-// failed, of which there must be one, and names a key that it sets under a condition.
-func changedKeys(txn *protocol.Transaction, failed []string) (set string, allFailed bool) {
-	conditions := map[string]bool{}
-	for _, guard := range txn.Preconditions {
-		conditions[guard.Key] = true
+// executedBefore tells whether the preconditions on all keys that a transaction mutates
+// under a precondition have failed, of which there must be one. It also names the first
+// of these keys that the transaction sets.
+func executedBefore(txn *protocol.Transaction, failedKeys []string) (setKey string, executed bool) {
+	conditional := map[string]bool{}
+	for _, precondition := range txn.Preconditions {
+		conditional[precondition.Key] = true
 	}
-	for _, change := range txn.Mutations {
-		key := change.Set + change.Delete
-		if !conditions[key] {
+	for _, mutation := range txn.Mutations {
+		key := mutation.Set + mutation.Delete // one of them is empty
+		if !conditional[key] {
 			continue
 		}
-		if !slices.Contains(failed, key) {
+		if !slices.Contains(failedKeys, key) {
 			return "", false
 		}
-		allFailed = true
-		if set == "" {
-			set = change.Set
+		executed = true
+		if setKey == "" {
+			setKey = mutation.Set
 		}
 	}
-	return set, allFailed
+	return setKey, executed
 }
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/http"
 	"time"
@@ -10,36 +11,51 @@
 	"marblehaven/internal/tuning"
 )
 
-// GrantLease opens a lease.
-func (c *Client) GrantLease(ctx context.Context, life time.Duration) (protocol.LeaseID, error) {
-	var g protocol.Lease
-	status, err := c.call(ctx, tuning.StateTimeout, http.MethodPost, "/grants",
-		protocol.LeaseRequest{TTLMS: life.Milliseconds()}, map[int]any{200: &g})
-	if err == nil && (status != 200 || g.ID == 0) {
-		err = unexpected(status)
+// GrantLease opens a lease that expires unless it is kept alive within its time to live.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (protocol.LeaseID, error) {
+	var lease protocol.Lease
+	request := call{
+		operation: OperationGrant,
+		target:    ttl.String(),
+		timeout:   tuning.StateTimeout,
+		method:    http.MethodPost,
+		path:      "/grants",
+		body:      protocol.LeaseRequest{TTLMS: ttl.Milliseconds()},
+		responses: map[int]any{http.StatusOK: &lease},
 	}
-	return g.ID, err
+	err := c.do(ctx, request)
+	if err == nil && lease.ID == 0 {
+		err = request.fault("answer without a lease")
+	}
+	return lease.ID, err
 }
 
-// KeepAlive renews a lease.
+// KeepAlive renews a lease for its full time to live. The error wraps ErrLeaseExpired if
+// the lease no longer exists.
 func (c *Client) KeepAlive(ctx context.Context, lease protocol.LeaseID) error {
-	status, err := c.call(ctx, tuning.StateTimeout, http.MethodPost, fmt.Sprintf("/grants/%d/touch", lease), nil, nil)
-	switch {
-	case err != nil:
-		return err
-	case status == 404:
-		return ErrLeaseExpired
-	case status != 200:
-		return unexpected(status)
-	}
-	return nil
+	return c.do(ctx, call{
+		operation:    OperationKeepAlive,
+		target:       fmt.Sprint(lease),
+		timeout:      tuning.StateTimeout,
+		method:       http.MethodPost,
+		path:         fmt.Sprintf("/grants/%d/touch", lease),
+		statusErrors: map[int]error{http.StatusNotFound: ErrLeaseExpired},
+	})
 }
 
-// RevokeLease ends a lease at once.
+// RevokeLease ends a lease at once, with the keys attached to it. A lease that no longer
+// exists is no error.
 func (c *Client) RevokeLease(ctx context.Context, lease protocol.LeaseID) error {
-	status, err := c.call(ctx, tuning.StateTimeout, http.MethodDelete, fmt.Sprintf("/grants/%d", lease), nil, nil)
-	if err == nil && status != 200 && status != 404 {
-		err = unexpected(status)
+	err := c.do(ctx, call{
+		operation:    OperationRevoke,
+		target:       fmt.Sprint(lease),
+		timeout:      tuning.StateTimeout,
+		method:       http.MethodDelete,
+		path:         fmt.Sprintf("/grants/%d", lease),
+		statusErrors: map[int]error{http.StatusNotFound: ErrLeaseExpired},
+	})
+	if errors.Is(err, ErrLeaseExpired) {
+		return nil
 	}
 	return err
 }
--- a/internal/kvstore/limits.go
+++ b/internal/kvstore/limits.go
@@ -10,13 +10,13 @@
 	"marblehaven/internal/tuning"
 )
 
-// limits is what a transaction is held to. Its number of changes always respects
-// the announced limits. Values may be as large as the present limit while records
-// are written as the previous version of the service reads them, and respect the
-// announced limit from the moment when strict is set, which is never undone.
+// limits is what a transaction is held to. The number of mutations always respects the
+// announced limits. Values may be as large as the present limit while records are written
+// so that the previous version of this software can read them, and respect the announced
+// limit from the moment when announced is set, which is never undone.
 type limits struct {
 	present   config.StateLimits
-	smaller   config.StateLimits
+	smaller   config.StateLimits // of the present and the announced limits
 	announced atomic.Bool
 }
 
@@ -31,30 +31,21 @@
 	return l.present.ValueBytes()
 }
 
-// check encodes the values of a transaction and fails with ErrTooLarge if the
-// state service would refuse it.
+// check encodes the values of a transaction in place, and fails with ErrTooLarge if the
+// store would reject the transaction for its size.
 func (l *limits) check(txn *protocol.Transaction) error {
 	if n := len(txn.Mutations); n > l.smaller.TxnOps {
-		return fmt.Errorf("%w: %d changes", ErrTooLarge, n)
+		return fmt.Errorf("%w: %d mutations", ErrTooLarge, n)
 	}
 	if n := len(txn.Preconditions); n > tuning.TransactionPreconditions*l.smaller.TxnOps {
-		return fmt.Errorf("%w: %d conditions", ErrTooLarge, n)
+		return fmt.Errorf("%w: %d preconditions", ErrTooLarge, n)
 	}
-	total := len(txn.Preconditions) * tuning.TransactionEntryBytes
+	total := (len(txn.Preconditions) + len(txn.Mutations)) * tuning.TransactionEntryBytes
 	for i := range txn.Mutations {
-		change := &txn.Mutations[i]
-		total += tuning.TransactionEntryBytes
-		if change.Value == nil {
-			continue
-		}
-		raw, size, err := codec.EncodeSized(change.Value)
+		size, err := l.encodeValue(&txn.Mutations[i])
 		if err != nil {
 			return err
 		}
-		change.Value = raw
-		if size > l.valueBytes() {
-			return fmt.Errorf("%w: %d bytes at %s", ErrTooLarge, size, change.Set)
-		}
 		total += size
 	}
 	if total > tuning.TransactionBytes {
@@ -62,3 +53,20 @@
 	}
 	return nil
 }
+
+// encodeValue encodes the value of a mutation, if it has one, and returns the value's size
+// in bytes as JSON.
+func (l *limits) encodeValue(mutation *protocol.Mutation) (size int, err error) {
+	if mutation.Value == nil {
+		return 0, nil
+	}
+	raw, size, err := codec.EncodeSized(mutation.Value)
+	if err != nil {
+		return 0, err
+	}
+	mutation.Value = raw
+	if size > l.valueBytes() {
+		return 0, fmt.Errorf("%w: %d bytes at %s", ErrTooLarge, size, mutation.Set)
+	}
+	return size, nil
+}
--- a/internal/kvstore/read.go
+++ b/internal/kvstore/read.go
@@ -10,39 +10,48 @@
 	"marblehaven/internal/tuning"
 )
 
-// Get reads a key.
+// Get reads a key. The error wraps ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (protocol.KeyValue, error) {
 	var entry protocol.KeyValue
-	status, err := c.call(ctx, tuning.StateTimeout, http.MethodGet, "/keys/"+key, nil, map[int]any{200: &entry})
-	switch {
-	case err != nil:
-		return entry, err
-	case status == 404:
-		return entry, ErrNotFound
-	case status != 200 || entry.Version == 0:
-		return entry, unexpected(status)
+	request := call{
+		operation:    OperationRead,
+		target:       key,
+		timeout:      tuning.StateTimeout,
+		method:       http.MethodGet,
+		path:         "/keys/" + key,
+		responses:    map[int]any{http.StatusOK: &entry},
+		statusErrors: map[int]error{http.StatusNotFound: ErrNotFound},
 	}
-	return entry, nil
+	err := c.do(ctx, request)
+	if err == nil && entry.Version == 0 {
+		err = request.fault("answer without a version")
+	}
+	return entry, err
 }
 
-// List reads one page of the keys with a prefix.
+// List reads one page, of at most limit keys, of the keys with a prefix that come after
+// a key; an empty key asks for the first page.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) (protocol.KeyValuePage, error) {
-	var page protocol.KeyValuePage
-	q := url.Values{"prefix": {prefix}, "most": {fmt.Sprint(limit)}}
+	query := url.Values{"prefix": {prefix}, "most": {fmt.Sprint(limit)}}
 	if after != "" {
-		q.Set("after", after)
-	}
-	status, err := c.call(ctx, tuning.StateTimeout, http.MethodGet, "/keys?"+q.Encode(), nil, map[int]any{200: &page})
-	if err == nil && status != 200 {
-		err = unexpected(status)
+		query.Set("after", after)
 	}
+	var page protocol.KeyValuePage
+	err := c.do(ctx, call{
+		operation: OperationList,
+		target:    prefix,
+		timeout:   tuning.StateTimeout,
+		method:    http.MethodGet,
+		path:      "/keys?" + query.Encode(),
+		responses: map[int]any{http.StatusOK: &page},
+	})
 	return page, err
 }
 
-// ListAll reads all keys with a prefix. The revision is the first page's: a
-// follow from it sees whatever changed between the pages. A page that does not go on
-// where the last one ended is an error: what is missing would look like records that
-// do not exist.
+// ListAll reads all keys with a prefix. The revision is the first page's, so that a watch
+// from this revision sees whatever changed while the other pages were read. A page that
+// does not continue where the last one ended is an error: a missing key would look like
+// a record that does not exist.
 func (c *Client) ListAll(ctx context.Context, prefix string) (protocol.KeyValuePage, error) {
 	var all protocol.KeyValuePage
 	for last := ""; ; {
@@ -50,21 +59,32 @@
 		if err != nil {
 			return protocol.KeyValuePage{}, err
 		}
+		if problem := pageFault(page, last); problem != "" {
+			request := call{operation: OperationList, target: prefix}
+			return protocol.KeyValuePage{}, request.fault(problem)
+		}
 		if last == "" {
 			all.Revision = page.Revision
 		}
-		for _, item := range page.Entries {
-			if item.Key <= last {
-				return protocol.KeyValuePage{}, fmt.Errorf("%w: key %q listed after %q", ErrOutcomeUnknown, item.Key, last)
-			}
-			last = item.Key
-		}
 		all.Entries = append(all.Entries, page.Entries...)
 		if !page.More {
 			return all, nil
 		}
-		if len(page.Entries) == 0 {
-			return protocol.KeyValuePage{}, fmt.Errorf("%w: empty page with more to come", ErrOutcomeUnknown)
+		last = page.Entries[len(page.Entries)-1].Key
+	}
+}
+
+// pageFault tells why a page does not continue a list whose last key so far is given, and
+// returns "" for one that does.
+func pageFault(page protocol.KeyValuePage, last string) string {
+	for _, entry := range page.Entries {
+		if entry.Key <= last {
+			return fmt.Sprintf("key %q listed after %q", entry.Key, last)
 		}
+		last = entry.Key
+	}
+	if page.More && len(page.Entries) == 0 {
+		return "empty page with more to come"
 	}
+	return ""
 }
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/http"
 
@@ -9,28 +10,59 @@
 	"marblehaven/internal/tuning"
 )
 
-// Commit applies a transaction. On ErrConflict the reply names the guards. All
-// writes of the service come through here, so here they are held to the limits.
+// Commit sends a transaction once. After an ErrConflict the reply names the keys whose
+// preconditions failed. All writes to the store come through here, so that they are held
+// to the limits here.
 func (c *Client) Commit(ctx context.Context, txn protocol.Transaction) (protocol.TransactionReply, error) {
-	var r protocol.TransactionReply
+	var reply protocol.TransactionReply
+	request := call{
+		operation: OperationCommit,
+		target:    mutatedKeys(&txn),
+		timeout:   tuning.StateTimeout,
+		method:    http.MethodPost,
+		path:      "/commit",
+		responses: map[int]any{
+			http.StatusOK:         &reply,
+			http.StatusConflict:   &reply,
+			http.StatusBadRequest: &reply,
+		},
+		statusErrors: map[int]error{
+			http.StatusConflict:   ErrConflict,
+			http.StatusBadRequest: ErrInvalidRequest,
+		},
+	}
 	if err := c.limits.check(&txn); err != nil {
-		return r, err
+		return reply, request.fail(err)
 	}
-	status, err := c.call(ctx, tuning.StateTimeout, http.MethodPost, "/commit", txn,
-		map[int]any{200: &r, 409: &r, 400: &r})
+	request.body = txn // encoded by the check
+	err := c.do(ctx, request)
 	switch {
-	case err != nil:
-		return r, err
-	case status == 409:
-		return r, ErrConflict
-	case status == 400 && r.Error == protocol.ReasonNoLease:
-		return r, ErrLeaseExpired
-	case status == 400:
-		// The limits may have become smaller, which no message announces.
-		c.UseAnnouncedLimits()
-		return r, fmt.Errorf("%w: %s", ErrInvalidRequest, r.Error)
-	case status != 200 || r.Revision == 0:
-		return r, unexpected(status)
+	case errors.Is(err, ErrInvalidRequest):
+		return reply, request.fail(c.rejected(reply.Error))
+	case err == nil && reply.Revision == 0:
+		return reply, request.fault("answer without a revision")
+	}
+	return reply, err
+}
+
+// rejected is the error of a transaction that the store rejected for a reason.
+func (c *Client) rejected(reason string) error {
+	if reason == protocol.ReasonNoLease {
+		return ErrLeaseExpired
+	}
+	// The limits may have become smaller, which no message announces.
+	c.UseAnnouncedLimits()
+	return fmt.Errorf("%w: %s", ErrInvalidRequest, reason)
+}
+
+// mutatedKeys names the first key that a transaction mutates, and how many more there are.
+func mutatedKeys(txn *protocol.Transaction) string {
+	if len(txn.Mutations) == 0 {
+		return "no key"
+	}
+	first := txn.Mutations[0].Set + txn.Mutations[0].Delete // one of them is empty
+	if others := len(txn.Mutations) - 1; others > 0 {
+		return fmt.Sprintf("%s and %d more", first, others)
 	}
-	return r, nil
+	return first
 }
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -11,18 +11,24 @@
 	"marblehaven/internal/tuning"
 )
 
-// Watch waits up to hold for changes under a prefix after a revision.
+// Watch waits until a key with a prefix changes after a revision, for at most hold, and
+// returns the changes. The error wraps ErrCompacted if the store no longer keeps them
+// all: the caller must list the keys anew.
 func (c *Client) Watch(ctx context.Context, prefix string, after protocol.Revision, hold time.Duration) (protocol.WatchReply, error) {
-	var ev protocol.WatchReply
-	q := url.Values{"prefix": {prefix}, "after": {fmt.Sprint(after)}, "holdMs": {fmt.Sprint(hold.Milliseconds())}}
-	status, err := c.call(ctx, hold+tuning.WatchGrace, http.MethodGet, "/follow?"+q.Encode(), nil, map[int]any{200: &ev})
-	switch {
-	case err != nil:
-		return ev, err
-	case status == 410:
-		return ev, ErrCompacted
-	case status != 200:
-		return ev, unexpected(status)
+	query := url.Values{
+		"prefix": {prefix},
+		"after":  {fmt.Sprint(after)},
+		"holdMs": {fmt.Sprint(hold.Milliseconds())},
 	}
-	return ev, nil
+	var reply protocol.WatchReply
+	err := c.do(ctx, call{
+		operation:    OperationWatch,
+		target:       prefix,
+		timeout:      hold + tuning.WatchGrace,
+		method:       http.MethodGet,
+		path:         "/follow?" + query.Encode(),
+		responses:    map[int]any{http.StatusOK: &reply},
+		statusErrors: map[int]error{http.StatusGone: ErrCompacted},
+	})
+	return reply, err
 }
