--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -23,9 +23,9 @@
 	node  string
 	log   *slog.Logger
 
-	leader atomic.Pointer[records.LeaderRecord]      // as last seen; nil: none known
-	revoke atomic.Pointer[func(newer protocol.Term)] // while leading
-	resign atomic.Bool
+	leader        atomic.Pointer[records.LeaderRecord]      // as last seen; nil: none known
+	endLeadership atomic.Pointer[func(newer protocol.Term)] // while leading
+	resigned      atomic.Bool
 }
 
 // New makes a keeper.
@@ -34,124 +34,124 @@
 }
 
 // Leader is who led last, as far as this node knows.
-func (k *Candidate) Leader() (records.LeaderRecord, bool) {
-	if t := k.leader.Load(); t != nil {
-		return *t, true
+func (c *Candidate) Leader() (records.LeaderRecord, bool) {
+	if leader := c.leader.Load(); leader != nil {
+		return *leader, true
 	}
 	return records.LeaderRecord{}, false
 }
 
 // ObserveTerm takes in a term heard of from a peer or a worker. A newer one than
 // our own ends our leadership at once.
-func (k *Candidate) ObserveTerm(t records.LeaderRecord) {
+func (c *Candidate) ObserveTerm(observed records.LeaderRecord) {
 	for {
-		cur := k.leader.Load()
-		if cur != nil && cur.Term >= t.Term {
+		known := c.leader.Load()
+		if known != nil && known.Term >= observed.Term {
 			return
 		}
-		if k.leader.CompareAndSwap(cur, &t) {
+		if c.leader.CompareAndSwap(known, &observed) {
 			break
 		}
 	}
-	if f := k.revoke.Load(); f != nil {
-		(*f)(t.Term)
+	if end := c.endLeadership.Load(); end != nil {
+		(*end)(observed.Term)
 	}
 }
 
 // Resign ends this node's term, if it holds one, so that another node takes over
 // at once.
-func (k *Candidate) Resign() {
-	if f := k.revoke.Load(); f != nil {
-		k.resign.Store(true)
-		(*f)(math.MaxUint64)
+func (c *Candidate) Resign() {
+	if end := c.endLeadership.Load(); end != nil {
+		c.resigned.Store(true)
+		(*end)(math.MaxUint64)
 	}
 }
 
-// readTerm reads the term under a key, and the key's version: 0 if it does not exist.
-func (k *Candidate) readTerm(ctx context.Context, key string) (t records.LeaderRecord, version protocol.Version, err error) {
-	entry, err := k.store.Get(ctx, key)
+// readRecord reads the record under a key, and the key's version: 0 if it does not exist.
+func (c *Candidate) readRecord(ctx context.Context, key string) (record records.LeaderRecord, version protocol.Version, err error) {
+	entry, err := c.store.Get(ctx, key)
 	if err == nil {
-		err = codec.Unmarshal(entry.Value, &t)
+		err = codec.Unmarshal(entry.Value, &record)
 	}
-	return t, entry.Version, err
+	return record, entry.Version, err
 }
 
 // Run takes part in elections until ctx ends. lead is called with each term
 // held; its context ends with the term.
-func (k *Candidate) Run(ctx context.Context, lead func(context.Context, Leadership)) {
+func (c *Candidate) Run(ctx context.Context, lead func(context.Context, Leadership)) {
 	for ctx.Err() == nil {
-		held, grant, rev, err := k.campaign(ctx)
+		leadership, lease, revision, err := c.campaign(ctx)
 		switch {
-		case held != nil:
-			k.log.Info("leading", "term", held.Term)
-			k.leader.Store(&records.LeaderRecord{Term: held.Term, Node: k.node})
-			grant = k.holdTerm(ctx, *held, grant, lead)
-			k.log.Info("no longer leading", "term", held.Term)
-			if k.resign.Swap(false) {
-				k.stepDown(ctx, grant)
+		case leadership != nil:
+			c.log.Info("leading", "term", leadership.Term)
+			c.leader.Store(&records.LeaderRecord{Term: leadership.Term, Node: c.node})
+			lease = c.holdTerm(ctx, *leadership, lease, lead)
+			c.log.Info("no longer leading", "term", leadership.Term)
+			if c.resigned.Swap(false) {
+				c.stepDown(ctx, lease)
 			}
 		case err != nil:
-			k.log.Debug("election", "err", err)
+			c.log.Debug("election", "err", err)
 			clock.Sleep(ctx, tuning.ElectionRetry)
 		default:
-			k.watch(ctx, rev)
+			c.watch(ctx, revision)
 		}
 	}
 }
 
 // campaign takes the term if nobody holds it. It returns the revision to watch
 // from when somebody does.
-func (k *Candidate) campaign(ctx context.Context) (*Leadership, protocol.LeaseID, protocol.Revision, error) {
-	leader, guard, err := k.readTerm(ctx, records.KeyLeader)
+func (c *Candidate) campaign(ctx context.Context) (*Leadership, protocol.LeaseID, protocol.Revision, error) {
+	leader, leaderVersion, err := c.readRecord(ctx, records.KeyLeader)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, 0, 0, err
 	}
-	if err == nil && leader.Node != k.node {
-		k.ObserveTerm(leader)
-		return nil, 0, guard.Revision(), nil
+	if err == nil && leader.Node != c.node {
+		c.ObserveTerm(leader)
+		return nil, 0, leaderVersion.Revision(), nil
 	}
 	// If we are named but do not lead, this is an earlier process of ours, which is
 	// gone, or a lost term. It need not be waited out.
-	term, termGuard, err := k.readTerm(ctx, records.KeyTerm)
+	term, termVersion, err := c.readRecord(ctx, records.KeyTerm)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, 0, 0, err
 	}
-	grant, err := k.store.GrantLease(ctx, tuning.LeadershipTTL)
+	lease, err := c.store.GrantLease(ctx, tuning.LeadershipTTL)
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	mine := records.LeaderRecord{Term: term.Term + 1, Node: k.node}
-	r, err := k.store.Commit(ctx, protocol.Transaction{
-		Preconditions: []protocol.Precondition{{Key: records.KeyLeader, Version: guard}, {Key: records.KeyTerm, Version: termGuard}},
+	record := records.LeaderRecord{Term: term.Term + 1, Node: c.node}
+	reply, err := c.store.Commit(ctx, protocol.Transaction{
+		Preconditions: []protocol.Precondition{{Key: records.KeyLeader, Version: leaderVersion}, {Key: records.KeyTerm, Version: termVersion}},
 		Mutations: []protocol.Mutation{
-			{Set: records.KeyTerm, Value: mine},
-			{Set: records.KeyLeader, Value: mine, Lease: grant},
+			{Set: records.KeyTerm, Value: record},
+			{Set: records.KeyLeader, Value: record, Lease: lease},
 		},
 	})
 	if err != nil {
 		return nil, 0, 0, err // if it was applied after all, the next attempt finds our own name
 	}
-	return &Leadership{Term: mine.Term, TermVersion: r.Revision.Version()}, grant, 0, nil
+	return &Leadership{Term: record.Term, TermVersion: reply.Revision.Version()}, lease, 0, nil
 }
 
 // watch waits until the leader key goes, or until the state service cannot be
 // followed.
-func (k *Candidate) watch(ctx context.Context, rev protocol.Revision) {
+func (c *Candidate) watch(ctx context.Context, revision protocol.Revision) {
 	for ctx.Err() == nil {
-		ev, err := k.store.Watch(ctx, records.KeyLeader, rev, tuning.LeaderWatchHold)
+		reply, err := c.store.Watch(ctx, records.KeyLeader, revision, tuning.LeaderWatchHold)
 		if err != nil {
 			clock.Sleep(ctx, tuning.ElectionRetry)
 			return
 		}
-		rev = ev.Revision
-		for _, e := range ev.Events {
-			if e.Delete == records.KeyLeader {
+		revision = reply.Revision
+		for _, event := range reply.Events {
+			if event.Delete == records.KeyLeader {
 				return
 			}
-			var t records.LeaderRecord
-			if e.Set == records.KeyLeader && codec.Unmarshal(e.Value, &t) == nil {
-				k.ObserveTerm(t)
-				if t.Node == k.node {
+			var leader records.LeaderRecord
+			if event.Set == records.KeyLeader && codec.Unmarshal(event.Value, &leader) == nil {
+				c.ObserveTerm(leader)
+				if leader.Node == c.node {
 					return
 				}
 			}
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -18,77 +18,77 @@
 	TermVersion protocol.Version // version of the term key: the guard of all the leader's writes
 }
 
-// holdTerm leads until the term is lost, and returns the grant held last.
-func (k *Candidate) holdTerm(ctx context.Context, held Leadership, grant protocol.LeaseID, lead func(context.Context, Leadership)) protocol.LeaseID {
+// holdTerm leads until the term is lost, and returns the lease held last.
+func (c *Candidate) holdTerm(ctx context.Context, leadership Leadership, lease protocol.LeaseID, lead func(context.Context, Leadership)) protocol.LeaseID {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	depose := func(newer protocol.Term) {
-		if newer > held.Term {
+	endIfOlder := func(newer protocol.Term) {
+		if newer > leadership.Term {
 			cancel()
 		}
 	}
-	k.revoke.Store(&depose)
-	defer k.revoke.Store(nil)
-	done := make(chan struct{})
+	c.endLeadership.Store(&endIfOlder)
+	defer c.endLeadership.Store(nil)
+	leadEnded := make(chan struct{})
 	go func() {
-		defer close(done)
-		lead(ctx, held)
+		defer close(leadEnded)
+		lead(ctx, leadership)
 		cancel()
 	}()
 	// A touch that takes long must not hold up the next: where one in twenty took
 	// a second and a half the term changed every few seconds.
-	type touch struct {
-		grant protocol.LeaseID
+	type keepAliveResult struct {
+		lease protocol.LeaseID
 		err   error
 	}
-	touches := make(chan touch, tuning.KeepAlivesInFlight)
-	under := 0
-	tick := time.NewTicker(tuning.KeepAliveInterval)
-	defer tick.Stop()
+	results := make(chan keepAliveResult, tuning.KeepAlivesInFlight)
+	inFlight := 0
+	ticker := time.NewTicker(tuning.KeepAliveInterval)
+	defer ticker.Stop()
 	for ctx.Err() == nil {
-		var t touch
+		var result keepAliveResult
 		select {
 		case <-ctx.Done():
 			continue
-		case <-tick.C:
-			if under < tuning.KeepAlivesInFlight {
-				under++
-				go func(grant protocol.LeaseID) { touches <- touch{grant, k.store.KeepAlive(ctx, grant)} }(grant)
+		case <-ticker.C:
+			if inFlight < tuning.KeepAlivesInFlight {
+				inFlight++
+				go func(lease protocol.LeaseID) { results <- keepAliveResult{lease, c.store.KeepAlive(ctx, lease)} }(lease)
 			}
 			continue
-		case t = <-touches:
-			under--
+		case result = <-results:
+			inFlight--
 		}
-		if t.grant != grant || !errors.Is(t.err, kvstore.ErrLeaseExpired) {
+		if result.lease != lease || !errors.Is(result.err, kvstore.ErrLeaseExpired) {
 			continue
 		}
-		// The grant ran out, for instance while this process was held up. If
+		// The lease ran out, for instance while this process was held up. If
 		// nobody took the term, the leader key is put up again.
-		g, err := k.store.GrantLease(ctx, tuning.LeadershipTTL)
+		renewed, err := c.store.GrantLease(ctx, tuning.LeadershipTTL)
 		if err != nil {
 			continue
 		}
-		grant = g
-		_, err = k.store.Commit(ctx, protocol.Transaction{
-			Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: held.TermVersion}},
-			Mutations:     []protocol.Mutation{{Set: records.KeyLeader, Value: records.LeaderRecord{Term: held.Term, Node: k.node}, Lease: grant}},
+		lease = renewed
+		_, err = c.store.Commit(ctx, protocol.Transaction{
+			Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: leadership.TermVersion}},
+			Mutations:     []protocol.Mutation{{Set: records.KeyLeader, Value: records.LeaderRecord{Term: leadership.Term, Node: c.node}, Lease: lease}},
 		})
 		if errors.Is(err, kvstore.ErrConflict) {
 			cancel()
 		}
 	}
-	<-done
-	return grant
+	<-leadEnded
+	return lease
 }
 
 // stepDown frees the leader key and leaves the next term to the other nodes,
 // unless none of them takes it.
-func (k *Candidate) stepDown(ctx context.Context, grant protocol.LeaseID) {
-	if err := k.store.RevokeLease(ctx, grant); err != nil {
-		k.log.Debug("ending the grant", "err", err) // it runs out by itself
+func (c *Candidate) stepDown(ctx context.Context, lease protocol.LeaseID) {
+	if err := c.store.RevokeLease(ctx, lease); err != nil {
+		c.log.Debug("ending the lease", "err", err) // it runs out by itself
 	}
 	for start := time.Now(); time.Since(start) < tuning.StepDownPause && clock.Sleep(ctx, tuning.ElectionRetry); {
-		if t, _, err := k.readTerm(ctx, records.KeyLeader); err == nil && t.Node != k.node {
+		if leader, _, err := c.readRecord(ctx, records.KeyLeader); err == nil && leader.Node != c.node {
 			return
 		}
 	}
