--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -14,82 +14,145 @@
 
 // Leadership is a term that this node holds.
 type Leadership struct {
-	Term        protocol.Term
-	TermVersion protocol.Version // version of the term key: the guard of all the leader's writes
+	Term protocol.Term
+	// TermVersion is the version of the term key, which all of the leader's writes have
+	// as a precondition.
+	TermVersion protocol.Version
 }
 
-// holdTerm leads until the term is lost, and returns the lease held last.
-func (c *Candidate) holdTerm(ctx context.Context, leadership Leadership, lease protocol.LeaseID, lead func(context.Context, Leadership)) protocol.LeaseID {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	endIfOlder := func(newer protocol.Term) {
-		if newer > leadership.Term {
-			cancel()
-		}
+// heldTerm is a term while this node holds it.
+type heldTerm struct {
+	term protocol.Term
+	end  context.CancelFunc
+}
+
+// endIfBefore ends the term if another one is higher.
+func (h *heldTerm) endIfBefore(other protocol.Term) {
+	if other > h.term {
+		h.end()
 	}
-	c.endLeadership.Store(&endIfOlder)
-	defer c.endLeadership.Store(nil)
-	leadEnded := make(chan struct{})
+}
+
+// holdTerm leads until the term is lost or resigned, and returns the lease held last. It
+// waits for lead to return.
+func (c *Candidate) holdTerm(ctx context.Context, leadership Leadership, lease protocol.LeaseID, lead LeadFunc) protocol.LeaseID {
+	ctx, end := context.WithCancel(ctx)
+	defer end()
+	c.current.Store(&heldTerm{term: leadership.Term, end: end})
+	defer c.current.Store(nil)
+	leadReturned := make(chan struct{})
 	go func() {
-		defer close(leadEnded)
+		defer close(leadReturned)
 		lead(ctx, leadership)
-		cancel()
+		end()
 	}()
-	// A touch that takes long must not hold up the next: where one in twenty took
-	// a second and a half the term changed every few seconds.
-	type keepAliveResult struct {
-		lease protocol.LeaseID
-		err   error
+	keepAlive := newKeepAliveLoop(c.store, c.node, leadership, lease)
+	keepAlive.run(ctx, end)
+	<-leadReturned
+	return keepAlive.lease
+}
+
+// stepDown frees the leader key and leaves the next term to the other nodes, unless none
+// of them takes it within tuning.StepDownPause.
+func (c *Candidate) stepDown(ctx context.Context, lease protocol.LeaseID) {
+	if err := c.store.RevokeLease(ctx, lease); err != nil {
+		c.log.Debug("revoking the lease", "err", err) // it expires by itself
+	}
+	start := time.Now()
+	for time.Since(start) < tuning.StepDownPause && clock.Sleep(ctx, tuning.ElectionRetry) {
+		leader, _, err := c.readRecord(ctx, records.KeyLeader)
+		if err == nil && leader.Node != c.node {
+			return
+		}
+	}
+}
+
+// keepAliveLoop keeps the lease of a leader alive, and grants a new one when it has
+// expired without another node taking the next term.
+type keepAliveLoop struct {
+	store      *kvstore.Client
+	node       string
+	leadership Leadership
+
+	lease    protocol.LeaseID     // the newest
+	results  chan keepAliveResult // has room for all that are in flight, so that none blocks
+	inFlight int
+}
+
+type keepAliveResult struct {
+	lease protocol.LeaseID
+	err   error
+}
+
+func newKeepAliveLoop(store *kvstore.Client, node string, leadership Leadership, lease protocol.LeaseID) *keepAliveLoop {
+	return &keepAliveLoop{
+		store:      store,
+		node:       node,
+		leadership: leadership,
+		lease:      lease,
+		results:    make(chan keepAliveResult, tuning.KeepAlivesInFlight),
 	}
-	results := make(chan keepAliveResult, tuning.KeepAlivesInFlight)
-	inFlight := 0
+}
+
+// run keeps the lease alive until ctx ends. It calls endTerm when the store shows that
+// another node has taken a newer term.
+func (k *keepAliveLoop) run(ctx context.Context, endTerm func()) {
 	ticker := time.NewTicker(tuning.KeepAliveInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		var result keepAliveResult
 		select {
 		case <-ctx.Done():
-			continue
 		case <-ticker.C:
-			if inFlight < tuning.KeepAlivesInFlight {
-				inFlight++
-				go func(lease protocol.LeaseID) { results <- keepAliveResult{lease, c.store.KeepAlive(ctx, lease)} }(lease)
+			k.send(ctx)
+		case result := <-k.results:
+			k.inFlight--
+			if k.hasExpired(result) {
+				k.renewLease(ctx, endTerm)
 			}
-			continue
-		case result = <-results:
-			inFlight--
-		}
-		if result.lease != lease || !errors.Is(result.err, kvstore.ErrLeaseExpired) {
-			continue
-		}
-		// The lease ran out, for instance while this process was held up. If
-		// nobody took the term, the leader key is put up again.
-		renewed, err := c.store.GrantLease(ctx, tuning.LeadershipTTL)
-		if err != nil {
-			continue
-		}
-		lease = renewed
-		_, err = c.store.Commit(ctx, protocol.Transaction{
-			Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: leadership.TermVersion}},
-			Mutations:     []protocol.Mutation{{Set: records.KeyLeader, Value: records.LeaderRecord{Term: leadership.Term, Node: c.node}, Lease: lease}},
-		})
-		if errors.Is(err, kvstore.ErrConflict) {
-			cancel()
 		}
 	}
-	<-leadEnded
-	return lease
 }
 
-// stepDown frees the leader key and leaves the next term to the other nodes,
-// unless none of them takes it.
-func (c *Candidate) stepDown(ctx context.Context, lease protocol.LeaseID) {
-	if err := c.store.RevokeLease(ctx, lease); err != nil {
-		c.log.Debug("ending the lease", "err", err) // it runs out by itself
+// send sends a keep-alive without waiting for those before: where one in twenty took a
+// second and a half, and held up the next, the term changed every few seconds.
+//
+// Nobody waits for the goroutine when the term ends: its call ends with ctx, its result
+// always has room in the channel, and a late keep-alive does no harm.
+func (k *keepAliveLoop) send(ctx context.Context) {
+	if k.inFlight == tuning.KeepAlivesInFlight {
+		return
 	}
-	for start := time.Now(); time.Since(start) < tuning.StepDownPause && clock.Sleep(ctx, tuning.ElectionRetry); {
-		if leader, _, err := c.readRecord(ctx, records.KeyLeader); err == nil && leader.Node != c.node {
-			return
-		}
+	k.inFlight++
+	lease := k.lease
+	go func() { k.results <- keepAliveResult{lease, k.store.KeepAlive(ctx, lease)} }()
+}
+
+// hasExpired tells whether a keep-alive shows that the newest lease has expired. Results
+// of an earlier lease, which are still in flight after a renewal, say nothing of it.
+func (k *keepAliveLoop) hasExpired(result keepAliveResult) bool {
+	return result.lease == k.lease && errors.Is(result.err, kvstore.ErrLeaseExpired)
+}
+
+// renewLease grants a new lease and sets the leader key again, on condition that the term
+// is still this leader's. A lease expires without a newer term for instance while this
+// process is held up.
+//
+// If no lease is granted, the next keep-alive that finds the old one expired leads here
+// again. If the transaction fails otherwise than by a conflict, nothing sets the leader
+// key again while the new lease lives: another node may take the next term, which this
+// leader then notices by the term key.
+func (k *keepAliveLoop) renewLease(ctx context.Context, endTerm func()) {
+	lease, err := k.store.GrantLease(ctx, tuning.LeadershipTTL)
+	if err != nil {
+		return
+	}
+	k.lease = lease
+	record := records.LeaderRecord{Term: k.leadership.Term, Node: k.node}
+	_, err = k.store.Commit(ctx, protocol.Transaction{
+		Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: k.leadership.TermVersion}},
+		Mutations:     []protocol.Mutation{{Set: records.KeyLeader, Value: record, Lease: lease}},
+	})
+	if errors.Is(err, kvstore.ErrConflict) {
+		endTerm()
 	}
 }
