--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -265,6 +265,10 @@
 		if c.store.Value(records.KeyLeader) == nil {
 			t.Error("the second lease is not kept alive")
 		}
+		// The fake store numbers leases from 1: the third is this one.
+		if probe, err := only.store.GrantLease(t.Context(), time.Second); err != nil || probe != 3 {
+			t.Errorf("%d leases granted for one expiry, %v", probe-1, err)
+		}
 		if c.checkSettled([]*node{only}); only.leading() != 1 {
 			t.Errorf("leads term %d", only.leading())
 		}
