--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -2,27 +2,43 @@
 
 import (
 	"context"
-	"fmt"
 	"net/http"
 
 	"marblehaven/internal/protocol"
 )
 
-// Catalog reads machine types and current prices. Types that make no sense are
-// left out.
+// Catalog reads the machine types and their current prices. Types that make no sense are
+// left out; a catalog without any type is an error.
 func (c *Client) Catalog(ctx context.Context) ([]protocol.MachineType, error) {
-	var cat protocol.Catalog
-	if err := c.call(ctx, http.MethodGet, "/catalog", nil, map[int]any{200: &cat}); err != nil {
+	var catalog protocol.Catalog
+	request := call{
+		operation: OperationCatalog,
+		target:    "machine types",
+		method:    http.MethodGet,
+		path:      "/catalog",
+		responses: map[int]any{http.StatusOK: &catalog},
+	}
+	if err := c.do(ctx, request); err != nil {
 		return nil, err
 	}
-	var ok []protocol.MachineType
-	for _, t := range cat.Types {
-		if t.Name != "" && t.Cores >= 0 && t.MemGB >= 0 && t.Price > 0 && t.BootS >= 0 && len(t.Zones) > 0 {
-			ok = append(ok, t)
+	var usable []protocol.MachineType
+	for _, machineType := range catalog.Types {
+		if isUsable(machineType) {
+			usable = append(usable, machineType)
 		}
 	}
-	if len(ok) == 0 {
-		return nil, fmt.Errorf("%w: empty catalog", ErrUnavailable)
+	if len(usable) == 0 {
+		return nil, request.fault("empty catalog")
 	}
-	return ok, nil
+	return usable, nil
+}
+
+// isUsable tells whether a machine type of the catalog makes sense.
+func isUsable(machineType protocol.MachineType) bool {
+	return machineType.Name != "" &&
+		machineType.Cores >= 0 &&
+		machineType.MemGB >= 0 &&
+		machineType.Price > 0 &&
+		machineType.BootS >= 0 &&
+		len(machineType.Zones) > 0
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,9 @@
-// Package cloud speaks to the machine cloud within its budget of calls.
+// Package cloud is the client of the cloud that provisions machines.
+//
+// It owns the cloud's wire protocol, the budget of calls that the settings allow, and what
+// an answer says of an operation's outcome. It must never exceed the budget, repeat a
+// request by itself, or return a part of a list as the whole: a machine that is missing
+// from a list counts as removed.
 package cloud
 
 import (
@@ -15,28 +20,62 @@
 
 // Client is a client of the cloud. It is safe for concurrent use.
 type Client struct {
-	base    string
+	baseURL string
 	http    httpclient.Client
-	limiter *rate.Limiter
+	budget  *rate.Limiter
 }
 
-// New makes a client that makes at most rps calls a second.
-func New(addr string, rt http.RoundTripper, cs *httpclient.MalformedLog, rps float64) *Client {
-	return &Client{base: "http://" + addr, http: httpclient.Client{HTTP: &http.Client{Transport: rt}, Malformed: cs}, limiter: rate.NewLimiter(rate.Limit(rps), int(math.Max(1, rps*tuning.CloudBurst)))}
+// New makes a client for the cloud at address host:port over the given transport. It makes
+// at most callsPerSecond calls a second on average.
+func New(address string, transport http.RoundTripper, malformed *httpclient.MalformedLog, callsPerSecond float64) *Client {
+	burst := int(math.Max(1, callsPerSecond*tuning.CloudBurst))
+	return &Client{
+		baseURL: "http://" + address,
+		http:    httpclient.Client{HTTP: &http.Client{Transport: transport}, Malformed: malformed},
+		budget:  rate.NewLimiter(rate.Limit(callsPerSecond), burst),
+	}
+}
+
+// call is one request to the cloud for an operation.
+type call struct {
+	operation Operation
+	target    string
+
+	method    string
+	path      string // with the query
+	body      any
+	responses map[int]any
+}
+
+// fail makes the error of the call.
+func (r *call) fail(err error) error {
+	return &OperationError{Operation: r.operation, Target: r.target, Err: err}
+}
+
+// fault is the error of a call whose answer makes no sense.
+func (r *call) fault(problem string) error {
+	return r.fail(fmt.Errorf("%w: %s", ErrUnavailable, problem))
 }
 
-func (c *Client) call(ctx context.Context, method, path string, in any, out map[int]any) error {
-	if err := c.limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: %v", ErrUnavailable, err)
+// do sends the request of a call once, as soon as the budget allows, and returns nil after
+// an answer 200.
+func (c *Client) do(ctx context.Context, request call) error {
+	if err := c.budget.Wait(ctx); err != nil {
+		return request.fail(fmt.Errorf("%w: %v", ErrUnavailable, err))
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
 	defer cancel()
-	err := c.http.Do(ctx, httpclient.Request{Method: method, URL: c.base + path, Body: in, Responses: out})
+	err := c.http.Do(ctx, httpclient.Request{
+		Method:    request.method,
+		URL:       c.baseURL + request.path,
+		Body:      request.body,
+		Responses: request.responses,
+	})
 	switch {
+	case err == nil:
+		return nil
 	case httpclient.HasStatus(err, http.StatusBadRequest):
-		return ErrInvalidRequest
-	case err != nil:
-		return fmt.Errorf("%w: %v", ErrUnavailable, err)
+		return request.fail(ErrInvalidRequest)
 	}
-	return nil
+	return request.fail(fmt.Errorf("%w: %v", ErrUnavailable, err))
 }
