--- /dev/null
+++ b/internal/agent/outcomes_test.go
@@ -0,0 +1,71 @@
+package agent
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"log/slog"
+	"net/http"
+	"strings"
+	"testing"
+
+	"marblehaven/internal/codec"
+	"marblehaven/internal/httpclient"
+	"marblehaven/internal/protocol"
+)
+
+// fixedAnswer is a transport that gives one answer to all requests.
+type fixedAnswer struct {
+	status int // 0: the connection fails
+	body   []byte
+}
+
+func (f fixedAnswer) RoundTrip(*http.Request) (*http.Response, error) {
+	if f.status == 0 {
+		return nil, errors.New("connection refused")
+	}
+	return &http.Response{StatusCode: f.status, Body: io.NopCloser(bytes.NewReader(f.body))}, nil
+}
+
+// TestOutcomes pins which answers are heartbeats. Whatever is none leaves open whether the
+// commands will be executed.
+func TestOutcomes(t *testing.T) {
+	whole, err := codec.Marshal(protocol.Heartbeat{Machine: "m-1", Incarnation: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	empty, err := codec.Marshal(protocol.Heartbeat{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		name   string
+		status int
+		body   []byte
+		known  bool
+	}{
+		{"executed", 200, whole, true},
+		{"rejected, with a heartbeat", 409, whole, true},
+		{"executed, without a heartbeat", 200, nil, false},
+		{"rejected, without a heartbeat", 409, nil, false},
+		{"a heartbeat that makes no sense", 200, empty, false},
+		{"a rejection that makes no sense", 409, empty, false},
+		{"another status with a heartbeat", 500, whole, false},
+		{"no connection", 0, nil, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			client := New(fixedAnswer{c.status, c.body}, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 1)
+			heartbeat, err := client.SendCommands(t.Context(), "m-1:80", protocol.CommandRequest{})
+			if c.known {
+				if err != nil || heartbeat.Machine != "m-1" {
+					t.Errorf("got %v, %v", heartbeat, err)
+				}
+				return
+			}
+			var failed *CommandError
+			if !errors.As(err, &failed) || failed.Address != "m-1:80" || !strings.Contains(err.Error(), "m-1:80") {
+				t.Errorf("got %v", err)
+			}
+		})
+	}
+}
