--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock waits.
+// Package clock waits for time to pass. It must never wait beyond the end of the context.
 package clock
 
 import (
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Sleep waits for d; it returns false at once when ctx ends.
-func Sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// Sleep waits for a duration and returns true. If ctx ends before, it returns false at
+// once.
+func Sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
--- a/internal/codec/jsonsize.go
+++ b/internal/codec/jsonsize.go
@@ -11,11 +11,11 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth bounds how deep values may be nested when they are measured.
+// maxDepth is how deep values that are measured may be nested: measuring is recursive.
 const maxDepth = 32
 
-// EncodeSized encodes a value, unless it is encoded already, and returns its size as
-// JSONSize does.
+// EncodeSized encodes a value, unless it is encoded already, and returns its size in bytes
+// as JSONSize does.
 func EncodeSized(value any) (raw msgpack.RawMessage, size int, err error) {
 	raw, encoded := value.(msgpack.RawMessage)
 	if !encoded {
@@ -28,69 +28,69 @@
 }
 
 // JSONSize returns how many bytes a MessagePack value takes as JSON, the form in
-// which PROTOCOL measures sizes. Where JSON leaves a choice it returns the longer
-// form, so that it never says too little.
+// which the protocol measures sizes. Where JSON leaves a choice of forms it assumes the
+// longest, so that the result is never too small.
 func JSONSize(raw []byte) (int, error) {
-	d := msgpack.NewDecoder(bytes.NewReader(raw))
-	size, err := jsonSize(d, 0)
+	decoder := msgpack.NewDecoder(bytes.NewReader(raw))
+	size, err := jsonSize(decoder, 0)
 	if err != nil {
 		return 0, err
 	}
-	if _, err := d.PeekCode(); err != io.EOF {
+	if _, err := decoder.PeekCode(); err != io.EOF {
 		return 0, errors.New("trailing bytes")
 	}
 	return size, nil
 }
 
-func jsonSize(d *msgpack.Decoder, depth int) (int, error) {
+func jsonSize(decoder *msgpack.Decoder, depth int) (int, error) {
 	if depth > maxDepth {
 		return 0, errors.New("nested too deep")
 	}
-	code, err := d.PeekCode()
+	code, err := decoder.PeekCode()
 	if err != nil {
 		return 0, err
 	}
 	switch {
 	case code == msgpcode.Nil:
-		return len("null"), d.DecodeNil()
+		return len("null"), decoder.DecodeNil()
 	case code == msgpcode.True, code == msgpcode.False:
-		_, err := d.DecodeBool()
+		_, err := decoder.DecodeBool()
 		return len("false"), err
 	case msgpcode.IsString(code):
-		s, err := d.DecodeString()
-		return jsonStringSize(s), err
+		text, err := decoder.DecodeString()
+		return jsonStringSize(text), err
 	case msgpcode.IsBin(code):
-		b, err := d.DecodeBytes()
-		return (len(b)+2)/3*4 + len(`""`), err
+		data, err := decoder.DecodeBytes()
+		return (len(data)+2)/3*4 + len(`""`), err
 	case code == msgpcode.Float, code == msgpcode.Double:
-		f, err := d.DecodeFloat64()
-		return len(strconv.FormatFloat(f, 'g', -1, 64)) + len(".0"), err
+		number, err := decoder.DecodeFloat64()
+		return len(strconv.FormatFloat(number, 'g', -1, 64)) + len(".0"), err
 	case msgpcode.IsFixedArray(code), code == msgpcode.Array16, code == msgpcode.Array32:
-		n, err := d.DecodeArrayLen()
+		length, err := decoder.DecodeArrayLen()
 		if err != nil {
 			return 0, err
 		}
-		return jsonElements(d, n, depth)
+		return jsonElements(decoder, length, depth)
 	case msgpcode.IsFixedMap(code), code == msgpcode.Map16, code == msgpcode.Map32:
-		n, err := d.DecodeMapLen()
+		length, err := decoder.DecodeMapLen()
 		if err != nil {
 			return 0, err
 		}
-		return jsonElements(d, 2*n, depth)
+		return jsonElements(decoder, 2*length, depth)
 	case code == msgpcode.Uint64:
-		n, err := d.DecodeUint64()
-		return len(strconv.FormatUint(n, 10)), err
+		number, err := decoder.DecodeUint64()
+		return len(strconv.FormatUint(number, 10)), err
 	}
-	n, err := d.DecodeInt64()
-	return len(strconv.FormatInt(n, 10)), err
+	number, err := decoder.DecodeInt64()
+	return len(strconv.FormatInt(number, 10)), err
 }
 
 // jsonElements measures the elements of a list, or the keys and values of a map:
 // each is followed by a comma, a colon or the closing bracket.
-func jsonElements(d *msgpack.Decoder, n, depth int) (int, error) {
+func jsonElements(decoder *msgpack.Decoder, count, depth int) (int, error) {
 	size := len("[]")
-	for range n {
-		element, err := jsonSize(d, depth+1)
+	for range count {
+		element, err := jsonSize(decoder, depth+1)
 		if err != nil {
 			return 0, err
 		}
@@ -99,10 +99,10 @@
 	return size, nil
 }
 
-func jsonStringSize(s string) int {
+func jsonStringSize(text string) int {
 	const escaped = len(`\u0000`)
 	size := len(`""`)
-	for _, r := range s {
+	for _, r := range text {
 		switch {
 		case r < ' ', r == '"', r == '\\', r == '<', r == '>', r == '&', r == utf8.RuneError:
 			size += escaped
--- a/internal/codec/jsonsize_test.go
+++ b/internal/codec/jsonsize_test.go
@@ -8,7 +8,7 @@
 
 // A measured size is never below what the JSON encoder of the standard library
 // makes of the value, and above it by no more than the choices that JSON leaves:
-// a value measured too small would be refused by the state service.
+// a value measured too small would be rejected by the key-value store.
 func TestJSONSize(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var value func(depth int) any
--- a/internal/kvstore/commit_test.go
+++ b/internal/kvstore/commit_test.go
@@ -22,10 +22,10 @@
 	"marblehaven/internal/protocol"
 )
 
-const fence = "term"
+const termKey = "term"
 
-// writer is a leader that writes records on the versions that it takes them to have,
-// with a user who changes an open record from time to time.
+// writer is a leader that writes records under preconditions on the versions that it
+// believes them to have. A user changes an open record from time to time.
 type writer struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -34,7 +34,7 @@
 	versions map[string]protocol.Version // as the writer believes
 	outcome  map[int]error               // what the writer was told of each transaction
 	mu       sync.Mutex
-	executed map[int]int // how often each was carried out, by number; guarded by mu
+	executed map[int]int // how often each was executed, by number; protected by mu
 	number   int         // of the transaction under way
 }
 
@@ -46,9 +46,9 @@
 	limits := config.State{StateLimits: config.StateLimits{ValueKB: 32, TxnOps: 20}}
 	w.client = kvstore.New("state:1", network.From(t.Context(), "leader"), httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), limits)
 	w.state.OnCommit = func(txn *protocol.Transaction) {
-		for _, guard := range txn.Preconditions {
+		for _, precondition := range txn.Preconditions {
 			var number int
-			if _, err := fmt.Sscanf(guard.Key, "number/%d", &number); err == nil {
+			if _, err := fmt.Sscanf(precondition.Key, "number/%d", &number); err == nil {
 				w.mu.Lock()
 				w.executed[number]++
 				w.mu.Unlock()
@@ -59,16 +59,17 @@
 	return w
 }
 
-// times is how often a transaction was carried out.
+// times is how often a transaction was executed.
 func (w *writer) times(number int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.executed[number]
 }
 
-// newTerm makes copies of all earlier transactions fail, and reads the versions.
+// newTerm makes all earlier transactions fail that may still be executed, and reads the
+// versions.
 func (w *writer) newTerm() {
-	w.state.Put(fence, w.number)
+	w.state.Put(termKey, w.number)
 	w.versions = map[string]protocol.Version{}
 	page, err := w.client.ListAll(w.t.Context(), "")
 	if err != nil {
@@ -92,26 +93,26 @@
 // well, or does both.
 func (w *writer) transaction() protocol.Transaction {
 	w.number++
-	txn := protocol.Transaction{Preconditions: []protocol.Precondition{{Key: fence, Version: w.versions[fence]}, {Key: fmt.Sprint("number/", w.number)}}}
-	guard := func(key string) {
+	txn := protocol.Transaction{Preconditions: []protocol.Precondition{{Key: termKey, Version: w.versions[termKey]}, {Key: fmt.Sprint("number/", w.number)}}}
+	addPrecondition := func(key string) {
 		txn.Preconditions = append(txn.Preconditions, protocol.Precondition{Key: key, Version: w.versions[key]})
 	}
 	for i := range 3 {
 		if key := fmt.Sprint("run/", i); w.rng.IntN(2) == 0 {
-			guard(key)
+			addPrecondition(key)
 			txn.Mutations = append(txn.Mutations, protocol.Mutation{Set: key, Value: w.number})
 		}
 	}
 	if w.versions["open"] > 0 && w.rng.IntN(2) == 0 {
 		final := fmt.Sprint("final/", w.versions["open"])
-		guard("open")
-		guard(final)
+		addPrecondition("open")
+		addPrecondition(final)
 		txn.Mutations = append(txn.Mutations, protocol.Mutation{Delete: "open"}, protocol.Mutation{Set: final, Value: w.number})
 	}
 	return txn
 }
 
-// learn takes in that a transaction was carried out.
+// learn takes in that a transaction was executed.
 func (w *writer) learn(txn *protocol.Transaction, revision protocol.Revision) {
 	for _, change := range txn.Mutations {
 		if change.Delete != "" {
@@ -122,7 +123,7 @@
 	}
 }
 
-// step writes one transaction and goes on by what it was told.
+// step writes one transaction and goes on by what the client says of its outcome.
 func (w *writer) step() {
 	if w.versions["open"] == 0 {
 		w.state.Put("open", "a job")
@@ -143,17 +144,17 @@
 	}
 	ctx, cancel := context.WithTimeout(w.t.Context(), time.Minute)
 	defer cancel()
-	reply, err := w.client.CommitUntilKnown(ctx, txn, fence)
+	reply, err := w.client.CommitUntilKnown(ctx, txn, termKey)
 	time.Sleep(time.Second)
 	w.outcome[w.number] = err
 	switch {
 	case err == nil:
 		if n := w.times(w.number); n != 1 {
-			w.t.Errorf("transaction %d is said to be carried out, and was %d times", w.number, n)
+			w.t.Errorf("transaction %d is said to be executed, and was %d times", w.number, n)
 		}
 		w.learn(&txn, reply.Revision)
 	case errors.Is(err, kvstore.ErrConflict):
-		w.readOpen() // as an event tells; all else is as it was believed to be
+		w.readOpen() // as a watch event would tell; all other versions are as believed
 	case errors.Is(err, kvstore.ErrInDoubt):
 		w.newTerm()
 	}
@@ -165,15 +166,15 @@
 }
 
 // Whatever happens to a transaction and its answers, what its writer is told holds for
-// good: it was carried out once, or never and never will be, or that is not known. A
-// first try that was carried out unanswered, and refused for the limits when sent again,
-// was reported as not carried out; tasks ran then that no record named.
-func TestApplyTellsTheTruth(t *testing.T) {
+// good: it was executed once, or never was and never will be, or the outcome is unknown. A
+// first attempt that was executed without an answer, and rejected for the limits when sent
+// again, was once returned as not executed; tasks ran then that no record named.
+func TestCommitUntilKnownTellsTheTruth(t *testing.T) {
 	inDoubt, conflicts := 0, 0
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			w := newWriter(t, seed)
-			faults := rand.New(rand.NewPCG(seed, 4)) // the service asks for one fault at a time
+			faults := rand.New(rand.NewPCG(seed, 4)) // the store asks for one fault at a time
 			w.state.Fault = func(*protocol.Transaction) fake.Fault {
 				return []fake.Fault{fake.None, fake.None, fake.None, fake.AnswerLost,
 					fake.NotExecuted, fake.OverLimit, fake.Throttled}[faults.IntN(7)]
@@ -187,7 +188,7 @@
 			for range 40 {
 				w.step()
 			}
-			time.Sleep(time.Minute) // what is late has come
+			time.Sleep(time.Minute) // transactions that are late have been executed
 			for number, err := range w.outcome {
 				switch {
 				case errors.Is(err, kvstore.ErrInDoubt):
@@ -198,7 +199,7 @@
 					fallthrough
 				default:
 					if w.times(number) > 0 {
-						t.Errorf("transaction %d was carried out, and its writer told %v", number, err)
+						t.Errorf("transaction %d was executed, and its writer told %v", number, err)
 					}
 				}
 			}
@@ -212,8 +213,8 @@
 // pages answers lists with pages made up by a function of the last key before.
 type pages func(after string) protocol.KeyValuePage
 
-// A list of several pages that breaks off, comes again or goes back is no list: records
-// that are missing in it would be taken for closed jobs, and their pieces deleted.
+// A list of several pages that breaks off, repeats a page or goes back is an error: records
+// that are missing in a list would be taken for closed jobs, and their segments deleted.
 func TestListAll(t *testing.T) {
 	row := func(keys ...string) (out []protocol.KeyValue) {
 		for _, key := range keys {
