--- a/internal/codec/jsonsize.go
+++ b/internal/codec/jsonsize.go
@@ -42,6 +42,7 @@
 	return size, nil
 }
 
+// jsonSize measures the next value of a decoder, which is so deep inside others.
 func jsonSize(decoder *msgpack.Decoder, depth int) (int, error) {
 	if depth > maxDepth {
 		return 0, errors.New("nested too deep")
@@ -50,6 +51,27 @@
 	if err != nil {
 		return 0, err
 	}
+	switch {
+	case msgpcode.IsFixedArray(code), code == msgpcode.Array16, code == msgpcode.Array32:
+		length, err := decoder.DecodeArrayLen()
+		if err != nil {
+			return 0, err
+		}
+		return jsonElements(decoder, length, depth)
+	case msgpcode.IsFixedMap(code), code == msgpcode.Map16, code == msgpcode.Map32:
+		length, err := decoder.DecodeMapLen()
+		if err != nil {
+			return 0, err
+		}
+		return jsonElements(decoder, 2*length, depth)
+	}
+	return jsonScalarSize(decoder, code)
+}
+
+// jsonScalarSize measures the next value of a decoder, which has the given code and is
+// neither a list nor a map. Codes that are not listed are those of integers; others fail
+// to decode as one.
+func jsonScalarSize(decoder *msgpack.Decoder, code byte) (int, error) {
 	switch {
 	case code == msgpcode.Nil:
 		return len("null"), decoder.DecodeNil()
@@ -61,22 +83,10 @@
 		return jsonStringSize(text), err
 	case msgpcode.IsBin(code):
 		data, err := decoder.DecodeBytes()
-		return (len(data)+2)/3*4 + len(`""`), err
+		return base64Size(len(data)) + len(`""`), err
 	case code == msgpcode.Float, code == msgpcode.Double:
 		number, err := decoder.DecodeFloat64()
 		return len(strconv.FormatFloat(number, 'g', -1, 64)) + len(".0"), err
-	case msgpcode.IsFixedArray(code), code == msgpcode.Array16, code == msgpcode.Array32:
-		length, err := decoder.DecodeArrayLen()
-		if err != nil {
-			return 0, err
-		}
-		return jsonElements(decoder, length, depth)
-	case msgpcode.IsFixedMap(code), code == msgpcode.Map16, code == msgpcode.Map32:
-		length, err := decoder.DecodeMapLen()
-		if err != nil {
-			return 0, err
-		}
-		return jsonElements(decoder, 2*length, depth)
 	case code == msgpcode.Uint64:
 		number, err := decoder.DecodeUint64()
 		return len(strconv.FormatUint(number, 10)), err
@@ -85,6 +95,9 @@
 	return len(strconv.FormatInt(number, 10)), err
 }
 
+// base64Size is how many characters so many bytes take in padded base64.
+func base64Size(length int) int { return (length + 2) / 3 * 4 }
+
 // jsonElements measures the elements of a list, or the keys and values of a map:
 // each is followed by a comma, a colon or the closing bracket.
 func jsonElements(decoder *msgpack.Decoder, count, depth int) (int, error) {
@@ -99,6 +112,8 @@
 	return size, nil
 }
 
+// jsonStringSize measures a string whose characters are escaped wherever an encoder may
+// escape them; those beyond ASCII may take a pair of escapes.
 func jsonStringSize(text string) int {
 	const escaped = len(`\u0000`)
 	size := len(`""`)
