--- /dev/null
+++ b/internal/election/cluster_test.go
@@ -0,0 +1,205 @@
+package election_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"sync"
+	"testing"
+	"time"
+
+	"marblehaven/internal/config"
+	"marblehaven/internal/election"
+	"marblehaven/internal/fake"
+	"marblehaven/internal/httpclient"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+	"marblehaven/internal/tuning"
+)
+
+// cluster is some candidates of one election against a fake store, with the plain model
+// that they are compared with: the terms are 1, 2, 3, ..., each is led by one node at
+// most, and the store takes writes from the newest term only.
+type cluster struct {
+	t       *testing.T
+	store   *fake.Store
+	network *fake.Network
+
+	mu     sync.Mutex
+	newest protocol.Term            // by the writes of the term key that the store has executed
+	ledBy  map[protocol.Term]string // the node that was told that it leads a term
+	writes map[protocol.Term]int    // writes executed for the leader of a term
+}
+
+func newCluster(t *testing.T, seed uint64) *cluster {
+	c := &cluster{t: t, store: fake.NewStore(), network: fake.NewNetwork(seed),
+		ledBy: map[protocol.Term]string{}, writes: map[protocol.Term]int{}}
+	c.network.Listen("store", "store:1", c.store)
+	c.store.OnCommit = c.onCommit
+	// Runs after the nodes have stopped: their leases expire, and what the store still
+	// holds open ends.
+	t.Cleanup(func() { time.Sleep(tuning.LeadershipTTL + 2*tuning.LeaderWatchHold) })
+	return c
+}
+
+const workPrefix = "work/"
+
+// onCommit checks each executed write against the model.
+func (c *cluster) onCommit(txn *protocol.Transaction) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, mutation := range txn.Mutations {
+		var term protocol.Term
+		if mutation.Set == records.KeyTerm {
+			c.newest++
+		} else if _, err := fmt.Sscanf(mutation.Set, workPrefix+"%d", &term); err == nil {
+			c.writes[term]++
+			if term != c.newest {
+				c.t.Errorf("the store executed a write of term %d in term %d", term, c.newest)
+			}
+		}
+	}
+}
+
+func (c *cluster) writesOf(term protocol.Term) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.writes[term]
+}
+
+func (c *cluster) newestTerm() protocol.Term {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.newest
+}
+
+// node is one node that takes part in the election.
+type node struct {
+	cluster   *cluster
+	name      string
+	store     *kvstore.Client
+	candidate *election.Candidate
+	stop      func() // ends the node and waits for it
+	// obeysFencing makes the node's leader give up its term after a conflict; without,
+	// only the candidate can end the term.
+	obeysFencing bool
+
+	mu      sync.Mutex
+	leads   protocol.Term // 0: none
+	last    protocol.Term // the last term it led
+	endedAt time.Time     // when that ended
+}
+
+// start starts a node, which stops when the test ends.
+func (c *cluster) start(name string) *node { return c.startNode(&node{cluster: c, name: name}) }
+
+func (c *cluster) startNode(n *node) *node {
+	limits := config.State{StateLimits: config.StateLimits{ValueKB: 32, TxnOps: 20}}
+	log := slog.New(slog.DiscardHandler)
+	ctx, cancel := context.WithCancel(c.t.Context())
+	n.store = kvstore.New("store:1", c.network.From(ctx, n.name), httpclient.NewMalformedLog(log), limits)
+	n.candidate = election.New(n.store, n.name, log)
+	var running sync.WaitGroup
+	running.Go(func() { n.candidate.Run(ctx, n.lead) })
+	n.stop = sync.OnceFunc(func() {
+		cancel()
+		running.Wait()
+	})
+	c.t.Cleanup(n.stop)
+	return n
+}
+
+// lead writes as a leader does until its term ends. Like the real one it gives up the
+// term when the precondition on the term key fails: a candidate whose new lease is alive,
+// while the transaction that sets the leader key again was lost, does not see by itself
+// that another node has taken the term.
+func (n *node) lead(ctx context.Context, leadership election.Leadership) {
+	n.begin(leadership.Term)
+	for ctx.Err() == nil {
+		_, err := n.store.Commit(ctx, protocol.Transaction{
+			Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: leadership.TermVersion}},
+			Mutations:     []protocol.Mutation{{Set: fmt.Sprint(workPrefix, leadership.Term), Value: 1}},
+		})
+		if n.obeysFencing && errors.Is(err, kvstore.ErrConflict) {
+			break
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(100 * time.Millisecond):
+		}
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.leads, n.endedAt = 0, time.Now()
+}
+
+func (n *node) begin(term protocol.Term) {
+	n.cluster.mu.Lock()
+	if other := n.cluster.ledBy[term]; other != "" {
+		n.cluster.t.Errorf("term %d is led by %s and by %s", term, other, n.name)
+	}
+	if term > n.cluster.newest {
+		n.cluster.t.Errorf("%s leads term %d, which the store does not know", n.name, term)
+	}
+	n.cluster.ledBy[term] = n.name
+	n.cluster.mu.Unlock()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.leads != 0 || term <= n.last {
+		n.cluster.t.Errorf("%s leads term %d after term %d, and %d still", n.name, term, n.last, n.leads)
+	}
+	n.leads, n.last = term, term
+}
+
+func (n *node) leading() protocol.Term {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.leads
+}
+
+func (n *node) ended() time.Time {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.endedAt
+}
+
+// split returns the one node that leads the newest term, and the others.
+func (c *cluster) split(nodes []*node) (leader *node, others []*node) {
+	c.t.Helper()
+	for _, n := range nodes {
+		if n.leading() == c.newestTerm() {
+			leader = n
+		} else {
+			others = append(others, n)
+		}
+	}
+	if leader == nil || len(others) != len(nodes)-1 {
+		c.t.Fatalf("%d of %d nodes do not lead term %d", len(others), len(nodes), c.newestTerm())
+	}
+	return leader, others
+}
+
+// checkSettled checks that one node leads, that nobody else believes to, and that all
+// know who it is.
+func (c *cluster) checkSettled(nodes []*node) {
+	c.t.Helper()
+	leader, others := c.split(nodes)
+	for _, n := range others {
+		if n.leading() != 0 {
+			c.t.Errorf("%s still leads term %d in term %d of %s", n.name, n.leading(), c.newestTerm(), leader.name)
+		}
+	}
+	for _, n := range nodes {
+		want := records.LeaderRecord{Term: c.newestTerm(), Node: leader.name}
+		if got, known := n.candidate.Leader(); !known || got != want {
+			c.t.Errorf("%s knows %v as the leader instead of %v", n.name, got, want)
+		}
+	}
+	before := c.writesOf(c.newestTerm())
+	time.Sleep(time.Second)
+	if c.writesOf(c.newestTerm()) == before {
+		c.t.Errorf("the leader's writes are not executed in term %d", c.newestTerm())
+	}
+}
--- /dev/null
+++ b/internal/election/faults_test.go
@@ -0,0 +1,91 @@
+package election_test
+
+import (
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"marblehaven/internal/fake"
+)
+
+// faults makes the network, the store and the nodes fail at random.
+type faults struct {
+	cluster *cluster
+
+	mu     sync.Mutex // the store asks from several goroutines
+	rng    *rand.Rand
+	active bool // whether the store fails
+}
+
+// newFaults makes the store of a cluster fail while run runs.
+func newFaults(c *cluster, seed uint64) *faults {
+	f := &faults{cluster: c, rng: rand.New(rand.NewPCG(seed, 9))}
+	c.store.LoseReply = func() bool { return f.storeFails(10) }
+	c.store.Late = func() time.Duration {
+		if f.storeFails(6) {
+			return time.Duration(f.intN(10000)) * time.Millisecond
+		}
+		return 0
+	}
+	c.store.Slow = func(string) time.Duration {
+		if f.storeFails(20) {
+			return time.Duration(f.intN(3000)) * time.Millisecond
+		}
+		return 0
+	}
+	return f
+}
+
+func (f *faults) intN(n int) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.rng.IntN(n)
+}
+
+// storeFails picks one in so many requests while faults are active.
+func (f *faults) storeFails(oneIn int) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.active && f.rng.IntN(oneIn) == 0
+}
+
+func (f *faults) setActive(active bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.active = active
+}
+
+// run makes faults for so long, and leaves none behind.
+func (f *faults) run(nodes []*node, total time.Duration) {
+	f.setActive(true)
+	defer f.setActive(false)
+	for start := time.Now(); time.Since(start) < total; {
+		f.one(nodes[f.intN(len(nodes))], nodes)
+		time.Sleep(time.Duration(f.intN(1500)) * time.Millisecond)
+	}
+}
+
+// one makes one fault at a node and ends it.
+func (f *faults) one(n *node, nodes []*node) {
+	lasts := time.Duration(f.intN(4000)) * time.Millisecond
+	switch f.intN(5) {
+	case 0:
+		n.candidate.Resign()
+	case 1: // a peer tells who led last
+		if leader, known := nodes[f.intN(len(nodes))].candidate.Leader(); known {
+			n.candidate.ObserveTerm(leader)
+		}
+	case 2:
+		mend := f.cluster.network.BlockOutbound(n.name)
+		time.Sleep(lasts)
+		mend()
+	case 3:
+		mend := f.cluster.network.Cut(n.name, "store", fake.Hold)
+		time.Sleep(lasts)
+		mend()
+	case 4:
+		mend := f.cluster.network.Cut(n.name, "store", fake.Reset)
+		time.Sleep(lasts)
+		mend()
+	}
+}
