--- a/internal/fake/agent_heartbeat.go
+++ b/internal/fake/agent_heartbeat.go
@@ -30,7 +30,7 @@
 // then to the leader. The lease is renewed as of the time when the answered heartbeat was
 // sent, which is before the controller received it. So it expires at the agent first.
 func (m *machineAgent) sendHeartbeats() {
-	hc := &http.Client{Transport: m.env.Network.From(m.env.life, m.id)}
+	client := httpclient.Client{HTTP: &http.Client{Transport: m.env.Network.From(m.env.life, m.id)}}
 	lastSent := longAgo()
 	for {
 		time.Sleep(2 * m.env.Step)
@@ -44,15 +44,15 @@
 			continue
 		}
 		m.statusChanged = false
-		msg := m.heartbeat()
+		heartbeat := m.heartbeat()
 		addr := m.env.Nodes[m.nodeIndex%len(m.env.Nodes)]
 		m.env.mu.Unlock()
 		lastSent = time.Now()
-		answer := m.postHeartbeat(hc, addr, msg)
+		answer := m.postHeartbeat(client, addr, heartbeat)
 		m.env.mu.Lock()
 		m.awaitNotHung() // a hung machine takes the answer when it goes on
 		if answer.accepted && time.Since(lastSent) <= heartbeatTimeout {
-			m.applyReply(&answer.reply, msg.Incarnation, lastSent)
+			m.applyReply(&answer.reply, heartbeat.Incarnation, lastSent)
 			m.env.mu.Unlock()
 			continue
 		}
@@ -95,13 +95,14 @@
 }
 
 // postHeartbeat sends a heartbeat to a node and waits for the answer.
-func (m *machineAgent) postHeartbeat(hc *http.Client, addr string, msg protocol.Heartbeat) heartbeatAnswer {
+func (m *machineAgent) postHeartbeat(client httpclient.Client, addr string, heartbeat protocol.Heartbeat) heartbeatAnswer {
 	ctx, cancel := context.WithTimeout(m.env.life, heartbeatTimeout)
 	defer cancel()
 	var reply protocol.HeartbeatReply
 	var redirect protocol.Redirect
-	status, err := httpclient.Call(ctx, hc, http.MethodPost, "http://"+addr+"/hello", msg, map[int]any{200: &reply, 421: &redirect})
-	return heartbeatAnswer{status == http.StatusOK && err == nil, reply, redirect}
+	err := client.Do(ctx, httpclient.Request{Method: http.MethodPost, URL: "http://" + addr + "/hello", Body: heartbeat,
+		Responses: map[int]any{http.StatusOK: &reply, http.StatusMisdirectedRequest: &redirect}})
+	return heartbeatAnswer{err == nil, reply, redirect}
 }
 
 // applyReply renews the lease and carries out the commands of a reply. It ignores replies
