--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -8,36 +8,39 @@
 	"marblehaven/internal/tuning"
 )
 
-// acknowledgedJobs remembers the jobs that this process has told users are cancelled,
-// the latest tuning.AcknowledgedJobs of them. A leader without state service that knows
-// them all may go on answering workers. A job is added before the answer leaves,
-// so the list never claims too much.
-type acknowledgedJobs struct {
-	mu    sync.Mutex
-	known map[protocol.JobID]bool
-	jobs  []acknowledgment // in the order of their first acknowledgment
-	since time.Time        // of all first acknowledged after it none is missing
+// acknowledgedCancellations remembers the jobs whose cancellation this process has
+// acknowledged to users, the latest tuning.AcknowledgedJobs of them. A leader without the
+// key-value store that knows the lists of all controllers may go on answering heartbeats.
+// A job is added before the reply leaves, so the list is never shorter than it claims.
+// It is safe for concurrent use.
+type acknowledgedCancellations struct {
+	mu            sync.Mutex
+	known         map[protocol.JobID]bool
+	jobs          []acknowledgment // in the order of their acknowledgments
+	completeSince time.Time        // no acknowledgment after this time is missing
 }
 
+// acknowledgment is the first reply that told a user of a job's cancellation.
 type acknowledgment struct {
 	jobID protocol.JobID
 	at    time.Time
 }
 
-// newAcknowledged begins a list. An earlier process of this node may have told
-// users anything until just before the start.
-func newAcknowledgedJobs(start time.Time) acknowledgedJobs {
-	return acknowledgedJobs{known: map[protocol.JobID]bool{}, since: start}
+// newAcknowledgedCancellations begins a list at the start of the process. An earlier
+// process of this controller may have acknowledged cancellations until just before.
+func newAcknowledgedCancellations(start time.Time) *acknowledgedCancellations {
+	return &acknowledgedCancellations{known: map[protocol.JobID]bool{}, completeSince: start}
 }
 
-func (a *acknowledgedJobs) add(jobID protocol.JobID) {
+// add notes a job whose cancellation is about to be acknowledged.
+func (a *acknowledgedCancellations) add(jobID protocol.JobID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.known[jobID] {
-		return // only the first acknowledgment starts cancel_s
+		return // the time limit cancel_s counts from the first acknowledgment
 	}
 	if len(a.jobs) >= tuning.AcknowledgedJobs {
-		a.since = a.jobs[0].at
+		a.completeSince = a.jobs[0].at
 		delete(a.known, a.jobs[0].jobID)
 		a.jobs = a.jobs[1:]
 	}
@@ -45,12 +48,13 @@
 	a.jobs = append(a.jobs, acknowledgment{jobID, time.Now()})
 }
 
-func (a *acknowledgedJobs) list() (jobIDs []protocol.JobID, since time.Time) {
+// list returns the jobs and the time since which the list is complete.
+func (a *acknowledgedCancellations) list() (jobIDs []protocol.JobID, since time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	jobIDs = make([]protocol.JobID, len(a.jobs))
-	for i, k := range a.jobs {
-		jobIDs[i] = k.jobID
+	for i, acknowledged := range a.jobs {
+		jobIDs[i] = acknowledged.jobID
 	}
-	return jobIDs, a.since
+	return jobIDs, a.completeSince
 }
--- /dev/null
+++ b/internal/api/messages.go
@@ -0,0 +1,50 @@
+package api
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+
+	"marblehaven/internal/codec"
+	"marblehaven/internal/tuning"
+)
+
+// readBody reads a request body up to the protocol's limit and no further. If that fails
+// it has answered the request.
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.MaxBody))
+	if err == nil {
+		return body, true
+	}
+	status := http.StatusBadRequest
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		status = http.StatusRequestEntityTooLarge
+	}
+	w.WriteHeader(status)
+	return nil, false
+}
+
+// writeMessage encodes a message as the body of a reply.
+func writeMessage(w http.ResponseWriter, status int, message any) {
+	body, _ := codec.Marshal(message) // the messages of this package always have an encoding
+	writeReply(w, status, body)
+}
+
+// writeReply writes a reply with an encoded body, which may be empty.
+func writeReply(w http.ResponseWriter, status int, body []byte) {
+	header := w.Header()
+	if len(body) > 0 {
+		header.Set("Content-Type", "application/msgpack")
+	}
+	header.Set("Content-Length", strconv.Itoa(len(body)))
+	if status == http.StatusServiceUnavailable {
+		header.Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
+		// A kept connection stays with this controller. Its user would ask here again
+		// and again while other controllers could answer.
+		header.Set("Connection", "close")
+	}
+	w.WriteHeader(status)
+	w.Write(body)
+}
--- /dev/null
+++ b/internal/api/usercalls.go
@@ -0,0 +1,38 @@
+package api
+
+import (
+	"net/http"
+
+	"marblehaven/internal/peer"
+)
+
+func (s *Server) serveSubmission(w http.ResponseWriter, r *http.Request) {
+	if body, ok := readBody(w, r); ok {
+		s.serveUserCall(w, r, &peer.UserCall{Operation: peer.OperationSubmit, Body: body})
+	}
+}
+
+// serveUserCall answers a user's call. Calls beyond the limit of those in flight are
+// refused at once, whatever they ask.
+func (s *Server) serveUserCall(w http.ResponseWriter, r *http.Request, call *peer.UserCall) {
+	select {
+	case s.inFlight <- struct{}{}:
+		defer func() { <-s.inFlight }()
+	default:
+		writeReply(w, http.StatusServiceUnavailable, nil)
+		return
+	}
+	reply := storeRefusedReply
+	if !s.node.RefusedAlone() {
+		reply = s.users.answer(r.Context(), call)
+	}
+	if reply.storeRefused {
+		// The key-value store may refuse this controller alone. Then a peer that the
+		// store serves can answer.
+		if forwarded, ok := s.peers.Forward(r.Context(), call); ok {
+			writeReply(w, forwarded.Status, forwarded.Body)
+			return
+		}
+	}
+	writeReply(w, reply.status, reply.body)
+}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,28 +1,28 @@
-// Package config reads and checks the platform's settings (JSON) and the
-// operators' own (TOML).
+// Package config reads and checks the settings of a controller: the platform's file
+// (JSON) and the operators' file (TOML).
+//
+// The package owns the names of the settings' fields and the texts of the errors that
+// refuse them; operators and the deploy file depend on both. Settings are read once at
+// the start. The package never changes them afterwards and knows nothing of the
+// components that use them.
 package config
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
-	"net"
 	"os"
-
-	"github.com/BurntSushi/toml"
-
-	"marblehaven/internal/tuning"
 )
 
-// Peer is another controller.
+// Peer is another controller of the cluster.
 type Peer struct {
 	Node    string `json:"node"`
 	Zone    string `json:"domain"`
 	Address string `json:"address"`
 }
 
-// Team has a guarantee and a limit. A limit of 0 is none declared.
+// Team has a guaranteed quota and a quota limit of each resource. A limit of 0 means
+// that there is none.
 type Team struct {
 	Name     string  `json:"name"`
 	Cores    float64 `json:"cpus"`
@@ -31,104 +31,49 @@
 	GPUsMax  float64 `json:"gpus_max"`
 }
 
-// Objective is an aim on starting or finishing the jobs of a class.
+// Objective is a service-level objective (SLO) on starting or finishing the jobs of a
+// class.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
 	WithinS float64 `json:"within_s"`
-	// Times is the multiple of its deadline by which a job should be complete, for
-	// aims of kind "deadline".
+	// Times is the multiple of its deadline within which a job should be complete, for
+	// objectives of kind "deadline".
 	Times float64 `json:"times"`
 	Share float64 `json:"share"`
 }
 
-// Workers says how workers behave, in seconds.
+// Workers holds the timings of agents, in seconds. The type has the name of its field
+// in the settings.
 type Workers struct {
-	ReportS   float64 `json:"report_s"`
-	LeaseS    float64 `json:"lease_s"`
+	// ReportS is the interval between two heartbeats of an agent.
+	ReportS float64 `json:"report_s"`
+	// LeaseS is the life of an agent's lease after its last answered heartbeat.
+	LeaseS float64 `json:"lease_s"`
+	// GangWaitS is how long a task of a gang waits for the other tasks to start.
 	GangWaitS float64 `json:"gang_wait_s"`
+	// GangPeerS is the time within which the other tasks of a running gang notice that
+	// one is lost.
 	GangPeerS float64 `json:"gang_peer_s"`
-	CancelS   float64 `json:"cancel_s"`
-}
-
-// StateLimits holds limits of the state service.
-type StateLimits struct {
-	RPS      float64 `json:"rps"`
-	WriteRPS float64 `json:"write_rps"`
-	ValueKB  float64 `json:"value_kb"`
-	TxnOps   int     `json:"txn_ops"`
-}
-
-// NextLimits holds the limits that the state service will have; a field left out
-// stays as it is.
-type NextLimits struct {
-	RPS      *float64 `json:"rps"`
-	WriteRPS *float64 `json:"write_rps"`
-	ValueKB  *float64 `json:"value_kb"`
-	TxnOps   *int     `json:"txn_ops"`
-}
-
-// State holds the present limits of the state service and those announced for
-// some moment after an upgrade.
-type State struct {
-	StateLimits
-	Next NextLimits `json:"next"`
-}
-
-// Smaller returns for each limit the smaller of the present and the announced
-// one: what respects it is accepted before and after the change.
-func (s State) Smaller() StateLimits {
-	return StateLimits{
-		RPS:      smaller(s.RPS, s.Next.RPS),
-		WriteRPS: smaller(s.WriteRPS, s.Next.WriteRPS),
-		ValueKB:  smaller(s.ValueKB, s.Next.ValueKB),
-		TxnOps:   smaller(s.TxnOps, s.Next.TxnOps),
-	}
-}
-
-func smaller[T int | float64](present T, next *T) T {
-	if next == nil {
-		return present
-	}
-	return min(present, *next)
+	// CancelS is the time after an acknowledged cancellation within which no task of
+	// the job may run any more.
+	CancelS float64 `json:"cancel_s"`
 }
 
-// ValueBytes is the largest value in bytes as JSON.
-func (l StateLimits) ValueBytes() int { return int(l.ValueKB * 1024) }
-
-// Cloud holds the limits of the cloud.
+// Cloud holds the limits of the cloud: calls a second, and how far its list of machines
+// may lag behind.
 type Cloud struct {
 	RPS      float64 `json:"rps"`
 	ListLagS float64 `json:"list_lag_s"`
 }
 
-// Limits are the means of this process.
+// Limits are the resources that this process may use.
 type Limits struct {
 	CPUShare float64 `json:"cpu_share"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Sockets is how a process divides the sockets that it may have, so that no use
-// starves another.
-type Sockets struct {
-	// Users is for users' calls being worked on, each of which may take one to
-	// the state service.
-	Users int
-	// Incoming is for connections made by users, workers and health checks.
-	Incoming int
-	// Commands is for direct commands to workers.
-	Commands int
-}
-
-// Sockets divides the limit; what a process needs for itself comes off first.
-func (d *Deployment) Sockets(peers int) Sockets {
-	users := min(tuning.MaxInflight, d.Limits.Sockets/tuning.SocketsUsers)
-	left := d.Limits.Sockets - tuning.SocketsOwn - 2*peers - users
-	commands := min(tuning.SocketsCommandsMax, int(float64(left)*tuning.SocketsCommands))
-	return Sockets{Users: users, Incoming: left - commands, Commands: commands}
-}
-
 // Deployment describes the site.
 type Deployment struct {
 	Count        int         `json:"count"`
@@ -142,7 +87,7 @@
 	ClockErrorMS float64     `json:"clock_error_ms"`
 }
 
-// Config is everything a controller is told.
+// Config holds all settings of a controller.
 type Config struct {
 	Node     string `json:"node"`
 	Zone     string `json:"domain"`
@@ -157,168 +102,43 @@
 	Operator   Operator   `json:"-"`
 }
 
-// Operator holds what DESIGN leaves open to the operators.
-type Operator struct {
-	// Rho is the modifying factor of the run-time estimate in eq. 28.
-	Rho float64 `toml:"rho"`
-	// DeadlineFactor times the estimate is the deadline of a job without one.
-	DeadlineFactor float64 `toml:"default_deadline_factor"`
-	// GiveBackFactor times its type's boot time is how long an idle machine is
-	// kept at the type's lowest price, and the shorter the dearer it is.
-	GiveBackFactor float64 `toml:"give_back_boot_factor"`
-	// CallBudget is the share of the cloud's calls a second that is used.
-	CallBudget float64 `toml:"cloud_call_share"`
-	// Estimator is "recent" (PAPER's recent average, corrected per class) or
-	// "user" (the owner's estimate as it is).
-	Estimator string `toml:"estimator"`
-}
-
-// DefaultOperator returns the values used without an operators' file.
-func DefaultOperator() Operator {
-	return Operator{Rho: 1, DeadlineFactor: 3, GiveBackFactor: 4, CallBudget: 0.8, Estimator: "recent"}
-}
-
-// Load reads the platform's file and, unless its path is empty, the operators'.
+// Load reads the platform's file and, unless its path is empty, the operators' file.
+// An error names the file and, where there is one, the field.
 func Load(path, operatorPath string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err
+		return nil, err // names the file already
 	}
 	c := &Config{Operator: DefaultOperator()}
-	if err := json.Unmarshal(raw, c); err != nil {
-		var typ *json.UnmarshalTypeError
-		if errors.As(err, &typ) {
-			return nil, fmt.Errorf("%s: field %s: cannot be %s", path, typ.Field, typ.Value)
-		}
-		return nil, fmt.Errorf("%s: not valid JSON: %w", path, err)
+	if err := c.decode(raw); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if operatorPath != "" {
-		md, err := toml.DecodeFile(operatorPath, &c.Operator)
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", operatorPath, err)
-		}
-		if un := md.Undecoded(); len(un) > 0 {
-			return nil, fmt.Errorf("%s: field %s: unknown", operatorPath, un[0])
-		}
-		if err := c.Operator.check(); err != nil {
-			return nil, fmt.Errorf("%s: %w", operatorPath, err)
-		}
+	if operatorPath == "" {
+		return c, nil
 	}
-	return c, nil
-}
-
-func (c *Config) check() error {
-	d := &c.Deployment
-	for _, f := range []struct{ name, value string }{
-		{"api_addr", c.APIAddr}, {"peer_bind", c.PeerBind},
-		{"services.cloud", c.Services.Cloud}, {"services.state", c.Services.State},
-	} {
-		if _, _, err := net.SplitHostPort(f.value); err != nil {
-			return fmt.Errorf("field %s: not an address with port: %q", f.name, f.value)
-		}
-	}
-	if c.Node == "" {
-		return errors.New("field node: missing")
-	}
-	for i, p := range c.Peers {
-		if p.Node == "" || p.Node == c.Node {
-			return fmt.Errorf("field peers[%d].node: missing or this node itself", i)
-		}
-		if _, _, err := net.SplitHostPort(p.Address); err != nil {
-			return fmt.Errorf("field peers[%d].address: not an address with port: %q", i, p.Address)
-		}
-	}
-	seen := map[string]bool{}
-	for i, t := range d.Teams {
-		if t.Name == "" || seen[t.Name] {
-			return fmt.Errorf("field deployment.teams[%d].name: missing or repeated", i)
-		}
-		seen[t.Name] = true
-		if t.Cores < 0 || t.CoresMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
-			return fmt.Errorf("field deployment.teams[%d]: negative amount", i)
-		}
-	}
-	w := d.Workers
-	for _, f := range []struct {
-		name  string
-		value float64
-	}{
-		{"deployment.workers.report_s", w.ReportS}, {"deployment.workers.lease_s", w.LeaseS},
-		{"deployment.workers.gang_wait_s", w.GangWaitS}, {"deployment.workers.gang_peer_s", w.GangPeerS},
-		{"deployment.workers.cancel_s", w.CancelS}, {"deployment.state.rps", d.State.RPS},
-		{"deployment.state.write_rps", d.State.WriteRPS}, {"deployment.state.value_kb", d.State.ValueKB},
-		{"deployment.state.txn_ops", float64(d.State.TxnOps)}, {"deployment.cloud.rps", d.Cloud.RPS},
-		{"deployment.limits.memory_mb", d.Limits.MemoryMB}, {"deployment.limits.sockets", float64(d.Limits.Sockets)},
-	} {
-		if !(f.value > 0) || math.IsInf(f.value, 0) {
-			return fmt.Errorf("field %s: missing or not above 0", f.name)
-		}
-	}
-	if err := w.check(); err != nil {
-		return err
+	if err := c.Operator.load(operatorPath); err != nil {
+		return nil, fmt.Errorf("%s: %w", operatorPath, err)
 	}
-	// What cannot be served with is said at once; whatever can, starts.
-	if s := d.Sockets(len(c.Peers)); s.Incoming < tuning.SocketsMin || s.Commands < 1 || s.Users < 1 {
-		return fmt.Errorf("field deployment.limits.sockets: %d is too few to serve with", d.Limits.Sockets)
-	}
-	if d.Limits.MemoryMB < tuning.MemoryMinMB {
-		return fmt.Errorf("field deployment.limits.memory_mb: %v is too little to serve with, below %d", d.Limits.MemoryMB, tuning.MemoryMinMB)
-	}
-	if err := d.State.check("deployment.state"); err != nil {
-		return err
-	}
-	return d.State.Smaller().check("deployment.state.next")
-}
-
-// check refuses times with which machines would lose their leases without any failure.
-func (w Workers) check() error {
-	least := w.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
-	if w.CancelS < least {
-		return fmt.Errorf("field deployment.workers.cancel_s: %v is below %v, lease_s and what a leader needs to answer reports", w.CancelS, least)
-	}
-	if w.LeaseS <= tuning.HeartbeatJitter*w.ReportS {
-		return fmt.Errorf("field deployment.workers.lease_s: %v is not above %v, the longest pause between two reports", w.LeaseS, tuning.HeartbeatJitter*w.ReportS)
-	}
-	return nil
-}
-
-// check refuses limits within which the service could not keep its records.
-func (l StateLimits) check(field string) error {
-	switch {
-	case !(l.RPS > 0):
-		return fmt.Errorf("field %s.rps: not above 0", field)
-	case !(l.WriteRPS > 0):
-		return fmt.Errorf("field %s.write_rps: not above 0", field)
-	case l.TxnOps < tuning.TransactionMutationsMin:
-		return fmt.Errorf("field %s.txn_ops: below %d, the changes that end a job", field, tuning.TransactionMutationsMin)
-	case l.ValueKB < tuning.ValueMinKB:
-		return fmt.Errorf("field %s.value_kb: below %v, what a record takes", field, tuning.ValueMinKB)
-	}
-	return nil
+	return c, nil
 }
 
-func (o Operator) check() error {
-	in := func(name string, v, low, high float64) error {
-		if !(v >= low && v <= high) {
-			return fmt.Errorf("field %s: %v is not within %v to %v", name, v, low, high)
-		}
+// decode reads the platform's settings. Fields that are not known are ignored.
+func (c *Config) decode(raw []byte) error {
+	err := json.Unmarshal(raw, c)
+	if err == nil {
 		return nil
 	}
-	if o.Estimator != "recent" && o.Estimator != "user" {
-		return fmt.Errorf("field estimator: %q is neither \"recent\" nor \"user\"", o.Estimator)
+	var wrongType *json.UnmarshalTypeError
+	if errors.As(err, &wrongType) {
+		return fmt.Errorf("field %s: cannot be %s", wrongType.Field, wrongType.Value)
 	}
-	return errors.Join(
-		in("rho", o.Rho, 0, 10),
-		in("default_deadline_factor", o.DeadlineFactor, 1, 100),
-		in("give_back_boot_factor", o.GiveBackFactor, 0, 100),
-		in("cloud_call_share", o.CallBudget, 0.05, 1),
-	)
+	return fmt.Errorf("not valid JSON: %w", err)
 }
 
-// Team finds a team by name.
+// Team returns the team with the name, nil if there is none.
 func (c *Config) Team(name string) *Team {
 	for i := range c.Deployment.Teams {
 		if c.Deployment.Teams[i].Name == name {
--- /dev/null
+++ b/internal/config/sockets.go
@@ -0,0 +1,24 @@
+package config
+
+import "marblehaven/internal/tuning"
+
+// Sockets is the division of a process's sockets among their uses, so that no use
+// starves another.
+type Sockets struct {
+	// Users is for users' calls in flight, each of which may hold one connection to
+	// the key-value store.
+	Users int
+	// Incoming is for connections made by users, agents and health checks.
+	Incoming int
+	// Commands is for direct commands to agents.
+	Commands int
+}
+
+// Sockets divides the limit. The process's own sockets, two for each peer and those
+// of users' calls come off first.
+func (d *Deployment) Sockets(peers int) Sockets {
+	users := min(tuning.MaxInflight, d.Limits.Sockets/tuning.SocketsUsers)
+	left := d.Limits.Sockets - tuning.SocketsOwn - 2*peers - users
+	commands := min(tuning.SocketsCommandsMax, int(float64(left)*tuning.SocketsCommands))
+	return Sockets{Users: users, Incoming: left - commands, Commands: commands}
+}
--- /dev/null
+++ b/internal/fake/checker.go
@@ -0,0 +1,198 @@
+package fake
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"marblehaven/internal/config"
+	"marblehaven/internal/protocol"
+)
+
+// checkInterval is the time between two looks of the checker at all machines and jobs.
+const checkInterval = 200 * time.Millisecond
+
+// checker compares what users and machines see with the rules, and records each violation. It
+// looks at task starts and at answers to users as they happen, and at all machines and jobs
+// periodically. It reads the fakes' own state, never the controllers'.
+type checker struct {
+	LateStart time.Duration // the longest time from a confirmed cancellation to a start
+
+	env         *Environment
+	records     *runRecordReader
+	violations  []string
+	faultsEnded bool // the test causes no more faults
+}
+
+// checkPeriodically finds violations that no message shows, such as a task that goes on too long.
+func (c *checker) checkPeriodically(ctx context.Context) {
+	for ctx.Err() == nil {
+		time.Sleep(checkInterval)
+		c.checkCancelled()
+		c.checkRunRecords()
+		c.checkWaiting()
+	}
+}
+
+// Violations lists the violations so far. Each text starts with the name of its rule.
+func (c *checker) Violations() []string {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	return slices.Clone(c.violations)
+}
+
+// addViolation records a violation. The caller holds the mutex.
+func (c *checker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
+}
+
+// checkStart checks all rules on a task that starts to occupy a machine.
+func (c *checker) checkStart(machine *machineAgent, task *agentTask) {
+	job := c.env.jobs[task.jobID]
+	others := c.surveyOthers(task)
+	c.checkRanTwice(machine, task, others.sameTask)
+	c.checkQuota(machine, task, others.teamCores, others.teamGPUs)
+	c.checkPlacement(machine, task, others.jobZones)
+	if !job.accepted && !job.submitted {
+		c.addViolation("invented: %s runs", task.jobID)
+	}
+	if !c.dependenciesDone(job) {
+		c.addViolation("too_early: %s/%d on %s at %v", task.jobID, task.index, machine.id, time.Now())
+	}
+	if !job.cancelConfirmed.IsZero() {
+		c.LateStart = max(c.LateStart, time.Since(job.cancelConfirmed))
+	}
+	c.checkCancelledTask(machine, task)
+}
+
+// placedTask is a task with the machine that holds it.
+type placedTask struct {
+	machine *machineAgent
+	task    *agentTask
+}
+
+// otherTasks sums up the tasks that occupy machines, apart from the one that starts.
+type otherTasks struct {
+	sameTask            []placedTask   // other attempts of the same task
+	jobZones            map[string]int // tasks of its job by zone
+	teamCores, teamGPUs float64        // what its team uses
+}
+
+// surveyOthers looks at the tasks of all machines once, because tests have thousands of them.
+func (c *checker) surveyOthers(task *agentTask) otherTasks {
+	others := otherTasks{jobZones: map[string]int{}}
+	team := c.env.jobs[task.jobID].job.Team
+	for _, machine := range c.env.machines {
+		for _, other := range machine.tasks {
+			if !other.onMachine() || other == task {
+				continue
+			}
+			if other.jobID == task.jobID {
+				others.jobZones[machine.zone]++
+				if other.index == task.index {
+					others.sameTask = append(others.sameTask, placedTask{machine, other})
+				}
+			}
+			if spec := &c.env.jobs[other.jobID].job; spec.Team == team {
+				others.teamCores += spec.Cores
+				others.teamGPUs += spec.GPUs
+			}
+		}
+	}
+	return others
+}
+
+// checkRanTwice guards that at most one attempt of a task occupies a machine at any time.
+func (c *checker) checkRanTwice(machine *machineAgent, task *agentTask, sameTask []placedTask) {
+	for _, other := range sameTask {
+		c.addViolation("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v",
+			task.jobID, task.index, other.task.attempt, other.machine.id, other.task.stateSince, task.attempt, machine.id,
+			other.machine.hung, other.machine.up, other.machine.incarnation, time.Now())
+	}
+}
+
+// checkQuota guards that the tasks of a team stay within its quota limits.
+func (c *checker) checkQuota(machine *machineAgent, task *agentTask, usedCores, usedGPUs float64) {
+	spec := &c.env.jobs[task.jobID].job
+	cores, gpus := usedCores+spec.Cores, usedGPUs+spec.GPUs
+	for _, team := range c.env.Cfg.Teams {
+		if team.Name == spec.Team && exceedsQuota(&team, cores, gpus) {
+			c.addViolation("quota: %s with %s/%d on %s: %v of %v cores, %v of %v cards at %v",
+				spec.Team, task.jobID, task.index, machine.id, cores, team.CoresMax, gpus, team.GPUsMax, time.Now())
+		}
+	}
+}
+
+// exceedsQuota tells whether the given use is beyond a team's limits. A limit of 0 is none.
+func exceedsQuota(team *config.Team, cores, gpus float64) bool {
+	return (team.CoresMax > 0 && cores > team.CoresMax+capacityTolerance) ||
+		(team.GPUsMax > 0 && gpus > team.GPUsMax+capacityTolerance)
+}
+
+// checkPlacement guards that a task runs on a machine that its job accepts, and that the job's
+// tasks share a zone or spread over zones as the job asks.
+func (c *checker) checkPlacement(machine *machineAgent, task *agentTask, otherZones map[string]int) {
+	spec := &c.env.jobs[task.jobID].job
+	zones := maps.Clone(otherZones)
+	zones[machine.zone]++
+	outsideZone := spec.OneZone && len(zones) > 1
+	crowded := spec.Spread && zones[machine.zone] > maxTasksInZone(spec)
+	if !machine.isAllowedFor(spec) || outsideZone || crowded {
+		c.addViolation("wrong_place: %s/%d on %s", task.jobID, task.index, machine.id)
+	}
+}
+
+// maxTasksInZone is how many tasks of a job that spreads over zones may be in one of them.
+func maxTasksInZone(spec *protocol.Job) int { return (spec.Tasks + 1) / 2 }
+
+// checkJobStatus guards that a job's status never goes back and is true. The argument before is
+// the job as the user knew it when the request was sent, because answers may overtake each
+// other.
+func (c *checker) checkJobStatus(job *userJob, before userJob, jobStatus protocol.JobStatus) {
+	switch {
+	case before.doneConfirmed && jobStatus.Phase != protocol.PhaseDone, !before.cancelConfirmed.IsZero() && jobStatus.Phase != protocol.PhaseCancelled:
+		c.addViolation("went_back: %s is called %s", job.job.ID, jobStatus.Phase)
+	case jobStatus.Phase == protocol.PhaseCancelled && !job.cancelRequested:
+		if requested, _ := c.dependencyCancelled(job); !requested {
+			c.addViolation("went_back: %s is called cancelled, its user did not ask", job.job.ID)
+		}
+	case jobStatus.Phase == protocol.PhaseDone && len(job.finished) < job.job.Tasks:
+		c.addViolation("not_done: %s is called done", job.job.ID)
+	}
+	c.checkDependentStatus(job, jobStatus.Phase)
+	if jobStatus.Phase == protocol.PhaseDone {
+		job.doneConfirmed = true
+	}
+	if jobStatus.Phase == protocol.PhaseCancelled && job.cancelConfirmed.IsZero() {
+		job.cancelConfirmed = time.Now()
+	}
+	if jobStatus.Phase == protocol.PhaseCancelled && job.cancelRequested && job.ownCancelConfirmed.IsZero() {
+		job.ownCancelConfirmed = time.Now()
+	}
+}
+
+// checkCancelledTask guards that no task occupies a machine for too long after its job, or a
+// dependency of it, was confirmed as cancelled.
+func (c *checker) checkCancelledTask(machine *machineAgent, task *agentTask) {
+	job := c.env.jobs[task.jobID]
+	since := job.cancelConfirmed
+	if _, confirmedAt := c.dependencyCancelled(job); since.IsZero() || (!confirmedAt.IsZero() && confirmedAt.Before(since)) {
+		since = confirmedAt
+	}
+	if !since.IsZero() && time.Since(since).Seconds() > c.env.Cfg.Workers.CancelS && task.onMachine() {
+		c.addViolation("ran_cancelled: %s/%d on %s", task.jobID, task.index, machine.id)
+	}
+}
+
+// checkCancelled applies checkCancelledTask to the tasks of all machines.
+func (c *checker) checkCancelled() {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	for _, machine := range c.env.machines {
+		for _, task := range machine.tasks {
+			c.checkCancelledTask(machine, task)
+		}
+	}
+}
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -13,139 +14,190 @@
 )
 
 const (
-	first  = "req-000001"
-	second = "req-000002" // waits for the first
+	firstJob     = "req-000001"
+	dependentJob = "req-000002" // depends on the first
+
+	cancelLimit = 37 * time.Second // how long a task may run after its job was cancelled
+	// unknownMachine is one that the cloud never provisioned.
+	unknownMachine = "m-000009"
 )
 
-// history is a world without controllers, whose history a test makes up.
+// history is an environment without controllers, in which a test makes up what happens.
 type history struct {
 	*Environment
 	machine *machineAgent
 }
 
-// newHistory has two jobs of a task each, accepted, a machine that is up, and a record
-// that places the first job's task there.
+// newHistory makes a history of two accepted jobs of one task each, and of a machine that
+// is up. A run record places the first job's task on the machine.
 func newHistory(ctx context.Context) *history {
-	cfg := config.Deployment{Workers: config.Workers{ReportS: 2.5, LeaseS: 1000, CancelS: 37}}
-	w := NewEnvironment(ctx, NewNetwork(1), cfg, []protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
-	w.Register(protocol.Job{ID: first, Kind: protocol.KindArray, Tasks: 1, Cores: 1})
-	w.Register(protocol.Job{ID: second, Kind: protocol.KindArray, Tasks: 1, Cores: 1, DependsOn: []protocol.JobID{first}})
-	h := &history{Environment: w}
-	w.mu.Lock()
-	id := w.newMachine("big", "a", false)
-	h.machine = w.machines[id]
-	w.mu.Unlock()
-	time.Sleep(time.Second) // it is up
-	h.record(first, id)
+	cfg := config.Deployment{Workers: config.Workers{ReportS: 2.5, LeaseS: 1000, CancelS: cancelLimit.Seconds()}}
+	e := NewEnvironment(ctx, NewNetwork(1), cfg, []protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, Zones: []string{"a"}}})
+	e.Register(protocol.Job{ID: firstJob, Kind: protocol.KindArray, Tasks: 1, Cores: 1})
+	e.Register(protocol.Job{ID: dependentJob, Kind: protocol.KindArray, Tasks: 1, Cores: 1, DependsOn: []protocol.JobID{firstJob}})
+	h := &history{Environment: e}
+	e.mu.Lock()
+	id := e.newMachine("big", "a", false)
+	h.machine = e.machines[id]
+	e.mu.Unlock()
+	time.Sleep(time.Second) // the machine boots
+	h.recordPlacement(firstJob, id)
 	return h
 }
 
-func (h *history) record(jobID protocol.JobID, machine string) {
-	h.Store.Put(records.SegmentKey(jobID, 0), records.RunRecord{NextAttempt: 2, Placements: []records.Placement{{Attempt: 1, Machine: machine}}})
+// recordPlacement stores a run record that places a job's task on a machine.
+func (h *history) recordPlacement(jobID protocol.JobID, machine string) {
+	placement := records.Placement{Attempt: 1, Machine: machine}
+	h.Store.Put(records.SegmentKey(jobID, 0), records.RunRecord{NextAttempt: 2, Placements: []records.Placement{placement}})
 }
 
-// run makes a job's task run on the machine, as if a controller had started it.
-func (h *history) run(jobID protocol.JobID) *agentTask {
+// startTask makes a job's task run on the machine, as if a controller had started it.
+func (h *history) startTask(jobID protocol.JobID) *agentTask {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	running := &agentTask{jobID: jobID, attempt: 1, state: protocol.TaskRunning, since: time.Now(), left: 1e6}
+	running := &agentTask{jobID: jobID, attempt: 1, state: protocol.TaskRunning, stateSince: time.Now(), remainingS: 1e6}
 	h.machine.tasks = append(h.machine.tasks, running)
 	h.checkStart(h.machine, running)
 	return running
 }
 
-// tell judges that a job's user is told a phase.
-func (h *history) tell(jobID protocol.JobID, phase protocol.JobPhase) {
+// startRecordedTask records the placement of a job's task on the machine and starts it there.
+func (h *history) startRecordedTask(jobID protocol.JobID) {
+	h.recordPlacement(jobID, h.machine.id)
+	h.startTask(jobID)
+}
+
+// stopTask makes a task exit as if a controller had stopped it.
+func (h *history) stopTask(running *agentTask) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.machine.exit(running, protocol.ExitStopped)
+}
+
+// completeJob marks the only task of a job as done.
+func (h *history) completeJob(jobID protocol.JobID) {
+	h.jobs[jobID].finished[0] = true
+}
+
+// answerUser lets the checker see that a job's user is told a phase.
+func (h *history) answerUser(jobID protocol.JobID, phase protocol.JobPhase) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	job := h.jobs[jobID]
-	h.checkAnswer(job, *job, protocol.JobStatus{ID: jobID, Phase: phase})
+	h.checkJobStatus(job, *job, protocol.JobStatus{ID: jobID, Phase: phase})
 }
 
-// cancel makes a job's user cancel it and be told so.
-func (h *history) cancel(jobID protocol.JobID) {
+// cancelAndConfirm lets a job's user cancel it and be told that it is cancelled.
+func (h *history) cancelAndConfirm(jobID protocol.JobID) {
 	h.mu.Lock()
-	h.jobs[jobID].cancelAsked = true
+	h.jobs[jobID].cancelRequested = true
 	h.mu.Unlock()
-	h.tell(jobID, protocol.PhaseCancelled)
+	h.answerUser(jobID, protocol.PhaseCancelled)
 }
 
-// The checker finds each broken rule in a history that breaks it, and none in the one
-// that does not.
+// passCancelLimit waits until no task of a cancelled job may run any more.
+func passCancelLimit() { time.Sleep(cancelLimit + 3*time.Second) }
+
+// checkerTest is a history with the violation that the checker must find in it.
+type checkerTest struct {
+	name          string
+	play          func(h *history)
+	wantViolation string // "": no rule is broken
+}
+
+// recordTests are histories of run records that do or do not name the tasks.
+var recordTests = []checkerTest{
+	{"recorded task runs", func(h *history) { h.startTask(firstJob) }, ""},
+	{"task runs on a machine that its record does not name", func(h *history) {
+		h.recordPlacement(firstJob, unknownMachine)
+		h.startTask(firstJob)
+	}, "orphaned: no record names"},
+	{"record is removed before the task exits", func(h *history) {
+		h.startTask(firstJob)
+		h.Store.Remove(records.SegmentKey(firstJob, 0))
+	}, "orphaned: no record names"},
+	{"record is undecodable", func(h *history) {
+		h.startTask(firstJob)
+		h.Store.Corrupt(records.SegmentKey(firstJob, 0))
+	}, ""},
+	{"task starts while it runs already", func(h *history) {
+		h.startTask(firstJob)
+		h.startTask(firstJob)
+	}, "ran_twice"},
+}
+
+// dependencyTests are histories of a job and the one that depends on it.
+var dependencyTests = []checkerTest{
+	{"job starts before its dependency is done", func(h *history) {
+		h.startRecordedTask(dependentJob)
+	}, "too_early"},
+	{"job starts after its complete dependency was cancelled", func(h *history) {
+		h.completeJob(firstJob)
+		h.cancelAndConfirm(firstJob)
+		h.startRecordedTask(dependentJob)
+	}, "too_early"},
+	{"task runs on after a dependency was cancelled", func(h *history) {
+		h.recordPlacement(dependentJob, h.machine.id)
+		h.completeJob(firstJob)
+		h.startTask(dependentJob)
+		h.cancelAndConfirm(firstJob)
+		passCancelLimit()
+	}, "ran_cancelled"},
+	{"job is called queued long after a dependency was cancelled", func(h *history) {
+		h.cancelAndConfirm(firstJob)
+		passCancelLimit()
+		h.answerUser(dependentJob, protocol.PhaseQueued)
+	}, "orphaned: " + dependentJob},
+	{"job is called cancelled after a dependency was cancelled", func(h *history) {
+		h.cancelAndConfirm(firstJob)
+		passCancelLimit()
+		h.answerUser(dependentJob, protocol.PhaseCancelled)
+	}, ""},
+}
+
+// cancellationTests are histories of a job that its user cancels, and of wrong answers.
+var cancellationTests = []checkerTest{
+	{"task runs on after its job was cancelled", func(h *history) {
+		h.startTask(firstJob)
+		h.cancelAndConfirm(firstJob)
+		passCancelLimit()
+	}, "ran_cancelled"},
+	{"task exits in time after its job was cancelled", func(h *history) {
+		running := h.startTask(firstJob)
+		h.cancelAndConfirm(firstJob)
+		h.stopTask(running)
+		passCancelLimit()
+	}, ""},
+	{"job is called done before it is done", func(h *history) {
+		h.startTask(firstJob)
+		h.answerUser(firstJob, protocol.PhaseDone)
+	}, "not_done"},
+	{"cancelled job is called queued", func(h *history) {
+		h.cancelAndConfirm(firstJob)
+		h.answerUser(firstJob, protocol.PhaseQueued)
+	}, "went_back"},
+}
+
+// The checker finds each broken rule in a history that breaks it, and none in a history
+// that breaks none.
 func TestCheckerFindsBrokenRules(t *testing.T) {
-	const pastCancel = 40 * time.Second
-	for _, b := range []struct {
-		name string
-		play func(h *history)
-		want string // "": no rule is broken
-	}{
-		{"a recorded task runs", func(h *history) { h.run(first) }, ""},
-		{"a task runs that no record names", func(h *history) { h.record(first, "m-000009"); h.run(first) }, "orphaned: no record names"},
-		{"the record goes before the task", func(h *history) {
-			h.run(first)
-			h.Store.Remove(records.SegmentKey(first, 0))
-		}, "orphaned: no record names"},
-		{"a record that can't be read", func(h *history) { h.run(first); h.Store.Corrupt(records.SegmentKey(first, 0)) }, ""},
-		{"a job starts before the one that it waits for is done", func(h *history) {
-			h.record(second, h.machine.id)
-			h.run(second)
-		}, "too_early"},
-		{"a job starts though the one that it waits for was cancelled at its end", func(h *history) {
-			h.jobs[first].finished[0] = true
-			h.cancel(first)
-			h.record(second, h.machine.id)
-			h.run(second)
-		}, "too_early"},
-		{"a cancelled job's task goes on", func(h *history) {
-			h.run(first)
-			h.cancel(first)
-			time.Sleep(pastCancel)
-		}, "ran_cancelled"},
-		{"it ends in time", func(h *history) {
-			running := h.run(first)
-			h.cancel(first)
-			h.mu.Lock()
-			h.machine.exit(running, protocol.ExitStopped)
-			h.mu.Unlock()
-			time.Sleep(pastCancel)
-		}, ""},
-		{"a job's task goes on after one that it needs was cancelled", func(h *history) {
-			h.record(second, h.machine.id)
-			h.jobs[first].finished[0] = true
-			h.run(second)
-			h.cancel(first)
-			time.Sleep(pastCancel)
-		}, "ran_cancelled"},
-		{"a job is called queued long after one that it needs was cancelled", func(h *history) {
-			h.cancel(first)
-			time.Sleep(pastCancel)
-			h.tell(second, protocol.PhaseQueued)
-		}, "orphaned: " + second},
-		{"it is called cancelled", func(h *history) {
-			h.cancel(first)
-			time.Sleep(pastCancel)
-			h.tell(second, protocol.PhaseCancelled)
-		}, ""},
-		{"a job is called done before it is", func(h *history) { h.run(first); h.tell(first, protocol.PhaseDone) }, "not_done"},
-		{"a cancelled job is called queued", func(h *history) {
-			h.cancel(first)
-			h.tell(first, protocol.PhaseQueued)
-		}, "went_back"},
-		{"a task starts while it runs", func(h *history) { h.run(first); h.run(first) }, "ran_twice"},
-	} {
-		t.Run(b.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				ctx, cancel := context.WithCancel(t.Context())
-				h := newHistory(ctx)
-				b.play(h)
-				time.Sleep(time.Second)
-				broken := strings.Join(h.Violations(), "\n")
-				if (b.want == "" && broken != "") || !strings.Contains(broken, b.want) {
-					t.Errorf("found %q, not %q", broken, b.want)
-				}
-				cancel()
-				time.Sleep(time.Second) // all that is under way ends
-			})
+	for _, test := range slices.Concat(recordTests, dependencyTests, cancellationTests) {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { test.run(t) })
 		})
 	}
 }
+
+// run plays the history in synthetic time and compares the violations found.
+func (test checkerTest) run(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	h := newHistory(ctx)
+	test.play(h)
+	time.Sleep(time.Second)
+	violations := strings.Join(h.Violations(), "\n")
+	if (test.wantViolation == "" && violations != "") || !strings.Contains(violations, test.wantViolation) {
+		t.Errorf("found %q, not %q", violations, test.wantViolation)
+	}
+	cancel()
+	time.Sleep(time.Second) // the environment's goroutines end
+}
--- /dev/null
+++ b/internal/fake/store_limits.go
@@ -0,0 +1,66 @@
+package fake
+
+import (
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"marblehaven/internal/config"
+)
+
+// StoreLimits is what the store accepts at most, and counts what it refused.
+type StoreLimits struct {
+	// MaxOps and MaxValue limit a transaction's mutations and the bytes of a value; 0: no limit.
+	MaxOps, MaxValue int
+	// PageMost is how many keys a page of a list has at most; 0: as many as the protocol allows.
+	PageMost int
+	// Refusals counts the transactions that the limits refused, by status.
+	Refusals map[int]int
+
+	// limitsLowered is set once the limits were lowered without notice. From then on a
+	// transaction beyond a limit gets 400, and one beyond the rate of writes gets 429.
+	limitsLowered bool
+	writeRate     *rate.Limiter
+	// requestRate limits the requests; nil: no limit. requestCount counts all of them, and
+	// throttledCount those beyond the limit.
+	requestRate                  *rate.Limiter
+	requestCount, throttledCount int
+}
+
+// Limit lowers the limits from now on, without notice to the controllers.
+func (s *Store) Limit(limits config.StateLimits) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.limitsLowered = true
+	s.MaxOps, s.MaxValue = limits.TxnOps, limits.ValueBytes()
+	s.writeRate = rate.NewLimiter(rate.Limit(limits.WriteRPS), int(limits.WriteRPS))
+}
+
+// LimitRequests sets how many requests per second are served.
+func (s *Store) LimitRequests(rps float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.requestRate = rate.NewLimiter(rate.Limit(rps), int(rps))
+}
+
+// Asked returns how many requests there were, and how many of them were throttled.
+func (s *Store) Asked() (requests, throttled int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.requestCount, s.throttledCount
+}
+
+// admitRequest counts a request and tells whether it is within the rate limit.
+func (l *StoreLimits) admitRequest() bool {
+	l.requestCount++
+	if l.requestRate != nil && !l.requestRate.Allow() {
+		l.throttledCount++
+		return false
+	}
+	return true
+}
+
+// admitMutations tells whether the given number of mutations is within the rate limit of writes.
+func (l *StoreLimits) admitMutations(count int) bool {
+	return l.writeRate == nil || l.writeRate.AllowN(time.Now(), count)
+}
--- /dev/null
+++ b/internal/fake/users.go
@@ -0,0 +1,183 @@
+package fake
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"marblehaven/internal/httpclient"
+	"marblehaven/internal/protocol"
+)
+
+// userJob is a job as its user knows it, with what the user requested and was told.
+type userJob struct {
+	job                protocol.Job
+	runS               float64
+	submitted          bool
+	accepted           bool
+	cancelRequested    bool
+	cancelConfirmed    time.Time // when the user was first told that the job is cancelled
+	ownCancelConfirmed time.Time // the same, for a cancellation that this user requested
+	doneConfirmed      bool      // the user was told that the job is done
+	finished           map[int]bool
+	waitingSince       time.Time // since when the job waits beside free capacity; zero: it does not
+}
+
+// complete tells whether all tasks of the job are done.
+func (j *userJob) complete() bool { return len(j.finished) >= j.job.Tasks }
+
+// Register adds a job as if its user had submitted it and had been told that it is accepted.
+func (e *Environment) Register(job protocol.Job) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.jobs[job.ID] = &userJob{job: job, submitted: true, accepted: true, finished: map[int]bool{}}
+}
+
+// Job returns a job as its user submitted it.
+func (e *Environment) Job(jobID protocol.JobID) protocol.Job {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.jobs[jobID].job
+}
+
+// Cancelled tells whether the user of a job requested to cancel it.
+func (e *Environment) Cancelled(jobID protocol.JobID) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.jobs[jobID].cancelRequested
+}
+
+// Submit submits a job and retries until the outcome is known or 60 seconds have passed. It
+// returns the status of the last answer. A repeated submission is idempotent, so an accepted job
+// that is refused later was forgotten, which is a violation.
+func (e *Environment) Submit(job protocol.Job, runS float64) int {
+	e.mu.Lock()
+	if e.jobs[job.ID] == nil {
+		e.jobs[job.ID] = &userJob{job: job, runS: runS, finished: map[int]bool{}}
+	}
+	registered := e.jobs[job.ID]
+	registered.submitted = true
+	before := *registered
+	e.mu.Unlock()
+	status, jobStatus := e.ask(http.MethodPost, "/v1/jobs", JobMap(&job), 5*time.Second, 60*time.Second)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if status == http.StatusOK || status == http.StatusCreated {
+		registered.accepted = true
+		e.checkJobStatus(registered, before, jobStatus)
+	} else if before.accepted && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity) {
+		e.addViolation("forgotten: %s submitted again gets %d", job.ID, status)
+	}
+	return status
+}
+
+// Poll asks once for the status of a job, and checks the answer.
+func (e *Environment) Poll(jobID protocol.JobID) (int, protocol.JobStatus) {
+	e.mu.Lock()
+	job := e.jobs[jobID]
+	var before userJob // the job as the user knew it when the request was sent
+	if job != nil {
+		before = *job
+	}
+	e.mu.Unlock()
+	status, jobStatus := e.ask(http.MethodGet, "/v1/jobs/"+string(jobID), nil, 2*time.Second, 0)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	job = e.jobs[jobID]
+	switch {
+	case status == http.StatusOK && (job == nil || !job.submitted):
+		e.addViolation("invented: %s", jobID)
+	case status == http.StatusNotFound && before.accepted:
+		e.addViolation("forgotten: %s gets 404", jobID)
+	case status == http.StatusOK:
+		e.checkJobStatus(job, before, jobStatus)
+	}
+	return status, jobStatus
+}
+
+// Cancel cancels a job, retries until the outcome is known, and checks the answer.
+func (e *Environment) Cancel(jobID protocol.JobID) (int, protocol.JobStatus) {
+	e.mu.Lock()
+	job := e.jobs[jobID]
+	job.cancelRequested = true
+	before := *job
+	e.mu.Unlock()
+	status, jobStatus := e.ask(http.MethodPost, "/v1/jobs/"+string(jobID)+"/withdraw", nil, 5*time.Second, 120*time.Second)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if status == http.StatusOK {
+		e.checkJobStatus(job, before, jobStatus)
+	}
+	return status, jobStatus
+}
+
+// Refused submits a job that must not be accepted, and checks that it gets the status that the
+// protocol requires. The argument change makes the job unacceptable.
+func (e *Environment) Refused(job protocol.Job, change func(fields map[string]any), want int) {
+	fields := JobMap(&job)
+	change(fields)
+	status, _ := e.ask(http.MethodPost, "/v1/jobs", fields, 5*time.Second, 60*time.Second)
+	answered := status > 0 && status < http.StatusInternalServerError && status != http.StatusTooManyRequests // otherwise the user would retry
+	if answered && status != want {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.addViolation("accepted: a job that cannot be, %v, gets %d instead of %d", fields, status, want)
+	}
+}
+
+// workloadClient sends the users' requests to the controllers.
+type workloadClient struct {
+	Network *Network
+	Nodes   []string // addresses of the controllers' nodes
+	Asked   []string // the nodes that users ask; nil: all
+
+	life context.Context
+}
+
+// ask sends a request to a random node, and retries until it gets an answer other than "try
+// again" or the total time is over.
+func (w *workloadClient) ask(method, path string, in any, each, total time.Duration) (int, protocol.JobStatus) {
+	start := time.Now()
+	for {
+		nodes := w.Nodes
+		if w.Asked != nil {
+			nodes = w.Asked
+		}
+		addr := nodes[int(w.Network.randomFloat()*float64(len(nodes)))]
+		ctx, cancel := context.WithTimeout(w.life, each)
+		var st protocol.JobStatus
+		client := httpclient.Client{HTTP: &http.Client{Transport: w.Network.From(w.life, "users")}}
+		status := answeredStatus(client.Do(ctx, httpclient.Request{Method: method, URL: "http://" + addr + path, Body: in,
+			Responses: map[int]any{http.StatusOK: &st, http.StatusCreated: &st}}))
+		cancel()
+		if status != 0 && status != http.StatusTooManyRequests && status < http.StatusInternalServerError {
+			return status, st
+		}
+		if w.life.Err() != nil || time.Since(start) > total {
+			return status, st
+		}
+		time.Sleep(time.Second)
+	}
+}
+
+// JobMap returns a job in the users' spelling, with a field of an unknown name, which the
+// controllers must ignore. Fields without a value are left out or null, as the protocol allows.
+func JobMap(job *protocol.Job) map[string]any {
+	fields := map[string]any{"ref": job.ID, "workload": job.Class, "owner": job.Team, "shape": job.Kind, "rank": job.Priority,
+		"pieces": job.Tasks, "cores": job.Cores, "cards": job.GPUs, "memGb": job.MemGB, "bundle": job.Image,
+		"imageGb": job.ImageGB, "samePlace": job.OneZone, "spread": job.Spread, "loaners": job.Spot,
+		"guessS": job.EstimateS, "snapshotS": job.CheckpointIntervalS, "flushS": job.CheckpointSaveS, "quarry": nil, "unheardOf": []int{1}}
+	if job.MachineTypes != nil {
+		fields["flavors"] = job.MachineTypes
+	}
+	if job.Zone != "" {
+		fields["quarry"] = job.Zone
+	}
+	if job.DeadlineS > 0 {
+		fields["dueS"] = job.DeadlineS
+	}
+	if job.DependsOn != nil {
+		fields["awaits"] = job.DependsOn
+	}
+	return fields
+}
--- /dev/null
+++ b/internal/kvstore/read.go
@@ -0,0 +1,90 @@
+package kvstore
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"net/url"
+
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/tuning"
+)
+
+// Get reads a key. The error wraps ErrNotFound if the key does not exist.
+func (c *Client) Get(ctx context.Context, key string) (protocol.KeyValue, error) {
+	var entry protocol.KeyValue
+	request := call{
+		operation:    OperationRead,
+		target:       key,
+		timeout:      tuning.StateTimeout,
+		method:       http.MethodGet,
+		path:         "/keys/" + key,
+		responses:    map[int]any{http.StatusOK: &entry},
+		statusErrors: map[int]error{http.StatusNotFound: ErrNotFound},
+	}
+	err := c.do(ctx, request)
+	if err == nil && entry.Version == 0 {
+		err = request.fault("answer without a version")
+	}
+	return entry, err
+}
+
+// List reads one page, of at most limit keys, of the keys with a prefix that come after
+// a key; an empty key asks for the first page.
+func (c *Client) List(ctx context.Context, prefix, after string, limit int) (protocol.KeyValuePage, error) {
+	query := url.Values{"prefix": {prefix}, "most": {fmt.Sprint(limit)}}
+	if after != "" {
+		query.Set("after", after)
+	}
+	var page protocol.KeyValuePage
+	err := c.do(ctx, call{
+		operation: OperationList,
+		target:    prefix,
+		timeout:   tuning.StateTimeout,
+		method:    http.MethodGet,
+		path:      "/keys?" + query.Encode(),
+		responses: map[int]any{http.StatusOK: &page},
+	})
+	return page, err
+}
+
+// ListAll reads all keys with a prefix. The revision is the first page's, so that a watch
+// from this revision sees whatever changed while the other pages were read. A page that
+// does not continue where the last one ended is an error: a missing key would look like
+// a record that does not exist.
+func (c *Client) ListAll(ctx context.Context, prefix string) (protocol.KeyValuePage, error) {
+	var all protocol.KeyValuePage
+	for last := ""; ; {
+		page, err := c.List(ctx, prefix, last, tuning.StatePage)
+		if err != nil {
+			return protocol.KeyValuePage{}, err
+		}
+		if problem := pageFault(page, last); problem != "" {
+			request := call{operation: OperationList, target: prefix}
+			return protocol.KeyValuePage{}, request.fault(problem)
+		}
+		if last == "" {
+			all.Revision = page.Revision
+		}
+		all.Entries = append(all.Entries, page.Entries...)
+		if !page.More {
+			return all, nil
+		}
+		last = page.Entries[len(page.Entries)-1].Key
+	}
+}
+
+// pageFault tells why a page does not continue a list whose last key so far is given, and
+// returns "" for one that does.
+func pageFault(page protocol.KeyValuePage, last string) string {
+	for _, entry := range page.Entries {
+		if entry.Key <= last {
+			return fmt.Sprintf("key %q listed after %q", entry.Key, last)
+		}
+		last = entry.Key
+	}
+	if page.More && len(page.Entries) == 0 {
+		return "empty page with more to come"
+	}
+	return ""
+}
