--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,12 +31,29 @@
 	GPUsMax  float64 `json:"gpus_max"`
 }
 
+// ObjectiveKind tells what a service-level objective asks for. Kinds that this program
+// does not know are ignored.
+type ObjectiveKind string
+
+// The kinds of objectives that decisions are made for.
+const (
+	// ObjectiveDeadline: jobs are complete within a multiple of their deadline.
+	ObjectiveDeadline ObjectiveKind = "deadline"
+	// ObjectiveFinished: jobs are complete within some seconds.
+	ObjectiveFinished ObjectiveKind = "finished"
+	// ObjectiveWait: tasks start within some seconds.
+	ObjectiveWait ObjectiveKind = "wait"
+	// ObjectiveGuarantee: work within a team's guaranteed quota starts within some
+	// seconds.
+	ObjectiveGuarantee ObjectiveKind = "guarantee"
+)
+
 // Objective is a service-level objective (SLO) on starting or finishing the jobs of a
 // class.
 type Objective struct {
-	Kind    string  `json:"kind"`
-	Class   string  `json:"class"`
-	WithinS float64 `json:"within_s"`
+	Kind    ObjectiveKind `json:"kind"`
+	Class   string        `json:"class"`
+	WithinS float64       `json:"within_s"`
 	// Times is the multiple of its deadline within which a job should be complete, for
 	// objectives of kind "deadline".
 	Times float64 `json:"times"`
--- a/internal/leader/deadlines.go
+++ b/internal/leader/deadlines.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"marblehaven/internal/config"
 	"marblehaven/internal/tuning"
 )
 
@@ -44,30 +45,44 @@
 // deadlines lists the job's own deadline and what the objectives ask for it.
 func (l *Leader) deadlines(job *jobState, estimateS float64, guaranteed bool) []jobDeadline {
 	var deadlines []jobDeadline
-	hasDeadline := job.spec.DeadlineS > 0
-	// It counts from the submission, however long the job has waited for others.
-	waitedS := job.readyAt.Sub(job.acceptedAt).Seconds()
-	if hasDeadline {
-		deadlines = append(deadlines, jobDeadline{job.spec.DeadlineS - waitedS, false})
+	if job.spec.DeadlineS > 0 {
+		deadlines = append(deadlines, jobDeadline{job.ownDeadlineS(1), false})
 	}
-	begun := len(job.placements) > 0
-	for _, objective := range l.Config.Deployment.Objectives {
-		ofClass := objective.Class == job.spec.Class
-		switch {
-		case objective.Kind == "deadline" && ofClass && hasDeadline && objective.Times > 1:
-			deadlines = append(deadlines, jobDeadline{objective.Times*job.spec.DeadlineS - waitedS, false})
-		case objective.WithinS <= 0:
-		case objective.Kind == "finished" && ofClass:
-			deadlines = append(deadlines, jobDeadline{objective.WithinS, false})
-		case objective.Kind == "wait" && ofClass && !begun:
-			deadlines = append(deadlines, jobDeadline{objective.WithinS + estimateS, true})
-		case objective.Kind == "guarantee" && guaranteed && !begun:
-			deadlines = append(deadlines, jobDeadline{objective.WithinS + estimateS, false})
+	for i := range l.Config.Deployment.Objectives {
+		objective := &l.Config.Deployment.Objectives[i]
+		if deadline, applies := job.deadlineByObjective(objective, estimateS, guaranteed); applies {
+			deadlines = append(deadlines, deadline)
 		}
 	}
 	return deadlines
 }
 
+// ownDeadlineS is a multiple of the job's own deadline. That counts from the submission,
+// however long the job has waited for others.
+func (j *jobState) ownDeadlineS(times float64) float64 {
+	waitedS := j.readyAt.Sub(j.acceptedAt).Seconds()
+	return times*j.spec.DeadlineS - waitedS
+}
+
+// deadlineByObjective is what an objective asks for the job; applies is false if that is
+// nothing.
+func (j *jobState) deadlineByObjective(objective *config.Objective, estimateS float64, guaranteed bool) (deadline jobDeadline, applies bool) {
+	ofClass := objective.Class == j.spec.Class
+	notBegun := len(j.placements) == 0
+	switch objective.Kind {
+	case config.ObjectiveDeadline:
+		applies = ofClass && j.spec.DeadlineS > 0 && objective.Times > 1
+		return jobDeadline{j.ownDeadlineS(objective.Times), false}, applies
+	case config.ObjectiveFinished:
+		return jobDeadline{objective.WithinS, false}, ofClass && objective.WithinS > 0
+	case config.ObjectiveWait:
+		return jobDeadline{objective.WithinS + estimateS, true}, ofClass && notBegun && objective.WithinS > 0
+	case config.ObjectiveGuarantee:
+		return jobDeadline{objective.WithinS + estimateS, false}, guaranteed && notBegun && objective.WithinS > 0
+	}
+	return jobDeadline{}, false
+}
+
 // starvationBoundS is how long a job may wait for its first start, in seconds, before
 // it goes before others: early enough that even the largest begins in time. Capacity
 // for a gang falls free in one zone, a machine after another, and other gangs gather
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -71,7 +71,7 @@
 		if outcome, known := l.dependencies.outcomes[dependency]; known {
 			l.resolveDependency(dependency, outcome, now)
 		} else if open := l.jobs.open[dependency]; open != nil && open.cancelled {
-			l.cancelDependents(dependency, now)
+			l.cancelDependents(dependency)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 func (l *Leader) resolveDependency(jobID protocol.JobID, outcome dependencyOutcome, now time.Time) {
 	l.dependencies.record(jobID, outcome)
 	if outcome.phase == protocol.PhaseCancelled {
-		l.cancelDependents(jobID, now)
+		l.cancelDependents(jobID)
 		return
 	}
 	for _, dependent := range l.dependencies.dependents[jobID] {
@@ -100,7 +100,7 @@
 
 // cancelDependents cancels all jobs that need the one named, directly or through
 // others. None of them has begun, and none ever can.
-func (l *Leader) cancelDependents(jobID protocol.JobID, now time.Time) {
+func (l *Leader) cancelDependents(jobID protocol.JobID) {
 	queue := []protocol.JobID{jobID}
 	for len(queue) > 0 {
 		dependents := l.dependencies.dependents[queue[0]]
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -79,7 +79,7 @@
 	if job := l.jobs.open[jobID]; job != nil && !job.cancelled {
 		l.cancelJob(job, now)
 	}
-	l.cancelDependents(jobID, now)
+	l.cancelDependents(jobID)
 }
 
 func (l *Leader) onRecordRewritten(job *jobState, open *records.OpenJob, version protocol.Version, now time.Time) {
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -64,7 +64,7 @@
 	for _, placement := range job.placements {
 		l.stopPlacement(placement, 0, now)
 	}
-	l.cancelDependents(job.id, now)
+	l.cancelDependents(job.id)
 }
 
 // endPlacements acts on placements that have ended. Each is the result of a proof (see
--- a/internal/peer/protocol.go
+++ b/internal/peer/protocol.go
@@ -83,9 +83,14 @@
 
 type messageCodec struct{}
 
-func (messageCodec) Marshal(v any) ([]byte, error)      { return codec.Marshal(v) }
+// Marshal encodes a message as MessagePack.
+func (messageCodec) Marshal(v any) ([]byte, error) { return codec.Marshal(v) }
+
+// Unmarshal decodes a message.
 func (messageCodec) Unmarshal(data []byte, v any) error { return codec.Unmarshal(data, v) }
-func (messageCodec) Name() string                       { return "msgpack" }
+
+// Name is the codec's name in gRPC's content type.
+func (messageCodec) Name() string { return "msgpack" }
 
 // The names of the gRPC service and its methods.
 const (
@@ -107,24 +112,24 @@
 	},
 }
 
-func answerStatus(node LocalNode, _ context.Context, request *StatusRequest) *Status {
+func answerStatus(_ context.Context, node LocalNode, request *StatusRequest) *Status {
 	node.ObserveTerm(request.Leader)
 	status := node.Status(request)
 	return &status
 }
 
-func answerUserCall(node LocalNode, ctx context.Context, call *UserCall) *UserAnswer {
+func answerUserCall(ctx context.Context, node LocalNode, call *UserCall) *UserAnswer {
 	return node.UserCall(ctx, call)
 }
 
 // unaryMethod describes a method with one request and one response.
-func unaryMethod[Request, Response any](name string, answer func(LocalNode, context.Context, *Request) *Response) grpc.MethodDesc {
+func unaryMethod[Request, Response any](name string, answer func(context.Context, LocalNode, *Request) *Response) grpc.MethodDesc {
 	handler := func(node any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		request := new(Request)
 		if err := decode(request); err != nil {
 			return nil, err
 		}
-		return answer(node.(LocalNode), ctx, request), nil
+		return answer(ctx, node.(LocalNode), request), nil
 	}
 	return grpc.MethodDesc{MethodName: name, Handler: handler}
 }
