--- /dev/null
+++ b/internal/scheduler/order_test.go
@@ -0,0 +1,81 @@
+package scheduler
+
+import (
+	"cmp"
+	"fmt"
+	"math/bits"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"marblehaven/internal/protocol"
+)
+
+// sameClass returns a snapshot of jobs that share a class and differ in their deadlines
+// and in how long the one core takes for them.
+func sameClass(rng *rand.Rand) *Snapshot {
+	snapshot := &Snapshot{
+		Types:    []MachineType{{Name: "small", Capacity: Resources{Cores: 1, MemGB: 8}, Price: 1}},
+		Machines: []Machine{{Schedulable: true}},
+		Teams:    []Team{{}},
+	}
+	for i := range 2 + rng.IntN(7) {
+		spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(i)), Kind: protocol.KindArray, Cores: 1}
+		snapshot.Jobs = append(snapshot.Jobs, Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2,
+			EstimateS: 1, Waiting: 1 + rng.IntN(9), DeadlineS: float64(2 + rng.IntN(40)), Weight: 1})
+	}
+	return snapshot
+}
+
+// inTime counts the jobs that meet their deadlines if they are worked on one after
+// another.
+func inTime(jobs []Job, order []int) (count int) {
+	load := 0.0
+	for _, i := range order {
+		load += float64(jobs[i].Waiting)
+		if load+jobs[i].EstimateS <= jobs[i].DeadlineS {
+			count++
+		}
+	}
+	return count
+}
+
+// mostInTime tries every set of jobs, the earliest deadline first.
+func mostInTime(jobs []Job) (most int) {
+	byDeadline := make([]int, len(jobs))
+	for i := range byDeadline {
+		byDeadline[i] = i
+	}
+	slices.SortFunc(byDeadline, func(a, b int) int { return cmp.Compare(jobs[a].DeadlineS, jobs[b].DeadlineS) })
+	for set := range uint(1) << len(jobs) {
+		var chosen []int
+		for _, i := range byDeadline {
+			if set>>i&1 == 1 {
+				chosen = append(chosen, i)
+			}
+		}
+		if inTime(jobs, chosen) == bits.OnesCount(set) {
+			most = max(most, len(chosen))
+		}
+	}
+	return most
+}
+
+// Of jobs that cannot all meet their deadlines, as many do as any order allows.
+func TestOrderKeepsMostJobsInTime(t *testing.T) {
+	rng := rand.New(rand.NewPCG(11, 12))
+	overloaded := 0
+	for i := range 500 {
+		snapshot := sameClass(rng)
+		want := mostInTime(snapshot.Jobs)
+		if want < len(snapshot.Jobs) {
+			overloaded++
+		}
+		if got := inTime(snapshot.Jobs, Order(snapshot)); got != want {
+			t.Fatalf("snapshot %d: %d jobs in time instead of %d: %+v", i, got, want, snapshot.Jobs)
+		}
+	}
+	if overloaded < 100 {
+		t.Errorf("only in %d snapshots not all jobs can be in time", overloaded)
+	}
+}
