--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -1,15 +1,31 @@
 package server
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"slices"
 	"sync"
+	"testing"
 	"time"
 
 	"marblehaven/internal/fake"
 	"marblehaven/internal/protocol"
 )
 
+// Chaos: failures at random, several at once, with late copies of reports,
+// commands, commits and rentals, with 3, 5 and 7 controllers.
+func TestChaos(t *testing.T) {
+	for seed := range seeds(6) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			var names []string
+			for i := range 3 + 2*(seed%3) {
+				names = append(names, fmt.Sprint("marble-", i))
+			}
+			runWith(t, 1000+seed, names, func(c *testCluster) { chaos(c, seed) })
+		})
+	}
+}
+
 // chaos submits and cancels jobs of all shapes while nodes die, links are cut,
 // machines hang and vanish and the state service refuses one or all.
 func chaos(c *testCluster, seed uint64) { chaosDuring(c, seed, func(int) bool { return true }) }
--- /dev/null
+++ b/internal/server/cluster_checks_test.go
@@ -0,0 +1,51 @@
+package server
+
+import (
+	"slices"
+	"strings"
+
+	"marblehaven/internal/protocol"
+	"marblehaven/internal/records"
+)
+
+// checkGuards judges applied commits: a leader's writes are guarded by its term
+// and by the records they change, an open job's by its own version; otherwise a
+// late copy could undo what came after it.
+func (c *testCluster) checkGuards(txn *protocol.Transaction) {
+	guarded := map[string]bool{}
+	for _, precondition := range txn.Preconditions {
+		guarded[precondition.Key] = true
+	}
+	for _, mutation := range txn.Mutations {
+		key := mutation.Set + mutation.Delete
+		leaders := isRun(key) || strings.HasPrefix(key, "d/") || strings.HasPrefix(key, "r/") || key == "catalog"
+		if (leaders && !guarded["term"]) || (strings.HasPrefix(key, "o/") && !guarded[key]) {
+			c.t.Errorf("unguarded change of %s", key)
+		}
+	}
+}
+
+// checkFormat judges that nothing is written that the previous version can't read as
+// long as it may still lead.
+func (c *testCluster) checkFormat(txn *protocol.Transaction) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, mutation := range txn.Mutations {
+		if isFurtherPiece(mutation.Set) && slices.ContainsFunc(c.names, func(n string) bool { return c.previous[n] }) {
+			c.t.Errorf("%s is written while not all can read it", mutation.Set)
+		}
+	}
+}
+
+// isRun tells whether a key is of a piece of a run record.
+func isRun(key string) bool {
+	_, piece := records.ParseOpenKey(key)
+	return strings.HasPrefix(key, records.PrefixOpen) && piece != records.NoSegment
+}
+
+// isFurtherPiece tells whether a key is of a piece beyond the first, which the previous
+// version of the formats does not know.
+func isFurtherPiece(key string) bool {
+	_, piece := records.ParseOpenKey(key)
+	return isRun(key) && piece > 0
+}
--- /dev/null
+++ b/internal/server/cluster_deployments_test.go
@@ -0,0 +1,64 @@
+package server
+
+import (
+	"time"
+
+	"marblehaven/internal/config"
+	"marblehaven/internal/protocol"
+)
+
+var nodeNames = []string{"marble-0", "marble-1", "marble-2"}
+
+var testTypes = []protocol.MachineType{
+	{Name: "small", Cores: 4, MemGB: 16, CacheGB: 40, FetchGBps: 1, Price: 0.2, SpotPrice: 0.06, BootS: 20, Zones: []string{"a", "b"}},
+	{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}},
+	{Name: "card", Cores: 16, GPUs: 4, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 9, SpotPrice: 3, BootS: 25, Zones: []string{"a", "b"}},
+}
+
+func testDeployment() config.Deployment {
+	var d config.Deployment
+	d.Count, d.Zones = 3, []string{"a", "b"}
+	d.Teams = []config.Team{{Name: "red", Cores: 16, CoresMax: 40, GPUs: 4, GPUsMax: 8}, {Name: "blue", Cores: 16, CoresMax: 40}}
+	d.Workers = config.Workers{ReportS: 2.5, LeaseS: 12, GangWaitS: 35, GangPeerS: 4, CancelS: 37}
+	d.State = config.State{StateLimits: config.StateLimits{RPS: 250, WriteRPS: 50, ValueKB: 32, TxnOps: 20}}
+	d.Cloud = config.Cloud{RPS: 4, ListLagS: 10}
+	d.Limits = config.Limits{CPUShare: 1, MemoryMB: 1000, Sockets: 1000}
+	return d
+}
+
+// testLease is the lease of the workers in deployment.
+var testLease = time.Duration(testDeployment().Workers.LeaseS * float64(time.Second))
+
+// wide is a deployment in which hundreds of tasks of a job run at once, with smaller
+// limits of the state service announced.
+func wide() config.Deployment {
+	d := testDeployment()
+	d.Teams[0].CoresMax = 400
+	value, ops, rps := 2.0, 6, 30.0
+	d.State.Next = config.NextLimits{ValueKB: &value, TxnOps: &ops, WriteRPS: &rps}
+	return d
+}
+
+// productionSize is a deployment with five controllers in which hundreds of machines are
+// rented, with the rates of a state service that serves as many, and smaller limits
+// announced.
+func productionSize() ([]string, config.Deployment) {
+	d := wide()
+	d.Teams = []config.Team{{Name: "red", Cores: 1000, CoresMax: 4000, GPUs: 4, GPUsMax: 16}, {Name: "blue", Cores: 1000, CoresMax: 4000}}
+	return []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, d
+}
+
+// fleetSize is how many machines the operators run.
+const fleetSize = 4000
+
+// atFleetSize is a deployment in which that many machines are rented, with workers that
+// report every ten seconds and the rates of a small state service.
+func atFleetSize() config.Deployment {
+	d := testDeployment()
+	d.Teams = []config.Team{{Name: "red", Cores: 20000, CoresMax: 100000}, {Name: "blue", Cores: 20000, CoresMax: 100000}}
+	d.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 30, GangPeerS: 4, CancelS: 65}
+	d.State = config.State{StateLimits: config.StateLimits{RPS: 70, WriteRPS: 25, ValueKB: 8, TxnOps: 12}}
+	d.Cloud = config.Cloud{RPS: 4, ListLagS: 6}
+	d.Limits = config.Limits{CPUShare: 0.24, MemoryMB: 451, Sockets: 5000}
+	return d
+}
--- /dev/null
+++ b/internal/server/cluster_jobs_test.go
@@ -0,0 +1,126 @@
+package server
+
+import (
+	"fmt"
+	"time"
+
+	"marblehaven/internal/protocol"
+)
+
+func testJobID(n int) protocol.JobID { return protocol.JobID(fmt.Sprintf("req-%06d", n)) }
+
+func arrayJob(n int, class string, tasks int) protocol.Job {
+	return protocol.Job{ID: testJobID(n), Class: class, Team: "red", Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: tasks,
+		Cores: 2, MemGB: 4, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 20}
+}
+
+// array is a large array of small tasks.
+func array(n, tasks int) protocol.Job {
+	job := arrayJob(n, "check", tasks)
+	job.Cores, job.MemGB = 1, 2
+	return job
+}
+
+func serviceJob(n, tasks int) protocol.Job {
+	job := arrayJob(n, "front", tasks)
+	job.Kind, job.Priority, job.Spread, job.Spot, job.EstimateS, job.Cores = protocol.KindService, protocol.PriorityProduction, true, false, 0, 1
+	return job
+}
+
+func gangJob(n, tasks int) protocol.Job {
+	job := arrayJob(n, "train", tasks)
+	job.Kind, job.Priority, job.OneZone, job.GPUs, job.Cores, job.CheckpointIntervalS, job.CheckpointSaveS = protocol.KindGang, protocol.PriorityHigh, true, 2, 4, 10, 2
+	return job
+}
+
+// after makes a job wait for others.
+func after(job protocol.Job, jobIDs ...protocol.JobID) protocol.Job {
+	job.DependsOn = jobIDs
+	return job
+}
+
+func (c *testCluster) submit(job protocol.Job, runS float64) {
+	c.t.Helper()
+	if st := c.env.Submit(job, runS); st != 200 && st != 201 {
+		c.t.Fatalf("%s: submission got %d", job.ID, st)
+	}
+	c.jobs = append(c.jobs, job.ID)
+}
+
+// pairs submits services of two replicas each and waits until all run; the result
+// lists the machines that they are on.
+func (c *testCluster) pairs(n int) func() []string {
+	c.t.Helper()
+	jobIDs := make([]protocol.JobID, n)
+	for i := range jobIDs {
+		job := serviceJob(1+i, 2)
+		jobIDs[i] = job.ID
+		c.submit(job, 0)
+	}
+	on := func() (all []string) {
+		for _, jobID := range jobIDs {
+			all = append(all, c.env.MachinesOf(jobID)...)
+		}
+		return all
+	}
+	c.until("all run", 2*time.Minute, func() bool { return len(on()) == 2*n })
+	return on
+}
+
+// begin submits two services and two arrays and waits until they run.
+func (c *testCluster) begin() {
+	c.t.Helper()
+	c.submit(serviceJob(1, 2), 0)
+	c.submit(serviceJob(2, 2), 0)
+	c.submit(arrayJob(3, "check", 6), 60)
+	zoned := arrayJob(4, "check", 4)
+	zoned.Zone, zoned.OneZone = "a", true
+	c.submit(zoned, 60)
+	c.until("all run", 2*time.Minute, func() bool {
+		return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) == 2 && len(c.env.MachinesOf("req-000003")) == 6 && len(c.env.MachinesOf("req-000004")) == 4
+	})
+	time.Sleep(5 * time.Second)
+}
+
+// pipeline submits a chain of four stages, the third of which is a gang, one job
+// after another, and returns their ids. Numbers count from first.
+func (c *testCluster) pipeline(first int) []protocol.JobID {
+	c.t.Helper()
+	small := func(i, tasks int, priority protocol.Priority) protocol.Job {
+		job := arrayJob(first+i, "stage", tasks)
+		job.Priority, job.Cores, job.EstimateS = priority, 1, 8
+		return job
+	}
+	join := gangJob(first+3, 2)
+	join.GPUs, join.Cores, join.Priority = 0, 2, protocol.PriorityStandard
+	last := small(4, 2, protocol.PriorityHigh)
+	last.DeadlineS = 200
+	jobs := []protocol.Job{
+		small(0, 4, protocol.PriorityIdle),
+		after(small(1, 6, protocol.PriorityIdle), testJobID(first)),
+		after(small(2, 3, protocol.PriorityIdle), testJobID(first)),
+		after(join, testJobID(first), testJobID(first+1)),
+		after(last, testJobID(first+2), testJobID(first+3)),
+	}
+	var jobIDs []protocol.JobID
+	for _, job := range jobs {
+		c.submit(job, 8)
+		jobIDs = append(jobIDs, job.ID)
+	}
+	return jobIDs
+}
+
+// withdrawAt cancels a job at one node and checks that it is told so.
+func (c *testCluster) withdrawAt(name string, jobID protocol.JobID) {
+	c.t.Helper()
+	c.env.Asked = []string{c.at(name)}
+	if st, s := c.env.Cancel(jobID); st != 200 || s.Phase != protocol.PhaseCancelled {
+		c.t.Errorf("withdrawing %s: %d %q", jobID, st, s.Phase)
+	}
+	c.env.Asked = nil
+}
+
+func (c *testCluster) phase(jobID protocol.JobID) protocol.JobPhase {
+	_, st := c.env.Poll(jobID)
+	return st.Phase
+}
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -59,24 +59,6 @@
 	return status
 }
 
-// faultyCommits makes transactions fail in every way that leaves their outcome unknown,
-// or says nothing of an earlier try.
-func (c *testCluster) faultyCommits() func(*protocol.Transaction) fake.Fault {
-	return func(*protocol.Transaction) fake.Fault {
-		switch p := c.env.Random(); {
-		case p < 0.25:
-			return fake.AnswerLost
-		case p < 0.3:
-			return fake.NotExecuted
-		case p < 0.4:
-			return fake.Throttled
-		case p < 0.43:
-			return fake.OverLimit
-		}
-		return fake.None
-	}
-}
-
 // A transaction whose answer was lost is refused when it is sent again, though it was
 // carried out. What the leader then takes for the outcome of its next transaction must
 // be true: believing that one to be carried out it sent starts that no record names,
--- a/internal/server/compound_test.go
+++ b/internal/server/compound_failures_test.go
@@ -5,10 +5,8 @@
 	"testing"
 	"time"
 
-	"marblehaven/internal/codec"
 	"marblehaven/internal/fake"
 	"marblehaven/internal/protocol"
-	"marblehaven/internal/records"
 )
 
 // startsUntil is how long after a confirmed cancellation a start that was on its way
@@ -281,25 +279,3 @@
 		})
 	}
 }
-
-// What has ended goes from the records even if the job waits for room and nothing of it
-// is started: a new leader takes what they hold for running until X and a lease are over,
-// counts it in the team's limit and starts it no sooner. (Found on the bench by
-// days/mute.toml.)
-func TestRecordsForgetWhatEnded(t *testing.T) {
-	run(t, 360, func(c *testCluster) {
-		c.noRoom()
-		c.env.Limit("small", "a", true, 2)
-		c.submit(arrayJob(1, "check", 4), 100)
-		c.until("all run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 4 })
-		time.Sleep(3 * time.Second)
-		c.env.CloudDown = true // no return, no rental
-		c.env.Kill(c.env.MachinesOf("req-000001")[0])
-		time.Sleep(20 * time.Second) // its lease is over
-		var r records.RunRecord
-		if err := codec.Unmarshal(c.env.Store.Value("o/req-000001/t"), &r); err != nil || len(r.Placements) != 2 || len(c.env.MachinesOf("req-000001")) != 2 {
-			t.Errorf("%d run, recorded as running: %v (%v)", len(c.env.MachinesOf("req-000001")), r.Placements, err)
-		}
-		c.settle()
-	})
-}
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"context"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -11,48 +10,6 @@
 	"marblehaven/internal/records"
 )
 
-// after makes a job wait for others.
-func after(job protocol.Job, jobIDs ...protocol.JobID) protocol.Job {
-	job.DependsOn = jobIDs
-	return job
-}
-
-// pipeline submits a chain of four stages, the third of which is a gang, one job
-// after another, and returns their ids. Numbers count from first.
-func (c *testCluster) pipeline(first int) []protocol.JobID {
-	c.t.Helper()
-	small := func(i, tasks int, priority protocol.Priority) protocol.Job {
-		job := arrayJob(first+i, "stage", tasks)
-		job.Priority, job.Cores, job.EstimateS = priority, 1, 8
-		return job
-	}
-	join := gangJob(first+3, 2)
-	join.GPUs, join.Cores, join.Priority = 0, 2, protocol.PriorityStandard
-	last := small(4, 2, protocol.PriorityHigh)
-	last.DeadlineS = 200
-	jobs := []protocol.Job{
-		small(0, 4, protocol.PriorityIdle),
-		after(small(1, 6, protocol.PriorityIdle), testJobID(first)),
-		after(small(2, 3, protocol.PriorityIdle), testJobID(first)),
-		after(join, testJobID(first), testJobID(first+1)),
-		after(last, testJobID(first+2), testJobID(first+3)),
-	}
-	var jobIDs []protocol.JobID
-	for _, job := range jobs {
-		c.submit(job, 8)
-		jobIDs = append(jobIDs, job.ID)
-	}
-	return jobIDs
-}
-
-// untilCancelled waits until the users of all jobs are told that they are cancelled.
-func (c *testCluster) untilCancelled(limit time.Duration, jobIDs ...protocol.JobID) {
-	c.t.Helper()
-	for _, jobID := range jobIDs {
-		c.until(string(jobID)+" is cancelled", limit, func() bool { return c.phase(jobID) == protocol.PhaseCancelled })
-	}
-}
-
 // A pipeline runs in its order; cancelling one of its jobs cancels those behind it
 // and no others; what the rules say is judged by the stand-ins.
 func TestPipeline(t *testing.T) {
@@ -121,130 +78,6 @@
 	})
 }
 
-// No controller calls a job queued that waits for a cancelled one, although there is
-// no leader to close it.
-func TestCancelledChainWithoutLeader(t *testing.T) {
-	dep := testDeployment()
-	dep.Teams[0].CoresMax = 2 // the first job never begins beside another
-	runIn(t, 62, nodeNames, dep, func(c *testCluster) {
-		jobIDs := []protocol.JobID{testJobID(1), testJobID(2), testJobID(3)}
-		c.submit(arrayJob(1, "stage", 2), 1000)
-		c.submit(after(arrayJob(2, "stage", 1), jobIDs[0]), 5)
-		c.submit(after(arrayJob(3, "stage", 1), jobIDs[1]), 5)
-		c.leaderless()
-		c.env.Cancel(jobIDs[0])
-		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
-		for _, addr := range slices.Clone(c.env.Nodes) {
-			c.env.Asked = []string{addr}
-			for _, jobID := range jobIDs {
-				if got := c.phase(jobID); got != protocol.PhaseCancelled {
-					t.Errorf("%s is %s at %s", jobID, got, addr)
-				}
-			}
-		}
-		if c.leader() != "" {
-			t.Error("somebody led")
-		}
-	})
-}
-
-// leaderless makes all controllers take a node for the leader that is none.
-func (c *testCluster) leaderless() {
-	c.t.Helper()
-	c.env.Store.Put(records.KeyTerm, records.LeaderRecord{Term: 99, Node: "gone"})
-	c.env.Store.Put(records.KeyLeader, records.LeaderRecord{Term: 99, Node: "gone"})
-	c.until("nobody leads", time.Minute, func() bool { return c.leader() == "" })
-}
-
-// The same at the end of a chain that is far longer, and of one far wider, than what is
-// read job by job for an answer.
-func TestCancelledLongChainWithoutLeader(t *testing.T) {
-	dep := testDeployment()
-	dep.Teams[0].CoresMax = 2 // no job begins beside the first
-	runIn(t, 65, nodeNames, dep, func(c *testCluster) {
-		c.submit(arrayJob(1, "stage", 2), 1000)
-		deep, wide := 150, 3
-		for i := 2; i <= deep; i++ {
-			c.submit(after(arrayJob(i, "stage", 1), testJobID(i-1)), 5)
-		}
-		before := []protocol.JobID{testJobID(1)}
-		for level := range wide {
-			var names []protocol.JobID
-			for i := range 32 {
-				job := after(arrayJob(1000+100*level+i, "stage", 1), before...)
-				c.submit(job, 5)
-				names = append(names, job.ID)
-			}
-			before = names
-		}
-		last := after(arrayJob(2000, "stage", 1), before...)
-		c.submit(last, 5)
-		c.env.Store.PageMost = 40
-		c.leaderless()
-		c.env.Cancel(testJobID(1))
-		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
-		for _, addr := range slices.Clone(c.env.Nodes) {
-			c.env.Asked = []string{addr}
-			for _, jobID := range []protocol.JobID{testJobID(deep), last.ID, testJobID(deep / 2), before[5]} {
-				if got := c.phase(jobID); got != protocol.PhaseCancelled {
-					t.Errorf("%s is %s at %s", jobID, got, addr)
-				}
-			}
-		}
-	})
-}
-
-// Users ask about hundreds of jobs that wait for others, at a rate that the state
-// service can just answer, and an outage lets the questions pile up. It is answering
-// them all soon after, and throttles few requests: calls that were throttled and made
-// again and again, each with all that it had read before, kept it busy for minutes, and
-// jobs were forgotten. (Found on the users' bench, at production size.)
-func TestQuestionsAtSize(t *testing.T) {
-	dep := testDeployment()
-	dep.Teams[0].CoresMax = 2 // no job begins beside the first
-	runIn(t, 66, nodeNames, dep, func(c *testCluster) {
-		const jobs = 300
-		c.submit(arrayJob(1, "stage", 2), 1000)
-		var names, jobIDs []protocol.JobID
-		for i := range 12 {
-			job := after(arrayJob(2+i, "stage", 1), testJobID(1))
-			c.submit(job, 5)
-			names = append(names, job.ID)
-		}
-		for i := range jobs {
-			job := after(arrayJob(100+i, "stage", 1), names[i%4], names[4+i%4], names[8+i%4])
-			c.submit(job, 5)
-			jobIDs = append(jobIDs, job.ID)
-		}
-		c.env.Store.LimitRequests(120)
-		ctx, stop := context.WithCancel(c.ctx)
-		for i, jobID := range jobIDs {
-			go func() {
-				time.Sleep(time.Duration(i) * 5 * time.Second / jobs)
-				for ctx.Err() == nil {
-					c.env.Poll(jobID)
-					time.Sleep(5 * time.Second)
-				}
-			}()
-		}
-		time.Sleep(20 * time.Second)
-		c.env.Store.Refuse("", true)
-		time.Sleep(25 * time.Second)
-		c.env.Store.Refuse("", false)
-		c.known(jobIDs...)
-		time.Sleep(20 * time.Second)
-		requestsBefore, throttledBefore := c.env.Store.Asked()
-		time.Sleep(time.Minute)
-		requests, throttled := c.env.Store.Asked()
-		requests, throttled = requests-requestsBefore, throttled-throttledBefore
-		if throttled > requests/20 {
-			t.Errorf("%d of %d requests were throttled long after the outage", throttled, requests)
-		}
-		stop()
-		time.Sleep(10 * time.Second)
-	})
-}
-
 // A dependency whose records can't be read leaves the job waiting: it neither starts
 // nor is forgotten nor called done.
 func TestUnreadableDependency(t *testing.T) {
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -3,25 +3,8 @@
 import (
 	"testing"
 	"time"
-
-	"marblehaven/internal/config"
 )
 
-// fleetSize is how many machines the operators run.
-const fleetSize = 4000
-
-// atFleetSize is a deployment in which that many machines are rented, with workers that
-// report every ten seconds and the rates of a small state service.
-func atFleetSize() config.Deployment {
-	d := testDeployment()
-	d.Teams = []config.Team{{Name: "red", Cores: 20000, CoresMax: 100000}, {Name: "blue", Cores: 20000, CoresMax: 100000}}
-	d.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 30, GangPeerS: 4, CancelS: 65}
-	d.State = config.State{StateLimits: config.StateLimits{RPS: 70, WriteRPS: 25, ValueKB: 8, TxnOps: 12}}
-	d.Cloud = config.Cloud{RPS: 4, ListLagS: 6}
-	d.Limits = config.Limits{CPUShare: 0.24, MemoryMB: 451, Sockets: 5000}
-	return d
-}
-
 // With 4,000 machines, whose list has nine pages, work runs on all of them, and goes on
 // through a change of leader with a tenth of the machines hanging, and an outage of the
 // state service that is as long as a leader answers reports in it. The stand-ins judge it.
--- a/internal/server/scenario_test.go
+++ b/internal/server/normal_operation_test.go
@@ -112,17 +112,3 @@
 		c.untilDone(10*time.Minute, job.ID)
 	})
 }
-
-// Chaos: failures at random, several at once, with late copies of reports,
-// commands, commits and rentals, with 3, 5 and 7 controllers.
-func TestChaos(t *testing.T) {
-	for seed := range seeds(6) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			var names []string
-			for i := range 3 + 2*(seed%3) {
-				names = append(names, fmt.Sprint("marble-", i))
-			}
-			runWith(t, 1000+seed, names, func(c *testCluster) { chaos(c, seed) })
-		})
-	}
-}
--- a/internal/server/mute_test.go
+++ b/internal/server/one_way_partition_test.go
@@ -75,3 +75,25 @@
 		})
 	}
 }
+
+// A machine whose reports arrive while nothing reaches it loses its tasks by
+// its lease, and they run elsewhere soon; nothing more is placed on it.
+func TestDeafMachine(t *testing.T) {
+	run(t, 134, func(c *testCluster) {
+		c.submit(serviceJob(1, 2), 0)
+		c.submit(arrayJob(2, "fill", 10), 60)
+		c.until("all run", 2*time.Minute, func() bool {
+			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) >= 5
+		})
+		deaf := c.env.MachinesOf("req-000001")[0]
+		mend := c.network.DropInbound(deaf)
+		defer mend()
+		c.untilElsewhere("req-000001", 2, deaf, testLease+30*time.Second)
+		for range 60 {
+			time.Sleep(time.Second)
+			if slices.Contains(c.env.MachinesOf("req-000002"), deaf) {
+				t.Fatal("work was put on a machine that hears nothing")
+			}
+		}
+	})
+}
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -6,19 +6,9 @@
 	"testing"
 	"time"
 
-	"marblehaven/internal/config"
 	"marblehaven/internal/protocol"
 )
 
-// productionSize is a deployment with five controllers in which hundreds of machines are
-// rented, with the rates of a state service that serves as many, and smaller limits
-// announced.
-func productionSize() ([]string, config.Deployment) {
-	d := wide()
-	d.Teams = []config.Team{{Name: "red", Cores: 1000, CoresMax: 4000, GPUs: 4, GPUsMax: 16}, {Name: "blue", Cores: 1000, CoresMax: 4000}}
-	return []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, d
-}
-
 // load is what users submit at production size, and what they cancel.
 type load struct {
 	*testCluster
