--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -95,7 +95,7 @@
 		c.t.Fatal(err)
 	}
 	if c.previous[name] {
-		node.format = records.FormatWhole
+		node.supportedFormat = records.FormatWhole
 	}
 	node.start(ctx)
 	c.mu.Lock()
--- a/internal/server/controller.go
+++ b/internal/server/controller.go
@@ -26,74 +26,86 @@
 	"marblehaven/internal/tuning"
 )
 
+// controller is one controller process. It serves users and peers all the time,
+// and runs the leader while it holds the term.
 type controller struct {
-	cfg          *config.Config
-	log          *slog.Logger
-	store        *kvstore.Client
-	cloud        *cloud.Client
-	candidate    *election.Candidate
-	users        *api.Users
-	agents       *agent.Client
-	peers        *peer.Group
-	api          *api.Server
+	cfg       *config.Config
+	log       *slog.Logger
+	store     *kvstore.Client
+	cloud     *cloud.Client
+	candidate *election.Candidate
+	users     *api.Users
+	agents    *agent.Client
+	peers     *peer.Group
+	api       *api.Server
+	// activeLeader is the leader of this controller's term, nil while another
+	// controller leads.
 	activeLeader atomic.Pointer[leader.Leader]
-	format       int // the version of the formats of records that it reads and writes
+	// supportedFormat is the latest version of the record formats that this
+	// controller reads and writes.
+	supportedFormat int
 }
 
-// Run runs a controller until ctx ends. It only returns an error if it cannot
-// start: whatever fails later is waited out.
+// Run runs a controller until ctx ends. It returns an error only if the controller
+// cannot start: failures after that are retried.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
 	debug.SetGCPercent(tuning.GCPercent)
 	debug.SetMemoryLimit(int64(cfg.Deployment.Limits.MemoryMB * tuning.MemoryShare * (1 << 20)))
-	apiLn, err := net.Listen("tcp", cfg.APIAddr)
+	apiListener, err := net.Listen("tcp", cfg.APIAddr)
 	if err != nil {
 		return fmt.Errorf("field api_addr: %w", err)
 	}
-	peerLn, err := net.Listen("tcp", cfg.PeerBind)
+	peerListener, err := net.Listen("tcp", cfg.PeerBind)
 	if err != nil {
 		return fmt.Errorf("field peer_bind: %w", err)
 	}
-	node, err := newController(cfg, log, transports{
+	local, err := newController(cfg, log, transports{
 		store: transport(tuning.StateConns), cloud: transport(tuning.CloudConns), agents: agentTransport(cfg.Deployment.Sockets(len(cfg.Peers)).Commands), peer: peer.Dial,
 	})
 	if err != nil {
 		return fmt.Errorf("field peers: %w", err)
 	}
+	// Serve ends with ctx. A failure before that leaves the controller useful to
+	// users, so the process goes on.
 	go func() {
-		if err := peer.Serve(ctx, peerLn, node); err != nil && ctx.Err() == nil {
-			log.Error("peers' address", "err", err)
+		if err := peer.Serve(ctx, peerListener, local); err != nil && ctx.Err() == nil {
+			log.Error("serving peers failed; going on without answering them", "err", err)
 		}
 	}()
-	node.start(ctx)
+	local.start(ctx)
 	log.Info("serving", "node", cfg.Node, "address", cfg.APIAddr)
-	if err := node.api.Serve(ctx, apiLn); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	if err := local.api.Serve(ctx, apiListener); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-func newController(cfg *config.Config, log *slog.Logger, l transports) (*controller, error) {
-	node := &controller{cfg: cfg, log: log, format: records.FormatSupported}
-	cs := httpclient.NewMalformedLog(log)
-	node.store = kvstore.New(cfg.Services.State, l.store, cs, cfg.Deployment.State)
-	node.cloud = cloud.New(cfg.Services.Cloud, l.cloud, cs, cfg.Deployment.Cloud.RPS*cfg.Operator.CallBudget)
-	node.agents = agent.New(l.agents, cs, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
-	node.candidate = election.New(node.store, cfg.Node, log)
-	node.users = api.NewUsers(cfg, node.store, log)
+// newController wires a controller to the other parts of the system; start starts it.
+func newController(cfg *config.Config, log *slog.Logger, via transports) (*controller, error) {
+	c := &controller{cfg: cfg, log: log, supportedFormat: records.FormatSupported}
+	malformed := httpclient.NewMalformedLog(log)
+	c.store = kvstore.New(cfg.Services.State, via.store, malformed, cfg.Deployment.State)
+	c.cloud = cloud.New(cfg.Services.Cloud, via.cloud, malformed, cfg.Deployment.Cloud.RPS*cfg.Operator.CallBudget)
+	c.agents = agent.New(via.agents, malformed, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
+	c.candidate = election.New(c.store, cfg.Node, log)
+	c.users = api.NewUsers(cfg, c.store, log)
 	var err error
-	if node.peers, err = peer.NewGroup(cfg.Peers, l.peer, node, log); err != nil {
+	if c.peers, err = peer.NewGroup(cfg.Peers, via.peer, c, log); err != nil {
 		return nil, err
 	}
-	node.api = api.NewServer(cfg, node.users, node, node.peers, log, cs)
-	return node, nil
+	c.api = api.NewServer(cfg, c.users, c, c.peers, log, malformed)
+	return c, nil
 }
 
-// start begins everything but serving; it ends with ctx.
-func (n *controller) start(ctx context.Context) {
-	n.peers.Run(ctx)
-	go n.loadMachineTypes(ctx)
-	if n.format > records.FormatWhole { // which was recorded by nobody
-		go n.recordVersion(ctx)
+// start begins all background work but serving. Each goroutine ends with ctx, or
+// earlier when its one task is done; nobody waits for them, since what they leave
+// unfinished in the key-value store is what a crash at that moment would leave.
+func (c *controller) start(ctx context.Context) {
+	c.peers.Run(ctx)
+	go c.loadMachineTypes(ctx)
+	// Whole records are the formats of the first version, which recorded none.
+	if c.supportedFormat > records.FormatWhole {
+		go c.recordFormatVersion(ctx)
 	}
-	go n.candidate.Run(ctx, n.lead)
+	go c.candidate.Run(ctx, c.lead)
 }
--- a/internal/server/format_version.go
+++ b/internal/server/format_version.go
@@ -12,35 +12,39 @@
 	"marblehaven/internal/tuning"
 )
 
-// recordVersion records once which formats of records this program reads, for the
-// leader to learn when all controllers do. A controller never goes back to an
-// earlier version, so the record holds for good.
-func (n *controller) recordVersion(ctx context.Context) {
+// recordFormatVersion retries until the key-value store says which record formats this
+// controller reads. The leader writes a new format only when all controllers have
+// recorded that they read it. A controller never goes back to an earlier version, so
+// the record is written once.
+func (c *controller) recordFormatVersion(ctx context.Context) {
 	for {
-		err := n.writeVersion(ctx)
+		err := c.writeFormatVersion(ctx)
 		if err == nil {
 			return
 		}
-		n.log.Debug("recording the version", "err", err)
+		c.log.Debug("recording the supported format version failed; retrying", "err", err)
 		if !clock.Sleep(ctx, tuning.ElectionRetry) {
 			return
 		}
 	}
 }
 
-func (n *controller) writeVersion(ctx context.Context) error {
-	key := records.NodeKey(n.cfg.Node)
-	entry, err := n.store.Get(ctx, key)
+// writeFormatVersion writes this controller's format version unless the store has it
+// or a later one. A record that cannot be decoded is overwritten. The precondition on
+// the key's version keeps a delayed write from undoing a newer one.
+func (c *controller) writeFormatVersion(ctx context.Context) error {
+	key := records.NodeKey(c.cfg.Node)
+	entry, err := c.store.Get(ctx, key)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return err
 	}
-	var v records.FormatVersion
-	if err == nil && codec.Unmarshal(entry.Value, &v) == nil && v.Format >= n.format {
+	var recorded records.FormatVersion
+	if err == nil && codec.Unmarshal(entry.Value, &recorded) == nil && recorded.Format >= c.supportedFormat {
 		return nil
 	}
-	_, err = n.store.Commit(ctx, protocol.Transaction{
+	_, err = c.store.Commit(ctx, protocol.Transaction{
 		Preconditions: []protocol.Precondition{{Key: key, Version: entry.Version}},
-		Mutations:     []protocol.Mutation{{Set: key, Value: records.FormatVersion{Format: n.format}}},
+		Mutations:     []protocol.Mutation{{Set: key, Value: records.FormatVersion{Format: c.supportedFormat}}},
 	})
 	return err
 }
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -6,24 +6,27 @@
 	"marblehaven/internal/tuning"
 )
 
-// StoreReachable tells whether the state service serves this node.
-func (n *controller) StoreReachable() bool { return n.store.SinceServed() < tuning.StoreServedAge }
+// StoreReachable tells whether the key-value store has served this controller lately.
+func (c *controller) StoreReachable() bool { return c.store.SinceServed() < tuning.StoreServedAge }
 
-// RefusedAlone tells whether the state service refuses this node while it serves
-// others: they were served well after this node was. At the edges of an outage
-// nodes notice at slightly different times, which must not look like this: the
-// load balancer takes a node back later each time it was removed.
-func (n *controller) RefusedAlone() bool {
-	return !n.StoreReachable() && (n.peers.StoreServedAfter(time.Now().Add(tuning.RefusedAloneLag-n.store.SinceServed())) || n.isolated())
+// RefusedAlone tells whether the key-value store serves other controllers but not this
+// one, or this one is isolated. Another controller counts as served only if it was
+// served RefusedAloneLag later than this one: at the edges of an outage of the whole
+// store, controllers notice it at slightly different times, and one taken for refused
+// alone would leave the load balancer, which takes it back later with each removal.
+func (c *controller) RefusedAlone() bool {
+	return !c.StoreReachable() && (c.peers.StoreServedAfter(time.Now().Add(tuning.RefusedAloneLag-c.store.SinceServed())) || c.isolated())
 }
 
-// isolated tells whether neither the state service nor any other controller has
-// been heard for a while: then it is most likely this node that is cut off, and
-// users must not be sent to it.
-func (n *controller) isolated() bool {
-	return n.store.SinceServed() > tuning.IsolatedAfter && n.peers.Unreachable(tuning.IsolatedAfter)
+// isolated tells whether neither the key-value store nor any other controller has
+// answered for a while. Then it is most likely this controller that is partitioned
+// from the rest, so users must not be sent to it.
+func (c *controller) isolated() bool {
+	return c.store.SinceServed() > tuning.IsolatedAfter && c.peers.Unreachable(tuning.IsolatedAfter)
 }
 
-// Healthy is off while the state service refuses this node alone. While it serves
-// nobody the node stays up: removing all nodes would only add to the outage.
-func (n *controller) Healthy() bool { return n.users.HasTypes() && !n.RefusedAlone() }
+// Healthy tells the load balancer whether to send users to this controller: not before
+// it knows the machine types, and not while it is refused alone. While the key-value
+// store serves nobody it stays healthy, since removing all controllers would only add
+// to the outage.
+func (c *controller) Healthy() bool { return c.users.HasTypes() && !c.RefusedAlone() }
--- a/internal/server/leadership.go
+++ b/internal/server/leadership.go
@@ -9,35 +9,39 @@
 	"marblehaven/internal/records"
 )
 
-func (n *controller) lead(ctx context.Context, held election.Leadership) {
-	c := leader.New(leader.Dependencies{
-		Config: n.cfg, Store: n.store, Cloud: n.cloud, Agents: n.agents, Log: n.log,
-		OnNewerTerm:  func(t protocol.Term) { n.candidate.ObserveTerm(records.LeaderRecord{Term: t}) },
-		Resign:       n.candidate.Resign,
-		Redirected:   n.peers.Redirected,
-		Acknowledged: n.acknowledged,
-	}, held)
-	c.Bind(ctx)
-	n.activeLeader.Store(c)
-	defer n.activeLeader.Store(nil)
-	c.Run()
+// lead runs the leader for one term. The candidate calls it when it has won the term,
+// and ends ctx when the term is over.
+func (c *controller) lead(ctx context.Context, leadership election.Leadership) {
+	termLeader := leader.New(leader.Dependencies{
+		Config: c.cfg, Store: c.store, Cloud: c.cloud, Agents: c.agents, Log: c.log,
+		OnNewerTerm:  func(term protocol.Term) { c.candidate.ObserveTerm(records.LeaderRecord{Term: term}) },
+		Resign:       c.candidate.Resign,
+		Redirected:   c.peers.Redirected,
+		Acknowledged: c.acknowledged,
+	}, leadership)
+	termLeader.Bind(ctx)
+	c.activeLeader.Store(termLeader)
+	defer c.activeLeader.Store(nil)
+	termLeader.Run()
 }
 
-// LocalLeader is the leader of this node's term, nil if it has none.
-func (n *controller) LocalLeader() *leader.Leader { return n.activeLeader.Load() }
+// LocalLeader returns the leader of this controller's term, nil if it does not lead.
+func (c *controller) LocalLeader() *leader.Leader { return c.activeLeader.Load() }
 
-// Leader is who leads, as far as known.
-func (n *controller) Leader() (records.LeaderRecord, bool) {
-	t, ok := n.candidate.Leader()
-	return t, ok && t.Node != ""
+// Leader returns the last leader that this controller has learned of, and whether it
+// has learned of one. That leader's term may be over by now.
+func (c *controller) Leader() (records.LeaderRecord, bool) {
+	record, ok := c.candidate.Leader()
+	return record, ok && record.Node != ""
 }
 
-// IsLeader tells whether this node leads.
-func (n *controller) IsLeader() bool { return n.activeLeader.Load() != nil }
+// IsLeader tells whether this controller leads.
+func (c *controller) IsLeader() bool { return c.activeLeader.Load() != nil }
 
-// ObserveTerm takes in a term that a peer has named.
-func (n *controller) ObserveTerm(t records.LeaderRecord) {
-	if t.Term > 0 {
-		n.candidate.ObserveTerm(t)
+// ObserveTerm takes note of a term that a peer has named. A peer that has seen no term
+// names term zero, which says nothing.
+func (c *controller) ObserveTerm(record records.LeaderRecord) {
+	if record.Term > 0 {
+		c.candidate.ObserveTerm(record)
 	}
 }
--- a/internal/server/machine_types.go
+++ b/internal/server/machine_types.go
@@ -10,21 +10,21 @@
 	"marblehaven/internal/tuning"
 )
 
-// loadMachineTypes finds out once which machine types there are: from the leader's
-// copy, so that the cloud's call budget is not spent by every node, or from
-// the cloud.
-func (n *controller) loadMachineTypes(ctx context.Context) {
-	for !n.users.HasTypes() {
+// loadMachineTypes retries until this controller knows the machine types, which it
+// needs to check what users submit. The leader's copy in the key-value store comes
+// first, so that not every controller spends some of the cloud's call budget.
+func (c *controller) loadMachineTypes(ctx context.Context) {
+	for !c.users.HasTypes() {
 		var types []protocol.MachineType
-		entry, err := n.store.Get(ctx, records.KeyCatalog)
+		entry, err := c.store.Get(ctx, records.KeyCatalog)
 		if err == nil {
 			err = codec.Unmarshal(entry.Value, &types)
 		}
 		if err != nil || len(types) == 0 {
-			types, err = n.cloud.Catalog(ctx)
+			types, err = c.cloud.Catalog(ctx)
 		}
 		if err == nil {
-			n.users.SetTypes(types)
+			c.users.SetTypes(types)
 			return
 		}
 		select {
--- a/internal/server/peer_calls.go
+++ b/internal/server/peer_calls.go
@@ -11,55 +11,58 @@
 	"marblehaven/internal/tuning"
 )
 
-// Summary is the leader's status, from whichever node.
-func (n *controller) Summary(ctx context.Context) (s leader.Status, ok bool) {
-	if c := n.activeLeader.Load(); c != nil {
-		return c.Status(ctx)
+// Summary returns the leader's status, asking the leader's controller if this one does
+// not lead; ok is false if the leader is unknown or does not answer.
+func (c *controller) Summary(ctx context.Context) (summary leader.Status, ok bool) {
+	if local := c.activeLeader.Load(); local != nil {
+		return local.Status(ctx)
 	}
-	t, known := n.Leader()
+	record, known := c.Leader()
 	if !known {
-		return s, false
+		return summary, false
 	}
-	raw := n.peers.Summary(ctx, t.Node)
-	return s, raw != nil && codec.Unmarshal(raw, &s) == nil
+	raw := c.peers.Summary(ctx, record.Node)
+	return summary, raw != nil && codec.Unmarshal(raw, &summary) == nil
 }
 
-// acknowledged returns the jobs that controllers, this one included, have told
-// users are cancelled, and the time up to which none of those told after since is
-// missing; ok is false if one of them cannot tell.
-func (n *controller) acknowledged(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
-	now := time.Now() // what this node tells users from here on is later than asOf
-	own, complete := n.users.Acknowledged()
+// acknowledged returns the jobs that controllers, this one included, have told users
+// are cancelled. The list is complete for all that were told after since and up to
+// asOf; ok is false if one of the controllers cannot vouch for that.
+func (c *controller) acknowledged(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
+	// The clock is read before the list: what this controller tells users from here
+	// on is later than asOf.
+	now := time.Now()
+	own, complete := c.users.Acknowledged()
 	if !complete.Before(since) {
 		return asOf, nil, false
 	}
-	asOf, jobIDs, ok = n.peers.Acknowledged(since)
+	asOf, jobIDs, ok = c.peers.Acknowledged(since)
 	if asOf.IsZero() {
 		asOf = now
 	}
 	return asOf, append(own, jobIDs...), ok
 }
 
-// Status is what this node says to its peers.
-func (n *controller) Status(r *peer.StatusRequest) peer.Status {
-	s := peer.Status{StateMS: n.store.SinceServed().Milliseconds(), Redirected: n.api.Redirected()}
-	s.Leader, _ = n.candidate.Leader()
-	if r.Acknowledged {
+// Status returns what this controller tells a peer that asks for its status.
+func (c *controller) Status(request *peer.StatusRequest) peer.Status {
+	status := peer.Status{StateMS: c.store.SinceServed().Milliseconds(), Redirected: c.api.Redirected()}
+	status.Leader, _ = c.candidate.Leader()
+	if request.Acknowledged {
 		var since time.Time
-		s.Acknowledged, since = n.users.Acknowledged()
-		s.CompleteMS = time.Since(since).Milliseconds()
+		status.Acknowledged, since = c.users.Acknowledged()
+		status.CompleteMS = time.Since(since).Milliseconds()
 	}
-	if c := n.activeLeader.Load(); r.Summary && c != nil {
+	if local := c.activeLeader.Load(); request.Summary && local != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), tuning.PeerTimeout)
 		defer cancel()
-		if sum, ok := c.Status(ctx); ok {
-			s.Summary, _ = codec.Marshal(sum)
+		if summary, ok := local.Status(ctx); ok {
+			status.Summary, _ = codec.Marshal(summary)
 		}
 	}
-	return s
+	return status
 }
 
-// UserCall answers a user's call for a peer.
-func (n *controller) UserCall(ctx context.Context, c *peer.UserCall) *peer.UserAnswer {
-	return n.users.UserCall(ctx, c)
+// UserCall answers a user's call that a peer has forwarded.
+func (c *controller) UserCall(ctx context.Context, call *peer.UserCall) *peer.UserAnswer {
+	return c.users.UserCall(ctx, call)
 }
--- a/internal/server/transports.go
+++ b/internal/server/transports.go
@@ -10,26 +10,30 @@
 	"marblehaven/internal/tuning"
 )
 
-// transports are a node's ways to the other parts of the system.
+// transports are a controller's connections to the other parts of the system. Tests
+// give it connections through a simulated network.
 type transports struct {
 	store, cloud, agents http.RoundTripper
-	peer                 func(config.Peer) (grpc.ClientConnInterface, error)
+	// peer connects to another controller.
+	peer func(config.Peer) (grpc.ClientConnInterface, error)
 }
 
-func transport(conns int) *http.Transport {
+// transport returns an HTTP transport that keeps up to idleConns connections to each
+// host for reuse.
+func transport(idleConns int) *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: tuning.DialTimeout, KeepAlive: -1}).DialContext,
-		MaxIdleConnsPerHost: conns,
+		MaxIdleConnsPerHost: idleConns,
 		IdleConnTimeout:     tuning.IdleTimeout,
 		DisableCompression:  true,
 	}
 }
 
-// agentTransport keeps a connection to each worker, as far as the sockets go:
-// half of them may be idle, half in use.
+// agentTransport returns an HTTP transport that keeps one connection to each agent, as
+// far as the sockets go: half of them may be idle while half are in use.
 func agentTransport(sockets int) *http.Transport {
-	t := transport(1)
-	t.MaxIdleConns = max(1, sockets/2)
-	t.IdleConnTimeout = tuning.IdleMin
-	return t
+	agents := transport(1)
+	agents.MaxIdleConns = max(1, sockets/2)
+	agents.IdleConnTimeout = tuning.IdleMin
+	return agents
 }
