--- a/internal/server/controller.go
+++ b/internal/server/controller.go
@@ -49,8 +49,7 @@
 // Run runs a controller until ctx ends. It returns an error only if the controller
 // cannot start: failures after that are retried.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
-	debug.SetGCPercent(tuning.GCPercent)
-	debug.SetMemoryLimit(int64(cfg.Deployment.Limits.MemoryMB * tuning.MemoryShare * (1 << 20)))
+	limitMemory(cfg.Deployment.Limits.MemoryMB)
 	apiListener, err := net.Listen("tcp", cfg.APIAddr)
 	if err != nil {
 		return fmt.Errorf("field api_addr: %w", err)
@@ -59,19 +58,11 @@
 	if err != nil {
 		return fmt.Errorf("field peer_bind: %w", err)
 	}
-	local, err := newController(cfg, log, transports{
-		store: transport(tuning.StateConns), cloud: transport(tuning.CloudConns), agents: agentTransport(cfg.Deployment.Sockets(len(cfg.Peers)).Commands), peer: peer.Dial,
-	})
+	local, err := newController(cfg, log, networkTransports(cfg))
 	if err != nil {
 		return fmt.Errorf("field peers: %w", err)
 	}
-	// Serve ends with ctx. A failure before that leaves the controller useful to
-	// users, so the process goes on.
-	go func() {
-		if err := peer.Serve(ctx, peerListener, local); err != nil && ctx.Err() == nil {
-			log.Error("serving peers failed; going on without answering them", "err", err)
-		}
-	}()
+	go local.servePeers(ctx, peerListener)
 	local.start(ctx)
 	log.Info("serving", "node", cfg.Node, "address", cfg.APIAddr)
 	if err := local.api.Serve(ctx, apiListener); err != nil && !errors.Is(err, http.ErrServerClosed) {
@@ -80,6 +71,21 @@
 	return nil
 }
 
+// limitMemory keeps the process within its share of the deployment's memory limit, in MB.
+func limitMemory(limitMB float64) {
+	const bytesPerMB = 1 << 20
+	debug.SetGCPercent(tuning.GCPercent)
+	debug.SetMemoryLimit(int64(limitMB * tuning.MemoryShare * bytesPerMB))
+}
+
+// servePeers answers the other controllers until ctx ends. A failure before that leaves
+// the controller useful to users, so the process goes on.
+func (c *controller) servePeers(ctx context.Context, listener net.Listener) {
+	if err := peer.Serve(ctx, listener, c); err != nil && ctx.Err() == nil {
+		c.log.Error("serving peers failed; going on without answering them", "err", err)
+	}
+}
+
 // newController wires a controller to the other parts of the system; start starts it.
 func newController(cfg *config.Config, log *slog.Logger, via transports) (*controller, error) {
 	c := &controller{cfg: cfg, log: log, supportedFormat: records.FormatSupported}
--- a/internal/server/transports.go
+++ b/internal/server/transports.go
@@ -7,6 +7,7 @@
 	"google.golang.org/grpc"
 
 	"marblehaven/internal/config"
+	"marblehaven/internal/peer"
 	"marblehaven/internal/tuning"
 )
 
@@ -18,6 +19,16 @@
 	peer func(config.Peer) (grpc.ClientConnInterface, error)
 }
 
+// networkTransports returns the transports of a process on a real network.
+func networkTransports(cfg *config.Config) transports {
+	return transports{
+		store:  transport(tuning.StateConns),
+		cloud:  transport(tuning.CloudConns),
+		agents: agentTransport(cfg.Deployment.Sockets(len(cfg.Peers)).Commands),
+		peer:   peer.Dial,
+	}
+}
+
 // transport returns an HTTP transport that keeps up to idleConns connections to each
 // host for reuse.
 func transport(idleConns int) *http.Transport {
