--- a/cmd/marblehaven/main.go
+++ b/cmd/marblehaven/main.go
@@ -18,38 +18,48 @@
 // usageError is the exit code for bad settings or flags.
 const usageError = 2
 
+// files are the settings files that a subcommand reads.
 type files struct {
 	Config   string `help:"Platform's settings file (JSON)." required:"" type:"path" placeholder:"FILE"`
 	Settings string `help:"Operators' settings file (TOML)." type:"path" placeholder:"FILE"`
 }
 
+// cli holds the subcommands and their flags.
 type cli struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run a controller (the default)."`
 	Check   checkCmd   `cmd:"" help:"Check the settings files and exit."`
 	Version versionCmd `cmd:"" help:"Print the version and exit."`
 }
 
+// serveCmd runs a controller.
 type serveCmd struct{ files }
+
+// checkCmd checks the settings files.
 type checkCmd struct{ files }
+
+// versionCmd prints the version of the program.
 type versionCmd struct{}
 
 func main() {
-	var c cli
-	parser := kong.Must(&c, kong.Name("marblehaven"), kong.Description("A cluster scheduler."))
-	kctx, err := parser.Parse(os.Args[1:])
+	var commands cli
+	parser := kong.Must(&commands, kong.Name("marblehaven"), kong.Description("A cluster scheduler."))
+	selected, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fail(err)
 	}
-	if err := kctx.Run(); err != nil {
+	if err := selected.Run(); err != nil {
 		fail(err)
 	}
 }
 
+// fail ends the program with one line on standard error, as the operators expect of
+// bad settings.
 func fail(err error) {
 	fmt.Fprintf(os.Stderr, "marblehaven: %v\n", err)
 	os.Exit(usageError)
 }
 
+// Run runs a controller until the process gets an interrupt or a termination signal.
 func (s *serveCmd) Run() error {
 	log, err := logger(os.Getenv("LOG_LEVEL"))
 	if err != nil {
@@ -64,6 +74,7 @@
 	return marblehaven.Run(ctx, cfg, log)
 }
 
+// Run reads and checks the settings files without serving.
 func (c *checkCmd) Run() error {
 	if _, err := marblehaven.LoadConfig(c.Config, c.Settings); err != nil {
 		return err
@@ -72,25 +83,28 @@
 	return nil
 }
 
+// Run prints the version that the build has recorded, if it has recorded one.
 func (versionCmd) Run() error {
 	version := "unknown"
-	if bi, ok := debug.ReadBuildInfo(); ok {
-		version = bi.Main.Version
+	if buildInfo, ok := debug.ReadBuildInfo(); ok {
+		version = buildInfo.Main.Version
 	}
 	fmt.Println("marblehaven", version)
 	return nil
 }
 
-func logger(level string) (*slog.Logger, error) {
-	l := slog.LevelInfo
-	switch level {
+// logger returns a logger to standard error at a level of LOG_LEVEL: error, info or
+// debug. The level is info if none is given.
+func logger(levelName string) (*slog.Logger, error) {
+	level := slog.LevelInfo
+	switch levelName {
 	case "", "info":
 	case "error":
-		l = slog.LevelError
+		level = slog.LevelError
 	case "debug":
-		l = slog.LevelDebug
+		level = slog.LevelDebug
 	default:
-		return nil, fmt.Errorf("LOG_LEVEL: %q is none of error, info, debug", level)
+		return nil, fmt.Errorf("LOG_LEVEL: %q is none of error, info, debug", levelName)
 	}
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l})), nil
+	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
