--- /dev/null
+++ b/internal/server/chaos_failures_test.go
@@ -0,0 +1,203 @@
+package server
+
+import "time"
+
+// restartController ends a controller and starts it some seconds later.
+func (r *chaosRun) restartController(target chaosTarget) {
+	r.kill(target.controller)
+	r.later(r.seconds(1, 6), func() { r.boot(target.controller) })
+	time.Sleep(6 * time.Second)
+}
+
+// partitionFromStore cuts a controller off from the key-value store.
+func (r *chaosRun) partitionFromStore(target chaosTarget) {
+	r.later(r.seconds(3, 40), r.cut(target.controller, "state", target.cut))
+}
+
+// refuseController makes the key-value store refuse one controller.
+func (r *chaosRun) refuseController(target chaosTarget) {
+	r.env.Store.Refuse(target.controller, true)
+	r.later(r.seconds(3, 40), func() { r.env.Store.Refuse(target.controller, false) })
+}
+
+// refuseEverybody makes the key-value store refuse all controllers, one time in three.
+func (r *chaosRun) refuseEverybody(chaosTarget) {
+	if r.rng.IntN(3) == 0 {
+		r.env.Store.Refuse("", true)
+		r.later(r.seconds(3, 40), func() { r.env.Store.Refuse("", false) })
+	}
+}
+
+// partitionMachine cuts a machine off from all controllers.
+func (r *chaosRun) partitionMachine(target chaosTarget) {
+	if target.machine != "" {
+		r.later(r.seconds(3, 40), r.isolate(target.machine, target.cut, r.names...))
+	}
+}
+
+// hangMachine stops a machine for some time.
+func (r *chaosRun) hangMachine(target chaosTarget) {
+	if target.machine != "" {
+		r.later(r.seconds(3, 40), r.env.Hang(target.machine))
+	}
+}
+
+// killMachine ends a machine for good.
+func (r *chaosRun) killMachine(target chaosTarget) {
+	if target.machine != "" {
+		r.env.Kill(target.machine)
+	}
+}
+
+// partitionControllerFromMachine cuts one controller and one machine off each other.
+func (r *chaosRun) partitionControllerFromMachine(target chaosTarget) {
+	if target.machine != "" {
+		r.later(r.seconds(3, 40), r.cut(target.controller, target.machine, target.cut))
+	}
+}
+
+// restartControllerRepeatedly restarts a controller within less than a second, which
+// may be while others take the term.
+func (r *chaosRun) restartControllerRepeatedly(target chaosTarget) {
+	for range 1 + r.rng.IntN(3) {
+		r.kill(target.controller)
+		time.Sleep(time.Duration(r.rng.IntN(400)) * time.Millisecond)
+		r.boot(target.controller)
+		time.Sleep(time.Duration(r.rng.IntN(400)) * time.Millisecond)
+	}
+}
+
+// dropInboundOfMachine is a one-way partition: heartbeats of the machine arrive,
+// answers and commands to it do not.
+func (r *chaosRun) dropInboundOfMachine(target chaosTarget) {
+	if target.machine != "" {
+		r.later(r.seconds(3, 40), r.network.DropInbound(target.machine))
+	}
+}
+
+// partitionFromStoreAndPeers leaves a controller with its agents and users only.
+func (r *chaosRun) partitionFromStoreAndPeers(target chaosTarget) {
+	r.later(r.seconds(3, 60), r.cut(target.controller, "state", target.cut))
+	for _, other := range r.names {
+		if other != target.controller {
+			r.later(r.seconds(3, 60), r.cut(target.controller, other, target.cut))
+		}
+	}
+}
+
+// partitionFromPeers cuts a controller off from all other controllers.
+func (r *chaosRun) partitionFromPeers(target chaosTarget) {
+	for _, other := range r.names {
+		if other != target.controller {
+			r.later(r.seconds(3, 40), r.cut(target.controller, other, target.cut))
+		}
+	}
+}
+
+// partitionFromMachines cuts a controller, mostly the leader, off from all machines.
+func (r *chaosRun) partitionFromMachines(target chaosTarget) {
+	if leader := r.leader(); leader != "" && r.rng.IntN(3) > 0 {
+		target.controller = leader
+	}
+	r.later(r.seconds(3, 60), r.isolate(target.controller, target.cut, target.machines...))
+}
+
+// partitionZone cuts zone a off from everything, with the controllers in it.
+func (r *chaosRun) partitionZone(target chaosTarget) {
+	var inside, outside []string
+	for i, name := range r.names {
+		if i%2 == 0 {
+			inside = append(inside, name)
+		} else {
+			outside = append(outside, name)
+		}
+	}
+	for _, machine := range target.machines {
+		if r.env.Zone(machine) == "a" {
+			inside = append(inside, machine)
+		} else {
+			outside = append(outside, machine)
+		}
+	}
+	outside = append(outside, "state", "cloud", "users")
+	var mends []func()
+	for _, host := range inside {
+		mends = append(mends, r.isolate(host, target.cut, outside...))
+	}
+	r.later(r.seconds(3, 40), func() {
+		for _, mend := range mends {
+			mend()
+		}
+	})
+}
+
+// blockOutboundOfMachine is a one-way partition: commands reach the machine, but it can
+// open no connections.
+func (r *chaosRun) blockOutboundOfMachine(target chaosTarget) {
+	if target.machine != "" {
+		r.later(r.seconds(3, 40), r.network.BlockOutbound(target.machine))
+	}
+}
+
+// blockOutboundOfAllMachines keeps all machines from opening connections, for longer
+// than an agent's lease.
+func (r *chaosRun) blockOutboundOfAllMachines(target chaosTarget) {
+	for _, machine := range target.machines {
+		r.later(r.seconds(13, 25), r.network.BlockOutbound(machine))
+	}
+}
+
+// commitLate makes the key-value store execute some transactions late, after their
+// senders have given up waiting for the answer.
+func (r *chaosRun) commitLate(chaosTarget) {
+	r.env.Store.Late = r.lateCommits(0.15)
+	r.later(r.seconds(5, 30), func() { r.env.Store.Late = nil })
+}
+
+// hangMachineInCommand stops a machine between a command and its answer.
+func (r *chaosRun) hangMachineInCommand(target chaosTarget) {
+	if target.machine != "" {
+		r.env.HangInCommand(target.machine, r.seconds(1, 25))
+	}
+}
+
+// cancelAsStoreRefusesLeader cancels a job at the moment at which the key-value store
+// refuses the leader; a second later it refuses everybody.
+func (r *chaosRun) cancelAsStoreRefusesLeader(target chaosTarget) {
+	if leader := r.leader(); leader != "" {
+		target.controller = leader
+	}
+	r.env.Store.Refuse(target.controller, true)
+	r.cancelLastJob()
+	time.Sleep(time.Second)
+	r.env.Store.Refuse("", true)
+	r.later(r.seconds(38, 60), func() {
+		r.env.Store.Refuse("", false)
+		r.env.Store.Refuse(target.controller, false)
+	})
+}
+
+// cancelLastJob cancels the last of the jobs that must finish; it need not any more.
+func (r *chaosRun) cancelLastJob() {
+	r.jobsMu.Lock()
+	defer r.jobsMu.Unlock()
+	if last := len(r.mustFinish) - 1; last >= 0 {
+		jobID := r.mustFinish[last]
+		r.mustFinish = r.mustFinish[:last]
+		go r.env.Cancel(jobID)
+	}
+}
+
+// submitInvalidJobs submits a job that lacks a field and one that fits no machine type.
+func (r *chaosRun) submitInvalidJobs(chaosTarget) {
+	invalid := arrayJob(900000+r.submitted, "check", 1)
+	go r.env.Refused(invalid, func(m map[string]any) { delete(m, "imageGb") }, 400)
+	go r.env.Refused(invalid, func(m map[string]any) { m["cores"] = 17 }, 422)
+}
+
+// failCommits makes the key-value store lose answers of transactions, and refuse some
+// that are sent again.
+func (r *chaosRun) failCommits(chaosTarget) {
+	r.env.Store.Fault = r.faultyCommits()
+	r.later(r.seconds(5, 40), func() { r.env.Store.Fault = nil })
+}
