--- a/internal/server/cancellation_outage_cases_test.go
+++ b/internal/server/cancellation_outage_cases_test.go
@@ -7,9 +7,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// slowFollow makes the leader's watch calls slow, as calls now and then are, so that
+// slowWatch makes the leader's watch calls slow, as calls now and then are, so that
 // they do not bring it a confirmation any more until nothing is served.
-func slowFollow(c *testCluster) {
+func slowWatch(c *testCluster) {
 	c.env.Store.Slow = func(path string) time.Duration {
 		if path == "/follow" {
 			return 1400 * time.Millisecond
@@ -21,29 +21,29 @@
 
 // cancelAtLeader cancels at the leader, whose watch does not bring the cancellation.
 func cancelAtLeader(c *testCluster, leader string) {
-	slowFollow(c)
-	c.withdrawAt(leader, "req-000001")
+	slowWatch(c)
+	c.cancelAt(leader, "req-000001")
 }
 
 // cancelAtFollower cancels at a controller that does not lead.
 func cancelAtFollower(c *testCluster, leader string) {
-	slowFollow(c)
-	c.withdrawAt(c.others(leader)[0], "req-000001")
+	slowWatch(c)
+	c.cancelAt(c.others(leader)[0], "req-000001")
 }
 
 // readCancellationAtLeader lets a user learn of the cancellation from the leader's reading:
 // the controller that committed it ends before it can answer.
 func readCancellationAtLeader(c *testCluster, leader string) {
-	slowFollow(c)
+	slowWatch(c)
 	// The one that committed it ends before it can answer.
 	other := c.others(leader)[0]
 	c.env.Store.LoseReply = func() bool { return true }
-	c.env.Asked = []string{c.at(other)}
+	c.env.Asked = []string{c.addressOf(other)}
 	go c.env.Cancel("req-000001")
 	time.Sleep(30 * time.Millisecond)
 	c.env.Store.LoseReply = nil
 	c.kill(other)
-	c.env.Asked = []string{c.at(leader)}
+	c.env.Asked = []string{c.addressOf(leader)}
 	c.until("it is called cancelled", time.Second, func() bool { return c.phase("req-000001") == protocol.PhaseCancelled })
 	c.env.Asked = nil
 	c.boot(other)
@@ -51,9 +51,9 @@
 
 // cancelAtRestartedController restarts the controller that confirmed, which forgets it.
 func cancelAtRestartedController(c *testCluster, leader string) {
-	slowFollow(c)
+	slowWatch(c)
 	other := c.others(leader)[0]
-	c.withdrawAt(other, "req-000001")
+	c.cancelAt(other, "req-000001")
 	c.kill(other)
 	c.boot(other)
 }
@@ -61,9 +61,9 @@
 // cancelAtControllerRestartedTwice restarts that controller once before the outage;
 // restartFollowerInOutage does so again during it.
 func cancelAtControllerRestartedTwice(c *testCluster, leader string) {
-	slowFollow(c)
+	slowWatch(c)
 	other := c.others(leader)[0]
-	c.withdrawAt(other, "req-000001")
+	c.cancelAt(other, "req-000001")
 	c.kill(other)
 	time.Sleep(200 * time.Millisecond)
 	c.boot(other)
@@ -81,7 +81,7 @@
 // cancelAtControllerWithLateAnswers delays the answers of the controller that confirms: it
 // answers the leader's question before it confirms.
 func cancelAtControllerWithLateAnswers(c *testCluster, leader string) {
-	slowFollow(c)
+	slowWatch(c)
 	other := c.others(leader)[0]
 	c.network.Delay = func(from, to string) time.Duration {
 		if from == other && to == leader {
@@ -90,14 +90,14 @@
 		return 0
 	}
 	time.Sleep(500 * time.Millisecond) // it is asked, and answers before it confirms
-	c.withdrawAt(other, "req-000001")
+	c.cancelAt(other, "req-000001")
 }
 
 // cancelAtPartitionedController cuts the controller that confirmed off from its peers.
 func cancelAtPartitionedController(c *testCluster, leader string) {
-	slowFollow(c)
+	slowWatch(c)
 	other := c.others(leader)[0]
-	c.withdrawAt(other, "req-000001")
+	c.cancelAt(other, "req-000001")
 	c.isolate(other, fake.Hold, c.others(other)...)
 }
 
@@ -112,26 +112,26 @@
 		return 0
 	}
 	c.env.Store.LoseEvent = func(key string) bool { return key == "o/req-000001" }
-	c.withdrawAt(other, "req-000001")
+	c.cancelAt(other, "req-000001")
 }
 
 // cancelAsStoreRefusesLeader cancels while the key-value store refuses the leader only.
 func cancelAsStoreRefusesLeader(c *testCluster, leader string) {
 	c.env.Store.Refuse(leader, true)
-	c.withdrawAt(c.others(leader)[0], "req-000001")
+	c.cancelAt(c.others(leader)[0], "req-000001")
 }
 
 // cancelAsLeaderIsPartitioned cancels while the leader reaches neither store nor peers.
 func cancelAsLeaderIsPartitioned(c *testCluster, leader string) {
 	c.env.Store.Refuse(leader, true)
 	c.isolate(leader, fake.Hold, c.others(leader)...)
-	c.withdrawAt(c.others(leader)[0], "req-000001")
+	c.cancelAt(c.others(leader)[0], "req-000001")
 }
 
 // cancelAtNextLeader cancels at the leader that took over before the outage.
 func cancelAtNextLeader(c *testCluster, leader string) {
 	c.env.Store.Refuse(leader, true)
 	next := c.untilAnotherLeads(leader, 10*time.Second)
-	slowFollow(c)
-	c.withdrawAt(next, "req-000001")
+	slowWatch(c)
+	c.cancelAt(next, "req-000001")
 }
--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -17,7 +17,7 @@
 	during func(c *testCluster, leader string)
 	// goesOn says that all controllers can name the cancelled jobs, so that
 	// the other jobs go on.
-	goesOn bool
+	othersContinue bool
 }
 
 // A cancellation is confirmed to its user around the time at which the state
@@ -27,22 +27,22 @@
 // which it knows every cancellation that any controller, itself included, has
 // confirmed. Where the controllers can name the jobs, it stops just those and all
 // else runs on.
-func TestConfirmedBeforeOutage(t *testing.T) {
+func TestCancellationBeforeOutage(t *testing.T) {
 	for _, tc := range []outageCase{
-		{name: "by the leader itself", before: cancelAtLeader, goesOn: true},
-		{name: "by another", before: cancelAtFollower, goesOn: true},
+		{name: "by the leader itself", before: cancelAtLeader, othersContinue: true},
+		{name: "by another", before: cancelAtFollower, othersContinue: true},
 		{name: "read at the leader", before: readCancellationAtLeader},
 		{name: "by one that restarts at once", before: cancelAtRestartedController},
 		{name: "by one that restarts twice", before: cancelAtControllerRestartedTwice, during: restartFollowerInOutage},
-		{name: "by one whose answers come late", before: cancelAtControllerWithLateAnswers, goesOn: true},
+		{name: "by one whose answers come late", before: cancelAtControllerWithLateAnswers, othersContinue: true},
 		{name: "by one that is cut off then", before: cancelAtPartitionedController},
-		{name: "carried out late and read elsewhere", before: cancelByLateCommit, goesOn: true},
-		{name: "while the leader alone is refused", before: cancelAsStoreRefusesLeader, goesOn: true},
+		{name: "carried out late and read elsewhere", before: cancelByLateCommit, othersContinue: true},
+		{name: "while the leader alone is refused", before: cancelAsStoreRefusesLeader, othersContinue: true},
 		{name: "while the leader alone is refused and hears no peer", before: cancelAsLeaderIsPartitioned},
-		{name: "by the next leader before the outage", before: cancelAtNextLeader, goesOn: true},
+		{name: "by the next leader before the outage", before: cancelAtNextLeader, othersContinue: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			for seed := range seeds(3) {
+			for seed := range seedCount(3) {
 				run(t, 200+seed, func(c *testCluster) { tc.play(c, seed) })
 			}
 		})
@@ -67,12 +67,12 @@
 	if tc.during != nil {
 		tc.during(c, leader)
 	}
-	termBefore := c.terms()
+	termBefore := c.latestTerm()
 	time.Sleep(70 * time.Second)
 	tc.checkDuringOutage(c, keep, expiriesBefore)
 	c.env.Store.Refuse(leader, false)
 	c.env.Store.Refuse("", false)
-	c.mend()
+	c.heal()
 	time.Sleep(15 * time.Second)
 	tc.checkAfterOutage(c, termBefore)
 }
@@ -84,7 +84,7 @@
 	if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 		c.t.Errorf("cancelled, still on %v", on)
 	}
-	if on := c.env.MachinesOf("req-000002"); tc.goesOn && (!slices.Equal(on, keep) || c.env.LeaseExpiries > expiriesBefore) {
+	if on := c.env.MachinesOf("req-000002"); tc.othersContinue && (!slices.Equal(on, keep) || c.env.LeaseExpiries > expiriesBefore) {
 		c.t.Errorf("%d leases ran out; the other service was on %v and is on %v", c.env.LeaseExpiries-expiriesBefore, keep, on)
 	}
 }
@@ -94,9 +94,9 @@
 // it gives up the term.
 func (tc outageCase) checkAfterOutage(c *testCluster, termBefore protocol.Term) {
 	c.t.Helper()
-	if n := c.terms() - termBefore; tc.goesOn && n > 0 {
+	if n := c.latestTerm() - termBefore; tc.othersContinue && n > 0 {
 		c.t.Errorf("%d terms more", n)
 	}
-	c.known(c.jobs...)
+	c.expectAnswers(c.jobs...)
 	c.until("the other service runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000002")) == 2 })
 }
--- a/internal/server/chaos_failures_test.go
+++ b/internal/server/chaos_failures_test.go
@@ -120,13 +120,13 @@
 		}
 	}
 	outside = append(outside, "state", "cloud", "users")
-	var mends []func()
+	var heals []func()
 	for _, host := range inside {
-		mends = append(mends, r.isolate(host, target.cut, outside...))
+		heals = append(heals, r.isolate(host, target.cut, outside...))
 	}
 	r.later(r.seconds(3, 40), func() {
-		for _, mend := range mends {
-			mend()
+		for _, heal := range heals {
+			heal()
 		}
 	})
 }
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -15,7 +15,7 @@
 // Chaos: failures at random, several at once, with late copies of reports,
 // commands, commits and rentals, with 3, 5 and 7 controllers.
 func TestChaos(t *testing.T) {
-	for seed := range seeds(6) {
+	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			var names []string
 			for i := range 3 + 2*(seed%3) {
@@ -222,7 +222,7 @@
 	if len(jobIDs) == 0 {
 		r.t.Fatal("no job was accepted")
 	}
-	r.known(jobIDs...)
+	r.expectAnswers(jobIDs...)
 	r.untilDone(10*time.Minute, jobIDs...)
 	time.Sleep(time.Minute)
 }
--- a/internal/server/cluster_checks_test.go
+++ b/internal/server/cluster_checks_test.go
@@ -8,17 +8,17 @@
 	"marblehaven/internal/records"
 )
 
-// checkGuards judges applied commits: a leader's writes are guarded by its term
+// checkPreconditions judges applied commits: a leader's writes are guarded by its term
 // and by the records they change, an open job's by its own version; otherwise a
 // late copy could undo what came after it.
-func (c *testCluster) checkGuards(txn *protocol.Transaction) {
+func (c *testCluster) checkPreconditions(txn *protocol.Transaction) {
 	guarded := map[string]bool{}
 	for _, precondition := range txn.Preconditions {
 		guarded[precondition.Key] = true
 	}
 	for _, mutation := range txn.Mutations {
 		key := mutation.Set + mutation.Delete
-		leaders := isRun(key) || strings.HasPrefix(key, "d/") || strings.HasPrefix(key, "r/") || key == "catalog"
+		leaders := isRunSegment(key) || strings.HasPrefix(key, "d/") || strings.HasPrefix(key, "r/") || key == "catalog"
 		if (leaders && !guarded["term"]) || (strings.HasPrefix(key, "o/") && !guarded[key]) {
 			c.t.Errorf("unguarded change of %s", key)
 		}
@@ -31,21 +31,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, mutation := range txn.Mutations {
-		if isFurtherPiece(mutation.Set) && slices.ContainsFunc(c.names, func(n string) bool { return c.previous[n] }) {
+		if isFurtherSegment(mutation.Set) && slices.ContainsFunc(c.names, func(n string) bool { return c.previous[n] }) {
 			c.t.Errorf("%s is written while not all can read it", mutation.Set)
 		}
 	}
 }
 
-// isRun tells whether a key is of a piece of a run record.
-func isRun(key string) bool {
-	_, piece := records.ParseOpenKey(key)
-	return strings.HasPrefix(key, records.PrefixOpen) && piece != records.NoSegment
+// isRunSegment tells whether a key is of a piece of a run record.
+func isRunSegment(key string) bool {
+	_, segment := records.ParseOpenKey(key)
+	return strings.HasPrefix(key, records.PrefixOpen) && segment != records.NoSegment
 }
 
-// isFurtherPiece tells whether a key is of a piece beyond the first, which the previous
+// isFurtherSegment tells whether a key is of a piece beyond the first, which the previous
 // version of the formats does not know.
-func isFurtherPiece(key string) bool {
-	_, piece := records.ParseOpenKey(key)
-	return isRun(key) && piece > 0
+func isFurtherSegment(key string) bool {
+	_, segment := records.ParseOpenKey(key)
+	return isRunSegment(key) && segment > 0
 }
--- a/internal/server/cluster_deployments_test.go
+++ b/internal/server/cluster_deployments_test.go
@@ -7,7 +7,7 @@
 	"marblehaven/internal/protocol"
 )
 
-var nodeNames = []string{"marble-0", "marble-1", "marble-2"}
+var controllerNames = []string{"marble-0", "marble-1", "marble-2"}
 
 var testTypes = []protocol.MachineType{
 	{Name: "small", Cores: 4, MemGB: 16, CacheGB: 40, FetchGBps: 1, Price: 0.2, SpotPrice: 0.06, BootS: 20, Zones: []string{"a", "b"}},
@@ -29,9 +29,9 @@
 // testLease is the lease of the workers in deployment.
 var testLease = time.Duration(testDeployment().Workers.LeaseS * float64(time.Second))
 
-// wide is a deployment in which hundreds of tasks of a job run at once, with smaller
+// largeArrayDeployment is a deployment in which hundreds of tasks of a job run at once, with smaller
 // limits of the state service announced.
-func wide() config.Deployment {
+func largeArrayDeployment() config.Deployment {
 	d := testDeployment()
 	d.Teams[0].CoresMax = 400
 	value, ops, rps := 2.0, 6, 30.0
@@ -43,7 +43,7 @@
 // rented, with the rates of a state service that serves as many, and smaller limits
 // announced.
 func productionSize() ([]string, config.Deployment) {
-	d := wide()
+	d := largeArrayDeployment()
 	d.Teams = []config.Team{{Name: "red", Cores: 1000, CoresMax: 4000, GPUs: 4, GPUsMax: 16}, {Name: "blue", Cores: 1000, CoresMax: 4000}}
 	return []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, d
 }
--- a/internal/server/cluster_jobs_test.go
+++ b/internal/server/cluster_jobs_test.go
@@ -14,8 +14,8 @@
 		Cores: 2, MemGB: 4, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 20}
 }
 
-// array is a large array of small tasks.
-func array(n, tasks int) protocol.Job {
+// largeArray is a large array of small tasks.
+func largeArray(n, tasks int) protocol.Job {
 	job := arrayJob(n, "check", tasks)
 	job.Cores, job.MemGB = 1, 2
 	return job
@@ -33,8 +33,8 @@
 	return job
 }
 
-// after makes a job wait for others.
-func after(job protocol.Job, jobIDs ...protocol.JobID) protocol.Job {
+// dependingOn makes a job wait for others.
+func dependingOn(job protocol.Job, jobIDs ...protocol.JobID) protocol.Job {
 	job.DependsOn = jobIDs
 	return job
 }
@@ -47,9 +47,9 @@
 	c.jobs = append(c.jobs, job.ID)
 }
 
-// pairs submits services of two replicas each and waits until all run; the result
+// runServicePairs submits services of two replicas each and waits until all run; the result
 // lists the machines that they are on.
-func (c *testCluster) pairs(n int) func() []string {
+func (c *testCluster) runServicePairs(n int) func() []string {
 	c.t.Helper()
 	jobIDs := make([]protocol.JobID, n)
 	for i := range jobIDs {
@@ -67,8 +67,8 @@
 	return on
 }
 
-// begin submits two services and two arrays and waits until they run.
-func (c *testCluster) begin() {
+// startWorkload submits two services and two arrays and waits until they run.
+func (c *testCluster) startWorkload() {
 	c.t.Helper()
 	c.submit(serviceJob(1, 2), 0)
 	c.submit(serviceJob(2, 2), 0)
@@ -97,10 +97,10 @@
 	last.DeadlineS = 200
 	jobs := []protocol.Job{
 		small(0, 4, protocol.PriorityIdle),
-		after(small(1, 6, protocol.PriorityIdle), testJobID(first)),
-		after(small(2, 3, protocol.PriorityIdle), testJobID(first)),
-		after(join, testJobID(first), testJobID(first+1)),
-		after(last, testJobID(first+2), testJobID(first+3)),
+		dependingOn(small(1, 6, protocol.PriorityIdle), testJobID(first)),
+		dependingOn(small(2, 3, protocol.PriorityIdle), testJobID(first)),
+		dependingOn(join, testJobID(first), testJobID(first+1)),
+		dependingOn(last, testJobID(first+2), testJobID(first+3)),
 	}
 	var jobIDs []protocol.JobID
 	for _, job := range jobs {
@@ -110,10 +110,10 @@
 	return jobIDs
 }
 
-// withdrawAt cancels a job at one node and checks that it is told so.
-func (c *testCluster) withdrawAt(name string, jobID protocol.JobID) {
+// cancelAt cancels a job at one node and checks that it is told so.
+func (c *testCluster) cancelAt(name string, jobID protocol.JobID) {
 	c.t.Helper()
-	c.env.Asked = []string{c.at(name)}
+	c.env.Asked = []string{c.addressOf(name)}
 	if st, s := c.env.Cancel(jobID); st != 200 || s.Phase != protocol.PhaseCancelled {
 		c.t.Errorf("withdrawing %s: %d %q", jobID, st, s.Phase)
 	}
--- a/internal/server/cluster_store_failures_test.go
+++ b/internal/server/cluster_store_failures_test.go
@@ -36,16 +36,16 @@
 	}
 }
 
-// leaderless makes all controllers take a node for the leader that is none.
-func (c *testCluster) leaderless() {
+// installAbsentLeader makes all controllers take a node for the leader that is none.
+func (c *testCluster) installAbsentLeader() {
 	c.t.Helper()
 	c.env.Store.Put(records.KeyTerm, records.LeaderRecord{Term: 99, Node: "gone"})
 	c.env.Store.Put(records.KeyLeader, records.LeaderRecord{Term: 99, Node: "gone"})
 	c.until("nobody leads", time.Minute, func() bool { return c.leader() == "" })
 }
 
-// noRoom lets the cloud rent out nothing more.
-func (c *testCluster) noRoom() {
+// exhaustCapacity lets the cloud rent out nothing more.
+func (c *testCluster) exhaustCapacity() {
 	for _, typ := range testTypes {
 		for _, zone := range typ.Zones {
 			c.env.Limit(typ.Name, zone, false, 0)
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -31,7 +31,7 @@
 	mu          sync.Mutex
 	controllers map[string]*controller
 	stops       map[string]func()
-	mends       []func()
+	heals       []func()
 	jobs        []protocol.JobID
 	names       []string // of all nodes
 	deployment  config.Deployment
@@ -41,7 +41,7 @@
 
 // run plays a scenario with three nodes and judges it by the rules.
 func run(t *testing.T, seed uint64, scenario func(c *testCluster)) {
-	runWith(t, seed, nodeNames, scenario)
+	runWith(t, seed, controllerNames, scenario)
 }
 
 func runWith(t *testing.T, seed uint64, names []string, scenario func(c *testCluster)) {
@@ -58,7 +58,7 @@
 		}
 		c.log = slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
 		c.env = fake.NewEnvironment(ctx, c.network, dep, testTypes)
-		c.env.Store.OnCommit = c.checkGuards
+		c.env.Store.OnCommit = c.checkPreconditions
 		for i, name := range names {
 			c.env.AddNode(name, fmt.Sprintf("10.0.0.%d:80", i+1))
 			c.boot(name)
@@ -68,7 +68,7 @@
 		for _, rule := range c.env.Violations() {
 			t.Error("rule broken:", rule)
 		}
-		c.mend()
+		c.heal()
 		for _, stop := range c.stops {
 			stop()
 		}
@@ -136,8 +136,8 @@
 	return c.controllers[name] != nil
 }
 
-// terms is the highest term that any node knows of.
-func (c *testCluster) terms() (n protocol.Term) {
+// latestTerm is the highest term that any node knows of.
+func (c *testCluster) latestTerm() (n protocol.Term) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, nd := range c.controllers {
@@ -158,17 +158,17 @@
 	return ""
 }
 
-// at is the users' address of a node.
-func (c *testCluster) at(name string) string { return c.env.Nodes[slices.Index(c.names, name)] }
+// addressOf is the users' address of a node.
+func (c *testCluster) addressOf(name string) string { return c.env.Nodes[slices.Index(c.names, name)] }
 
 // others are all nodes but one.
 func (c *testCluster) others(name string) []string {
 	return slices.DeleteFunc(slices.Clone(c.names), func(n string) bool { return n == name })
 }
 
-// seeds is how many seeds a scenario is played with, or more when asked for by
+// seedCount is how many seeds a scenario is played with, or more when asked for by
 // CHAOS_SEEDS.
-func seeds(least uint64) uint64 {
+func seedCount(least uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("CHAOS_SEEDS"), 10, 32); err == nil {
 		return max(least, n)
 	}
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -59,9 +59,9 @@
 	return next
 }
 
-// known checks that each accepted job gets an answer within 75 s, however the
+// expectAnswers checks that each accepted job gets an answer within 75 s, however the
 // others fare, as the operators' rule says.
-func (c *testCluster) known(jobIDs ...protocol.JobID) {
+func (c *testCluster) expectAnswers(jobIDs ...protocol.JobID) {
 	c.t.Helper()
 	var wg sync.WaitGroup
 	for _, jobID := range jobIDs {
@@ -80,10 +80,10 @@
 	wg.Wait()
 }
 
-// settle ends all troubles and judges what the operators' page judges then: every
+// expectRecovery ends all troubles and judges what the operators' page judges then: every
 // accepted job is known, cancelled ones have nothing left, the others run and end,
 // and none is left waiting beside room.
-func (c *testCluster) settle() {
+func (c *testCluster) expectRecovery() {
 	c.t.Helper()
 	c.env.Store.Refuse("", false)
 	for _, n := range c.names {
@@ -95,9 +95,9 @@
 	c.env.Store.Slow, c.env.Store.Late, c.env.Store.LoseReply, c.env.Store.LoseEvent = nil, nil, nil, nil
 	c.network.Delay = nil
 	c.env.CloudDown = false
-	c.mend()
+	c.heal()
 	c.env.EndTroubles()
-	c.known(c.jobs...)
+	c.expectAnswers(c.jobs...)
 	for _, jobID := range c.jobs {
 		job := c.env.Job(jobID)
 		switch {
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -20,12 +20,12 @@
 	return true
 }
 
-// inDoubt makes the leader's transaction that changes the key first be carried out
+// loseThenRefuseCommit makes the leader's transaction that changes the key first be carried out
 // without an answer, and the same be refused as beyond the limits when it is sent
 // again, as when these have become smaller in between. After that the first that
 // changes both keys is lost on its way. The channel is closed when the first
 // transaction is refused.
-func (c *testCluster) inDoubt(first, second string) (refused <-chan struct{}) {
+func (c *testCluster) loseThenRefuseCommit(first, second string) (refused <-chan struct{}) {
 	const ( // what has come about
 		nothing = iota
 		carriedOut
@@ -52,8 +52,8 @@
 	return ch
 }
 
-// withdrawUnheard cancels a job without the leader's hearing of it by an event.
-func (c *testCluster) withdrawUnheard(jobID protocol.JobID) protocol.JobStatus {
+// cancelWithoutEvent cancels a job without the leader's hearing of it by an event.
+func (c *testCluster) cancelWithoutEvent(jobID protocol.JobID) protocol.JobStatus {
 	c.env.Store.LoseEvent = func(key string) bool { return key == records.OpenKey(jobID) }
 	_, status := c.env.Cancel(jobID)
 	return status
@@ -64,14 +64,14 @@
 // be true: believing that one to be carried out it sent starts that no record names,
 // which the next leader knows nothing of.
 func TestStartsWithoutRecord(t *testing.T) {
-	runIn(t, 901, nodeNames, wide(), func(c *testCluster) {
+	runIn(t, 901, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		c.submit(arrayJob(1, "warm", 2), 300) // so that there is a machine
 		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 2 })
-		refused := c.inDoubt(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
-		c.submit(array(2, 1), 30)
+		refused := c.loseThenRefuseCommit(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
+		c.submit(largeArray(2, 1), 30)
 		<-refused
-		c.submit(array(3, 1), 30)
+		c.submit(largeArray(3, 1), 30)
 		time.Sleep(4 * time.Second)
 		c.killLeader()
 		c.untilDone(4*time.Minute, testJobID(2), testJobID(3))
@@ -81,16 +81,16 @@
 // The same with a job that is cancelled before its start is recorded: it is not
 // started after its user was told.
 func TestStartsAfterCancellation(t *testing.T) {
-	runIn(t, 902, nodeNames, wide(), func(c *testCluster) {
+	runIn(t, 902, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		c.submit(arrayJob(1, "warm", 2), 300)
 		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 2 })
-		refused := c.inDoubt(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
-		c.submit(array(2, 1), 30)
+		refused := c.loseThenRefuseCommit(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
+		c.submit(largeArray(2, 1), 30)
 		<-refused
-		c.submit(array(3, 1), 300)
+		c.submit(largeArray(3, 1), 300)
 		time.Sleep(100 * time.Millisecond) // its start is about to be recorded
-		if st := c.withdrawUnheard(testJobID(3)); st.Phase != protocol.PhaseCancelled {
+		if st := c.cancelWithoutEvent(testJobID(3)); st.Phase != protocol.PhaseCancelled {
 			t.Fatalf("a job withdrawn at its start is %s", st.Phase)
 		}
 		for range 200 {
@@ -107,15 +107,15 @@
 // The same with the transaction that closes a job: believing it to be carried out the
 // leader took a job for done that its user was told is cancelled, and started the job
 // that waits for it.
-func TestClosedWithoutRecord(t *testing.T) {
-	runIn(t, 903, nodeNames, wide(), func(c *testCluster) {
+func TestJobClosedWithoutRecord(t *testing.T) {
+	runIn(t, 903, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
-		refused := c.inDoubt(records.FinalKey(testJobID(1)), records.FinalKey(testJobID(2)))
-		c.submit(array(1, 1), 10)
-		c.submit(array(2, 1), 10.5)
-		c.submit(after(arrayJob(3, "stage", 2), testJobID(2)), 60)
+		refused := c.loseThenRefuseCommit(records.FinalKey(testJobID(1)), records.FinalKey(testJobID(2)))
+		c.submit(largeArray(1, 1), 10)
+		c.submit(largeArray(2, 1), 10.5)
+		c.submit(dependingOn(arrayJob(3, "stage", 2), testJobID(2)), 60)
 		<-refused // and the second job ends in a moment
-		if st := c.withdrawUnheard(testJobID(2)); st.Phase != protocol.PhaseCancelled {
+		if st := c.cancelWithoutEvent(testJobID(2)); st.Phase != protocol.PhaseCancelled {
 			t.Fatalf("a job withdrawn at its end is %s", st.Phase)
 		}
 		time.Sleep(time.Minute)
--- a/internal/server/compound_failures_test.go
+++ b/internal/server/compound_failures_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// startsUntil is how long after a confirmed cancellation a start that was on its way
+// lateStartLimit is how long after a confirmed cancellation a start that was on its way
 // may still begin: a direct command in flight, then the fetch of its image.
-const startsUntil = 8 * time.Second
+const lateStartLimit = 8 * time.Second
 
 // Two failures at once, one case for each pair that the operators expect and that no
 // other scenario brings about; docs/compound-failures.md names them all.
@@ -17,7 +17,7 @@
 		// play brings the failures about, in one of three variants.
 		play func(c *testCluster, variant uint64)
 	}{
-		{"no worker can open connections", agentsCannotConnect},
+		{"no agent can open connections", agentsCannotConnect},
 		{"work bound to a zone loses its machines", zoneLosesMachines},
 		{"all controllers are away for longer than a lease", allControllersAway},
 		{"slow answers, then the leader alone is refused, then all, while users cancel and ask", slowAnswersThenRefusals},
@@ -30,15 +30,15 @@
 		{"a cancellation, a question and a repeat meet the end of the last task", requestsMeetLastTask},
 		{"controllers hand over and back, all end, one returns within a second", leadersRestartThenAllEnd},
 		{"transactions without an answer are carried out late", commitsExecutedLate},
-		{"copies of old reports come from machines that died", oldHeartbeatsOfDeadMachines},
-		{"reports are held until a new leader has acted", heartbeatsHeldBack},
+		{"copies of old heartbeats come from machines that died", oldHeartbeatsOfDeadMachines},
+		{"heartbeats are held until a new leader has acted", heartbeatsHeldBack},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			for seed := range seeds(3) {
+			for seed := range seedCount(3) {
 				run(t, 300+seed, func(c *testCluster) {
 					tc.play(c, seed%3)
-					c.settle()
-					if c.env.LateStart > startsUntil {
+					c.expectRecovery()
+					if c.env.LateStart > lateStartLimit {
 						t.Errorf("a task started %v after its cancellation was confirmed", c.env.LateStart)
 					}
 				})
--- a/internal/server/compound_machine_cases_test.go
+++ b/internal/server/compound_machine_cases_test.go
@@ -7,24 +7,24 @@
 
 // agentsCannotConnect is a one-way partition of all machines for more than two leases:
 // commands reach the agents, which can open no connections.
-func agentsCannotConnect(c *testCluster, seed uint64) {
-	c.begin()
-	c.mute(c.env.Machines()...)
-	time.Sleep(time.Duration(seed) * 3 * time.Second)
+func agentsCannotConnect(c *testCluster, variant uint64) {
+	c.startWorkload()
+	c.blockOutbound(c.env.Machines()...)
+	time.Sleep(time.Duration(variant) * 3 * time.Second)
 	go c.env.Cancel("req-000001")
 	c.submit(arrayJob(5, "check", 4), 20)
-	if seed == 1 {
+	if variant == 1 {
 		c.killLeader()
 	}
 	time.Sleep(2*testLease + 10*time.Second)
-	c.mend()
+	c.heal()
 }
 
 // zoneLosesMachines kills all machines of the zone that a job is bound to, in variants
 // with the cloud down or the leader killed.
-func zoneLosesMachines(c *testCluster, seed uint64) {
-	c.begin()
-	if seed == 1 {
+func zoneLosesMachines(c *testCluster, variant uint64) {
+	c.startWorkload()
+	if variant == 1 {
 		c.env.CloudDown = true
 	}
 	for _, m := range c.env.Machines() {
@@ -32,31 +32,31 @@
 			c.env.Kill(m)
 		}
 	}
-	if seed == 2 {
+	if variant == 2 {
 		c.killLeader()
 	}
 	time.Sleep(15 * time.Second)
 }
 
 // machinesHangInCommand hangs every machine between a command and its answer.
-func machinesHangInCommand(c *testCluster, seed uint64) {
-	c.begin()
+func machinesHangInCommand(c *testCluster, variant uint64) {
+	c.startWorkload()
 	for i, m := range c.env.Machines() {
 		c.env.HangInCommand(m, time.Duration(2+3*i)*time.Second)
 	}
 	c.submit(arrayJob(5, "check", 8), 20)
 	c.submit(gangJob(6, 2), 20)
-	time.Sleep(time.Duration(1+seed) * time.Second)
+	time.Sleep(time.Duration(1+variant) * time.Second)
 	go c.env.Cancel("req-000001")
 	go c.env.Cancel("req-000003")
-	if seed == 2 {
+	if variant == 2 {
 		c.killLeader()
 	}
 	time.Sleep(25 * time.Second)
 }
 
 // oldHeartbeatsOfDeadMachines kills machines whose heartbeats the network delivers again.
-func oldHeartbeatsOfDeadMachines(c *testCluster, seed uint64) {
+func oldHeartbeatsOfDeadMachines(c *testCluster, variant uint64) {
 	c.network.Repeat = map[string]time.Duration{"/hello": 40 * time.Second}
 	c.submit(arrayJob(1, "check", 8), 200)
 	c.submit(arrayJob(2, "check", 8), 50) // leaves room behind
@@ -65,7 +65,7 @@
 	for _, m := range slices.Compact(c.env.MachinesOf("req-000001"))[:2] {
 		c.env.Kill(m)
 	}
-	if seed == 1 {
+	if variant == 1 {
 		c.killLeader()
 		return
 	}
@@ -75,8 +75,8 @@
 
 // heartbeatsHeldBack delays the heartbeats of half of the machines until a new leader has
 // acted, with three changes of the leader.
-func heartbeatsHeldBack(c *testCluster, seed uint64) {
-	c.begin()
+func heartbeatsHeldBack(c *testCluster, variant uint64) {
+	c.startWorkload()
 	machines := c.env.Machines()
 	c.network.Delay = func(from, to string) time.Duration {
 		if i := slices.Index(machines, from); i >= 0 && i%2 == 0 {
@@ -86,7 +86,7 @@
 	}
 	for range 3 {
 		old := c.killLeader()
-		time.Sleep(time.Duration(1+seed) * time.Second)
+		time.Sleep(time.Duration(1+variant) * time.Second)
 		if old != "" {
 			c.boot(old)
 		}
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -10,9 +10,9 @@
 
 // slowAnswersThenRefusals slows the key-value store down, then lets it refuse the leader
 // and a second later everybody, while users cancel and ask.
-func slowAnswersThenRefusals(c *testCluster, seed uint64) {
-	c.begin()
-	c.env.Store.Slow = func(string) time.Duration { return time.Duration(200+seed*500) * time.Millisecond }
+func slowAnswersThenRefusals(c *testCluster, variant uint64) {
+	c.startWorkload()
+	c.env.Store.Slow = func(string) time.Duration { return time.Duration(200+variant*500) * time.Millisecond }
 	for range 3 {
 		go c.env.Cancel("req-000001")
 		go c.env.Cancel("req-000003")
@@ -28,32 +28,32 @@
 
 // quotaLimitAndNewLeader kills the leader while a team is at its quota limit and machines
 // with its tasks are partitioned, hear nothing or hang, and a user cancels.
-func quotaLimitAndNewLeader(c *testCluster, seed uint64) {
+func quotaLimitAndNewLeader(c *testCluster, variant uint64) {
 	c.submit(arrayJob(1, "check", 12), 90)
 	c.submit(arrayJob(2, "check", 8), 90)
 	c.submit(arrayJob(3, "check", 10), 20) // waits for the limit
 	c.until("the limit is reached", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001"))+len(c.env.MachinesOf("req-000002")) == 20 })
 	on := slices.Compact(c.env.MachinesOf("req-000001"))
 	c.env.CloudDown = true
-	switch seed {
+	switch variant {
 	case 0:
 		c.isolate(on[0], fake.Hold, c.names...)
 	case 1:
-		c.deafen(on[:2]...)
+		c.dropInbound(on[:2]...)
 	case 2:
-		c.mends = append(c.mends, c.env.Hang(on[0]))
+		c.heals = append(c.heals, c.env.Hang(on[0]))
 	}
 	c.killLeader()
 	go c.env.Cancel("req-000001")
 	time.Sleep(testLease + 5*time.Second)
-	c.mend()
+	c.heal()
 	time.Sleep(20 * time.Second)
 }
 
 // moreWorkThanCapacity submits more jobs of all priorities than there is capacity for, and
 // delays all messages at random.
-func moreWorkThanCapacity(c *testCluster, seed uint64) {
-	c.noRoom()
+func moreWorkThanCapacity(c *testCluster, variant uint64) {
+	c.exhaustCapacity()
 	for _, zone := range []string{"a", "b"} {
 		c.env.Limit("small", zone, false, 2)
 		c.env.Limit("small", zone, true, 2)
@@ -72,10 +72,10 @@
 }
 
 // requestsMeetLastTask cancels, asks about and submits again a job as its last task ends.
-func requestsMeetLastTask(c *testCluster, seed uint64) {
+func requestsMeetLastTask(c *testCluster, variant uint64) {
 	c.env.OnDone = func(jobID protocol.JobID) {
 		n := int(jobID[len(jobID)-1] - '0')
-		time.Sleep(time.Duration(c.env.Random()*float64(seed+1)*700) * time.Millisecond)
+		time.Sleep(time.Duration(c.env.Random()*float64(variant+1)*700) * time.Millisecond)
 		if n%2 == 0 {
 			go c.env.Cancel(jobID)
 		}
@@ -86,15 +86,15 @@
 		c.submit(arrayJob(1+i, "check", 1+i%3), float64(10+i))
 	}
 	time.Sleep(70 * time.Second)
-	if seed == 1 {
+	if variant == 1 {
 		c.killLeader()
 	}
 }
 
 // commitsExecutedLate makes a fifth of the transactions be executed after their senders
 // have given up waiting.
-func commitsExecutedLate(c *testCluster, seed uint64) {
-	c.begin()
+func commitsExecutedLate(c *testCluster, variant uint64) {
+	c.startWorkload()
 	c.env.Store.Late = c.lateCommits(0.2)
 	for i := range 6 {
 		c.submit(arrayJob(5+i, "check", 3), 8)
@@ -103,7 +103,7 @@
 	go c.env.Cancel("req-000005")
 	time.Sleep(20 * time.Second)
 	old := c.killLeader()
-	time.Sleep(time.Duration(seed) * 700 * time.Millisecond)
+	time.Sleep(time.Duration(variant) * 700 * time.Millisecond)
 	if old != "" {
 		c.boot(old)
 	}
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -23,7 +23,7 @@
 		c.untilDone(5*time.Minute, whole...)
 		// Named when that was long ago: accepted, and called cancelled at once.
 		time.Sleep(time.Duration(c.deployment.Workers.CancelS) * time.Second)
-		late := after(arrayJob(300, "stage", 2), cut[0], cut[3])
+		late := dependingOn(arrayJob(300, "stage", 2), cut[0], cut[3])
 		c.submit(late, 5)
 		c.untilCancelled(time.Second, late.ID)
 		// A cancellation that is answered with done stops nothing.
@@ -35,7 +35,7 @@
 		for _, names := range [][]protocol.JobID{{cut[3], testJobID(999)}, {testJobID(99), cut[3]}, {testJobID(99), whole[0], cut[1]}} {
 			c.env.Refused(arrayJob(302, "stage", 1), func(m map[string]any) { m["awaits"] = names }, 422)
 		}
-		next := after(arrayJob(301, "stage", 2), whole[1], whole[4])
+		next := dependingOn(arrayJob(301, "stage", 2), whole[1], whole[4])
 		c.submit(next, 5)
 		c.untilDone(2*time.Minute, next.ID)
 		if st := c.env.Submit(late, 5); st != 200 {
@@ -65,10 +65,10 @@
 		} {
 			c.env.Refused(arrayJob(2, "stage", 1), func(m map[string]any) { m["awaits"] = b.awaits }, b.want)
 		}
-		second := after(arrayJob(2, "stage", 1), first.ID, first.ID)
+		second := dependingOn(arrayJob(2, "stage", 1), first.ID, first.ID)
 		c.submit(second, 5)
 		// Naming the one behind it now: it is known, so its first description stands.
-		if st := c.env.Submit(after(first, second.ID), 5); st != 200 {
+		if st := c.env.Submit(dependingOn(first, second.ID), 5); st != 200 {
 			t.Errorf("an accepted job submitted again gets %d", st)
 		}
 		none := arrayJob(3, "stage", 1)
@@ -88,8 +88,8 @@
 		c.env.Store.Corrupt(records.FinalKey(testJobID(1)))
 		c.restartAll() // nobody remembers it
 		c.until("a node leads", time.Minute, func() bool { return c.leader() != "" })
-		c.submit(after(arrayJob(3, "stage", 1), testJobID(1)), 5)
-		c.submit(after(arrayJob(4, "stage", 1), testJobID(2)), 5)
+		c.submit(dependingOn(arrayJob(3, "stage", 1), testJobID(1)), 5)
+		c.submit(dependingOn(arrayJob(4, "stage", 1), testJobID(2)), 5)
 		c.untilDone(2*time.Minute, testJobID(4))
 		for range 20 {
 			time.Sleep(5 * time.Second)
@@ -103,19 +103,19 @@
 
 // The follow call misses that a job was submitted, but not the one that waits for it:
 // that the leader does not know the first says nothing of its being done.
-func TestDependencyMissed(t *testing.T) {
+func TestDependencyEventLost(t *testing.T) {
 	run(t, 64, func(c *testCluster) {
 		c.env.Store.LoseEvent = func(key string) bool { return key == records.OpenKey(testJobID(1)) }
 		c.submit(arrayJob(1, "stage", 2), 40)
-		c.submit(after(arrayJob(2, "stage", 1), testJobID(1)), 5)
+		c.submit(dependingOn(arrayJob(2, "stage", 1), testJobID(1)), 5)
 		c.untilDone(4*time.Minute, testJobID(1), testJobID(2))
 	})
 }
 
 // Chains go on, and are cancelled, while leaders change at any moment, events are
 // lost and transactions are carried out late.
-func TestChainsThroughTakeovers(t *testing.T) {
-	for seed := range seeds(3) {
+func TestDependenciesThroughFailovers(t *testing.T) {
+	for seed := range seedCount(3) {
 		run(t, 640+seed, func(c *testCluster) {
 			rng := rand.New(rand.NewPCG(seed, 9))
 			c.env.Store.LoseEvent = func(string) bool { return c.env.Random() < 0.1 }
--- a/internal/server/fleet_partition_test.go
+++ b/internal/server/fleet_partition_test.go
@@ -13,22 +13,22 @@
 // The same troubles at the size of the grown deployments: hundreds of machines,
 // many of them deaf at once, the leader left with its workers only, late copies of
 // reports, and every controller back at once.
-func TestHundredsOfMachines(t *testing.T) {
-	hundreds(t, 138, func(c *testCluster, up func([]protocol.JobID) func() bool) {
-		var mends []func()
+func TestFleetInboundPartition(t *testing.T) {
+	runFleet(t, 138, func(c *testCluster, up func([]protocol.JobID) func() bool) {
+		var heals []func()
 		for i, m := range c.env.Machines() {
 			if i%8 == 0 {
-				mends = append(mends, c.network.DropInbound(m))
+				heals = append(heals, c.network.DropInbound(m))
 			}
 		}
-		mends = append(mends, c.leaveWorkers(c.leader()))
+		heals = append(heals, c.isolateFromStoreAndPeers(c.leader()))
 		c.env.Cancel("req-000001")
 		time.Sleep(40 * time.Second)
-		for _, mend := range mends {
-			mend()
+		for _, heal := range heals {
+			heal()
 		}
 		c.restartAll()
-		c.known(c.jobs...)
+		c.expectAnswers(c.jobs...)
 		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 			t.Errorf("cancelled, still on %v", on)
 		}
@@ -40,8 +40,8 @@
 // A zone with the leader in it is cut off from everything, what is on the way is
 // held and comes late, dozens of machines die meanwhile, and as it is over every
 // controller ends: no rule is broken, and all runs again soon.
-func TestHundredsInACutZone(t *testing.T) {
-	hundreds(t, 142, func(c *testCluster, up func([]protocol.JobID) func() bool) {
+func TestFleetZonePartition(t *testing.T) {
+	runFleet(t, 142, func(c *testCluster, up func([]protocol.JobID) func() bool) {
 		inside := map[string]bool{c.leader(): true, c.names[4]: true}
 		for _, m := range c.env.Machines() {
 			inside[m] = c.env.Zone(m) == "a"
@@ -54,9 +54,9 @@
 				out = append(out, h)
 			}
 		}
-		var mends []func()
+		var heals []func()
 		for _, h := range in {
-			mends = append(mends, c.isolate(h, fake.Hold, out...))
+			heals = append(heals, c.isolate(h, fake.Hold, out...))
 		}
 		time.Sleep(5 * time.Second)
 		for i, m := range c.env.Machines() {
@@ -67,10 +67,10 @@
 		c.env.Cancel("req-000001")
 		time.Sleep(30 * time.Second)
 		c.restartAll()
-		for _, mend := range mends {
-			mend()
+		for _, heal := range heals {
+			heal()
 		}
-		c.known(c.jobs...)
+		c.expectAnswers(c.jobs...)
 		c.untilDone(6*time.Minute, c.jobs[20:]...)
 		c.until("the other services run", time.Minute, up(c.jobs[1:20]))
 		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
@@ -79,9 +79,9 @@
 	})
 }
 
-// hundreds plays a scenario with five controllers and hundreds of machines: twenty
+// runFleet plays a scenario with five controllers and hundreds of machines: twenty
 // services, given to up, and eight arrays run.
-func hundreds(t *testing.T, seed uint64, scenario func(c *testCluster, up func([]protocol.JobID) func() bool)) {
+func runFleet(t *testing.T, seed uint64, scenario func(c *testCluster, up func([]protocol.JobID) func() bool)) {
 	dep := testDeployment()
 	dep.Teams = []config.Team{{Name: "red", Cores: 500, CoresMax: 2000, GPUs: 4, GPUsMax: 8}, {Name: "blue", Cores: 500, CoresMax: 2000}}
 	names := []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -10,11 +10,11 @@
 // state service that is as long as a leader answers reports in it. The stand-ins judge it.
 func TestFourThousandMachines(t *testing.T) {
 	const arrays, tasks = 40, 100
-	runIn(t, 901, nodeNames, atFleetSize(), func(c *testCluster) {
+	runIn(t, 901, controllerNames, atFleetSize(), func(c *testCluster) {
 		c.env.Step = 250 * time.Millisecond // steps of 4,000 machines are most of what the test takes
 		c.env.Store.LimitRequests(c.deployment.State.RPS)
 		for i := range arrays {
-			job := array(1+i, tasks) // a machine for each task
+			job := largeArray(1+i, tasks) // a machine for each task
 			job.MachineTypes, job.Cores, job.MemGB, job.EstimateS = []string{"big"}, 16, 60, 120
 			job.DeadlineS = 180
 			job.Team = c.deployment.Teams[i%2].Name
@@ -36,13 +36,13 @@
 		for _, end := range ends {
 			end()
 		}
-		lapsed := c.env.LeaseExpiries
+		expiriesBefore := c.env.LeaseExpiries
 		time.Sleep(time.Minute)
-		if more := c.env.LeaseExpiries - lapsed; more > 0 {
+		if more := c.env.LeaseExpiries - expiriesBefore; more > 0 {
 			t.Errorf("%d leases ran out after the outage", more)
 		}
 		c.env.EndTroubles()
-		c.known(c.jobs...)
+		c.expectAnswers(c.jobs...)
 		c.untilDone(10*time.Minute, c.jobs...)
 	})
 }
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -17,13 +17,13 @@
 
 // A leader that dies between recording placements and learning how their
 // starts went must not lead to a second copy.
-func TestTakeoverDuringPlacement(t *testing.T) {
+func TestFailoverDuringPlacement(t *testing.T) {
 	for seed := range uint64(3) {
 		run(t, 10+seed, func(c *testCluster) {
 			var once sync.Once
 			placed := make(chan struct{})
 			c.env.Store.OnCommit = func(txn *protocol.Transaction) {
-				c.checkGuards(txn)
+				c.checkPreconditions(txn)
 				for _, mutation := range txn.Mutations {
 					if strings.HasSuffix(mutation.Set, "/t") {
 						once.Do(func() { close(placed) })
@@ -44,12 +44,12 @@
 
 // A job cancelled while nobody leads has no event that tells the next leader:
 // the record alone must stop its tasks. (Found on the users' bench.)
-func TestCancelledWhileNobodyLeads(t *testing.T) {
+func TestCancellationWithoutLeader(t *testing.T) {
 	run(t, 30, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
-		old := slices.Index(nodeNames, c.leader())
-		c.kill(nodeNames[old])
+		old := slices.Index(controllerNames, c.leader())
+		c.kill(controllerNames[old])
 		c.env.Asked = []string{c.env.Nodes[(old+1)%3]} // the dead one would cost a second
 		if st, s := c.env.Cancel("req-000001"); st != 200 || s.Phase != protocol.PhaseCancelled {
 			t.Fatalf("withdraw: %d %q", st, s.Phase)
@@ -67,7 +67,7 @@
 
 // The state service refuses the leader alone: another takes over, and the old
 // one stops answering reports in time.
-func TestStateRefusesLeader(t *testing.T) {
+func TestStoreRefusesLeader(t *testing.T) {
 	run(t, 50, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 20), 20)
@@ -77,7 +77,7 @@
 		old := c.leader()
 		c.env.Store.Refuse(old, true)
 		// Its peers cannot warn it, and the workers stay with it.
-		mend := c.isolate(old, fake.Hold, c.others(old)...)
+		heal := c.isolate(old, fake.Hold, c.others(old)...)
 		c.untilAnotherLeads(old, 20*time.Second)
 		c.env.Cancel("req-000001")
 		time.Sleep(50 * time.Second)
@@ -85,7 +85,7 @@
 			t.Errorf("cancelled, still on %v", on)
 		}
 		c.env.Store.Refuse(old, false)
-		mend()
+		heal()
 		c.untilDone(4*time.Minute, "req-000002")
 	})
 }
@@ -93,10 +93,10 @@
 // Now and then a renewal of the leader's grant takes as long as the grant lasts.
 // The next ones go out all the same, so the term does not change. (Found on the
 // fleets: a slow state service cost a term every eight seconds.)
-func TestSlowRenewals(t *testing.T) {
+func TestSlowKeepAlives(t *testing.T) {
 	run(t, 141, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
-		old := c.terms()
+		old := c.latestTerm()
 		var calls atomic.Int64
 		c.env.Store.Slow = func(path string) time.Duration {
 			if strings.HasSuffix(path, "/touch") && calls.Add(1)%5 == 0 {
@@ -105,7 +105,7 @@
 			return 60 * time.Millisecond
 		}
 		time.Sleep(2 * time.Minute)
-		if terms := c.terms(); terms != old {
+		if terms := c.latestTerm(); terms != old {
 			t.Errorf("the term changed %d times", terms-old)
 		}
 		c.submit(arrayJob(2, "check", 8), 10)
@@ -114,7 +114,7 @@
 }
 
 // In a full outage the leader keeps leases alive, and loses nothing.
-func TestStateOutage(t *testing.T) {
+func TestStoreOutage(t *testing.T) {
 	run(t, 60, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 6), 60)
@@ -141,11 +141,11 @@
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000003")) > 0
 		})
 		before := c.env.MachinesOf("req-000001")
-		for _, n := range nodeNames {
+		for _, n := range controllerNames {
 			c.kill(n)
 		}
 		time.Sleep(5 * time.Second)
-		for _, n := range nodeNames {
+		for _, n := range controllerNames {
 			c.boot(n)
 		}
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
@@ -158,7 +158,7 @@
 // A controller that has lost the state service and the other controllers, but
 // neither users nor workers, sends users away instead of keeping them asking
 // it, and answers its workers no longer than X; another leads meanwhile.
-func TestLeaderWithWorkersOnly(t *testing.T) {
+func TestLeaderReachesOnlyAgents(t *testing.T) {
 	runWith(t, 133, []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, func(c *testCluster) {
 		c.submit(serviceJob(1, 4), 0)
 		c.submit(arrayJob(2, "check", 20), 30)
@@ -166,7 +166,7 @@
 			return len(c.env.MachinesOf("req-000001")) == 4 && len(c.env.MachinesOf("req-000002")) > 0
 		})
 		old := c.leader()
-		mend := c.leaveWorkers(old)
+		heal := c.isolateFromStoreAndPeers(old)
 		c.env.CloudDown = true // so that only the leases can end what runs there
 		time.Sleep(8 * time.Second)
 		c.env.Cancel("req-000001")
@@ -190,8 +190,8 @@
 			t.Error("it still answers reports")
 		}
 		c.env.CloudDown = false
-		c.known("req-000001", "req-000002")
-		mend()
+		c.expectAnswers("req-000001", "req-000002")
+		heal()
 		c.untilDone(4*time.Minute, "req-000002")
 	})
 }
@@ -200,32 +200,32 @@
 // machine would lose its lease with all that is on it: it must leave the term to
 // another node while the leases last. (Found on the fleets: 0.7 of the replicas
 // were down for half a minute.) Where nobody else can lead it goes on itself.
-func TestLeaderWithoutWorkers(t *testing.T) {
+func TestLeaderWithoutAgents(t *testing.T) {
 	run(t, 139, func(c *testCluster) {
-		on := c.pairs(12)
+		on := c.runServicePairs(12)
 		time.Sleep(5 * time.Second)
-		before, lapses := on(), c.env.LeaseExpiries
+		before, expiriesBefore := on(), c.env.LeaseExpiries
 		old := c.leader()
-		mend := c.isolate(old, fake.Hold, c.env.Machines()...)
+		heal := c.isolate(old, fake.Hold, c.env.Machines()...)
 		time.Sleep(25 * time.Second) // twice a lease
 		if c.leader() == old {
 			t.Error("a leader without workers keeps its term")
 		}
-		if c.env.LeaseExpiries > lapses || !slices.Equal(on(), before) {
-			t.Errorf("%d leases ran out; ran on %s, now on %s", c.env.LeaseExpiries-lapses, before, on())
+		if c.env.LeaseExpiries > expiriesBefore || !slices.Equal(on(), before) {
+			t.Errorf("%d leases ran out; ran on %s, now on %s", c.env.LeaseExpiries-expiriesBefore, before, on())
 		}
-		mend()
+		heal()
 		c.submit(arrayJob(21, "check", 6), 10)
 		c.untilDone(3*time.Minute, "req-000021")
 		// With no other node the term comes back to the one that left it.
-		for _, n := range nodeNames {
+		for _, n := range controllerNames {
 			if n != c.leader() {
 				c.kill(n)
 			}
 		}
-		mend = c.isolate(c.leader(), fake.Hold, c.env.Machines()...)
+		heal = c.isolate(c.leader(), fake.Hold, c.env.Machines()...)
 		time.Sleep(40 * time.Second)
-		mend()
+		heal()
 		c.submit(arrayJob(22, "check", 6), 10)
 		c.untilDone(3*time.Minute, "req-000022")
 	})
@@ -234,7 +234,7 @@
 // A process that is back within a fraction of a second, also while a term is
 // being taken, finds its former life's grant, requests and half-taken terms,
 // some of them carried out late or twice; each term is held once.
-func TestBackAtOnce(t *testing.T) {
+func TestControllerRestartsAtOnce(t *testing.T) {
 	run(t, 135, func(c *testCluster) {
 		c.network.Repeat = map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second}
 		n := 0
@@ -251,7 +251,7 @@
 			time.Sleep(time.Duration(40+i*37) * time.Millisecond)
 		}
 		c.env.Store.LoseReply = nil
-		c.known("req-000001", "req-000002", "req-000003")
+		c.expectAnswers("req-000001", "req-000002", "req-000003")
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
 		c.until("the service runs", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 	})
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -17,13 +17,13 @@
 		c.untilDone(2*time.Minute, "req-000001")
 		leader := c.leader()
 		m := c.env.Machines()[0]
-		mend := c.cut(leader, m, fake.Hold)
+		heal := c.cut(leader, m, fake.Hold)
 		c.submit(arrayJob(2, "check", 12), 25)
 		time.Sleep(9 * time.Second) // the machine is reported silent, not lost
 		c.env.Cancel("req-000002")
 		c.submit(arrayJob(3, "check", 12), 25)
 		time.Sleep(time.Second)
-		mend()
+		heal()
 		c.untilDone(4*time.Minute, "req-000003")
 		time.Sleep(time.Minute)
 	})
@@ -31,18 +31,18 @@
 
 // A machine that is cut off while its job is cancelled loses its tasks by its
 // lease; one that hangs may go on within it.
-func TestCutAndHangDuringCancellation(t *testing.T) {
+func TestPartitionAndHangDuringCancellation(t *testing.T) {
 	run(t, 80, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 		on := c.env.MachinesOf("req-000001")
-		mend := c.isolate(on[0], fake.Hold, nodeNames...)
+		heal := c.isolate(on[0], fake.Hold, controllerNames...)
 		resume := c.env.Hang(on[1])
 		c.env.Cancel("req-000001")
 		time.Sleep(8 * time.Second)
 		resume()
 		time.Sleep(20 * time.Second)
-		mend()
+		heal()
 		time.Sleep(30 * time.Second)
 		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 			t.Errorf("still on %v", on)
@@ -70,7 +70,7 @@
 }
 
 // What can be saved on a machine with a notice is saved before it is taken.
-func TestNoticeSaves(t *testing.T) {
+func TestPreemptionNoticeCheckpoints(t *testing.T) {
 	run(t, 95, func(c *testCluster) {
 		job := arrayJob(1, "check", 2)
 		job.CheckpointIntervalS, job.CheckpointSaveS = 10, 3
@@ -88,7 +88,7 @@
 
 // A machine that falls silent alone is given back, which proves that its tasks
 // are gone, well before its lease ends; where many are silent none is.
-func TestSilentMachines(t *testing.T) {
+func TestUnreachableMachines(t *testing.T) {
 	run(t, 120, func(c *testCluster) {
 		c.submit(serviceJob(1, 1), 0)
 		c.submit(arrayJob(2, "fill", 8), 300)
@@ -97,12 +97,12 @@
 		})
 		time.Sleep(10 * time.Second)
 		rented := c.env.MachinesProvisioned()
-		mend := c.isolate(c.leader(), fake.Hold, c.env.Machines()...)
+		heal := c.isolate(c.leader(), fake.Hold, c.env.Machines()...)
 		time.Sleep(11 * time.Second)
 		if n := len(c.env.Machines()); n < rented {
 			t.Errorf("%d of %d machines are left after a cut of the leader", n, rented)
 		}
-		mend()
+		heal()
 		time.Sleep(10 * time.Second)
 		c.env.Kill(c.env.MachinesOf("req-000001")[0])
 		c.until("the replica is replaced by stopping lower work", 11*time.Second, func() bool { return len(c.env.MachinesOf("req-000001")) == 1 })
@@ -116,7 +116,7 @@
 func TestManyMachinesDie(t *testing.T) {
 	for i, with := range []bool{false, true} {
 		run(t, 111+uint64(i), func(c *testCluster) {
-			on := c.pairs(12)
+			on := c.runServicePairs(12)
 			time.Sleep(20 * time.Second) // what was rented beyond need is up
 			for _, zone := range []string{"a", "b"} {
 				for _, m := range on() {
@@ -139,7 +139,7 @@
 
 // Two leaders, one of them late: the old one is cut off from everything but
 // its machines' zone, as a zone that is cut off keeps working inside.
-func TestCutOffZone(t *testing.T) {
+func TestZonePartition(t *testing.T) {
 	run(t, 110, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 16), 30)
@@ -148,13 +148,13 @@
 		})
 		old := c.leader()
 		inside := c.env.MachinesOf("req-000001")[0]
-		var mends []func()
-		for _, n := range nodeNames {
+		var heals []func()
+		for _, n := range controllerNames {
 			if n != old {
-				mends = append(mends, c.cut(old, n, fake.Hold), c.cut(inside, n, fake.Hold))
+				heals = append(heals, c.cut(old, n, fake.Hold), c.cut(inside, n, fake.Hold))
 			}
 		}
-		mends = append(mends, c.isolate(old, fake.Hold, "state", "cloud", "users"))
+		heals = append(heals, c.isolate(old, fake.Hold, "state", "cloud", "users"))
 		// With the cloud down the machine cannot be given back either: only X,
 		// after which the old leader stops answering, ends its tasks.
 		c.env.CloudDown = true
@@ -163,8 +163,8 @@
 		c.submit(serviceJob(3, 2), 0)
 		time.Sleep(45 * time.Second)
 		c.env.CloudDown = false
-		for _, mend := range mends {
-			mend()
+		for _, heal := range heals {
+			heal()
 		}
 		c.untilDone(4*time.Minute, "req-000002")
 		c.until("the new service runs", time.Minute, func() bool { return len(c.env.MachinesOf("req-000003")) == 2 })
@@ -198,7 +198,7 @@
 		time.Sleep(2 * time.Minute)
 		c.env.CloudDown = false
 		c.untilDone(4*time.Minute, c.jobs...)
-		if terms := c.terms(); terms > 4 {
+		if terms := c.latestTerm(); terms > 4 {
 			t.Errorf("%d terms", terms)
 		}
 	})
@@ -207,7 +207,7 @@
 // A machine that is back at once has lost all that ran on it, and its counters
 // begin anew, so that its reports look older than those of its former life. It
 // must not be taken for silent until its lease is over.
-func TestMachineBackAtOnce(t *testing.T) {
+func TestMachineRebootsAtOnce(t *testing.T) {
 	run(t, 136, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 6), 40)
--- a/internal/server/normal_operation_test.go
+++ b/internal/server/normal_operation_test.go
@@ -13,7 +13,7 @@
 	"marblehaven/internal/protocol"
 )
 
-func TestQuietDay(t *testing.T) {
+func TestNormalOperation(t *testing.T) {
 	run(t, 1, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 30), 15)
@@ -42,7 +42,7 @@
 
 // The users' address answers what is wrong with a call, and shows the status
 // page with player-facing work that is behind on top.
-func TestInterface(t *testing.T) {
+func TestUserAPI(t *testing.T) {
 	run(t, 97, func(c *testCluster) {
 		body := func(change func(m map[string]any)) []byte {
 			job := arrayJob(1, "check", 2)
@@ -81,7 +81,7 @@
 		} {
 			r := httptest.NewRequest(tc.method, tc.path, bytes.NewReader(tc.body))
 			rec := httptest.NewRecorder()
-			c.controllers[nodeNames[0]].api.ServeHTTP(rec, r)
+			c.controllers[controllerNames[0]].api.ServeHTTP(rec, r)
 			if rec.Code != tc.want {
 				t.Errorf("%s: %d, not %d", tc.what, rec.Code, tc.want)
 			}
--- a/internal/server/one_way_partition_test.go
+++ b/internal/server/one_way_partition_test.go
@@ -11,9 +11,9 @@
 // A machine that reaches no controller, though commands reach it, loses its lease
 // whatever it is told: what is started there is lost again, so nothing is put on it
 // until it is heard.
-func TestMuteMachine(t *testing.T) {
+func TestMachineOutboundPartition(t *testing.T) {
 	run(t, 340, func(c *testCluster) {
-		c.noRoom() // but some: there is more work
+		c.exhaustCapacity() // but some: there is more work
 		c.env.Limit("small", "a", false, 3)
 		c.env.Limit("small", "b", false, 3)
 		c.submit(serviceJob(1, 2), 0)
@@ -21,35 +21,35 @@
 		c.until("all run", 2*time.Minute, func() bool {
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) >= 5
 		})
-		mute := c.env.MachinesOf("req-000001")[0]
-		c.mute(mute)
+		partitioned := c.env.MachinesOf("req-000001")[0]
+		c.blockOutbound(partitioned)
 		// It answers commands, but after some report intervals gets nothing more.
 		time.Sleep(10500 * time.Millisecond)
-		if slices.Contains(c.env.MachinesOf("req-000002"), mute) {
+		if slices.Contains(c.env.MachinesOf("req-000002"), partitioned) {
 			t.Error("work is still put on a machine that has fallen silent")
 		}
-		c.untilElsewhere("req-000001", 2, mute, testLease+10*time.Second)
+		c.untilElsewhere("req-000001", 2, partitioned, testLease+10*time.Second)
 		for range 60 {
 			time.Sleep(time.Second)
-			if slices.Contains(c.env.MachinesOf("req-000002"), mute) || slices.Contains(c.env.MachinesOf("req-000001"), mute) {
+			if slices.Contains(c.env.MachinesOf("req-000002"), partitioned) || slices.Contains(c.env.MachinesOf("req-000001"), partitioned) {
 				t.Fatal("work was put on a machine that cannot say that it lives")
 			}
 		}
-		c.settle()
+		c.expectRecovery()
 	})
 }
 
 // No worker can open a connection for much longer than a lease and the wait after it:
 // the machines answer commands, so they are there, and are not given back. (Found on the
 // bench by days/mute.toml: all machines went back at once and were rented anew.)
-func TestMuteFleet(t *testing.T) {
-	for seed := range seeds(2) {
+func TestFleetOutboundPartition(t *testing.T) {
+	for seed := range seedCount(2) {
 		run(t, 350+seed, func(c *testCluster) {
-			c.begin()
+			c.startWorkload()
 			time.Sleep(25 * time.Second) // what was rented beyond need is up
-			c.noRoom()
-			machines, lapses, terms := c.env.Machines(), c.env.LeaseExpiries, c.terms()
-			c.mute(machines...)
+			c.exhaustCapacity()
+			machines, expiriesBefore, terms := c.env.Machines(), c.env.LeaseExpiries, c.latestTerm()
+			c.blockOutbound(machines...)
 			time.Sleep(20 * time.Second)
 			if seed%2 == 1 {
 				c.killLeader()
@@ -60,38 +60,38 @@
 			}
 			// Each loses what it had, and nothing is put there to be lost again, but by a
 			// new leader, which cannot know before some report intervals are over.
-			if n := c.env.LeaseExpiries - lapses; n > len(machines)*int(1+seed%2) {
+			if n := c.env.LeaseExpiries - expiriesBefore; n > len(machines)*int(1+seed%2) {
 				t.Errorf("%d leases of %d machines ran out with tasks", n, len(machines))
 			}
 			// One leader may leave the term to another, which can do no better.
-			if n := c.terms() - terms; n > protocol.Term(1+seed%2) {
+			if n := c.latestTerm() - terms; n > protocol.Term(1+seed%2) {
 				t.Errorf("%d terms", n)
 			}
-			c.mend()
+			c.heal()
 			c.until("the services run", 15*time.Second, func() bool {
 				return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) == 2
 			})
-			c.settle()
+			c.expectRecovery()
 		})
 	}
 }
 
 // A machine whose reports arrive while nothing reaches it loses its tasks by
 // its lease, and they run elsewhere soon; nothing more is placed on it.
-func TestDeafMachine(t *testing.T) {
+func TestMachineInboundPartition(t *testing.T) {
 	run(t, 134, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "fill", 10), 60)
 		c.until("all run", 2*time.Minute, func() bool {
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) >= 5
 		})
-		deaf := c.env.MachinesOf("req-000001")[0]
-		mend := c.network.DropInbound(deaf)
-		defer mend()
-		c.untilElsewhere("req-000001", 2, deaf, testLease+30*time.Second)
+		partitioned := c.env.MachinesOf("req-000001")[0]
+		heal := c.network.DropInbound(partitioned)
+		defer heal()
+		c.untilElsewhere("req-000001", 2, partitioned, testLease+30*time.Second)
 		for range 60 {
 			time.Sleep(time.Second)
-			if slices.Contains(c.env.MachinesOf("req-000002"), deaf) {
+			if slices.Contains(c.env.MachinesOf("req-000002"), partitioned) {
 				t.Fatal("work was put on a machine that hears nothing")
 			}
 		}
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -86,7 +86,7 @@
 		})
 	case 3: // the leader keeps its workers and users only
 		if leader != "" {
-			ends = append(ends, l.leaveWorkers(leader))
+			ends = append(ends, l.isolateFromStoreAndPeers(leader))
 		}
 	case 4: // machines reach no controller, others hear none
 		for _, m := range l.some(0.1) {
@@ -122,7 +122,7 @@
 // kinds of trouble in pairs. The stand-ins judge it.
 func TestProductionSize(t *testing.T) {
 	const kinds = 7
-	for seed := range seeds(1) {
+	for seed := range seedCount(1) {
 		names, dep := productionSize()
 		runUpgradeIn(t, 810+seed, names, dep, func(c *testCluster) {
 			l := &load{testCluster: c, rng: rand.New(rand.NewPCG(seed, 13))}
@@ -154,7 +154,7 @@
 			time.Sleep(30 * time.Second)
 			c.env.EndTroubles()
 			kept := slices.DeleteFunc(slices.Clone(l.kept), func(jobID protocol.JobID) bool { return !c.env.MayFinish(jobID) })
-			c.known(kept...)
+			c.expectAnswers(kept...)
 			c.untilDone(10*time.Minute, kept...)
 			for _, jobID := range l.kept {
 				if got := c.phase(jobID); got != protocol.PhaseDone && got != protocol.PhaseCancelled {
--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -16,9 +16,9 @@
 // is started: a new leader takes what they hold for running until X and a lease are over,
 // counts it in the team's limit and starts it no sooner. (Found on the bench by
 // days/mute.toml.)
-func TestRecordsForgetWhatEnded(t *testing.T) {
+func TestRunRecordDropsEndedTasks(t *testing.T) {
 	run(t, 360, func(c *testCluster) {
-		c.noRoom()
+		c.exhaustCapacity()
 		c.env.Limit("small", "a", true, 2)
 		c.submit(arrayJob(1, "check", 4), 100)
 		c.until("all run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 4 })
@@ -30,22 +30,22 @@
 		if err := codec.Unmarshal(c.env.Store.Value("o/req-000001/t"), &r); err != nil || len(r.Placements) != 2 || len(c.env.MachinesOf("req-000001")) != 2 {
 			t.Errorf("%d run, recorded as running: %v (%v)", len(c.env.MachinesOf("req-000001")), r.Placements, err)
 		}
-		c.settle()
+		c.expectRecovery()
 	})
 }
 
 // Submissions and withdrawals delayed beyond their answers are settled by the
 // guards of their commits, not guessed.
-func TestLateSubmitAndWithdraw(t *testing.T) {
+func TestLateSubmitAndCancel(t *testing.T) {
 	run(t, 40, func(c *testCluster) {
-		other := nodeNames[(slices.Index(nodeNames, c.leader())+1)%3]
-		mend := c.cut(other, "state", fake.Hold)
+		other := controllerNames[(slices.Index(controllerNames, c.leader())+1)%3]
+		heal := c.cut(other, "state", fake.Hold)
 		for i := range 6 { // some reach the node that is cut off
 			c.submit(arrayJob(1+i, "check", 2), 10)
 		}
 		c.env.Cancel("req-000001")
 		c.untilDone(3*time.Minute, "req-000002", "req-000003")
-		mend() // held commits arrive now
+		heal() // held commits arrive now
 		time.Sleep(5 * time.Second)
 		if p := c.phase("req-000001"); p != protocol.PhaseCancelled {
 			t.Errorf("cancelled job is %s", p)
@@ -70,7 +70,7 @@
 
 // A rental whose answer is lost is asked for again under the same claim, also
 // by the next leader, and rents once.
-func TestRentalOutcomeUnknown(t *testing.T) {
+func TestProvisioningOutcomeUnknown(t *testing.T) {
 	run(t, 100, func(c *testCluster) {
 		lost := 0
 		c.env.LoseReply = func(path string) bool {
@@ -101,13 +101,13 @@
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) >= 2 })
 		old := c.leader()
 		// A machine that the next leader does not hear goes on running its part.
-		mend := c.isolate(c.env.MachinesOf("req-000001")[0], fake.Hold, c.names...)
+		heal := c.isolate(c.env.MachinesOf("req-000001")[0], fake.Hold, c.names...)
 		c.kill(old)
 		c.env.Store.Corrupt("o/req-000001/t")
 		c.boot(old)
 		time.Sleep(20 * time.Second)
-		mend()
-		c.known("req-000001")
+		heal()
+		c.expectAnswers("req-000001")
 		c.untilDone(5*time.Minute, "req-000001")
 	})
 }
@@ -131,13 +131,13 @@
 	run(t, 131, func(c *testCluster) {
 		c.submit(arrayJob(1, "check", 2), 20)
 		c.env.Store.Corrupt("o/req-000001")
-		c.known("req-000001")
+		c.expectAnswers("req-000001")
 	})
 }
 
 // An event that never comes must not leave an accepted job waiting, nor a
 // cancelled one running.
-func TestLostEvents(t *testing.T) {
+func TestLostWatchEvents(t *testing.T) {
 	run(t, 132, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -12,16 +12,16 @@
 
 // A leader that dies after any transaction with which it writes, divides or removes a
 // run record leaves a state that the next one reads rightly.
-func TestDeathBetweenPieces(t *testing.T) {
-	for seed := range seeds(4) {
-		runIn(t, 720+seed, nodeNames, wide(), func(c *testCluster) {
+func TestLeaderDiesBetweenRecordSegments(t *testing.T) {
+	for seed := range seedCount(4) {
+		runIn(t, 720+seed, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 			c.untilUpgraded(20 * time.Second)
 			c.env.Store.Limit(c.deployment.State.Smaller())
 			var transactions, killed uint64
 			die := make(chan struct{}, 12)
 			c.env.Store.OnCommit = func(txn *protocol.Transaction) {
-				c.checkGuards(txn)
-				further := func(mutation protocol.Mutation) bool { return isFurtherPiece(mutation.Set + mutation.Delete) }
+				c.checkPreconditions(txn)
+				further := func(mutation protocol.Mutation) bool { return isFurtherSegment(mutation.Set + mutation.Delete) }
 				if !slices.ContainsFunc(txn.Mutations, further) {
 					return
 				}
@@ -45,12 +45,12 @@
 				}
 			}()
 			c.env.Uneven = 0.02 // so pieces are written again and again
-			c.submit(array(1, 200), 10)
-			c.submit(array(2, 150), 10)
-			c.submit(after(array(3, 70), testJobID(1)), 5)
+			c.submit(largeArray(1, 200), 10)
+			c.submit(largeArray(2, 150), 10)
+			c.submit(dependingOn(largeArray(3, 70), testJobID(1)), 5)
 			c.untilDone(15*time.Minute, testJobID(1), testJobID(2), testJobID(3))
 			c.env.Store.Late = nil
-			c.until("the pieces are removed", 3*time.Minute, func() bool { return c.pieces() == 0 })
+			c.until("the pieces are removed", 3*time.Minute, func() bool { return c.furtherSegments() == 0 })
 			if killed < 3 {
 				t.Errorf("only %d leaders died", killed)
 			}
@@ -60,14 +60,14 @@
 
 // A piece that can't be read: nothing of the job is started before all that it may
 // have named is surely over, and then the job goes on to its end.
-func TestUnreadablePiece(t *testing.T) {
-	runIn(t, 73, nodeNames, wide(), func(c *testCluster) {
+func TestUnreadableRecordSegment(t *testing.T) {
+	runIn(t, 73, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
-		c.submit(array(1, 120), 60)
+		c.submit(largeArray(1, 120), 60)
 		c.until("all run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 120 })
 		c.env.Store.Corrupt(records.SegmentKey(testJobID(1), 2))
 		c.killLeader()
-		c.known(testJobID(1))
+		c.expectAnswers(testJobID(1))
 		c.untilDone(8*time.Minute, testJobID(1))
 	})
 }
@@ -75,7 +75,7 @@
 // Of jobs that were accepted under larger limits, those with long records too can be
 // cancelled and are closed.
 func TestCancelLargeRecord(t *testing.T) {
-	runIn(t, 75, nodeNames, wide(), func(c *testCluster) {
+	runIn(t, 75, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		job := arrayJob(1, strings.Repeat("c", 140), 1)
 		for range 20 {
 			job.MachineTypes = append(job.MachineTypes, strings.Repeat("t", 140))
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -17,7 +17,7 @@
 	d.Teams = []config.Team{{Name: "red", Cores: 1e6}, {Name: "unused", Cores: 10, CoresMax: 20}}
 	d.Workers.ReportS = d.Workers.LeaseS / 3
 	d.Workers.CancelS = d.Workers.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
-	runIn(t, 902, nodeNames, d, func(c *testCluster) {
+	runIn(t, 902, controllerNames, d, func(c *testCluster) {
 		for _, typ := range testTypes {
 			for _, zone := range typ.Zones {
 				for _, spot := range []bool{false, true} {
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -34,10 +34,10 @@
 // stays known all the same. Each question is a read of its own, so that some jobs are
 // answered for while others are not for minutes. (Found on the users' bench, with 4,000
 // machines and the state service of a smaller deployment.)
-func TestQuestionsBeyondRequests(t *testing.T) {
+func TestStatusQueriesBeyondRequestLimit(t *testing.T) {
 	const jobs = 700
-	runIn(t, 904, nodeNames, atFleetSize(), func(c *testCluster) {
-		c.noRoom()
+	runIn(t, 904, controllerNames, atFleetSize(), func(c *testCluster) {
+		c.exhaustCapacity()
 		for i := range jobs {
 			c.submit(arrayJob(1+i, "check", 2), 5)
 		}
@@ -70,20 +70,20 @@
 // them all soon after, and throttles few requests: calls that were throttled and made
 // again and again, each with all that it had read before, kept it busy for minutes, and
 // jobs were forgotten. (Found on the users' bench, at production size.)
-func TestQuestionsAtSize(t *testing.T) {
+func TestStatusQueriesAfterOutage(t *testing.T) {
 	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // no job begins beside the first
-	runIn(t, 66, nodeNames, dep, func(c *testCluster) {
+	runIn(t, 66, controllerNames, dep, func(c *testCluster) {
 		const jobs = 300
 		c.submit(arrayJob(1, "stage", 2), 1000)
 		var names, jobIDs []protocol.JobID
 		for i := range 12 {
-			job := after(arrayJob(2+i, "stage", 1), testJobID(1))
+			job := dependingOn(arrayJob(2+i, "stage", 1), testJobID(1))
 			c.submit(job, 5)
 			names = append(names, job.ID)
 		}
 		for i := range jobs {
-			job := after(arrayJob(100+i, "stage", 1), names[i%4], names[4+i%4], names[8+i%4])
+			job := dependingOn(arrayJob(100+i, "stage", 1), names[i%4], names[4+i%4], names[8+i%4])
 			c.submit(job, 5)
 			jobIDs = append(jobIDs, job.ID)
 		}
@@ -102,7 +102,7 @@
 		c.env.Store.Refuse("", true)
 		time.Sleep(25 * time.Second)
 		c.env.Store.Refuse("", false)
-		c.known(jobIDs...)
+		c.expectAnswers(jobIDs...)
 		time.Sleep(20 * time.Second)
 		requestsBefore, throttledBefore := c.env.Store.Asked()
 		time.Sleep(time.Minute)
--- a/internal/server/upgrade_failures_test.go
+++ b/internal/server/upgrade_failures_test.go
@@ -17,28 +17,28 @@
 func TestLimitsBeforeFormat(t *testing.T) {
 	runUpgrade(t, 71, func(c *testCluster) {
 		c.env.Uneven = 0.01 // its tasks end one after the other
-		c.submit(array(1, 340), 40)
+		c.submit(largeArray(1, 340), 40)
 		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) > 200 })
-		last := nodeNames[2]
-		mend := c.cut(last, "state", fake.Hold)
-		for _, name := range nodeNames {
+		last := controllerNames[2]
+		heal := c.cut(last, "state", fake.Hold)
+		for _, name := range controllerNames {
 			c.restartAs(false, name)
 			time.Sleep(3 * time.Second)
 		}
 		c.env.Store.Limit(c.deployment.State.Smaller())
-		c.submit(array(2, 100), 10)
+		c.submit(largeArray(2, 100), 10)
 		c.submit(serviceJob(3, 3), 0)
 		c.untilDone(8*time.Minute, testJobID(1), testJobID(2))
-		if c.upgraded() || c.pieces() > 0 {
+		if c.upgraded() || c.furtherSegments() > 0 {
 			t.Error("the cluster uses the new format without a node")
 		}
 		// The leader learns of the limits by the first.
 		if n := c.env.Store.Refusals[400]; n != 1 {
 			t.Errorf("%d writes beyond the limits", n)
 		}
-		mend()
+		heal()
 		c.untilUpgraded(30 * time.Second)
-		c.submit(array(4, 200), 10)
+		c.submit(largeArray(4, 200), 10)
 		c.untilDone(8*time.Minute, testJobID(4))
 	})
 }
@@ -46,21 +46,21 @@
 // A version record that can't be read counts as one of the previous version.
 func TestUnreadableVersion(t *testing.T) {
 	runUpgrade(t, 74, func(c *testCluster) {
-		c.env.Store.Corrupt(records.NodeKey(nodeNames[2]))
-		c.restartAs(false, nodeNames[0], nodeNames[1])
+		c.env.Store.Corrupt(records.NodeKey(controllerNames[2]))
+		c.restartAs(false, controllerNames[0], controllerNames[1])
 		time.Sleep(20 * time.Second)
 		if c.upgraded() {
 			t.Error("the cluster uses the new format")
 		}
-		c.untilShown("version 1 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>1</td>")
-		c.restartAs(false, nodeNames[2]) // it writes its record anew
+		c.untilStatusShows("version 1 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>1</td>")
+		c.restartAs(false, controllerNames[2]) // it writes its record anew
 		c.untilUpgraded(30 * time.Second)
-		c.untilShown("version 2 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>2</td>")
+		c.untilStatusShows("version 2 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>2</td>")
 	})
 }
 
-// untilShown waits until the status page of every node holds some texts.
-func (c *testCluster) untilShown(texts ...string) {
+// untilStatusShows waits until the status page of every node holds some texts.
+func (c *testCluster) untilStatusShows(texts ...string) {
 	c.t.Helper()
 	for _, name := range c.names {
 		c.until(name+" shows "+texts[0], 20*time.Second, func() bool {
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -14,14 +14,14 @@
 
 // runUpgrade plays a scenario that begins with the previous version on all nodes.
 func runUpgrade(t *testing.T, seed uint64, scenario func(c *testCluster)) {
-	runUpgradeIn(t, seed, nodeNames, wide(), scenario)
+	runUpgradeIn(t, seed, controllerNames, largeArrayDeployment(), scenario)
 }
 
 func runUpgradeIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
 	runIn(t, seed, names, dep, func(c *testCluster) {
 		c.restartAs(true, names...)
 		c.env.Store.OnCommit = func(txn *protocol.Transaction) {
-			c.checkGuards(txn)
+			c.checkPreconditions(txn)
 			c.checkFormat(txn)
 		}
 		for _, key := range c.env.Store.Keys(records.PrefixNode) {
@@ -45,10 +45,10 @@
 	}
 }
 
-// pieces counts the pieces of run records beyond the first of each job.
-func (c *testCluster) pieces() (n int) {
+// furtherSegments counts the pieces of run records beyond the first of each job.
+func (c *testCluster) furtherSegments() (n int) {
 	for _, key := range c.env.Store.Keys(records.PrefixOpen) {
-		if isFurtherPiece(key) {
+		if isFurtherSegment(key) {
 			n++
 		}
 	}
@@ -71,10 +71,10 @@
 // is beyond the limits that come then. The array goes on, in pieces that fit.
 func TestUpgrade(t *testing.T) {
 	runUpgrade(t, 70, func(c *testCluster) {
-		c.submit(array(1, 340), 30)
+		c.submit(largeArray(1, 340), 30)
 		c.submit(serviceJob(2, 3), 0)
 		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) > 200 })
-		for i, name := range nodeNames {
+		for i, name := range controllerNames {
 			if c.upgraded() {
 				t.Errorf("%d of 3 are upgraded, and the cluster uses the new format", i)
 			}
@@ -83,12 +83,12 @@
 		}
 		c.untilUpgraded(20 * time.Second)
 		c.env.Store.Limit(c.deployment.State.Smaller())
-		c.submit(array(3, 340), 20)
-		c.until("pieces are written", 2*time.Minute, func() bool { return c.pieces() > 3 })
+		c.submit(largeArray(3, 340), 20)
+		c.until("pieces are written", 2*time.Minute, func() bool { return c.furtherSegments() > 3 })
 		whole := c.pipeline(100)
 		c.killLeader()
 		c.untilDone(10*time.Minute, append(whole, testJobID(1), testJobID(3))...)
-		c.until("the pieces are removed", 2*time.Minute, func() bool { return c.pieces() == 0 })
+		c.until("the pieces are removed", 2*time.Minute, func() bool { return c.furtherSegments() == 0 })
 		if n := c.env.Store.Refusals[400]; n > 0 {
 			t.Errorf("%d writes beyond the limits", n)
 		}
@@ -98,15 +98,15 @@
 // All random troubles while the controllers are upgraded, at random moments, and the
 // limits become smaller afterwards, with arrays of several pieces among the jobs.
 func TestChaosUpgrade(t *testing.T) {
-	for seed := range seeds(3) {
+	for seed := range seedCount(3) {
 		runUpgrade(t, 760+seed, func(c *testCluster) {
 			rng := rand.New(rand.NewPCG(seed, 11))
 			var large []protocol.JobID
-			left := slices.Clone(nodeNames)
+			left := slices.Clone(controllerNames)
 			limitAt := -1
 			chaosDuring(c, seed, func(step int) bool {
 				if step%20 == 5 {
-					job := array(5000+step, 60+rng.IntN(60))
+					job := largeArray(5000+step, 60+rng.IntN(60))
 					if st := c.env.Submit(job, 10); st == 200 || st == 201 {
 						large = append(large, job.ID)
 					}
