--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -20,9 +20,9 @@
 	othersContinue bool
 }
 
-// A cancellation is confirmed to its user around the time at which the state
-// service is lost, for longer than cancel_s, while the workers go on reporting to
-// the leader of before. In every order of these events the job's tasks are gone
+// A cancellation is confirmed to its user around the time at which the key-value store
+// is lost, for longer than cancel_s, while the agents go on sending heartbeats to the
+// leader of before. In every order of these events the job's tasks are gone
 // within cancel_s: the leader may answer reports only up to X after a time up to
 // which it knows every cancellation that any controller, itself included, has
 // confirmed. Where the controllers can name the jobs, it stops just those and all
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -12,8 +12,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// Chaos: failures at random, several at once, with late copies of reports,
-// commands, commits and rentals, with 3, 5 and 7 controllers.
+// Chaos: failures at random, several at once, with late copies of heartbeats,
+// commands, commits and provisioning requests, with 3, 5 and 7 controllers.
 func TestChaos(t *testing.T) {
 	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/server/cluster_checks_test.go
+++ b/internal/server/cluster_checks_test.go
@@ -37,13 +37,13 @@
 	}
 }
 
-// isRunSegment tells whether a key is of a piece of a run record.
+// isRunSegment tells whether a key is of a segment of a run record.
 func isRunSegment(key string) bool {
 	_, segment := records.ParseOpenKey(key)
 	return strings.HasPrefix(key, records.PrefixOpen) && segment != records.NoSegment
 }
 
-// isFurtherSegment tells whether a key is of a piece beyond the first, which the previous
+// isFurtherSegment tells whether a key is of a segment beyond the first, which the previous
 // version of the formats does not know.
 func isFurtherSegment(key string) bool {
 	_, segment := records.ParseOpenKey(key)
--- a/internal/server/cluster_jobs_test.go
+++ b/internal/server/cluster_jobs_test.go
@@ -7,8 +7,10 @@
 	"marblehaven/internal/protocol"
 )
 
+// testJobID returns the ID of the nth job of a scenario.
 func testJobID(n int) protocol.JobID { return protocol.JobID(fmt.Sprintf("req-%06d", n)) }
 
+// arrayJob is an array of tasks on spot instances.
 func arrayJob(n int, class string, tasks int) protocol.Job {
 	return protocol.Job{ID: testJobID(n), Class: class, Team: "red", Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: tasks,
 		Cores: 2, MemGB: 4, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 20}
@@ -21,12 +23,14 @@
 	return job
 }
 
+// serviceJob is a production service whose replicas are spread over the zones.
 func serviceJob(n, tasks int) protocol.Job {
 	job := arrayJob(n, "front", tasks)
 	job.Kind, job.Priority, job.Spread, job.Spot, job.EstimateS, job.Cores = protocol.KindService, protocol.PriorityProduction, true, false, 0, 1
 	return job
 }
 
+// gangJob is a gang with checkpoints, in one zone.
 func gangJob(n, tasks int) protocol.Job {
 	job := arrayJob(n, "train", tasks)
 	job.Kind, job.Priority, job.OneZone, job.GPUs, job.Cores, job.CheckpointIntervalS, job.CheckpointSaveS = protocol.KindGang, protocol.PriorityHigh, true, 2, 4, 10, 2
@@ -39,6 +43,7 @@
 	return job
 }
 
+// submit submits a job that must be accepted; each of its tasks runs for runS seconds.
 func (c *testCluster) submit(job protocol.Job, runS float64) {
 	c.t.Helper()
 	if st := c.env.Submit(job, runS); st != 200 && st != 201 {
@@ -110,7 +115,7 @@
 	return jobIDs
 }
 
-// cancelAt cancels a job at one node and checks that it is told so.
+// cancelAt cancels a job at one controller and checks that it is told so.
 func (c *testCluster) cancelAt(name string, jobID protocol.JobID) {
 	c.t.Helper()
 	c.env.Asked = []string{c.addressOf(name)}
@@ -120,6 +125,7 @@
 	c.env.Asked = nil
 }
 
+// phase returns the phase that a user of the job is told.
 func (c *testCluster) phase(jobID protocol.JobID) protocol.JobPhase {
 	_, st := c.env.Poll(jobID)
 	return st.Phase
--- a/internal/server/cluster_network_test.go
+++ b/internal/server/cluster_network_test.go
@@ -6,13 +6,14 @@
 	"marblehaven/internal/fake"
 )
 
+// cut partitions two hosts until the returned function or heal is called.
 func (c *testCluster) cut(a, b string, mode fake.Cut) func() {
 	heal := sync.OnceFunc(c.network.Cut(a, b, mode))
 	c.heals = append(c.heals, heal)
 	return heal
 }
 
-// isolate cuts a host off from all the others given.
+// isolate partitions a host from all the others given.
 func (c *testCluster) isolate(a string, mode fake.Cut, others ...string) func() {
 	var heals []func()
 	for _, b := range others {
@@ -25,26 +26,27 @@
 	}
 }
 
-// isolateFromStoreAndPeers cuts a node off from the state service and all other nodes.
+// isolateFromStoreAndPeers cuts a controller off from the key-value store and all other controllers.
 func (c *testCluster) isolateFromStoreAndPeers(name string) func() {
 	return c.isolate(name, fake.Hold, append(c.others(name), "state")...)
 }
 
-// blockOutbound makes machines unable to open connections.
+// blockOutbound is a one-way partition: machines receive commands, but cannot open
+// connections.
 func (c *testCluster) blockOutbound(machines ...string) {
 	for _, m := range machines {
 		c.heals = append(c.heals, c.network.BlockOutbound(m))
 	}
 }
 
-// dropInbound makes machines hear nothing.
+// dropInbound is a one-way partition: machines send, but receive nothing.
 func (c *testCluster) dropInbound(machines ...string) {
 	for _, m := range machines {
 		c.heals = append(c.heals, c.network.DropInbound(m))
 	}
 }
 
-// heal ends the cuts made so far.
+// heal ends the partitions made so far.
 func (c *testCluster) heal() {
 	for _, heal := range c.heals {
 		heal()
--- a/internal/server/cluster_peers_test.go
+++ b/internal/server/cluster_peers_test.go
@@ -12,7 +12,7 @@
 	"marblehaven/internal/peer"
 )
 
-// peerConn carries gRPC calls between the nodes through the stand-in network.
+// peerConn carries gRPC calls between the controllers through the simulated network.
 type peerConn struct {
 	c        *testCluster
 	from, to string
--- a/internal/server/cluster_store_failures_test.go
+++ b/internal/server/cluster_store_failures_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// installAbsentLeader makes all controllers take a node for the leader that is none.
+// installAbsentLeader makes all controllers believe that a controller leads that does not
+// exist, so that nobody leads.
 func (c *testCluster) installAbsentLeader() {
 	c.t.Helper()
 	c.env.Store.Put(records.KeyTerm, records.LeaderRecord{Term: 99, Node: "gone"})
@@ -44,7 +45,7 @@
 	c.until("nobody leads", time.Minute, func() bool { return c.leader() == "" })
 }
 
-// exhaustCapacity lets the cloud rent out nothing more.
+// exhaustCapacity makes the cloud refuse all provisioning requests.
 func (c *testCluster) exhaustCapacity() {
 	for _, typ := range testTypes {
 		for _, zone := range typ.Zones {
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -21,7 +21,7 @@
 	"marblehaven/internal/records"
 )
 
-// testCluster is three real nodes in a stand-in world, in synthetic time.
+// testCluster is three real controllers in a simulated environment, in synthetic time.
 type testCluster struct {
 	t           *testing.T
 	ctx         context.Context
@@ -33,21 +33,26 @@
 	stops       map[string]func()
 	heals       []func()
 	jobs        []protocol.JobID
-	names       []string // of all nodes
+	names       []string // of all controllers
 	deployment  config.Deployment
-	// previous names the nodes that run the previous version of the formats.
+	// previous names the controllers that run the previous version of the formats.
 	previous map[string]bool
 }
 
-// run plays a scenario with three nodes and judges it by the rules.
+// run plays a scenario with three controllers; the fakes judge it by the rules that hold
+// for every scenario.
 func run(t *testing.T, seed uint64, scenario func(c *testCluster)) {
 	runWith(t, seed, controllerNames, scenario)
 }
 
+// runWith is run with controllers of the given names.
 func runWith(t *testing.T, seed uint64, names []string, scenario func(c *testCluster)) {
 	runIn(t, seed, names, testDeployment(), scenario)
 }
 
+// runIn is runWith in a deployment of the scenario's own. Time is synthetic: the scenario
+// and all controllers run in one synctest bubble, which owns the network, the fakes and
+// the log, so that scenarios share nothing.
 func runIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -77,7 +82,7 @@
 	})
 }
 
-// boot starts a node, as a new process would.
+// boot starts a controller, as a new process would.
 func (c *testCluster) boot(name string) {
 	i := slices.Index(c.names, name)
 	cfg := &config.Config{Node: name, APIAddr: fmt.Sprintf("10.0.0.%d:80", i+1), Deployment: c.deployment, Operator: config.DefaultOperator()}
@@ -104,7 +109,7 @@
 	c.network.Listen(name, cfg.APIAddr, node.api)
 }
 
-// kill ends a node without a word; what it has sent may still arrive.
+// kill ends a controller at once, as a crash does; what it has sent may still arrive.
 func (c *testCluster) kill(name string) {
 	c.network.Listen(name, fmt.Sprintf("10.0.0.%d:80", slices.Index(c.names, name)+1), nil)
 	c.mu.Lock()
@@ -130,13 +135,14 @@
 	}
 }
 
+// alive tells whether a controller runs.
 func (c *testCluster) alive(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.controllers[name] != nil
 }
 
-// latestTerm is the highest term that any node knows of.
+// latestTerm returns the highest term that any controller knows of.
 func (c *testCluster) latestTerm() (n protocol.Term) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,6 +153,7 @@
 	return n
 }
 
+// leader returns a controller that takes itself for the leader, empty if none does.
 func (c *testCluster) leader() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,16 +165,16 @@
 	return ""
 }
 
-// addressOf is the users' address of a node.
+// addressOf returns the address at which a controller serves users.
 func (c *testCluster) addressOf(name string) string { return c.env.Nodes[slices.Index(c.names, name)] }
 
-// others are all nodes but one.
+// others returns all controllers but one.
 func (c *testCluster) others(name string) []string {
 	return slices.DeleteFunc(slices.Clone(c.names), func(n string) bool { return n == name })
 }
 
-// seedCount is how many seeds a scenario is played with, or more when asked for by
-// CHAOS_SEEDS.
+// seedCount returns how many seeds a scenario is played with: least, or more if the
+// environment variable CHAOS_SEEDS says so.
 func seedCount(least uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("CHAOS_SEEDS"), 10, 32); err == nil {
 		return max(least, n)
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -8,7 +8,7 @@
 	"marblehaven/internal/protocol"
 )
 
-// until waits for a condition.
+// until waits for a condition, and ends the test if it does not hold within the limit.
 func (c *testCluster) until(what string, limit time.Duration, cond func() bool) {
 	c.t.Helper()
 	for start := time.Now(); !cond(); time.Sleep(50 * time.Millisecond) {
@@ -27,6 +27,7 @@
 	})
 }
 
+// untilDone waits until the users of all jobs are told that they are done.
 func (c *testCluster) untilDone(limit time.Duration, jobIDs ...protocol.JobID) {
 	c.t.Helper()
 	for _, jobID := range jobIDs {
@@ -42,7 +43,7 @@
 	}
 }
 
-// untilAnotherLeads waits for a leader beside a node, which may still take itself for
+// untilAnotherLeads waits for a leader beside a controller, which may still take itself for
 // one, and returns its name.
 func (c *testCluster) untilAnotherLeads(old string, limit time.Duration) (next string) {
 	c.t.Helper()
@@ -80,8 +81,8 @@
 	wg.Wait()
 }
 
-// expectRecovery ends all troubles and judges what the operators' page judges then: every
-// accepted job is known, cancelled ones have nothing left, the others run and end,
+// expectRecovery ends all failures and judges what must hold then: every accepted job is
+// known, cancelled ones have nothing left, the others run and end,
 // and none is left waiting beside room.
 func (c *testCluster) expectRecovery() {
 	c.t.Helper()
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -27,7 +27,7 @@
 }
 
 // quotaLimitAndNewLeader kills the leader while a team is at its quota limit and machines
-// with its tasks are partitioned, hear nothing or hang, and a user cancels.
+// with its tasks are partitioned, receive nothing or hang, and a user cancels.
 func quotaLimitAndNewLeader(c *testCluster, variant uint64) {
 	c.submit(arrayJob(1, "check", 12), 90)
 	c.submit(arrayJob(2, "check", 8), 90)
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -11,7 +11,7 @@
 )
 
 // A pipeline runs in its order; cancelling one of its jobs cancels those behind it
-// and no others; what the rules say is judged by the stand-ins.
+// and no others; what the rules say is judged by the fakes.
 func TestPipeline(t *testing.T) {
 	run(t, 60, func(c *testCluster) {
 		whole := c.pipeline(100)
@@ -31,7 +31,7 @@
 			t.Errorf("a finished job withdrawn is %s", st.Phase)
 		}
 		// That one of the jobs named is cancelled doesn't make up for one that nobody
-		// submitted. (Found on the users' bench, just after an outage.)
+		// submitted. (Found on the bench, just after an outage.)
 		for _, names := range [][]protocol.JobID{{cut[3], testJobID(999)}, {testJobID(99), cut[3]}, {testJobID(99), whole[0], cut[1]}} {
 			c.env.Refused(arrayJob(302, "stage", 1), func(m map[string]any) { m["awaits"] = names }, 422)
 		}
@@ -101,7 +101,7 @@
 	})
 }
 
-// The follow call misses that a job was submitted, but not the one that waits for it:
+// The watch misses that a job was submitted, but not the one that waits for it:
 // that the leader does not know the first says nothing of its being done.
 func TestDependencyEventLost(t *testing.T) {
 	run(t, 64, func(c *testCluster) {
--- a/internal/server/fleet_partition_test.go
+++ b/internal/server/fleet_partition_test.go
@@ -11,8 +11,8 @@
 )
 
 // The same troubles at the size of the grown deployments: hundreds of machines,
-// many of them deaf at once, the leader left with its workers only, late copies of
-// reports, and every controller back at once.
+// many of them in a one-way partition that drops what is sent to them, the leader left
+// with its agents only, late copies of heartbeats, and every controller back at once.
 func TestFleetInboundPartition(t *testing.T) {
 	runFleet(t, 138, func(c *testCluster, up func([]protocol.JobID) func() bool) {
 		var heals []func()
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -7,7 +7,7 @@
 
 // With 4,000 machines, whose list has nine pages, work runs on all of them, and goes on
 // through a change of leader with a tenth of the machines hanging, and an outage of the
-// state service that is as long as a leader answers reports in it. The stand-ins judge it.
+// key-value store that is as long as a leader answers heartbeats in it. The fakes judge it.
 func TestFourThousandMachines(t *testing.T) {
 	const arrays, tasks = 40, 100
 	runIn(t, 901, controllerNames, atFleetSize(), func(c *testCluster) {
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -43,7 +43,7 @@
 }
 
 // A job cancelled while nobody leads has no event that tells the next leader:
-// the record alone must stop its tasks. (Found on the users' bench.)
+// the record alone must stop its tasks. (Found on the bench.)
 func TestCancellationWithoutLeader(t *testing.T) {
 	run(t, 30, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
@@ -65,8 +65,8 @@
 	})
 }
 
-// The state service refuses the leader alone: another takes over, and the old
-// one stops answering reports in time.
+// The key-value store refuses the leader alone: another takes over, and the old
+// one stops answering heartbeats in time.
 func TestStoreRefusesLeader(t *testing.T) {
 	run(t, 50, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
@@ -76,7 +76,7 @@
 		})
 		old := c.leader()
 		c.env.Store.Refuse(old, true)
-		// Its peers cannot warn it, and the workers stay with it.
+		// Its peers cannot warn it, and the agents stay with it.
 		heal := c.isolate(old, fake.Hold, c.others(old)...)
 		c.untilAnotherLeads(old, 20*time.Second)
 		c.env.Cancel("req-000001")
@@ -90,9 +90,9 @@
 	})
 }
 
-// Now and then a renewal of the leader's grant takes as long as the grant lasts.
+// Now and then a renewal of the leader's lease takes as long as the lease lasts.
 // The next ones go out all the same, so the term does not change. (Found on the
-// fleets: a slow state service cost a term every eight seconds.)
+// fleets: a slow key-value store cost a term every eight seconds.)
 func TestSlowKeepAlives(t *testing.T) {
 	run(t, 141, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
@@ -155,9 +155,9 @@
 	})
 }
 
-// A controller that has lost the state service and the other controllers, but
-// neither users nor workers, sends users away instead of keeping them asking
-// it, and answers its workers no longer than X; another leads meanwhile.
+// A controller that has lost the key-value store and the other controllers, but
+// neither users nor agents, sends users away instead of keeping them asking
+// it, and answers its agents no longer than X; another leads meanwhile.
 func TestLeaderReachesOnlyAgents(t *testing.T) {
 	runWith(t, 133, []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, func(c *testCluster) {
 		c.submit(serviceJob(1, 4), 0)
@@ -196,9 +196,9 @@
 	})
 }
 
-// A leader that loses all workers and nothing else keeps its term, so that every
+// A leader that loses all agents and nothing else keeps its term, so that every
 // machine would lose its lease with all that is on it: it must leave the term to
-// another node while the leases last. (Found on the fleets: 0.7 of the replicas
+// another controller while the leases last. (Found on the fleets: 0.7 of the replicas
 // were down for half a minute.) Where nobody else can lead it goes on itself.
 func TestLeaderWithoutAgents(t *testing.T) {
 	run(t, 139, func(c *testCluster) {
@@ -217,7 +217,7 @@
 		heal()
 		c.submit(arrayJob(21, "check", 6), 10)
 		c.untilDone(3*time.Minute, "req-000021")
-		// With no other node the term comes back to the one that left it.
+		// With no other controller the term comes back to the one that left it.
 		for _, n := range controllerNames {
 			if n != c.leader() {
 				c.kill(n)
@@ -232,7 +232,7 @@
 }
 
 // A process that is back within a fraction of a second, also while a term is
-// being taken, finds its former life's grant, requests and half-taken terms,
+// being taken, finds its former life's lease, requests and half-taken terms,
 // some of them carried out late or twice; each term is held once.
 func TestControllerRestartsAtOnce(t *testing.T) {
 	run(t, 135, func(c *testCluster) {
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -10,7 +10,7 @@
 )
 
 // Direct commands held by the network and delivered when the leader has long
-// changed its mind must be refused by the worker.
+// changed its mind must be refused by the agent.
 func TestLateCommands(t *testing.T) {
 	run(t, 20, func(c *testCluster) {
 		c.submit(arrayJob(1, "warm", 1), 5)
@@ -171,7 +171,7 @@
 	})
 }
 
-// All machines die with what is on them: no other node hears them either, so the
+// All machines die with what is on them: no other controller hears them either, so the
 // leaders may not go on leaving the term to each other, since only one that stays
 // learns that the tasks are gone. (Found by the chaos test: 95 terms, and jobs that
 // waited for ever.)
@@ -205,7 +205,7 @@
 }
 
 // A machine that is back at once has lost all that ran on it, and its counters
-// begin anew, so that its reports look older than those of its former life. It
+// begin anew, so that its heartbeats look older than those of its former life. It
 // must not be taken for silent until its lease is over.
 func TestMachineRebootsAtOnce(t *testing.T) {
 	run(t, 136, func(c *testCluster) {
--- a/internal/server/normal_operation_test.go
+++ b/internal/server/normal_operation_test.go
@@ -101,7 +101,7 @@
 }
 
 // An array of thousands of tasks, hundreds at a time, keeps its records and
-// commits within the state service's limits, also over a change of leader.
+// commits within the key-value store's limits, also over a change of leader.
 func TestLargeArray(t *testing.T) {
 	run(t, 96, func(c *testCluster) {
 		job := arrayJob(1, "many", 3000)
--- a/internal/server/one_way_partition_test.go
+++ b/internal/server/one_way_partition_test.go
@@ -8,9 +8,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// A machine that reaches no controller, though commands reach it, loses its lease
-// whatever it is told: what is started there is lost again, so nothing is put on it
-// until it is heard.
+// An agent that reaches no controller, though commands reach it, cannot renew its lease:
+// tasks that are started there are lost again, so none are placed on the machine until
+// heartbeats arrive.
 func TestMachineOutboundPartition(t *testing.T) {
 	run(t, 340, func(c *testCluster) {
 		c.exhaustCapacity() // but some: there is more work
@@ -39,7 +39,7 @@
 	})
 }
 
-// No worker can open a connection for much longer than a lease and the wait after it:
+// No agent can open a connection for much longer than a lease and the wait after it:
 // the machines answer commands, so they are there, and are not given back. (Found on the
 // bench by days/mute.toml: all machines went back at once and were rented anew.)
 func TestFleetOutboundPartition(t *testing.T) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// A machine whose reports arrive while nothing reaches it loses its tasks by
+// A machine whose heartbeats arrive while nothing reaches it loses its tasks by
 // its lease, and they run elsewhere soon; nothing more is placed on it.
 func TestMachineInboundPartition(t *testing.T) {
 	run(t, 134, func(c *testCluster) {
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -84,7 +84,7 @@
 			l.env.Store.Refuse("", false)
 			l.env.Store.Refuse(leader, false)
 		})
-	case 3: // the leader keeps its workers and users only
+	case 3: // the leader keeps its agents and users only
 		if leader != "" {
 			ends = append(ends, l.isolateFromStoreAndPeers(leader))
 		}
@@ -118,8 +118,8 @@
 }
 
 // At production size: hundreds of machines, lists of several pages, run records in
-// pieces and chains of jobs, through an upgrade, the smaller limits that follow, and all
-// kinds of trouble in pairs. The stand-ins judge it.
+// segments and chains of jobs, through an upgrade, the smaller limits that follow, and all
+// kinds of trouble in pairs. The fakes judge it.
 func TestProductionSize(t *testing.T) {
 	const kinds = 7
 	for seed := range seedCount(1) {
--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -23,7 +23,7 @@
 		c.submit(arrayJob(1, "check", 4), 100)
 		c.until("all run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 4 })
 		time.Sleep(3 * time.Second)
-		c.env.CloudDown = true // no return, no rental
+		c.env.CloudDown = true // no return, no provisioning request
 		c.env.Kill(c.env.MachinesOf("req-000001")[0])
 		time.Sleep(20 * time.Second) // its lease is over
 		var r records.RunRecord
@@ -34,13 +34,13 @@
 	})
 }
 
-// Submissions and withdrawals delayed beyond their answers are settled by the
+// Submissions and cancellations delayed beyond their answers are settled by the
 // guards of their commits, not guessed.
 func TestLateSubmitAndCancel(t *testing.T) {
 	run(t, 40, func(c *testCluster) {
 		other := controllerNames[(slices.Index(controllerNames, c.leader())+1)%3]
 		heal := c.cut(other, "state", fake.Hold)
-		for i := range 6 { // some reach the node that is cut off
+		for i := range 6 { // some reach the controller that is cut off
 			c.submit(arrayJob(1+i, "check", 2), 10)
 		}
 		c.env.Cancel("req-000001")
@@ -68,7 +68,7 @@
 	})
 }
 
-// A rental whose answer is lost is asked for again under the same claim, also
+// A provisioning request whose answer is lost is asked for again under the same claim, also
 // by the next leader, and rents once.
 func TestProvisioningOutcomeUnknown(t *testing.T) {
 	run(t, 100, func(c *testCluster) {
--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -44,7 +44,7 @@
 					}
 				}
 			}()
-			c.env.Uneven = 0.02 // so pieces are written again and again
+			c.env.Uneven = 0.02 // so segments are written again and again
 			c.submit(largeArray(1, 200), 10)
 			c.submit(largeArray(2, 150), 10)
 			c.submit(dependingOn(largeArray(3, 70), testJobID(1)), 5)
@@ -58,7 +58,7 @@
 	}
 }
 
-// A piece that can't be read: nothing of the job is started before all that it may
+// A segment that can't be read: nothing of the job is started before all that it may
 // have named is surely over, and then the job goes on to its end.
 func TestUnreadableRecordSegment(t *testing.T) {
 	runIn(t, 73, controllerNames, largeArrayDeployment(), func(c *testCluster) {
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -30,10 +30,10 @@
 	}
 }
 
-// More questions a second than the state service answers requests: every accepted job
+// More questions a second than the key-value store answers requests: every accepted job
 // stays known all the same. Each question is a read of its own, so that some jobs are
-// answered for while others are not for minutes. (Found on the users' bench, with 4,000
-// machines and the state service of a smaller deployment.)
+// answered for while others are not for minutes. (Found on the bench, with 4,000
+// machines and the key-value store of a smaller deployment.)
 func TestStatusQueriesBeyondRequestLimit(t *testing.T) {
 	const jobs = 700
 	runIn(t, 904, controllerNames, atFleetSize(), func(c *testCluster) {
@@ -69,7 +69,7 @@
 // service can just answer, and an outage lets the questions pile up. It is answering
 // them all soon after, and throttles few requests: calls that were throttled and made
 // again and again, each with all that it had read before, kept it busy for minutes, and
-// jobs were forgotten. (Found on the users' bench, at production size.)
+// jobs were forgotten. (Found on the bench, at production size.)
 func TestStatusQueriesAfterOutage(t *testing.T) {
 	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // no job begins beside the first
--- a/internal/server/upgrade_failures_test.go
+++ b/internal/server/upgrade_failures_test.go
@@ -11,7 +11,7 @@
 	"marblehaven/internal/records"
 )
 
-// The limits become smaller before the cluster uses the new format, since a node that
+// The limits become smaller before the cluster uses the new format, since a controller that
 // was upgraded could not record it. What runs goes on, and so does new work; no write
 // is sent again and again that can't be taken.
 func TestLimitsBeforeFormat(t *testing.T) {
@@ -59,7 +59,7 @@
 	})
 }
 
-// untilStatusShows waits until the status page of every node holds some texts.
+// untilStatusShows waits until the status page of every controller holds some texts.
 func (c *testCluster) untilStatusShows(texts ...string) {
 	c.t.Helper()
 	for _, name := range c.names {
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -12,7 +12,7 @@
 	"marblehaven/internal/records"
 )
 
-// runUpgrade plays a scenario that begins with the previous version on all nodes.
+// runUpgrade plays a scenario that begins with the previous version on all controllers.
 func runUpgrade(t *testing.T, seed uint64, scenario func(c *testCluster)) {
 	runUpgradeIn(t, seed, controllerNames, largeArrayDeployment(), scenario)
 }
@@ -34,7 +34,7 @@
 	})
 }
 
-// restartAs restarts nodes as the previous or the present version.
+// restartAs restarts controllers as the previous or the present version.
 func (c *testCluster) restartAs(previous bool, names ...string) {
 	for _, name := range names {
 		c.kill(name)
@@ -45,7 +45,7 @@
 	}
 }
 
-// furtherSegments counts the pieces of run records beyond the first of each job.
+// furtherSegments counts the segments of run records beyond the first of each job.
 func (c *testCluster) furtherSegments() (n int) {
 	for _, key := range c.env.Store.Keys(records.PrefixOpen) {
 		if isFurtherSegment(key) {
@@ -68,7 +68,7 @@
 }
 
 // Controllers are upgraded one after the other while a large array runs, whose record
-// is beyond the limits that come then. The array goes on, in pieces that fit.
+// is beyond the limits that come then. The array goes on, in segments that fit.
 func TestUpgrade(t *testing.T) {
 	runUpgrade(t, 70, func(c *testCluster) {
 		c.submit(largeArray(1, 340), 30)
@@ -96,7 +96,7 @@
 }
 
 // All random troubles while the controllers are upgraded, at random moments, and the
-// limits become smaller afterwards, with arrays of several pieces among the jobs.
+// limits become smaller afterwards, with arrays of several segments among the jobs.
 func TestChaosUpgrade(t *testing.T) {
 	for seed := range seedCount(3) {
 		runUpgrade(t, 760+seed, func(c *testCluster) {
