--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -28,6 +28,7 @@
 // confirmed. Where the controllers can name the jobs, it stops just those and all
 // else runs on.
 func TestCancellationBeforeOutage(t *testing.T) {
+	t.Parallel()
 	for _, tc := range []outageCase{
 		{name: "by the leader itself", before: cancelAtLeader, othersContinue: true},
 		{name: "by another", before: cancelAtFollower, othersContinue: true},
@@ -42,6 +43,7 @@
 		{name: "by the next leader before the outage", before: cancelAtNextLeader, othersContinue: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
 			for seed := range seedCount(3) {
 				run(t, 200+seed, func(c *testCluster) { tc.play(c, seed) })
 			}
--- a/internal/server/chain_cancellation_test.go
+++ b/internal/server/chain_cancellation_test.go
@@ -11,6 +11,7 @@
 // No controller calls a job queued that waits for a cancelled one, although there is
 // no leader to close it.
 func TestCancelledDependenciesWithoutLeader(t *testing.T) {
+	t.Parallel()
 	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // the first job never begins beside another
 	runIn(t, 62, controllerNames, dep, func(c *testCluster) {
@@ -38,6 +39,7 @@
 // The same at the end of a chain that is far longer, and of one far wider, than what is
 // read job by job for an answer.
 func TestCancelledLongDependenciesWithoutLeader(t *testing.T) {
+	t.Parallel()
 	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // no job begins beside the first
 	runIn(t, 65, controllerNames, dep, func(c *testCluster) {
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -15,8 +15,10 @@
 // Chaos: failures at random, several at once, with late copies of heartbeats,
 // commands, commits and provisioning requests, with 3, 5 and 7 controllers.
 func TestChaos(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
 			var names []string
 			for i := range 3 + 2*(seed%3) {
 				names = append(names, fmt.Sprint("marble-", i))
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -52,7 +52,8 @@
 
 // runIn is runWith in a deployment of the scenario's own. Time is synthetic: the scenario
 // and all controllers run in one synctest bubble, which owns the network, the fakes and
-// the log, so that scenarios share nothing.
+// the log, so that scenarios share nothing and may run in parallel. SCENARIO_LOG writes
+// the log to standard error; -parallel 1 keeps the lines of a scenario together.
 func runIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -64,6 +64,7 @@
 // be true: believing that one to be carried out it sent starts that no record names,
 // which the next leader knows nothing of.
 func TestStartsWithoutRecord(t *testing.T) {
+	t.Parallel()
 	runIn(t, 901, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		c.submit(arrayJob(1, "warm", 2), 300) // so that there is a machine
@@ -81,6 +82,7 @@
 // The same with a job that is cancelled before its start is recorded: it is not
 // started after its user was told.
 func TestStartsAfterCancellation(t *testing.T) {
+	t.Parallel()
 	runIn(t, 902, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		c.submit(arrayJob(1, "warm", 2), 300)
@@ -108,6 +110,7 @@
 // leader took a job for done that its user was told is cancelled, and started the job
 // that waits for it.
 func TestJobClosedWithoutRecord(t *testing.T) {
+	t.Parallel()
 	runIn(t, 903, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		refused := c.loseThenRefuseCommit(records.FinalKey(testJobID(1)), records.FinalKey(testJobID(2)))
--- a/internal/server/compound_failures_test.go
+++ b/internal/server/compound_failures_test.go
@@ -12,6 +12,7 @@
 // Two failures at once, one case for each pair that the operators expect and that no
 // other scenario brings about; docs/compound-failures.md names them all.
 func TestCompoundFailures(t *testing.T) {
+	t.Parallel()
 	for _, tc := range []struct {
 		name string
 		// play brings the failures about, in one of three variants.
@@ -34,6 +35,7 @@
 		{"heartbeats are held until a new leader has acted", heartbeatsHeldBack},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
 			for seed := range seedCount(3) {
 				run(t, 300+seed, func(c *testCluster) {
 					tc.play(c, seed%3)
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -13,6 +13,7 @@
 // A pipeline runs in its order; cancelling one of its jobs cancels those behind it
 // and no others; what the rules say is judged by the fakes.
 func TestPipeline(t *testing.T) {
+	t.Parallel()
 	run(t, 60, func(c *testCluster) {
 		whole := c.pipeline(100)
 		cut := c.pipeline(200)
@@ -49,6 +50,7 @@
 // job itself, lists that are none, and more names than a record holds. A chain can
 // hold no cycle, since a job must be accepted before it is named.
 func TestDependenciesRefused(t *testing.T) {
+	t.Parallel()
 	run(t, 61, func(c *testCluster) {
 		first := arrayJob(1, "stage", 1)
 		c.submit(first, 5)
@@ -81,6 +83,7 @@
 // A dependency whose records can't be read leaves the job waiting: it neither starts
 // nor is forgotten nor called done.
 func TestUnreadableDependency(t *testing.T) {
+	t.Parallel()
 	run(t, 63, func(c *testCluster) {
 		c.submit(arrayJob(1, "stage", 1), 5)
 		c.submit(arrayJob(2, "stage", 1), 5)
@@ -104,6 +107,7 @@
 // The watch misses that a job was submitted, but not the one that waits for it:
 // that the leader does not know the first says nothing of its being done.
 func TestDependencyEventLost(t *testing.T) {
+	t.Parallel()
 	run(t, 64, func(c *testCluster) {
 		c.env.Store.LoseEvent = func(key string) bool { return key == records.OpenKey(testJobID(1)) }
 		c.submit(arrayJob(1, "stage", 2), 40)
@@ -115,6 +119,7 @@
 // Chains go on, and are cancelled, while leaders change at any moment, events are
 // lost and transactions are carried out late.
 func TestDependenciesThroughFailovers(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(3) {
 		run(t, 640+seed, func(c *testCluster) {
 			rng := rand.New(rand.NewPCG(seed, 9))
--- a/internal/server/fleet_partition_test.go
+++ b/internal/server/fleet_partition_test.go
@@ -14,6 +14,7 @@
 // many of them in a one-way partition that drops what is sent to them, the leader left
 // with its agents only, late copies of heartbeats, and every controller back at once.
 func TestFleetInboundPartition(t *testing.T) {
+	t.Parallel()
 	runFleet(t, 138, func(c *testCluster, up func([]protocol.JobID) func() bool) {
 		var heals []func()
 		for i, m := range c.env.Machines() {
@@ -41,6 +42,7 @@
 // held and comes late, dozens of machines die meanwhile, and as it is over every
 // controller ends: no rule is broken, and all runs again soon.
 func TestFleetZonePartition(t *testing.T) {
+	t.Parallel()
 	runFleet(t, 142, func(c *testCluster, up func([]protocol.JobID) func() bool) {
 		inside := map[string]bool{c.leader(): true, c.names[4]: true}
 		for _, m := range c.env.Machines() {
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -9,6 +9,7 @@
 // through a change of leader with a tenth of the machines hanging, and an outage of the
 // key-value store that is as long as a leader answers heartbeats in it. The fakes judge it.
 func TestFourThousandMachines(t *testing.T) {
+	t.Parallel()
 	const arrays, tasks = 40, 100
 	runIn(t, 901, controllerNames, atFleetSize(), func(c *testCluster) {
 		c.env.Step = 250 * time.Millisecond // steps of 4,000 machines are most of what the test takes
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -18,6 +18,7 @@
 // A leader that dies between recording placements and learning how their
 // starts went must not lead to a second copy.
 func TestFailoverDuringPlacement(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(3) {
 		run(t, 10+seed, func(c *testCluster) {
 			var once sync.Once
@@ -45,6 +46,7 @@
 // A job cancelled while nobody leads has no event that tells the next leader:
 // the record alone must stop its tasks. (Found on the bench.)
 func TestCancellationWithoutLeader(t *testing.T) {
+	t.Parallel()
 	run(t, 30, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
@@ -68,6 +70,7 @@
 // The key-value store refuses the leader alone: another takes over, and the old
 // one stops answering heartbeats in time.
 func TestStoreRefusesLeader(t *testing.T) {
+	t.Parallel()
 	run(t, 50, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 20), 20)
@@ -94,6 +97,7 @@
 // The next ones go out all the same, so the term does not change. (Found on the
 // fleets: a slow key-value store cost a term every eight seconds.)
 func TestSlowKeepAlives(t *testing.T) {
+	t.Parallel()
 	run(t, 141, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		old := c.latestTerm()
@@ -115,6 +119,7 @@
 
 // In a full outage the leader keeps leases alive, and loses nothing.
 func TestStoreOutage(t *testing.T) {
+	t.Parallel()
 	run(t, 60, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 6), 60)
@@ -133,6 +138,7 @@
 }
 
 func TestAllControllersKilled(t *testing.T) {
+	t.Parallel()
 	run(t, 70, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 20), 30)
@@ -159,6 +165,7 @@
 // neither users nor agents, sends users away instead of keeping them asking
 // it, and answers its agents no longer than X; another leads meanwhile.
 func TestLeaderReachesOnlyAgents(t *testing.T) {
+	t.Parallel()
 	runWith(t, 133, []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, func(c *testCluster) {
 		c.submit(serviceJob(1, 4), 0)
 		c.submit(arrayJob(2, "check", 20), 30)
@@ -201,6 +208,7 @@
 // another controller while the leases last. (Found on the fleets: 0.7 of the replicas
 // were down for half a minute.) Where nobody else can lead it goes on itself.
 func TestLeaderWithoutAgents(t *testing.T) {
+	t.Parallel()
 	run(t, 139, func(c *testCluster) {
 		on := c.runServicePairs(12)
 		time.Sleep(5 * time.Second)
@@ -235,6 +243,7 @@
 // being taken, finds its former life's lease, requests and half-taken terms,
 // some of them carried out late or twice; each term is held once.
 func TestControllerRestartsAtOnce(t *testing.T) {
+	t.Parallel()
 	run(t, 135, func(c *testCluster) {
 		c.network.Repeat = map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second}
 		n := 0
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -12,6 +12,7 @@
 // Direct commands held by the network and delivered when the leader has long
 // changed its mind must be refused by the agent.
 func TestLateCommands(t *testing.T) {
+	t.Parallel()
 	run(t, 20, func(c *testCluster) {
 		c.submit(arrayJob(1, "warm", 1), 5)
 		c.untilDone(2*time.Minute, "req-000001")
@@ -32,6 +33,7 @@
 // A machine that is cut off while its job is cancelled loses its tasks by its
 // lease; one that hangs may go on within it.
 func TestPartitionAndHangDuringCancellation(t *testing.T) {
+	t.Parallel()
 	run(t, 80, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
@@ -53,6 +55,7 @@
 // A gang that loses a member stops whole and starts whole, and one on a machine
 // with a notice is stopped in order.
 func TestGangStopAndRestart(t *testing.T) {
+	t.Parallel()
 	run(t, 90, func(c *testCluster) {
 		c.submit(gangJob(1, 3), 60)
 		running := func() bool {
@@ -71,6 +74,7 @@
 
 // What can be saved on a machine with a notice is saved before it is taken.
 func TestPreemptionNoticeCheckpoints(t *testing.T) {
+	t.Parallel()
 	run(t, 95, func(c *testCluster) {
 		job := arrayJob(1, "check", 2)
 		job.CheckpointIntervalS, job.CheckpointSaveS = 10, 3
@@ -89,6 +93,7 @@
 // A machine that falls silent alone is given back, which proves that its tasks
 // are gone, well before its lease ends; where many are silent none is.
 func TestUnreachableMachines(t *testing.T) {
+	t.Parallel()
 	run(t, 120, func(c *testCluster) {
 		c.submit(serviceJob(1, 1), 0)
 		c.submit(arrayJob(2, "fill", 8), 300)
@@ -114,6 +119,7 @@
 // answered, but comes back as soon as giving them back has proved that they are
 // gone. (Found on the fleets: an eighth of the replicas were down for a minute.)
 func TestManyMachinesDie(t *testing.T) {
+	t.Parallel()
 	for i, with := range []bool{false, true} {
 		run(t, 111+uint64(i), func(c *testCluster) {
 			on := c.runServicePairs(12)
@@ -140,6 +146,7 @@
 // Two leaders, one of them late: the old one is cut off from everything but
 // its machines' zone, as a zone that is cut off keeps working inside.
 func TestZonePartition(t *testing.T) {
+	t.Parallel()
 	run(t, 110, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 16), 30)
@@ -176,6 +183,7 @@
 // learns that the tasks are gone. (Found by the chaos test: 95 terms, and jobs that
 // waited for ever.)
 func TestAllMachinesDie(t *testing.T) {
+	t.Parallel()
 	run(t, 140, func(c *testCluster) {
 		for _, zone := range []string{"a", "b"} {
 			c.env.Limit("small", zone, true, 5)
@@ -208,6 +216,7 @@
 // begin anew, so that its heartbeats look older than those of its former life. It
 // must not be taken for silent until its lease is over.
 func TestMachineRebootsAtOnce(t *testing.T) {
+	t.Parallel()
 	run(t, 136, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 6), 40)
--- a/internal/server/normal_operation_test.go
+++ b/internal/server/normal_operation_test.go
@@ -14,6 +14,7 @@
 )
 
 func TestNormalOperation(t *testing.T) {
+	t.Parallel()
 	run(t, 1, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 30), 15)
@@ -43,6 +44,7 @@
 // The users' address answers what is wrong with a call, and shows the status
 // page with player-facing work that is behind on top.
 func TestUserAPI(t *testing.T) {
+	t.Parallel()
 	run(t, 97, func(c *testCluster) {
 		body := func(change func(m map[string]any)) []byte {
 			job := arrayJob(1, "check", 2)
@@ -103,6 +105,7 @@
 // An array of thousands of tasks, hundreds at a time, keeps its records and
 // commits within the key-value store's limits, also over a change of leader.
 func TestLargeArray(t *testing.T) {
+	t.Parallel()
 	run(t, 96, func(c *testCluster) {
 		job := arrayJob(1, "many", 3000)
 		job.Cores, job.MemGB, job.EstimateS = 0.05, 0.1, 5
--- a/internal/server/one_way_partition_test.go
+++ b/internal/server/one_way_partition_test.go
@@ -12,6 +12,7 @@
 // tasks that are started there are lost again, so none are placed on the machine until
 // heartbeats arrive.
 func TestMachineOutboundPartition(t *testing.T) {
+	t.Parallel()
 	run(t, 340, func(c *testCluster) {
 		c.exhaustCapacity() // but some: there is more work
 		c.env.Limit("small", "a", false, 3)
@@ -43,6 +44,7 @@
 // the machines answer commands, so they are there, and are not given back. (Found on the
 // bench by days/mute.toml: all machines went back at once and were rented anew.)
 func TestFleetOutboundPartition(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(2) {
 		run(t, 350+seed, func(c *testCluster) {
 			c.startWorkload()
@@ -79,6 +81,7 @@
 // A machine whose heartbeats arrive while nothing reaches it loses its tasks by
 // its lease, and they run elsewhere soon; nothing more is placed on it.
 func TestMachineInboundPartition(t *testing.T) {
+	t.Parallel()
 	run(t, 134, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "fill", 10), 60)
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -121,6 +121,7 @@
 // segments and chains of jobs, through an upgrade, the smaller limits that follow, and all
 // kinds of trouble in pairs. The fakes judge it.
 func TestProductionSize(t *testing.T) {
+	t.Parallel()
 	const kinds = 7
 	for seed := range seedCount(1) {
 		names, dep := productionSize()
--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -17,6 +17,7 @@
 // counts it in the team's limit and starts it no sooner. (Found on the bench by
 // days/mute.toml.)
 func TestRunRecordDropsEndedTasks(t *testing.T) {
+	t.Parallel()
 	run(t, 360, func(c *testCluster) {
 		c.exhaustCapacity()
 		c.env.Limit("small", "a", true, 2)
@@ -37,6 +38,7 @@
 // Submissions and cancellations delayed beyond their answers are settled by the
 // guards of their commits, not guessed.
 func TestLateSubmitAndCancel(t *testing.T) {
+	t.Parallel()
 	run(t, 40, func(c *testCluster) {
 		other := controllerNames[(slices.Index(controllerNames, c.leader())+1)%3]
 		heal := c.cut(other, "state", fake.Hold)
@@ -57,6 +59,7 @@
 // Commits whose answers are lost were applied: they are settled by reading, by
 // the leader as well as by those who serve users.
 func TestCommitOutcomeUnknown(t *testing.T) {
+	t.Parallel()
 	run(t, 98, func(c *testCluster) {
 		n := 0
 		c.env.Store.LoseReply = func() bool { n++; return n%3 == 0 }
@@ -71,6 +74,7 @@
 // A provisioning request whose answer is lost is asked for again under the same claim, also
 // by the next leader, and rents once.
 func TestProvisioningOutcomeUnknown(t *testing.T) {
+	t.Parallel()
 	run(t, 100, func(c *testCluster) {
 		lost := 0
 		c.env.LoseReply = func(path string) bool {
@@ -96,6 +100,7 @@
 // A run record that cannot be read says nothing of what may run: taken for an
 // empty one, its tasks would be started a second time.
 func TestUnreadableRunRecord(t *testing.T) {
+	t.Parallel()
 	run(t, 130, func(c *testCluster) {
 		c.submit(arrayJob(1, "check", 8), 40)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) >= 2 })
@@ -116,6 +121,7 @@
 // also those of other jobs: it must not go on like that for ever. (Found by the
 // chaos test when its network repeated requests that had been refused.)
 func TestRecordChangedBehindLeader(t *testing.T) {
+	t.Parallel()
 	run(t, 137, func(c *testCluster) {
 		c.submit(arrayJob(1, "check", 8), 30)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) >= 2 })
@@ -128,6 +134,7 @@
 // A job whose own record cannot be read was accepted all the same: its user is
 // not told that nobody knows it, nor refused for ever.
 func TestUnreadableJobRecord(t *testing.T) {
+	t.Parallel()
 	run(t, 131, func(c *testCluster) {
 		c.submit(arrayJob(1, "check", 2), 20)
 		c.env.Store.Corrupt("o/req-000001")
@@ -138,6 +145,7 @@
 // An event that never comes must not leave an accepted job waiting, nor a
 // cancelled one running.
 func TestLostWatchEvents(t *testing.T) {
+	t.Parallel()
 	run(t, 132, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -13,6 +13,7 @@
 // A leader that dies after any transaction with which it writes, divides or removes a
 // run record leaves a state that the next one reads rightly.
 func TestLeaderDiesBetweenRecordSegments(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(4) {
 		runIn(t, 720+seed, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 			c.untilUpgraded(20 * time.Second)
@@ -61,6 +62,7 @@
 // A segment that can't be read: nothing of the job is started before all that it may
 // have named is surely over, and then the job goes on to its end.
 func TestUnreadableRecordSegment(t *testing.T) {
+	t.Parallel()
 	runIn(t, 73, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		c.submit(largeArray(1, 120), 60)
@@ -75,6 +77,7 @@
 // Of jobs that were accepted under larger limits, those with long records too can be
 // cancelled and are closed.
 func TestCancelLargeRecord(t *testing.T) {
+	t.Parallel()
 	runIn(t, 75, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		job := arrayJob(1, strings.Repeat("c", 140), 1)
 		for range 20 {
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -12,6 +12,7 @@
 // all capacity, a team that nobody uses, and the shortest times that are accepted: what
 // users submit runs, through an end of the leader, and what they cancel is gone in time.
 func TestSmallestSettings(t *testing.T) {
+	t.Parallel()
 	d := testDeployment()
 	d.Zones = []string{"a"}
 	d.Teams = []config.Team{{Name: "red", Cores: 1e6}, {Name: "unused", Cores: 10, CoresMax: 20}}
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -35,6 +35,7 @@
 // answered for while others are not for minutes. (Found on the bench, with 4,000
 // machines and the key-value store of a smaller deployment.)
 func TestStatusQueriesBeyondRequestLimit(t *testing.T) {
+	t.Parallel()
 	const jobs = 700
 	runIn(t, 904, controllerNames, atFleetSize(), func(c *testCluster) {
 		c.exhaustCapacity()
@@ -71,6 +72,7 @@
 // again and again, each with all that it had read before, kept it busy for minutes, and
 // jobs were forgotten. (Found on the bench, at production size.)
 func TestStatusQueriesAfterOutage(t *testing.T) {
+	t.Parallel()
 	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // no job begins beside the first
 	runIn(t, 66, controllerNames, dep, func(c *testCluster) {
--- a/internal/server/upgrade_failures_test.go
+++ b/internal/server/upgrade_failures_test.go
@@ -15,6 +15,7 @@
 // was upgraded could not record it. What runs goes on, and so does new work; no write
 // is sent again and again that can't be taken.
 func TestLimitsBeforeFormat(t *testing.T) {
+	t.Parallel()
 	runUpgrade(t, 71, func(c *testCluster) {
 		c.env.Uneven = 0.01 // its tasks end one after the other
 		c.submit(largeArray(1, 340), 40)
@@ -45,6 +46,7 @@
 
 // A version record that can't be read counts as one of the previous version.
 func TestUnreadableVersion(t *testing.T) {
+	t.Parallel()
 	runUpgrade(t, 74, func(c *testCluster) {
 		c.env.Store.Corrupt(records.NodeKey(controllerNames[2]))
 		c.restartAs(false, controllerNames[0], controllerNames[1])
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -70,6 +70,7 @@
 // Controllers are upgraded one after the other while a large array runs, whose record
 // is beyond the limits that come then. The array goes on, in segments that fit.
 func TestUpgrade(t *testing.T) {
+	t.Parallel()
 	runUpgrade(t, 70, func(c *testCluster) {
 		c.submit(largeArray(1, 340), 30)
 		c.submit(serviceJob(2, 3), 0)
@@ -98,6 +99,7 @@
 // All random troubles while the controllers are upgraded, at random moments, and the
 // limits become smaller afterwards, with arrays of several segments among the jobs.
 func TestChaosUpgrade(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(3) {
 		runUpgrade(t, 760+seed, func(c *testCluster) {
 			rng := rand.New(rand.NewPCG(seed, 11))
