--- /dev/null
+++ b/internal/server/cancellation_outage_test.go
@@ -0,0 +1,104 @@
+package server
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"marblehaven/internal/protocol"
+)
+
+// outageCase is an order of a cancellation's confirmation and the events around it.
+type outageCase struct {
+	name string
+	// before leads up to the outage, in which job 1 must be confirmed as cancelled.
+	before func(c *testCluster, leader string)
+	// during is what else happens after the outage began.
+	during func(c *testCluster, leader string)
+	// goesOn says that all controllers can name the cancelled jobs, so that
+	// the other jobs go on.
+	othersContinue bool
+}
+
+// A cancellation is confirmed to its user around the time at which the key-value store
+// is lost, for longer than cancel_s, while the agents go on sending heartbeats to the
+// leader of before. In every order of these events the job's tasks are gone
+// within cancel_s: the leader may answer reports only up to X after a time up to
+// which it knows every cancellation that any controller, itself included, has
+// confirmed. Where the controllers can name the jobs, it stops just those and all
+// else runs on.
+func TestCancellationBeforeOutage(t *testing.T) {
+	t.Parallel()
+	for _, tc := range []outageCase{
+		{name: "by the leader itself", before: cancelAtLeader, othersContinue: true},
+		{name: "by another", before: cancelAtFollower, othersContinue: true},
+		{name: "read at the leader", before: readCancellationAtLeader},
+		{name: "by one that restarts at once", before: cancelAtRestartedController},
+		{name: "by one that restarts twice", before: cancelAtControllerRestartedTwice, during: restartFollowerInOutage},
+		{name: "by one whose answers come late", before: cancelAtControllerWithLateAnswers, othersContinue: true},
+		{name: "by one that is cut off then", before: cancelAtPartitionedController},
+		{name: "carried out late and read elsewhere", before: cancelByLateCommit, othersContinue: true},
+		{name: "while the leader alone is refused", before: cancelAsStoreRefusesLeader, othersContinue: true},
+		{name: "while the leader alone is refused and hears no peer", before: cancelAsLeaderIsPartitioned},
+		{name: "by the next leader before the outage", before: cancelAtNextLeader, othersContinue: true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			for seed := range seedCount(3) {
+				run(t, 200+seed, func(c *testCluster) { tc.play(c, seed) })
+			}
+		})
+	}
+}
+
+// play cancels the first of three jobs around the start of an outage of 70 s.
+func (tc outageCase) play(c *testCluster, seed uint64) {
+	c.submit(serviceJob(1, 2), 0)
+	c.submit(serviceJob(2, 2), 0)
+	c.submit(arrayJob(3, "check", 6), 400)
+	c.until("all run", 2*time.Minute, func() bool {
+		return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) == 2 && len(c.env.MachinesOf("req-000003")) == 6
+	})
+	time.Sleep(20*time.Second + time.Duration(seed)*370*time.Millisecond)
+	keep := c.env.MachinesOf("req-000002")
+	expiriesBefore := c.env.LeaseExpiries
+	leader := c.leader()
+	tc.before(c, leader)
+	c.env.Store.Refuse("", true)
+	c.env.Store.Slow = nil
+	if tc.during != nil {
+		tc.during(c, leader)
+	}
+	termBefore := c.latestTerm()
+	time.Sleep(70 * time.Second)
+	tc.checkDuringOutage(c, keep, expiriesBefore)
+	c.env.Store.Refuse(leader, false)
+	c.env.Store.Refuse("", false)
+	c.heal()
+	time.Sleep(15 * time.Second)
+	tc.checkAfterOutage(c, termBefore)
+}
+
+// checkDuringOutage judges that the cancelled job is gone and, where the leader could
+// know which job that is, that the other service was left alone on its machines.
+func (tc outageCase) checkDuringOutage(c *testCluster, keep []string, expiriesBefore int) {
+	c.t.Helper()
+	if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
+		c.t.Errorf("cancelled, still on %v", on)
+	}
+	if on := c.env.MachinesOf("req-000002"); tc.othersContinue && (!slices.Equal(on, keep) || c.env.LeaseExpiries > expiriesBefore) {
+		c.t.Errorf("%d leases ran out; the other service was on %v and is on %v", c.env.LeaseExpiries-expiriesBefore, keep, on)
+	}
+}
+
+// checkAfterOutage judges that all jobs are known and the other service runs. Records
+// that are behind what the controllers say must not make the leader's writes fail until
+// it gives up the term.
+func (tc outageCase) checkAfterOutage(c *testCluster, termBefore protocol.Term) {
+	c.t.Helper()
+	if n := c.latestTerm() - termBefore; tc.othersContinue && n > 0 {
+		c.t.Errorf("%d terms more", n)
+	}
+	c.expectAnswers(c.jobs...)
+	c.until("the other service runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000002")) == 2 })
+}
--- /dev/null
+++ b/internal/server/compound_failures_test.go
@@ -0,0 +1,50 @@
+package server
+
+import (
+	"testing"
+	"time"
+)
+
+// lateStartLimit is how long after a confirmed cancellation a start that was on its way
+// may still begin: a direct command in flight, then the fetch of its image.
+const lateStartLimit = 8 * time.Second
+
+// Two failures at once, one case for each pair that the operators expect and that no
+// other scenario brings about; docs/compound-failures.md names them all.
+func TestCompoundFailures(t *testing.T) {
+	t.Parallel()
+	for _, tc := range []struct {
+		name string
+		// play brings the failures about, in one of three variants.
+		play func(c *testCluster, variant uint64)
+	}{
+		{"no agent can open connections", agentsCannotConnect},
+		{"work bound to a zone loses its machines", zoneLosesMachines},
+		{"all controllers are away for longer than a lease", allControllersAway},
+		{"slow answers, then the leader alone is refused, then all, while users cancel and ask", slowAnswersThenRefusals},
+		{"a team at its limit, machines that can't be asked, a cancellation and a new leader", quotaLimitAndNewLeader},
+		{"ten leaders in two minutes, also inside an outage", tenLeaders},
+		{"more work than room, urgent and not, over slow links", moreWorkThanCapacity},
+		{"the leader ends while machines with long tasks can't be reached or hear nothing", leaderEndsBesidePartitions},
+		{"a machine hangs in the middle of a command and goes on", machinesHangInCommand},
+		{"tasks end far apart across a change of leader", tasksEndFarApart},
+		{"a cancellation, a question and a repeat meet the end of the last task", requestsMeetLastTask},
+		{"controllers hand over and back, all end, one returns within a second", leadersRestartThenAllEnd},
+		{"transactions without an answer are carried out late", commitsExecutedLate},
+		{"copies of old heartbeats come from machines that died", oldHeartbeatsOfDeadMachines},
+		{"heartbeats are held until a new leader has acted", heartbeatsHeldBack},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			for seed := range seedCount(3) {
+				run(t, 300+seed, func(c *testCluster) {
+					tc.play(c, seed%3)
+					c.expectRecovery()
+					if c.env.LateStart > lateStartLimit {
+						t.Errorf("a task started %v after its cancellation was confirmed", c.env.LateStart)
+					}
+				})
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/server/controller.go
@@ -0,0 +1,117 @@
+// Package server runs one controller process: it wires the packages together,
+// starts and ends the leader with its term, and records the format version that
+// this program reads.
+package server
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"runtime/debug"
+	"sync/atomic"
+
+	"marblehaven/internal/agent"
+	"marblehaven/internal/api"
+	"marblehaven/internal/cloud"
+	"marblehaven/internal/config"
+	"marblehaven/internal/election"
+	"marblehaven/internal/httpclient"
+	"marblehaven/internal/kvstore"
+	"marblehaven/internal/leader"
+	"marblehaven/internal/peer"
+	"marblehaven/internal/records"
+	"marblehaven/internal/tuning"
+)
+
+// controller is one controller process. It serves users and peers all the time,
+// and runs the leader while it holds the term.
+type controller struct {
+	cfg       *config.Config
+	log       *slog.Logger
+	store     *kvstore.Client
+	cloud     *cloud.Client
+	candidate *election.Candidate
+	users     *api.Users
+	agents    *agent.Client
+	peers     *peer.Group
+	api       *api.Server
+	// activeLeader is the leader of this controller's term, nil while another
+	// controller leads.
+	activeLeader atomic.Pointer[leader.Leader]
+	// supportedFormat is the latest version of the record formats that this
+	// controller reads and writes.
+	supportedFormat int
+}
+
+// Run runs a controller until ctx ends. It returns an error only if the controller
+// cannot start: failures after that are retried.
+func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
+	limitMemory(cfg.Deployment.Limits.MemoryMB)
+	apiListener, err := net.Listen("tcp", cfg.APIAddr)
+	if err != nil {
+		return fmt.Errorf("field api_addr: %w", err)
+	}
+	peerListener, err := net.Listen("tcp", cfg.PeerBind)
+	if err != nil {
+		return fmt.Errorf("field peer_bind: %w", err)
+	}
+	local, err := newController(cfg, log, networkTransports(cfg))
+	if err != nil {
+		return fmt.Errorf("field peers: %w", err)
+	}
+	go local.servePeers(ctx, peerListener)
+	local.start(ctx)
+	log.Info("serving", "node", cfg.Node, "address", cfg.APIAddr)
+	if err := local.api.Serve(ctx, apiListener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+		return err
+	}
+	return nil
+}
+
+// limitMemory keeps the process within its share of the deployment's memory limit, in MB.
+func limitMemory(limitMB float64) {
+	const bytesPerMB = 1 << 20
+	debug.SetGCPercent(tuning.GCPercent)
+	debug.SetMemoryLimit(int64(limitMB * tuning.MemoryShare * bytesPerMB))
+}
+
+// servePeers answers the other controllers until ctx ends. A failure before that leaves
+// the controller useful to users, so the process goes on.
+func (c *controller) servePeers(ctx context.Context, listener net.Listener) {
+	if err := peer.Serve(ctx, listener, c); err != nil && ctx.Err() == nil {
+		c.log.Error("serving peers failed; going on without answering them", "err", err)
+	}
+}
+
+// newController wires a controller to the other parts of the system; start starts it.
+func newController(cfg *config.Config, log *slog.Logger, via transports) (*controller, error) {
+	c := &controller{cfg: cfg, log: log, supportedFormat: records.FormatSupported}
+	malformed := httpclient.NewMalformedLog(log)
+	c.store = kvstore.New(cfg.Services.State, via.store, malformed, cfg.Deployment.State)
+	c.cloud = cloud.New(cfg.Services.Cloud, via.cloud, malformed, cfg.Deployment.Cloud.RPS*cfg.Operator.CallBudget)
+	c.agents = agent.New(via.agents, malformed, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
+	c.candidate = election.New(c.store, cfg.Node, log)
+	c.users = api.NewUsers(cfg, c.store, log)
+	var err error
+	if c.peers, err = peer.NewGroup(cfg.Peers, via.peer, c, log); err != nil {
+		return nil, err
+	}
+	c.api = api.NewServer(cfg, c.users, c, c.peers, log, malformed)
+	return c, nil
+}
+
+// start begins all background work but serving. Each goroutine ends with ctx, or
+// earlier when its one task is done; nobody waits for them, since what they leave
+// unfinished in the key-value store is what a crash at that moment would leave.
+func (c *controller) start(ctx context.Context) {
+	c.peers.Run(ctx)
+	go c.loadMachineTypes(ctx)
+	// Whole records are the formats of the first version, which recorded none.
+	if c.supportedFormat > records.FormatWhole {
+		go c.recordFormatVersion(ctx)
+	}
+	go c.candidate.Run(ctx, c.lead)
+}
