--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -72,30 +72,42 @@
 		{"list: unreadable", list, 200, nil, ErrUnavailable, "list machines"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var body []byte
-			if c.body != nil {
-				var err error
-				if body, err = codec.Marshal(c.body); err != nil {
-					t.Fatal(err)
-				}
-			}
-			client := New("cloud:1", fixedAnswer{c.status, body}, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000)
-			err := c.operation(t.Context(), client)
-			if c.want == nil {
-				if err != nil {
-					t.Errorf("got %v", err)
-				}
-				return
-			}
-			for _, sentinel := range []error{ErrNoCapacity, ErrInvalidRequest, ErrUnavailable} {
-				if errors.Is(err, sentinel) != errors.Is(c.want, sentinel) {
-					t.Fatalf("got %v instead of %v", err, c.want)
-				}
-			}
-			var failed *OperationError
-			if !errors.As(err, &failed) || !strings.Contains(err.Error(), c.names) {
-				t.Errorf("%q does not say what was tried, or does not name %q", err, c.names)
-			}
+			client := New("cloud:1", fixedAnswer{c.status, encodedBody(t, c.body)}, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000)
+			checkOutcome(t, c.operation(t.Context(), client), c.want, c.names)
 		})
 	}
 }
+
+// encodedBody is the body of an answer; nil has none.
+func encodedBody(t *testing.T, value any) []byte {
+	t.Helper()
+	if value == nil {
+		return nil
+	}
+	body, err := codec.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return body
+}
+
+// checkOutcome checks that an error is the one wanted and no other, and that it says what
+// was tried and on what.
+func checkOutcome(t *testing.T, err, want error, names string) {
+	t.Helper()
+	if want == nil {
+		if err != nil {
+			t.Errorf("got %v", err)
+		}
+		return
+	}
+	for _, sentinel := range []error{ErrNoCapacity, ErrInvalidRequest, ErrUnavailable} {
+		if errors.Is(err, sentinel) != errors.Is(want, sentinel) {
+			t.Fatalf("got %v instead of %v", err, want)
+		}
+	}
+	var failed *OperationError
+	if !errors.As(err, &failed) || !strings.Contains(err.Error(), names) {
+		t.Errorf("%q does not say what was tried, or does not name %q", err, names)
+	}
+}
--- a/internal/cluster/helpers_test.go
+++ b/internal/cluster/helpers_test.go
@@ -26,6 +26,7 @@
 
 // machineWithStart returns a machine with one placement whose start is in flight.
 func machineWithStart(t *testing.T) (*Machine, *Placement, time.Time) {
+	t.Helper()
 	now := time.Now()
 	machine := NewMachine("m-1", firstToken, now, now.Add(time.Hour))
 	machine.ApplyStatus(newHeartbeat(1, 1, firstToken), parseTask, now, now.Add(leaseDuration))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,7 +37,7 @@
 	}
 	// Settings that the service cannot work with are refused by one line that names the
 	// file or the field.
-	replaced := func(old, new string) string { return strings.Replace(good, old, new, 1) }
+	replaced := func(old, replacement string) string { return strings.Replace(good, old, replacement, 1) }
 	for _, test := range []struct {
 		name     string
 		json     string
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -59,7 +59,7 @@
 }
 
 // addDependencies notes what a job that has become known waits for.
-func (l *Leader) addDependencies(job *jobState, now time.Time) {
+func (l *Leader) addDependencies(job *jobState) {
 	for _, dependency := range job.spec.DependsOn {
 		if job.pendingDependencies == nil {
 			job.pendingDependencies = map[protocol.JobID]bool{}
@@ -69,7 +69,7 @@
 	}
 	for _, dependency := range job.spec.DependsOn {
 		if outcome, known := l.dependencies.outcomes[dependency]; known {
-			l.resolveDependency(dependency, outcome, now)
+			l.resolveDependency(dependency, outcome)
 		} else if open := l.jobs.open[dependency]; open != nil && open.cancelled {
 			l.cancelDependents(dependency)
 		}
@@ -78,7 +78,7 @@
 
 // resolveDependency acts on the final record of a job: the jobs that wait for it go
 // on, or are cancelled with it. Nothing else lets a dependent job go on.
-func (l *Leader) resolveDependency(jobID protocol.JobID, outcome dependencyOutcome, now time.Time) {
+func (l *Leader) resolveDependency(jobID protocol.JobID, outcome dependencyOutcome) {
 	l.dependencies.record(jobID, outcome)
 	if outcome.phase == protocol.PhaseCancelled {
 		l.cancelDependents(jobID)
@@ -183,6 +183,6 @@
 		l.applyOpenRecord(entry.Key, entry.Value, entry.Version, now)
 	}
 	for jobID, outcome := range lookup.outcomes {
-		l.resolveDependency(jobID, outcome, now)
+		l.resolveDependency(jobID, outcome)
 	}
 }
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -97,7 +97,7 @@
 	l.jobs.add(job)
 	l.cycle.request()
 	l.Log.Debug("job known", "job", jobID, "class", open.Job.Class, "tasks", open.Job.Tasks, "age", now.Sub(job.acceptedAt))
-	l.addDependencies(job, now)
+	l.addDependencies(job)
 }
 
 // pruneClosedJobs forgets the closed jobs that no reading under way can name as open: a
--- a/internal/leader/record_writer.go
+++ b/internal/leader/record_writer.go
@@ -177,7 +177,7 @@
 	}
 	l.jobs.close(job, now)
 	l.dependencies.removeDependent(job)
-	l.resolveDependency(job.id, dependencyOutcome{closing.final.Phase, time.UnixMilli(closing.final.ClosedMS)}, now)
+	l.resolveDependency(job.id, dependencyOutcome{closing.final.Phase, time.UnixMilli(closing.final.ClosedMS)})
 }
 
 // onCommitFailed goes on after a commit that was not executed, or of which that is not
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -29,7 +29,7 @@
 	jobIDs []protocol.JobID // acknowledged since
 }
 
-func (p *fakePeer) Invoke(ctx context.Context, _ string, _, reply any, _ ...grpc.CallOption) error {
+func (p *fakePeer) Invoke(_ context.Context, _ string, _, reply any, _ ...grpc.CallOption) error {
 	delay := func() time.Duration {
 		if p.rng.IntN(2) == 0 {
 			return time.Millisecond
--- a/internal/server/compound_machine_cases_test.go
+++ b/internal/server/compound_machine_cases_test.go
@@ -78,7 +78,7 @@
 func heartbeatsHeldBack(c *testCluster, variant uint64) {
 	c.startWorkload()
 	machines := c.env.Machines()
-	c.network.Delay = func(from, to string) time.Duration {
+	c.network.Delay = func(from, _ string) time.Duration {
 		if i := slices.Index(machines, from); i >= 0 && i%2 == 0 {
 			return time.Duration(c.env.Random() * 16 * float64(time.Second))
 		}
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -52,13 +52,13 @@
 
 // moreWorkThanCapacity submits more jobs of all priorities than there is capacity for, and
 // delays all messages at random.
-func moreWorkThanCapacity(c *testCluster, variant uint64) {
+func moreWorkThanCapacity(c *testCluster, _ uint64) {
 	c.exhaustCapacity()
 	for _, zone := range []string{"a", "b"} {
 		c.env.Limit("small", zone, false, 2)
 		c.env.Limit("small", zone, true, 2)
 	}
-	c.network.Delay = func(from, to string) time.Duration { return time.Duration(c.env.Random()*300) * time.Millisecond }
+	c.network.Delay = func(_, _ string) time.Duration { return time.Duration(c.env.Random()*300) * time.Millisecond }
 	for i, priority := range []protocol.Priority{protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh, protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh} {
 		job := arrayJob(1+i, "check", 10)
 		job.Priority = priority
