--- a/internal/leader/catalog.go
+++ b/internal/leader/catalog.go
@@ -55,10 +55,10 @@
 	}()
 }
 
-func (r catalogResult) apply(l *Leader, _ time.Time) {
+func (r catalogResult) apply(leader *Leader, _ time.Time) {
 	if r.types != nil {
-		l.setMachineTypes(r.types)
-		l.catalog.loaded = true
+		leader.setMachineTypes(r.types)
+		leader.catalog.loaded = true
 	}
 }
 
--- a/internal/leader/confirmation.go
+++ b/internal/leader/confirmation.go
@@ -71,7 +71,7 @@
 	return result, page.Revision, nil
 }
 
-func (r watchResult) apply(l *Leader, now time.Time) { l.onWatchResult(r, now) }
+func (r watchResult) apply(leader *Leader, now time.Time) { leader.onWatchResult(r, now) }
 
 func (l *Leader) onWatchResult(result watchResult, now time.Time) {
 	for _, event := range result.events {
@@ -105,7 +105,7 @@
 	}
 }
 
-func (c termConfirmation) apply(l *Leader, _ time.Time) { l.lease.confirmedByTerm = c.asOf }
+func (c termConfirmation) apply(leader *Leader, _ time.Time) { leader.lease.confirmedByTerm = c.asOf }
 
 // confirmByPeers extends the leader's lease while the store proves nothing. The jobs
 // that users were told are cancelled since the last confirmation are cancelled here as
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -175,7 +175,7 @@
 	return lookup
 }
 
-func (d dependencyLookup) apply(l *Leader, now time.Time) { l.onDependencyLookup(d, now) }
+func (d dependencyLookup) apply(leader *Leader, now time.Time) { leader.onDependencyLookup(d, now) }
 
 func (l *Leader) onDependencyLookup(lookup dependencyLookup, now time.Time) {
 	l.dependencies.lookupInFlight = false
--- a/internal/leader/deprovisioning.go
+++ b/internal/leader/deprovisioning.go
@@ -54,7 +54,7 @@
 	go func() { l.post(deprovisionResult{l.Cloud.Deprovision(l.ctx, ids)}) }()
 }
 
-func (r deprovisionResult) apply(l *Leader, now time.Time) { l.onDeprovisionResult(r, now) }
+func (r deprovisionResult) apply(leader *Leader, now time.Time) { leader.onDeprovisionResult(r, now) }
 
 func (l *Leader) onDeprovisionResult(result deprovisionResult, now time.Time) {
 	p := &l.provisioner
--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -105,7 +105,7 @@
 	}()
 }
 
-func (r commandResult) apply(l *Leader, now time.Time) { l.onCommandResult(r, now) }
+func (r commandResult) apply(leader *Leader, now time.Time) { leader.onCommandResult(r, now) }
 
 func (l *Leader) onCommandResult(result commandResult, now time.Time) {
 	machine := result.machine
--- a/internal/leader/failure_detection.go
+++ b/internal/leader/failure_detection.go
@@ -106,14 +106,14 @@
 
 // checkSilentMachine decides whether a silent machine is unreachable. One that was not
 // called directly yet is called.
-func (l *Leader) checkSilentMachine(r *reachability, machine *cluster.Machine, now time.Time) {
+func (l *Leader) checkSilentMachine(found *reachability, machine *cluster.Machine, now time.Time) {
 	limit := l.heartbeatIntervals(tuning.UnreachableHeartbeats)
 	silentForLong := now.Sub(machine.LastContact) > limit && now.Sub(l.tookOverAt) > limit
 	switch {
 	case machine.UnansweredCommands >= tuning.UnreachableCommands:
-		r.unreachable[machine] = silentForLong || l.runsUrgentWork(machine)
+		found.unreachable[machine] = silentForLong || l.runsUrgentWork(machine)
 	case machine.Addr == "": // not in the machine list either, so there is nothing to call
-		r.unreachable[machine] = silentForLong && l.provisioner.listed
+		found.unreachable[machine] = silentForLong && l.provisioner.listed
 	case !machine.CommandInFlight:
 		l.sendCommands(machine, nil, lastIncarnation(machine), false, false)
 	}
--- a/internal/leader/format_versions.go
+++ b/internal/leader/format_versions.go
@@ -109,10 +109,10 @@
 	return err
 }
 
-func (v versionsResult) apply(l *Leader, _ time.Time) {
-	l.formats.byController = v.byController
+func (v versionsResult) apply(leader *Leader, _ time.Time) {
+	leader.formats.byController = v.byController
 	if v.committed {
-		l.useFormat(records.FormatSegmented)
+		leader.useFormat(records.FormatSegmented)
 	}
 }
 
--- a/internal/leader/image_inventory_test.go
+++ b/internal/leader/image_inventory_test.go
@@ -17,8 +17,8 @@
 	for _, name := range []string{"a", "b", "c"} {
 		machine.RecordImageUse(name, 10, 40)
 	}
-	hint, _ := newImageInventory(leader.machines.sorted, 32<<10)
-	raw, _ := codec.Marshal(hint)
+	inventory, _ := newImageInventory(leader.machines.sorted, 32<<10)
+	raw, _ := codec.Marshal(inventory)
 	next, _ := newLoadedLeader(0, 1)
 	var h records.ImageInventory
 	if err := codec.Unmarshal(raw, &h); err != nil {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -82,7 +82,7 @@
 
 // message is something that the actor is told. The actor's goroutine applies it.
 type message interface {
-	apply(l *Leader, now time.Time)
+	apply(leader *Leader, now time.Time)
 }
 
 // New makes the leader of a term.
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -37,7 +37,7 @@
 	return max(tuning.ListInterval, seconds(pages/(callsPerSecond*tuning.ListShare)))
 }
 
-func (r machineListResult) apply(l *Leader, now time.Time) { l.onMachineList(r, now) }
+func (r machineListResult) apply(leader *Leader, now time.Time) { leader.onMachineList(r, now) }
 
 func (l *Leader) onMachineList(result machineListResult, now time.Time) {
 	l.provisioner.listInFlight = false
--- a/internal/leader/provisioner.go
+++ b/internal/leader/provisioner.go
@@ -124,24 +124,24 @@
 	}
 }
 
-func (r provisionResult) apply(l *Leader, now time.Time) {
+func (r provisionResult) apply(leader *Leader, now time.Time) {
 	r.request.calling = false
-	l.cycle.request()
+	leader.cycle.request()
 	switch {
 	case r.err == nil:
-		l.onProvisioned(r.request, r.machineIDs, now)
+		leader.onProvisioned(r.request, r.machineIDs, now)
 	case errors.Is(r.err, cloud.ErrNoCapacity):
-		l.provisioner.cloudAvailable = true
-		l.rejectRequest(r.request, now)
-		l.Log.Info("no capacity, the pool rests", "type", r.request.Type, "zone", r.request.Zone, "spot", r.request.Spot)
+		leader.provisioner.cloudAvailable = true
+		leader.rejectRequest(r.request, now)
+		leader.Log.Info("no capacity, the pool rests", "type", r.request.Type, "zone", r.request.Zone, "spot", r.request.Spot)
 	default:
 		// The outcome is not known or the cloud is down: the same request is sent
 		// again, which provisions at most once.
 		r.request.nextCall = now.Add(tuning.MachineBackoff)
-		l.provisioner.cloudAvailable = false
-		l.Log.Info("provisioning call failed, it is repeated", "request", r.request.ID, "err", r.err)
+		leader.provisioner.cloudAvailable = false
+		leader.Log.Info("provisioning call failed, it is repeated", "request", r.request.ID, "err", r.err)
 		if errors.Is(r.err, cloud.ErrInvalidRequest) {
-			l.rejectRequest(r.request, now)
+			leader.rejectRequest(r.request, now)
 		}
 	}
 }
--- a/internal/leader/record_writer.go
+++ b/internal/leader/record_writer.go
@@ -124,7 +124,7 @@
 	job.backOff(now.Add(tuning.MachineBackoff))
 }
 
-func (r commitResult) apply(l *Leader, now time.Time) { l.onCommit(r, now) }
+func (r commitResult) apply(leader *Leader, now time.Time) { leader.onCommit(r, now) }
 
 func (l *Leader) onCommit(result commitResult, now time.Time) {
 	l.writer.inFlight = nil
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -92,7 +92,7 @@
 // statusRequest asks for the latest summary.
 type statusRequest struct{ reply chan Status }
 
-func (r statusRequest) apply(l *Leader, _ time.Time) { r.reply <- l.status.current }
+func (r statusRequest) apply(leader *Leader, _ time.Time) { r.reply <- leader.status.current }
 
 // Status returns the latest summary; ok is false if the term or ctx ends before.
 func (l *Leader) Status(ctx context.Context) (status Status, ok bool) {
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -6,12 +6,12 @@
 type JobID string
 
 // ValidJobID reports whether s has the form of a job ID: "req-" and 1 to 20 digits.
-func ValidJobID(s JobID) bool {
+func ValidJobID(id JobID) bool {
 	const prefix = "req-"
-	if len(s) <= len(prefix) || len(s) > len(prefix)+20 || s[:len(prefix)] != prefix {
+	if len(id) <= len(prefix) || len(id) > len(prefix)+20 || id[:len(prefix)] != prefix {
 		return false
 	}
-	for _, c := range s[len(prefix):] {
+	for _, c := range id[len(prefix):] {
 		if c < '0' || c > '9' {
 			return false
 		}
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -76,12 +76,15 @@
 // loadHeap has the largest load for its weight on top, of equal ones the last.
 type loadHeap []postponedJob
 
+// Len is the number of jobs in the heap.
 func (h loadHeap) Len() int { return len(h) }
 
+// Less puts the largest load for its weight on top, of equals the last job.
 func (h loadHeap) Less(a, b int) bool {
 	return h[a].loadPerWeight > h[b].loadPerWeight || (h[a].loadPerWeight == h[b].loadPerWeight && h[a].position > h[b].position)
 }
 
+// Swap exchanges two jobs.
 func (h loadHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
 // Push is for container/heap.
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -76,8 +76,8 @@
 }
 
 // candidate tells whether a machine of the pool is a candidate, and at what cost.
-func (p *planner) candidate(i int, job *pendingJob, target placementTarget) (c candidate, ok bool) {
-	machine := &p.pool.machines[i]
+func (p *planner) candidate(index int, job *pendingJob, target placementTarget) (c candidate, ok bool) {
+	machine := &p.pool.machines[index]
 	if !target.admits(machine, job.Spec.Image) || !p.snapshot.allowsMachine(job.Spec, machine) {
 		return c, false
 	}
@@ -88,7 +88,7 @@
 	if target == targetReady && p.fetchesTooMuch(machine, job.Spec.Image) {
 		return c, false
 	}
-	return candidate{i, capacity, p.placementCost(machine, job), tieBreak(machine, job)}, true
+	return candidate{index, capacity, p.placementCost(machine, job), tieBreak(machine, job)}, true
 }
 
 // fetchesTooMuch tells whether the machine has so many images to fetch that none should
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -63,9 +63,9 @@
 
 // victimOn finds what has to be preempted on a machine for one task of a job, and tells
 // whether that makes enough capacity.
-func (p *planner) victimOn(i int, job *pendingJob) (victim, bool) {
-	machine := &p.pool.machines[i]
-	found := victim{machine: i, priority: LowestPriority}
+func (p *planner) victimOn(index int, job *pendingJob) (victim, bool) {
+	machine := &p.pool.machines[index]
+	found := victim{machine: index, priority: LowestPriority}
 	free := machine.Free
 	for _, running := range p.lowestPriorityFirst(machine.Tasks) {
 		lower := &p.snapshot.Jobs[running.Job]
@@ -84,7 +84,7 @@
 		if count > 0 {
 			found.lostWork += running.LostWorkS * lower.Request.Cores * float64(count) / float64(running.Count)
 			found.priority = min(found.priority, lower.Priority)
-			found.preemptions = append(found.preemptions, Preemption{i, running.Job, count})
+			found.preemptions = append(found.preemptions, Preemption{index, running.Job, count})
 		}
 	}
 	return found, free.fits(job.Request)
@@ -116,9 +116,9 @@
 
 // addPreemption enters the preemptions in the plan. The capacity that they make is for
 // one task of the job, and the machine is not used for anything else in this plan.
-func (p *planner) addPreemption(v *victim, job *pendingJob) {
-	machine := &p.pool.machines[v.machine]
-	for _, preemption := range v.preemptions {
+func (p *planner) addPreemption(chosen *victim, job *pendingJob) {
+	machine := &p.pool.machines[chosen.machine]
+	for _, preemption := range chosen.preemptions {
 		p.plan.Preemptions = append(p.plan.Preemptions, preemption)
 		taskIndex := slices.IndexFunc(machine.Tasks, func(running RunningTasks) bool { return running.Job == preemption.Job })
 		machine.Tasks = slices.Clone(machine.Tasks)
