--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -38,7 +38,9 @@
 	}
 }
 
-func (r heartbeatRequest) apply(leader *Leader, now time.Time) { r.reply <- leader.onHeartbeat(r.heartbeat, now) }
+func (r heartbeatRequest) apply(leader *Leader, now time.Time) {
+	r.reply <- leader.onHeartbeat(r.heartbeat, now)
+}
 
 // onHeartbeat takes in a heartbeat and returns its answer, nil if there may be none.
 func (l *Leader) onHeartbeat(heartbeat *protocol.Heartbeat, now time.Time) *protocol.HeartbeatReply {
