--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -91,7 +91,7 @@
 		result, err := c.campaign(ctx)
 		switch {
 		case err != nil:
-			c.log.Debug("election", "err", err)
+			c.log.Debug("campaign failed, it is tried again", "err", err)
 			clock.Sleep(ctx, tuning.ElectionRetry)
 		case result.won:
 			c.leadTerm(ctx, result, lead)
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -56,7 +56,7 @@
 // of them takes it within tuning.StepDownPause.
 func (c *Candidate) stepDown(ctx context.Context, lease protocol.LeaseID) {
 	if err := c.store.RevokeLease(ctx, lease); err != nil {
-		c.log.Debug("revoking the lease", "err", err) // it expires by itself
+		c.log.Debug("revoking the lease failed, it expires by itself", "err", err)
 	}
 	start := time.Now()
 	for time.Since(start) < tuning.StepDownPause && clock.Sleep(ctx, tuning.ElectionRetry) {
