--- a/internal/election/cluster_test.go
+++ b/internal/election/cluster_test.go
@@ -37,7 +37,7 @@
 	c := &cluster{t: t, store: fake.NewStore(), network: fake.NewNetwork(seed),
 		ledBy: map[protocol.Term]string{}, writes: map[protocol.Term]int{}}
 	c.network.Listen("store", "store:1", c.store)
-	c.store.OnCommit = c.onCommit
+	c.store.SetOnCommit(c.onCommit)
 	// Runs after the nodes have stopped: their leases expire, and what the store still
 	// holds open ends.
 	t.Cleanup(func() { time.Sleep(tuning.LeadershipTTL + 2*tuning.LeaderWatchHold) })
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -85,12 +85,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
 		var keepAlives atomic.Int32
-		c.store.Slow = func(path string) time.Duration {
+		c.store.SetSlow(func(path string) time.Duration {
 			if strings.HasSuffix(path, keepAlivePath) && keepAlives.Add(1)%2 == 0 {
 				return tuning.StateTimeout
 			}
 			return 0
-		}
+		})
 		nodes := []*node{c.start("a"), c.start("b")}
 		time.Sleep(20 * tuning.LeadershipTTL)
 		if c.checkSettled(nodes); c.newestTerm() != 1 {
--- a/internal/election/faults_test.go
+++ b/internal/election/faults_test.go
@@ -20,19 +20,19 @@
 // newFaults makes the store of a cluster fail while run runs.
 func newFaults(c *cluster, seed uint64) *faults {
 	f := &faults{cluster: c, rng: rand.New(rand.NewPCG(seed, 9))}
-	c.store.LoseReply = func() bool { return f.storeFails(10) }
-	c.store.Late = func() time.Duration {
+	c.store.SetLoseReply(func() bool { return f.storeFails(10) })
+	c.store.SetLate(func() time.Duration {
 		if f.storeFails(6) {
 			return time.Duration(f.intN(10000)) * time.Millisecond
 		}
 		return 0
-	}
-	c.store.Slow = func(string) time.Duration {
+	})
+	c.store.SetSlow(func(string) time.Duration {
 		if f.storeFails(20) {
 			return time.Duration(f.intN(3000)) * time.Millisecond
 		}
 		return 0
-	}
+	})
 	return f
 }
 
--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -11,17 +11,16 @@
 
 // agents holds the machines' agents and what tests set or count for all of them.
 type agents struct {
-	Step          time.Duration              // how often a machine advances its tasks
-	Uneven        float64                    // by which share each task of an array runs longer than the one before
-	OnDone        func(jobID protocol.JobID) // called when the last task of a job has completed
-	Saved         int                        // tasks that stopped with a checkpoint
-	LeaseExpiries int                        // leases that expired while the agent had tasks
-
-	machines map[string]*machineAgent
+	step          time.Duration              // how often a machine advances its tasks
+	uneven        float64                    // by which share each task of an array runs longer than the one before
+	onDone        func(jobID protocol.JobID) // called when the last task of a job has completed
+	saved         int                        // tasks that stopped with a checkpoint
+	leaseExpiries int                        // leases that expired while the agent had tasks
+	machines      map[string]*machineAgent
 }
 
 // defaultStep is fine enough for the times in the rules. A test with thousands of machines
-// may set a longer Environment.Step.
+// may set a longer step.
 const defaultStep = 50 * time.Millisecond
 
 // machineIdentity is what does not change from a machine's provisioning to its removal.
@@ -94,7 +93,7 @@
 	m.env.Network.Listen(m.id, m.addr, http.HandlerFunc(m.serveCommands))
 	go m.sendHeartbeats()
 	for {
-		time.Sleep(m.env.Step)
+		time.Sleep(m.env.currentStep())
 		m.env.mu.Lock()
 		if m.isOver() {
 			m.env.mu.Unlock()
@@ -102,7 +101,7 @@
 		}
 		m.expireLease() // the lease of a hung machine expires all the same
 		if !m.hung {
-			m.advanceTasks(m.env.Step.Seconds())
+			m.advanceTasks(m.env.step.Seconds())
 		}
 		m.env.mu.Unlock()
 	}
@@ -121,7 +120,7 @@
 	}
 	if time.Since(from).Seconds() > m.env.Cfg.Workers.LeaseS {
 		if len(m.tasks) > 0 {
-			m.env.LeaseExpiries++
+			m.env.leaseExpiries++
 		}
 		m.tasks, m.incarnation, m.incarnationStart, m.statusChanged = nil, m.incarnation+1, time.Now(), true
 		m.env.updateGangs()
--- a/internal/fake/agent_heartbeat.go
+++ b/internal/fake/agent_heartbeat.go
@@ -33,7 +33,7 @@
 	client := httpclient.Client{HTTP: &http.Client{Transport: m.env.Network.From(m.env.life, m.id)}}
 	lastSent := longAgo()
 	for {
-		time.Sleep(2 * m.env.Step)
+		time.Sleep(2 * m.env.currentStep())
 		m.env.mu.Lock()
 		if m.isOver() {
 			m.env.mu.Unlock()
@@ -45,7 +45,7 @@
 		}
 		m.statusChanged = false
 		heartbeat := m.heartbeat()
-		addr := m.env.Nodes[m.nodeIndex%len(m.env.Nodes)]
+		addr := m.env.nodes[m.nodeIndex%len(m.env.nodes)]
 		m.env.mu.Unlock()
 		lastSent = time.Now()
 		answer := m.postHeartbeat(client, addr, heartbeat)
@@ -78,7 +78,7 @@
 // heartbeatDue tells whether the next heartbeat is due: after the usual interval, and earlier
 // after a change of the tasks.
 func (m *machineAgent) heartbeatDue(lastSent time.Time) bool {
-	if m.hung || len(m.env.Nodes) == 0 {
+	if m.hung || len(m.env.nodes) == 0 {
 		return false
 	}
 	if time.Since(lastSent).Seconds() >= m.env.Cfg.Workers.ReportS {
@@ -120,7 +120,7 @@
 // is no redirect or it names the node that was asked.
 func (m *machineAgent) indexOfLeader(leader, askedAddr string) int {
 	index := -1
-	for i, addr := range m.env.Nodes {
+	for i, addr := range m.env.nodes {
 		if leader != "" && m.env.nodeAddrs[leader] == addr && addr != askedAddr {
 			index = i
 		}
--- /dev/null
+++ b/internal/fake/agent_settings.go
@@ -0,0 +1,50 @@
+package fake
+
+import (
+	"time"
+
+	"marblehaven/internal/protocol"
+)
+
+// SetStep sets how often a machine advances its tasks.
+func (e *Environment) SetStep(step time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.step = step
+}
+
+// currentStep returns how often a machine advances its tasks.
+func (e *Environment) currentStep() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.step
+}
+
+// SetUneven sets by which share each task of an array runs longer than the one before.
+func (e *Environment) SetUneven(share float64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.uneven = share
+}
+
+// SetOnDone sets a function that is called, in a goroutine of its own, when the last task of a
+// job has completed.
+func (e *Environment) SetOnDone(onDone func(jobID protocol.JobID)) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.onDone = onDone
+}
+
+// SavedCheckpoints returns how many tasks stopped with a checkpoint.
+func (e *Environment) SavedCheckpoints() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.saved
+}
+
+// LeaseExpiries returns how many leases expired while the agent had tasks.
+func (e *Environment) LeaseExpiries() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.leaseExpiries
+}
--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -45,7 +45,7 @@
 		case protocol.TaskSaving:
 			if age >= job.job.CheckpointSaveS {
 				task.checkpointed = true
-				m.env.Saved++
+				m.env.saved++
 				m.exit(task, protocol.ExitStopped)
 			}
 		}
@@ -61,7 +61,7 @@
 	case job.job.Kind == protocol.KindGang:
 		m.setState(task, protocol.TaskWaiting)
 	default:
-		task.remainingS = job.runS * (1 + m.env.Uneven*float64(task.index))
+		task.remainingS = job.runS * (1 + m.env.uneven*float64(task.index))
 		m.setState(task, protocol.TaskRunning)
 	}
 	m.env.checkStart(m, task)
@@ -80,8 +80,8 @@
 	}
 	job.finished[task.index] = true
 	m.exit(task, protocol.ExitDone)
-	if m.env.OnDone != nil && len(job.finished) == job.job.Tasks {
-		go m.env.OnDone(task.jobID)
+	if m.env.onDone != nil && len(job.finished) == job.job.Tasks {
+		go m.env.onDone(task.jobID)
 	}
 }
 
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -18,9 +18,8 @@
 // looks at task starts and at answers to users as they happen, and at all machines and jobs
 // periodically. It reads the fakes' own state, never the controllers'.
 type checker struct {
-	LateStart time.Duration // the longest time from a confirmed cancellation to a start
-
 	env         *Environment
+	lateStart   time.Duration // the longest time from a confirmed cancellation to a start
 	records     *runRecordReader
 	violations  []string
 	faultsEnded bool // the test causes no more faults
@@ -43,6 +42,13 @@
 	return slices.Clone(c.violations)
 }
 
+// LateStart returns the longest time from a confirmed cancellation to a start.
+func (c *checker) LateStart() time.Duration {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	return c.lateStart
+}
+
 // addViolation records a violation. The caller holds the mutex.
 func (c *checker) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
@@ -62,7 +68,7 @@
 		c.addViolation("too_early: %s/%d on %s at %v", task.jobID, task.index, machine.id, time.Now())
 	}
 	if !job.cancelConfirmed.IsZero() {
-		c.LateStart = max(c.LateStart, time.Since(job.cancelConfirmed))
+		c.lateStart = max(c.lateStart, time.Since(job.cancelConfirmed))
 	}
 	c.checkCancelledTask(machine, task)
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -26,12 +26,11 @@
 // cloud simulates the cloud's HTTP interface: it provisions machines within the capacity that a
 // test sets, removes them, and lists them late, as the protocol allows.
 type cloud struct {
-	Calls     map[string]int         // number of calls by path
-	LoseReply func(path string) bool // picks the calls whose answers are lost
-	CloudDown bool                   // every call gets 503 "trouble"
-	PageMost  int                    // machines in a page of the list at most; 0: as many as asked for
-
 	env         *Environment
+	calls       map[string]int                    // number of calls by path
+	loseReply   func(path string, calls int) bool // picks the calls whose answers are lost
+	down        bool                              // every call gets 503 "trouble"
+	maxPageSize int                               // machines in a page of the list at most; 0: as many as asked for
 	types       map[string]protocol.MachineType
 	capacity    map[string]int // by type, zone and kind; absent: unlimited
 	provisioned map[string][]string
@@ -41,8 +40,8 @@
 // newCloud makes a cloud with plenty of machines of each type.
 func newCloud(env *Environment, types []protocol.MachineType) *cloud {
 	c := &cloud{
-		Calls:       map[string]int{},
 		env:         env,
+		calls:       map[string]int{},
 		types:       map[string]protocol.MachineType{},
 		capacity:    map[string]int{},
 		provisioned: map[string][]string{},
@@ -55,9 +54,34 @@
 
 // Limit sets the capacity of a pool: how many machines of a type, zone and kind there may be.
 func (c *cloud) Limit(machineType, zone string, spot bool, count int) {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
 	c.capacity[fmt.Sprint(machineType, zone, spot)] = count
 }
 
+// SetCloudDown makes the cloud answer every call with 503, until it is called again with false.
+func (c *cloud) SetCloudDown(down bool) {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	c.down = down
+}
+
+// SetLoseCloudReply sets a function that picks the calls whose answers are lost, by their path
+// and the number of calls on it so far. It is called with the environment's mutex held.
+func (c *cloud) SetLoseCloudReply(loseReply func(path string, calls int) bool) {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	c.loseReply = loseReply
+}
+
+// SetCloudMaxPageSize sets how many machines a page of the list holds at most; 0: as many as
+// asked for.
+func (c *cloud) SetCloudMaxPageSize(size int) {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	c.maxPageSize = size
+}
+
 // MachinesProvisioned returns how many machines were ever provisioned.
 func (c *cloud) MachinesProvisioned() int {
 	c.env.mu.Lock()
@@ -65,18 +89,19 @@
 	return c.nextID
 }
 
-// serveCloud answers a call. If LoseReply picks it, the call is carried out and its answer lost.
+// serveCloud answers a call. If the hook loseReply picks it, the call is carried out and its
+// answer lost.
 func (c *cloud) serveCloud(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
-	c.Calls[r.URL.Path]++
-	if c.CloudDown {
+	c.calls[r.URL.Path]++
+	if c.down {
 		writeReply(w, http.StatusServiceUnavailable, protocol.ErrorReply{Error: "trouble"})
 		return
 	}
 	status, reply := c.dispatchCloudCall(r, body)
-	if c.LoseReply != nil && c.LoseReply(r.URL.Path) {
+	if c.loseReply != nil && c.loseReply(r.URL.Path, c.calls[r.URL.Path]) {
 		status, reply = http.StatusBadGateway, nil
 	}
 	writeReply(w, status, reply)
@@ -184,8 +209,8 @@
 	if err != nil {
 		limit = len(list.Machines)
 	}
-	if c.PageMost > 0 {
-		limit = min(limit, c.PageMost)
+	if c.maxPageSize > 0 {
+		limit = min(limit, c.maxPageSize)
 	}
 	if len(list.Machines) > limit {
 		list.Machines, list.More = list.Machines[:limit], true
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -31,18 +31,18 @@
 // and the cloud on the network. The environment ends with ctx.
 func NewEnvironment(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *Environment {
 	e := &Environment{
-		Network:        net,
-		Store:          NewStore(),
-		Cfg:            cfg,
-		agents:         agents{machines: map[string]*machineAgent{}, Step: defaultStep},
-		workloadClient: &workloadClient{Network: net, life: ctx},
-		life:           ctx,
-		jobs:           map[protocol.JobID]*userJob{},
-		nodeAddrs:      map[string]string{},
+		Network:   net,
+		Store:     NewStore(),
+		Cfg:       cfg,
+		agents:    agents{machines: map[string]*machineAgent{}, step: defaultStep},
+		life:      ctx,
+		jobs:      map[protocol.JobID]*userJob{},
+		nodeAddrs: map[string]string{},
 	}
 	e.cloud = newCloud(e, types)
+	e.workloadClient = &workloadClient{env: e}
 	e.checker = &checker{env: e, records: newRunRecordReader(e.Store)}
-	e.Store.MaxOps, e.Store.MaxValue = cfg.State.TxnOps, int(cfg.State.ValueKB*1024)
+	e.Store.maxOps, e.Store.maxValue = cfg.State.TxnOps, int(cfg.State.ValueKB*1024)
 	net.Listen("state", "state:1", e.Store)
 	net.Listen("cloud", "cloud:1", http.HandlerFunc(e.serveCloud))
 	go e.checkPeriodically(ctx)
@@ -54,7 +54,7 @@
 func (e *Environment) AddNode(name, addr string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Nodes = append(e.Nodes, addr)
+	e.nodes = append(e.nodes, addr)
 	e.nodeAddrs[name] = addr
 }
 
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -20,11 +20,8 @@
 	cuts            map[[2]string]*linkCut
 	inboundBlocked  map[string]*linkCut // hosts that no message reaches
 	outboundBlocked map[string]bool     // hosts that cannot open connections
-	// Delay returns how much longer than usual a message takes; nil: no longer.
-	Delay func(from, to string) time.Duration
-	// Repeat makes some requests on a path arrive twice, the second time later by up
-	// to the given duration.
-	Repeat map[string]time.Duration
+	delay           func(from, to string) time.Duration
+	repeat          map[string]time.Duration // by path
 }
 
 // NewNetwork makes a network without hosts.
@@ -62,8 +59,8 @@
 // long as the link holds messages. It fails if the link resets connections.
 func (n *Network) awaitDelivery(from, to string) error {
 	time.Sleep(time.Millisecond + time.Duration(n.randomFloat()*float64(4*time.Millisecond)))
-	if n.Delay != nil {
-		time.Sleep(n.Delay(from, to))
+	if delay := n.currentDelay(); delay != nil {
+		time.Sleep(delay(from, to))
 	}
 	for {
 		cut := n.cut(from, to)
--- a/internal/fake/network_faults.go
+++ b/internal/fake/network_faults.go
@@ -2,6 +2,7 @@
 
 import (
 	"sync"
+	"time"
 )
 
 // Cut is what a cut link does to messages.
@@ -71,6 +72,29 @@
 	return sync.OnceFunc(func() { set(false) })
 }
 
+// SetDelay sets a function that returns how much longer than usual a message takes; nil: no
+// longer. It is called without the network's mutex.
+func (n *Network) SetDelay(delay func(from, to string) time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.delay = delay
+}
+
+// currentDelay returns the function that SetDelay has set, or nil.
+func (n *Network) currentDelay() func(from, to string) time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.delay
+}
+
+// SetRepeat makes some requests on the given paths arrive twice, the second time later by up
+// to the duration given for the path.
+func (n *Network) SetRepeat(maxDelays map[string]time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.repeat = maxDelays
+}
+
 // cut returns the cut that a message from one host to another meets, or nil.
 func (n *Network) cut(from, to string) *linkCut {
 	n.mu.Lock()
--- a/internal/fake/network_transport.go
+++ b/internal/fake/network_transport.go
@@ -89,7 +89,7 @@
 	return roundTripResult{recorder.Result(), nil}
 }
 
-// duplicateProbability is the probability that a request on a path in Repeat arrives twice.
+// duplicateProbability is the probability that a request on a path of SetRepeat arrives twice.
 const duplicateProbability = 0.2
 
 // receive returns the handler of a request, and decides whether the request will arrive a
@@ -98,7 +98,7 @@
 func (n *Network) receive(req *http.Request) (handler http.Handler, duplicated bool, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	maxDelay, repeatable := n.Repeat[req.URL.Path]
+	maxDelay, repeatable := n.repeat[req.URL.Path]
 	duplicated = repeatable && n.random.Float64() < duplicateProbability
 	return n.handlers[req.URL.Host], duplicated, maxDelay
 }
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -27,13 +27,10 @@
 // Store simulates the key-value store: versioned keys, transactions with preconditions, leases
 // and watches, over the HTTP interface of the protocol.
 type Store struct {
-	StoreLimits
-	StoreFaults
-
-	// OnCommit is called after every transaction that was carried out.
-	OnCommit func(transaction *protocol.Transaction)
-
-	mu        sync.Mutex
+	mu sync.Mutex // guards all that follows
+	storeLimits
+	storeFaults
+	onCommit  func(transaction *protocol.Transaction)
 	revision  protocol.Revision
 	keys      map[string]storeEntry
 	leases    map[protocol.LeaseID]*storeLease
@@ -45,14 +42,22 @@
 // NewStore makes an empty store.
 func NewStore() *Store {
 	return &Store{
-		StoreLimits: StoreLimits{Refusals: map[int]int{}},
-		StoreFaults: StoreFaults{unavailable: map[string]bool{}},
+		storeLimits: storeLimits{refusals: map[int]int{}},
+		storeFaults: storeFaults{unavailable: map[string]bool{}},
 		keys:        map[string]storeEntry{},
 		leases:      map[protocol.LeaseID]*storeLease{},
 		changed:     make(chan struct{}),
 	}
 }
 
+// SetOnCommit sets a function that is called after every transaction that was carried out. It
+// is called with the store's mutex held, so it must not call the store.
+func (s *Store) SetOnCommit(onCommit func(transaction *protocol.Transaction)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.onCommit = onCommit
+}
+
 // Put stores a record directly, as an earlier process would have left it.
 func (s *Store) Put(key string, value any) {
 	raw, err := codec.Marshal(value)
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -6,23 +6,62 @@
 	"marblehaven/internal/protocol"
 )
 
-// StoreFaults is what a test makes go wrong with the store's calls.
-type StoreFaults struct {
-	// LoseReply picks transactions that are carried out and not answered.
-	LoseReply func() bool
-	// Fault picks what goes wrong with a transaction, before its preconditions are checked.
-	Fault func(transaction *protocol.Transaction) Fault
-	// Late returns by how much a transaction, which then gets no answer, is carried out
-	// late; 0: not late.
-	Late func() time.Duration
-	// Slow returns how long a call on a path waits before it is handled.
-	Slow func(path string) time.Duration
-	// LoseEvent picks keys whose changes watches do not see.
-	LoseEvent func(key string) bool
-
+// storeFaults is what a test makes go wrong with the store's calls. All functions but slow are
+// called with the store's mutex held, so they must not call the store.
+type storeFaults struct {
+	loseReply   func() bool
+	fault       func(transaction *protocol.Transaction) Fault
+	late        func() time.Duration
+	slow        func(path string) time.Duration
+	loseEvent   func(key string) bool
 	unavailable map[string]bool // hosts that get 503; "" stands for all hosts
 }
 
+// SetLoseReply sets a function that picks transactions that are carried out and not answered.
+func (s *Store) SetLoseReply(loseReply func() bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.loseReply = loseReply
+}
+
+// SetFault sets a function that picks what goes wrong with a transaction, before its
+// preconditions are checked.
+func (s *Store) SetFault(fault func(transaction *protocol.Transaction) Fault) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.fault = fault
+}
+
+// SetLate sets a function that returns by how much a transaction, which then gets no answer, is
+// carried out late; 0: not late.
+func (s *Store) SetLate(late func() time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.late = late
+}
+
+// SetSlow sets a function that returns how long a call on a path waits before it is handled. It
+// is called without the store's mutex, and by several goroutines at a time.
+func (s *Store) SetSlow(slow func(path string) time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.slow = slow
+}
+
+// currentSlow returns the function that SetSlow has set, or nil.
+func (s *Store) currentSlow() func(path string) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.slow
+}
+
+// SetLoseEvent sets a function that picks keys whose changes watches do not see.
+func (s *Store) SetLoseEvent(loseEvent func(key string) bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.loseEvent = loseEvent
+}
+
 // Fault is what goes wrong with a transaction.
 type Fault int
 
@@ -54,6 +93,6 @@
 }
 
 // isUnavailableTo tells whether the store answers 503 to a host.
-func (f *StoreFaults) isUnavailableTo(host string) bool {
+func (f *storeFaults) isUnavailableTo(host string) bool {
 	return f.unavailable[""] || f.unavailable[host]
 }
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -20,8 +20,8 @@
 // ServeHTTP implements the protocol of the key-value store, after the faults and limits that a
 // test has set.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.Slow != nil {
-		time.Sleep(s.Slow(r.URL.Path))
+	if slow := s.currentSlow(); slow != nil {
+		time.Sleep(slow(r.URL.Path))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,8 +101,8 @@
 
 // pageSize returns how many keys a page holds if the caller asks for the given number.
 func (s *Store) pageSize(limit int) int {
-	if s.PageMost > 0 {
-		return min(limit, s.PageMost)
+	if s.maxPageSize > 0 {
+		return min(limit, s.maxPageSize)
 	}
 	return min(limit, defaultPageSize)
 }
--- a/internal/fake/store_limits.go
+++ b/internal/fake/store_limits.go
@@ -8,14 +8,14 @@
 	"marblehaven/internal/config"
 )
 
-// StoreLimits is what the store accepts at most, and counts what it refused.
-type StoreLimits struct {
-	// MaxOps and MaxValue limit a transaction's mutations and the bytes of a value; 0: no limit.
-	MaxOps, MaxValue int
-	// PageMost is how many keys a page of a list has at most; 0: as many as the protocol allows.
-	PageMost int
-	// Refusals counts the transactions that the limits refused, by status.
-	Refusals map[int]int
+// storeLimits is what the store accepts at most, and counts what it refused.
+type storeLimits struct {
+	// maxOps and maxValue limit a transaction's mutations and the bytes of a value; 0: no limit.
+	maxOps, maxValue int
+	// maxPageSize is how many keys a page of a list has at most; 0: as many as the protocol allows.
+	maxPageSize int
+	// refusals counts the transactions that the limits refused, by status.
+	refusals map[int]int
 
 	// limitsLowered is set once the limits were lowered without notice. From then on a
 	// transaction beyond a limit gets 400, and one beyond the rate of writes gets 429.
@@ -32,10 +32,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limitsLowered = true
-	s.MaxOps, s.MaxValue = limits.TxnOps, limits.ValueBytes()
+	s.maxOps, s.maxValue = limits.TxnOps, limits.ValueBytes()
 	s.writeRate = rate.NewLimiter(rate.Limit(limits.WriteRPS), int(limits.WriteRPS))
 }
 
+// SetMaxPageSize sets how many keys a page of a list has at most; 0: as many as the protocol
+// allows.
+func (s *Store) SetMaxPageSize(size int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.maxPageSize = size
+}
+
+// Refusals returns how many transactions the limits refused with a status.
+func (s *Store) Refusals(status int) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.refusals[status]
+}
+
 // LimitRequests sets how many requests per second are served.
 func (s *Store) LimitRequests(rps float64) {
 	s.mu.Lock()
@@ -51,7 +66,7 @@
 }
 
 // admitRequest counts a request and tells whether it is within the rate limit.
-func (l *StoreLimits) admitRequest() bool {
+func (l *storeLimits) admitRequest() bool {
 	l.requestCount++
 	if l.requestRate != nil && !l.requestRate.Allow() {
 		l.throttledCount++
@@ -61,6 +76,6 @@
 }
 
 // admitMutations tells whether the given number of mutations is within the rate limit of writes.
-func (l *StoreLimits) admitMutations(count int) bool {
+func (l *storeLimits) admitMutations(count int) bool {
 	return l.writeRate == nil || l.writeRate.AllowN(time.Now(), count)
 }
--- a/internal/fake/store_transaction.go
+++ b/internal/fake/store_transaction.go
@@ -35,11 +35,11 @@
 }
 
 // commitNowOrLate carries a transaction out, or leaves it unanswered and carries it out after
-// the delay that Late returns. Newer transactions may overtake it.
+// the delay that the hook late returns. Newer transactions may overtake it.
 func (s *Store) commitNowOrLate(w http.ResponseWriter, body []byte) {
 	var delay time.Duration
-	if s.Late != nil {
-		delay = s.Late()
+	if s.late != nil {
+		delay = s.late()
 	}
 	if delay <= 0 {
 		s.commit(w, body)
@@ -62,8 +62,8 @@
 		return
 	}
 	fault := None
-	if s.Fault != nil {
-		fault = s.Fault(transaction.withoutValues())
+	if s.fault != nil {
+		fault = s.fault(transaction.withoutValues())
 	}
 	if refusedByFault(w, fault) || s.refusedByLimits(w, &transaction, len(body)) {
 		return
@@ -73,10 +73,10 @@
 		return
 	}
 	s.apply(&transaction)
-	if s.OnCommit != nil {
-		s.OnCommit(transaction.withoutValues())
+	if s.onCommit != nil {
+		s.onCommit(transaction.withoutValues())
 	}
-	if fault == AnswerLost || (s.LoseReply != nil && s.LoseReply()) {
+	if fault == AnswerLost || (s.loseReply != nil && s.loseReply()) {
 		writeReply(w, http.StatusBadGateway, nil)
 		return
 	}
@@ -109,10 +109,10 @@
 	case violation != "" && !s.limitsLowered:
 		panic(violation)
 	case violation != "":
-		s.Refusals[http.StatusBadRequest]++
+		s.refusals[http.StatusBadRequest]++
 		writeReply(w, http.StatusBadRequest, protocol.ErrorReply{Error: violation})
 	case !s.admitMutations(len(transaction.Mutations)):
-		s.Refusals[http.StatusTooManyRequests]++
+		s.refusals[http.StatusTooManyRequests]++
 		writeReply(w, http.StatusTooManyRequests, nil)
 	default:
 		return false
@@ -130,7 +130,7 @@
 func (s *Store) limitViolation(transaction *storeTransaction, encodedBytes int) string {
 	violation := ""
 	preconditions, mutations := len(transaction.Preconditions), len(transaction.Mutations)
-	if s.MaxOps > 0 && (mutations > s.MaxOps || preconditions > 4*s.MaxOps) {
+	if s.maxOps > 0 && (mutations > s.maxOps || preconditions > 4*s.maxOps) {
 		violation = fmt.Sprintf("commit of %d changes, %d guards", mutations, preconditions)
 	}
 	size := 0
@@ -140,7 +140,7 @@
 	for _, mutation := range transaction.Mutations {
 		valueSize := jsonSize(mutation.Value)
 		size += valueSize + len(mutation.Set) + len(mutation.Delete) + overheadPerKey
-		if s.MaxValue > 0 && valueSize > s.MaxValue {
+		if s.maxValue > 0 && valueSize > s.maxValue {
 			violation = fmt.Sprintf("value of %d bytes at %s", valueSize, mutation.Set)
 		}
 	}
--- a/internal/fake/store_watch.go
+++ b/internal/fake/store_watch.go
@@ -39,7 +39,7 @@
 		if change.event.Version.Revision() <= after || !strings.HasPrefix(change.key, prefix) {
 			continue
 		}
-		if s.LoseEvent != nil && s.LoseEvent(change.key) {
+		if s.loseEvent != nil && s.loseEvent(change.key) {
 			continue
 		}
 		reply.Events = append(reply.Events, change.event)
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net/http"
+	"slices"
 	"time"
 
 	"marblehaven/internal/httpclient"
@@ -127,11 +128,33 @@
 
 // workloadClient sends the users' requests to the controllers.
 type workloadClient struct {
-	Network *Network
-	Nodes   []string // addresses of the controllers' nodes
-	Asked   []string // the nodes that users ask; nil: all
+	env   *Environment
+	nodes []string // addresses of the controllers' nodes
+	asked []string // the nodes that users ask; nil: all
+}
+
+// NodeAddrs returns the addresses of the controllers' nodes.
+func (w *workloadClient) NodeAddrs() []string {
+	w.env.mu.Lock()
+	defer w.env.mu.Unlock()
+	return slices.Clone(w.nodes)
+}
 
-	life context.Context
+// SetAskedNodes sets the addresses of the nodes that users ask; without any, they ask all nodes.
+func (w *workloadClient) SetAskedNodes(addrs ...string) {
+	w.env.mu.Lock()
+	defer w.env.mu.Unlock()
+	w.asked = addrs
+}
+
+// askedNodes returns the addresses of the nodes that users ask.
+func (w *workloadClient) askedNodes() []string {
+	w.env.mu.Lock()
+	defer w.env.mu.Unlock()
+	if w.asked != nil {
+		return w.asked
+	}
+	return w.nodes
 }
 
 // ask sends a request to a random node, and retries until it gets an answer other than "try
@@ -139,21 +162,18 @@
 func (w *workloadClient) ask(method, path string, in any, each, total time.Duration) (int, protocol.JobStatus) {
 	start := time.Now()
 	for {
-		nodes := w.Nodes
-		if w.Asked != nil {
-			nodes = w.Asked
-		}
-		addr := nodes[int(w.Network.randomFloat()*float64(len(nodes)))]
-		ctx, cancel := context.WithTimeout(w.life, each)
+		nodes := w.askedNodes()
+		addr := nodes[int(w.env.Network.randomFloat()*float64(len(nodes)))]
+		ctx, cancel := context.WithTimeout(w.env.life, each)
 		var st protocol.JobStatus
-		client := httpclient.Client{HTTP: &http.Client{Transport: w.Network.From(w.life, "users")}}
+		client := httpclient.Client{HTTP: &http.Client{Transport: w.env.Network.From(w.env.life, "users")}}
 		status := answeredStatus(client.Do(ctx, httpclient.Request{Method: method, URL: "http://" + addr + path, Body: in,
 			Responses: map[int]any{http.StatusOK: &st, http.StatusCreated: &st}}))
 		cancel()
 		if status != 0 && status != http.StatusTooManyRequests && status < http.StatusInternalServerError {
 			return status, st
 		}
-		if w.life.Err() != nil || time.Since(start) > total {
+		if w.env.life.Err() != nil || time.Since(start) > total {
 			return status, st
 		}
 		time.Sleep(time.Second)
--- a/internal/kvstore/commit_test.go
+++ b/internal/kvstore/commit_test.go
@@ -41,7 +41,7 @@
 	network.Listen("state", "state:1", w.state)
 	limits := config.State{StateLimits: config.StateLimits{ValueKB: 32, TxnOps: 20}}
 	w.client = kvstore.New("state:1", network.From(t.Context(), "leader"), httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), limits)
-	w.state.OnCommit = func(txn *protocol.Transaction) {
+	w.state.SetOnCommit(func(txn *protocol.Transaction) {
 		for _, precondition := range txn.Preconditions {
 			var number int
 			if _, err := fmt.Sscanf(precondition.Key, "number/%d", &number); err == nil {
@@ -50,7 +50,7 @@
 				w.mu.Unlock()
 			}
 		}
-	}
+	})
 	w.newTerm()
 	return w
 }
@@ -171,16 +171,16 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newWriter(t, seed)
 			faults := rand.New(rand.NewPCG(seed, 4)) // the store asks for one fault at a time
-			w.state.Fault = func(*protocol.Transaction) fake.Fault {
+			w.state.SetFault(func(*protocol.Transaction) fake.Fault {
 				return []fake.Fault{fake.None, fake.None, fake.None, fake.AnswerLost,
 					fake.NotExecuted, fake.OverLimit, fake.Throttled}[faults.IntN(7)]
-			}
-			w.state.Late = func() time.Duration {
+			})
+			w.state.SetLate(func() time.Duration {
 				if faults.IntN(6) > 0 {
 					return 0
 				}
 				return time.Duration(100+faults.IntN(10000)) * time.Millisecond
-			}
+			})
 			for range 40 {
 				w.step()
 			}
--- a/internal/server/cancellation_outage_cases_test.go
+++ b/internal/server/cancellation_outage_cases_test.go
@@ -10,12 +10,12 @@
 // slowWatch makes the leader's watch calls slow, as calls now and then are, so that
 // they do not bring it a confirmation any more until nothing is served.
 func slowWatch(c *testCluster) {
-	c.env.Store.Slow = func(path string) time.Duration {
+	c.env.Store.SetSlow(func(path string) time.Duration {
 		if path == "/follow" {
 			return 1400 * time.Millisecond
 		}
 		return 0
-	}
+	})
 	time.Sleep(2 * time.Second)
 }
 
@@ -37,15 +37,15 @@
 	slowWatch(c)
 	// The one that committed it ends before it can answer.
 	other := c.others(leader)[0]
-	c.env.Store.LoseReply = func() bool { return true }
-	c.env.Asked = []string{c.addressOf(other)}
+	c.env.Store.SetLoseReply(func() bool { return true })
+	c.env.SetAskedNodes(c.addressOf(other))
 	go c.env.Cancel("req-000001")
 	time.Sleep(30 * time.Millisecond)
-	c.env.Store.LoseReply = nil
+	c.env.Store.SetLoseReply(nil)
 	c.kill(other)
-	c.env.Asked = []string{c.addressOf(leader)}
+	c.env.SetAskedNodes(c.addressOf(leader))
 	c.until("it is called cancelled", time.Second, func() bool { return c.phase("req-000001") == protocol.PhaseCancelled })
-	c.env.Asked = nil
+	c.env.SetAskedNodes()
 	c.boot(other)
 }
 
@@ -83,12 +83,12 @@
 func cancelAtControllerWithLateAnswers(c *testCluster, leader string) {
 	slowWatch(c)
 	other := c.others(leader)[0]
-	c.network.Delay = func(from, to string) time.Duration {
+	c.network.SetDelay(func(from, to string) time.Duration {
 		if from == other && to == leader {
 			return 900 * time.Millisecond
 		}
 		return 0
-	}
+	})
 	time.Sleep(500 * time.Millisecond) // it is asked, and answers before it confirms
 	c.cancelAt(other, "req-000001")
 }
@@ -105,13 +105,13 @@
 func cancelByLateCommit(c *testCluster, leader string) {
 	other := c.others(leader)[0]
 	n := 0
-	c.env.Store.Late = func() time.Duration {
+	c.env.Store.SetLate(func() time.Duration {
 		if n++; n == 1 {
 			return 3 * time.Second
 		}
 		return 0
-	}
-	c.env.Store.LoseEvent = func(key string) bool { return key == "o/req-000001" }
+	})
+	c.env.Store.SetLoseEvent(func(key string) bool { return key == "o/req-000001" })
 	c.cancelAt(other, "req-000001")
 }
 
--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -61,11 +61,11 @@
 	})
 	time.Sleep(20*time.Second + time.Duration(seed)*370*time.Millisecond)
 	keep := c.env.MachinesOf("req-000002")
-	expiriesBefore := c.env.LeaseExpiries
+	expiriesBefore := c.env.LeaseExpiries()
 	leader := c.leader()
 	tc.before(c, leader)
 	c.env.Store.Refuse("", true)
-	c.env.Store.Slow = nil
+	c.env.Store.SetSlow(nil)
 	if tc.during != nil {
 		tc.during(c, leader)
 	}
@@ -86,8 +86,8 @@
 	if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 		c.t.Errorf("cancelled, still on %v", on)
 	}
-	if on := c.env.MachinesOf("req-000002"); tc.othersContinue && (!slices.Equal(on, keep) || c.env.LeaseExpiries > expiriesBefore) {
-		c.t.Errorf("%d leases ran out; the other service was on %v and is on %v", c.env.LeaseExpiries-expiriesBefore, keep, on)
+	if on := c.env.MachinesOf("req-000002"); tc.othersContinue && (!slices.Equal(on, keep) || c.env.LeaseExpiries() > expiriesBefore) {
+		c.t.Errorf("%d leases ran out; the other service was on %v and is on %v", c.env.LeaseExpiries()-expiriesBefore, keep, on)
 	}
 }
 
--- a/internal/server/chain_cancellation_test.go
+++ b/internal/server/chain_cancellation_test.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"slices"
 	"testing"
 	"time"
 
@@ -22,8 +21,8 @@
 		c.installAbsentLeader()
 		c.env.Cancel(jobIDs[0])
 		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
-		for _, addr := range slices.Clone(c.env.Nodes) {
-			c.env.Asked = []string{addr}
+		for _, addr := range c.env.NodeAddrs() {
+			c.env.SetAskedNodes(addr)
 			for _, jobID := range jobIDs {
 				if got := c.phase(jobID); got != protocol.PhaseCancelled {
 					t.Errorf("%s is %s at %s", jobID, got, addr)
@@ -60,12 +59,12 @@
 		}
 		last := dependingOn(arrayJob(2000, "stage", 1), before...)
 		c.submit(last, 5)
-		c.env.Store.PageMost = 40
+		c.env.Store.SetMaxPageSize(40)
 		c.installAbsentLeader()
 		c.env.Cancel(testJobID(1))
 		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
-		for _, addr := range slices.Clone(c.env.Nodes) {
-			c.env.Asked = []string{addr}
+		for _, addr := range c.env.NodeAddrs() {
+			c.env.SetAskedNodes(addr)
 			for _, jobID := range []protocol.JobID{testJobID(deep), last.ID, testJobID(deep / 2), before[5]} {
 				if got := c.phase(jobID); got != protocol.PhaseCancelled {
 					t.Errorf("%s is %s at %s", jobID, got, addr)
--- a/internal/server/chaos_failures_test.go
+++ b/internal/server/chaos_failures_test.go
@@ -150,8 +150,8 @@
 // commitLate makes the key-value store execute some transactions late, after their
 // senders have given up waiting for the answer.
 func (r *chaosRun) commitLate(chaosTarget) {
-	r.env.Store.Late = r.lateCommits(0.15)
-	r.later(r.seconds(5, 30), func() { r.env.Store.Late = nil })
+	r.env.Store.SetLate(r.lateCommits(0.15))
+	r.later(r.seconds(5, 30), func() { r.env.Store.SetLate(nil) })
 }
 
 // hangMachineInCommand stops a machine between a command and its answer.
@@ -198,6 +198,6 @@
 // failCommits makes the key-value store lose answers of transactions, and refuse some
 // that are sent again.
 func (r *chaosRun) failCommits(chaosTarget) {
-	r.env.Store.Fault = r.faultyCommits()
-	r.later(r.seconds(5, 40), func() { r.env.Store.Fault = nil })
+	r.env.Store.SetFault(r.faultyCommits())
+	r.later(r.seconds(5, 40), func() { r.env.Store.SetFault(nil) })
 }
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -106,12 +106,13 @@
 // configure lets the network repeat requests, the cloud run out of machines, and lists
 // have several pages, as at production size.
 func (r *chaosRun) configure() {
-	r.network.Repeat = map[string]time.Duration{"/do": 20 * time.Second, "/hello": 40 * time.Second, "/commit": 20 * time.Second,
-		"/rentals": 20 * time.Second, "/rentals/return": 20 * time.Second, "/v1/jobs": 60 * time.Second}
+	r.network.SetRepeat(map[string]time.Duration{"/do": 20 * time.Second, "/hello": 40 * time.Second, "/commit": 20 * time.Second,
+		"/rentals": 20 * time.Second, "/rentals/return": 20 * time.Second, "/v1/jobs": 60 * time.Second})
 	r.env.Limit("small", "a", true, 2)
 	r.env.Limit("big", "a", true, 1)
 	r.env.Limit("big", "b", false, 3)
-	r.env.Store.PageMost, r.env.PageMost = 1+r.rng.IntN(20), 1+r.rng.IntN(5)
+	r.env.Store.SetMaxPageSize(1 + r.rng.IntN(20))
+	r.env.SetCloudMaxPageSize(1 + r.rng.IntN(5))
 }
 
 // seconds draws a number of whole seconds from low up to, but without, high.
--- a/internal/server/cluster_jobs_test.go
+++ b/internal/server/cluster_jobs_test.go
@@ -118,11 +118,11 @@
 // cancelAt cancels a job at one controller and checks that it is told so.
 func (c *testCluster) cancelAt(name string, jobID protocol.JobID) {
 	c.t.Helper()
-	c.env.Asked = []string{c.addressOf(name)}
+	c.env.SetAskedNodes(c.addressOf(name))
 	if st, s := c.env.Cancel(jobID); st != 200 || s.Phase != protocol.PhaseCancelled {
 		c.t.Errorf("withdrawing %s: %d %q", jobID, st, s.Phase)
 	}
-	c.env.Asked = nil
+	c.env.SetAskedNodes()
 }
 
 // phase returns the phase that a user of the job is told.
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -66,7 +66,7 @@
 		}
 		c.log = slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
 		c.env = fake.NewEnvironment(ctx, c.network, dep, testTypes)
-		c.env.Store.OnCommit = c.checkPreconditions
+		c.env.Store.SetOnCommit(c.checkPreconditions)
 		for i, name := range names {
 			c.env.AddNode(name, fmt.Sprintf("10.0.0.%d:80", i+1))
 			c.boot(name)
@@ -169,7 +169,9 @@
 }
 
 // addressOf returns the address at which a controller serves users.
-func (c *testCluster) addressOf(name string) string { return c.env.Nodes[slices.Index(c.names, name)] }
+func (c *testCluster) addressOf(name string) string {
+	return c.env.NodeAddrs()[slices.Index(c.names, name)]
+}
 
 // others returns all controllers but one.
 func (c *testCluster) others(name string) []string {
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -93,9 +93,12 @@
 			c.boot(n)
 		}
 	}
-	c.env.Store.Slow, c.env.Store.Late, c.env.Store.LoseReply, c.env.Store.LoseEvent = nil, nil, nil, nil
-	c.network.Delay = nil
-	c.env.CloudDown = false
+	c.env.Store.SetSlow(nil)
+	c.env.Store.SetLate(nil)
+	c.env.Store.SetLoseReply(nil)
+	c.env.Store.SetLoseEvent(nil)
+	c.network.SetDelay(nil)
+	c.env.SetCloudDown(false)
 	c.heal()
 	c.env.EndTroubles()
 	c.expectAnswers(c.jobs...)
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -34,7 +34,7 @@
 	)
 	at := nothing
 	ch := make(chan struct{})
-	c.env.Store.Fault = func(txn *protocol.Transaction) fake.Fault {
+	c.env.Store.SetFault(func(txn *protocol.Transaction) fake.Fault {
 		switch {
 		case at == nothing && changesAll(txn, first):
 			at = carriedOut
@@ -48,13 +48,13 @@
 			return fake.NotExecuted
 		}
 		return fake.None
-	}
+	})
 	return ch
 }
 
 // cancelWithoutEvent cancels a job without the leader's hearing of it by an event.
 func (c *testCluster) cancelWithoutEvent(jobID protocol.JobID) protocol.JobStatus {
-	c.env.Store.LoseEvent = func(key string) bool { return key == records.OpenKey(jobID) }
+	c.env.Store.SetLoseEvent(func(key string) bool { return key == records.OpenKey(jobID) })
 	_, status := c.env.Cancel(jobID)
 	return status
 }
--- a/internal/server/compound_failures_test.go
+++ b/internal/server/compound_failures_test.go
@@ -40,8 +40,8 @@
 				run(t, 300+seed, func(c *testCluster) {
 					tc.play(c, seed%3)
 					c.expectRecovery()
-					if c.env.LateStart > lateStartLimit {
-						t.Errorf("a task started %v after its cancellation was confirmed", c.env.LateStart)
+					if c.env.LateStart() > lateStartLimit {
+						t.Errorf("a task started %v after its cancellation was confirmed", c.env.LateStart())
 					}
 				})
 			}
--- a/internal/server/compound_leader_cases_test.go
+++ b/internal/server/compound_leader_cases_test.go
@@ -25,7 +25,7 @@
 // refuses everybody.
 func tenLeaders(c *testCluster, variant uint64) {
 	c.startWorkload()
-	c.network.Repeat = map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 10 * time.Second}
+	c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 10 * time.Second})
 	for i := range 10 {
 		if l := c.killLeader(); l != "" {
 			time.Sleep(time.Duration(i) * 200 * time.Millisecond)
@@ -59,7 +59,7 @@
 
 // tasksEndFarApart changes the leader three times while tasks of a job end far apart.
 func tasksEndFarApart(c *testCluster, variant uint64) {
-	c.env.Uneven = 2
+	c.env.SetUneven(2)
 	c.submit(arrayJob(1, "check", 2), 15)
 	c.submit(arrayJob(2, "check", 3), 12)
 	c.submit(arrayJob(3, "check", 3), 14)
--- a/internal/server/compound_machine_cases_test.go
+++ b/internal/server/compound_machine_cases_test.go
@@ -25,7 +25,7 @@
 func zoneLosesMachines(c *testCluster, variant uint64) {
 	c.startWorkload()
 	if variant == 1 {
-		c.env.CloudDown = true
+		c.env.SetCloudDown(true)
 	}
 	for _, m := range c.env.Machines() {
 		if c.env.Zone(m) == "a" {
@@ -57,11 +57,11 @@
 
 // oldHeartbeatsOfDeadMachines kills machines whose heartbeats the network delivers again.
 func oldHeartbeatsOfDeadMachines(c *testCluster, variant uint64) {
-	c.network.Repeat = map[string]time.Duration{"/hello": 40 * time.Second}
+	c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second})
 	c.submit(arrayJob(1, "check", 8), 200)
 	c.submit(arrayJob(2, "check", 8), 50) // leaves room behind
 	c.untilDone(2*time.Minute, "req-000002")
-	c.env.CloudDown = true // no return proves anything, so only the leases can
+	c.env.SetCloudDown(true) // no return proves anything, so only the leases can
 	for _, m := range slices.Compact(c.env.MachinesOf("req-000001"))[:2] {
 		c.env.Kill(m)
 	}
@@ -78,12 +78,12 @@
 func heartbeatsHeldBack(c *testCluster, variant uint64) {
 	c.startWorkload()
 	machines := c.env.Machines()
-	c.network.Delay = func(from, _ string) time.Duration {
+	c.network.SetDelay(func(from, _ string) time.Duration {
 		if i := slices.Index(machines, from); i >= 0 && i%2 == 0 {
 			return time.Duration(c.env.Random() * 16 * float64(time.Second))
 		}
 		return 0
-	}
+	})
 	for range 3 {
 		old := c.killLeader()
 		time.Sleep(time.Duration(1+variant) * time.Second)
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -12,7 +12,7 @@
 // and a second later everybody, while users cancel and ask.
 func slowAnswersThenRefusals(c *testCluster, variant uint64) {
 	c.startWorkload()
-	c.env.Store.Slow = func(string) time.Duration { return time.Duration(200+variant*500) * time.Millisecond }
+	c.env.Store.SetSlow(func(string) time.Duration { return time.Duration(200+variant*500) * time.Millisecond })
 	for range 3 {
 		go c.env.Cancel("req-000001")
 		go c.env.Cancel("req-000003")
@@ -34,7 +34,7 @@
 	c.submit(arrayJob(3, "check", 10), 20) // waits for the limit
 	c.until("the limit is reached", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001"))+len(c.env.MachinesOf("req-000002")) == 20 })
 	on := slices.Compact(c.env.MachinesOf("req-000001"))
-	c.env.CloudDown = true
+	c.env.SetCloudDown(true)
 	switch variant {
 	case 0:
 		c.isolate(on[0], fake.Hold, c.names...)
@@ -58,7 +58,7 @@
 		c.env.Limit("small", zone, false, 2)
 		c.env.Limit("small", zone, true, 2)
 	}
-	c.network.Delay = func(_, _ string) time.Duration { return time.Duration(c.env.Random()*300) * time.Millisecond }
+	c.network.SetDelay(func(_, _ string) time.Duration { return time.Duration(c.env.Random()*300) * time.Millisecond })
 	for i, priority := range []protocol.Priority{protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh, protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh} {
 		job := arrayJob(1+i, "check", 10)
 		job.Priority = priority
@@ -73,7 +73,7 @@
 
 // requestsMeetLastTask cancels, asks about and submits again a job as its last task ends.
 func requestsMeetLastTask(c *testCluster, variant uint64) {
-	c.env.OnDone = func(jobID protocol.JobID) {
+	c.env.SetOnDone(func(jobID protocol.JobID) {
 		n := int(jobID[len(jobID)-1] - '0')
 		time.Sleep(time.Duration(c.env.Random()*float64(variant+1)*700) * time.Millisecond)
 		if n%2 == 0 {
@@ -81,7 +81,7 @@
 		}
 		go c.env.Poll(jobID)
 		go c.env.Submit(c.env.Job(jobID), 1)
-	}
+	})
 	for i := range 8 {
 		c.submit(arrayJob(1+i, "check", 1+i%3), float64(10+i))
 	}
@@ -95,7 +95,7 @@
 // have given up waiting.
 func commitsExecutedLate(c *testCluster, variant uint64) {
 	c.startWorkload()
-	c.env.Store.Late = c.lateCommits(0.2)
+	c.env.Store.SetLate(c.lateCommits(0.2))
 	for i := range 6 {
 		c.submit(arrayJob(5+i, "check", 3), 8)
 	}
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -109,7 +109,7 @@
 func TestDependencyEventLost(t *testing.T) {
 	t.Parallel()
 	run(t, 64, func(c *testCluster) {
-		c.env.Store.LoseEvent = func(key string) bool { return key == records.OpenKey(testJobID(1)) }
+		c.env.Store.SetLoseEvent(func(key string) bool { return key == records.OpenKey(testJobID(1)) })
 		c.submit(arrayJob(1, "stage", 2), 40)
 		c.submit(dependingOn(arrayJob(2, "stage", 1), testJobID(1)), 5)
 		c.untilDone(4*time.Minute, testJobID(1), testJobID(2))
@@ -123,8 +123,8 @@
 	for seed := range seedCount(3) {
 		run(t, 640+seed, func(c *testCluster) {
 			rng := rand.New(rand.NewPCG(seed, 9))
-			c.env.Store.LoseEvent = func(string) bool { return c.env.Random() < 0.1 }
-			c.env.Store.Late = c.lateCommits(0.05)
+			c.env.Store.SetLoseEvent(func(string) bool { return c.env.Random() < 0.1 })
+			c.env.Store.SetLate(c.lateCommits(0.05))
 			var whole []protocol.JobID
 			for i := range 4 {
 				jobIDs := c.pipeline(100 * (i + 1))
@@ -142,7 +142,8 @@
 				time.Sleep(time.Duration(rng.IntN(3)) * time.Second)
 				c.boot(old)
 			}
-			c.env.Store.LoseEvent, c.env.Store.Late = nil, nil
+			c.env.Store.SetLoseEvent(nil)
+			c.env.Store.SetLate(nil)
 			c.untilDone(8*time.Minute, whole...)
 			c.until("nothing is open", 5*time.Minute, func() bool {
 				return !slices.ContainsFunc(c.jobs, func(jobID protocol.JobID) bool {
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -12,7 +12,7 @@
 	t.Parallel()
 	const arrays, tasks = 40, 100
 	runIn(t, 901, controllerNames, atFleetSize(), func(c *testCluster) {
-		c.env.Step = 250 * time.Millisecond // steps of 4,000 machines are most of what the test takes
+		c.env.SetStep(250 * time.Millisecond) // steps of 4,000 machines are most of what the test takes
 		c.env.Store.LimitRequests(c.deployment.State.RPS)
 		for i := range arrays {
 			job := largeArray(1+i, tasks) // a machine for each task
@@ -37,9 +37,9 @@
 		for _, end := range ends {
 			end()
 		}
-		expiriesBefore := c.env.LeaseExpiries
+		expiriesBefore := c.env.LeaseExpiries()
 		time.Sleep(time.Minute)
-		if more := c.env.LeaseExpiries - expiriesBefore; more > 0 {
+		if more := c.env.LeaseExpiries() - expiriesBefore; more > 0 {
 			t.Errorf("%d leases ran out after the outage", more)
 		}
 		c.env.EndTroubles()
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -23,14 +23,14 @@
 		run(t, 10+seed, func(c *testCluster) {
 			var once sync.Once
 			placed := make(chan struct{})
-			c.env.Store.OnCommit = func(txn *protocol.Transaction) {
+			c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
 				c.checkPreconditions(txn)
 				for _, mutation := range txn.Mutations {
 					if strings.HasSuffix(mutation.Set, "/t") {
 						once.Do(func() { close(placed) })
 					}
 				}
-			}
+			})
 			c.submit(arrayJob(1, "check", 12), 40)
 			<-placed
 			time.Sleep(time.Duration(seed) * 4 * time.Millisecond)
@@ -52,14 +52,14 @@
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 		old := slices.Index(controllerNames, c.leader())
 		c.kill(controllerNames[old])
-		c.env.Asked = []string{c.env.Nodes[(old+1)%3]} // the dead one would cost a second
+		c.env.SetAskedNodes(c.env.NodeAddrs()[(old+1)%3]) // the dead one would cost a second
 		if st, s := c.env.Cancel("req-000001"); st != 200 || s.Phase != protocol.PhaseCancelled {
 			t.Fatalf("withdraw: %d %q", st, s.Phase)
 		}
 		if c.leader() != "" {
 			t.Fatal("a leader was there already")
 		}
-		c.env.Asked = nil
+		c.env.SetAskedNodes()
 		time.Sleep(time.Minute)
 		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 			t.Errorf("still on %v", on)
@@ -102,12 +102,12 @@
 		c.submit(serviceJob(1, 2), 0)
 		old := c.latestTerm()
 		var calls atomic.Int64
-		c.env.Store.Slow = func(path string) time.Duration {
+		c.env.Store.SetSlow(func(path string) time.Duration {
 			if strings.HasSuffix(path, "/touch") && calls.Add(1)%5 == 0 {
 				return 1450 * time.Millisecond
 			}
 			return 60 * time.Millisecond
-		}
+		})
 		time.Sleep(2 * time.Minute)
 		if terms := c.latestTerm(); terms != old {
 			t.Errorf("the term changed %d times", terms-old)
@@ -174,7 +174,7 @@
 		})
 		old := c.leader()
 		heal := c.isolateFromStoreAndPeers(old)
-		c.env.CloudDown = true // so that only the leases can end what runs there
+		c.env.SetCloudDown(true) // so that only the leases can end what runs there
 		time.Sleep(8 * time.Second)
 		c.env.Cancel("req-000001")
 		c.mu.Lock()
@@ -196,7 +196,7 @@
 		if rec.Code == 200 {
 			t.Error("it still answers reports")
 		}
-		c.env.CloudDown = false
+		c.env.SetCloudDown(false)
 		c.expectAnswers("req-000001", "req-000002")
 		heal()
 		c.untilDone(4*time.Minute, "req-000002")
@@ -212,15 +212,15 @@
 	run(t, 139, func(c *testCluster) {
 		on := c.runServicePairs(12)
 		time.Sleep(5 * time.Second)
-		before, expiriesBefore := on(), c.env.LeaseExpiries
+		before, expiriesBefore := on(), c.env.LeaseExpiries()
 		old := c.leader()
 		heal := c.isolate(old, fake.Hold, c.env.Machines()...)
 		time.Sleep(25 * time.Second) // twice a lease
 		if c.leader() == old {
 			t.Error("a leader without workers keeps its term")
 		}
-		if c.env.LeaseExpiries > expiriesBefore || !slices.Equal(on(), before) {
-			t.Errorf("%d leases ran out; ran on %s, now on %s", c.env.LeaseExpiries-expiriesBefore, before, on())
+		if c.env.LeaseExpiries() > expiriesBefore || !slices.Equal(on(), before) {
+			t.Errorf("%d leases ran out; ran on %s, now on %s", c.env.LeaseExpiries()-expiriesBefore, before, on())
 		}
 		heal()
 		c.submit(arrayJob(21, "check", 6), 10)
@@ -245,9 +245,9 @@
 func TestControllerRestartsAtOnce(t *testing.T) {
 	t.Parallel()
 	run(t, 135, func(c *testCluster) {
-		c.network.Repeat = map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second}
+		c.network.SetRepeat(map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second})
 		n := 0
-		c.env.Store.LoseReply = func() bool { n++; return n%4 == 0 }
+		c.env.Store.SetLoseReply(func() bool { n++; return n%4 == 0 })
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 20), 20)
 		c.submit(gangJob(3, 3), 30)
@@ -259,7 +259,7 @@
 			}
 			time.Sleep(time.Duration(40+i*37) * time.Millisecond)
 		}
-		c.env.Store.LoseReply = nil
+		c.env.Store.SetLoseReply(nil)
 		c.expectAnswers("req-000001", "req-000002", "req-000003")
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
 		c.until("the service runs", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -83,7 +83,7 @@
 		time.Sleep(10 * time.Second)
 		c.env.NoticePreemption(c.env.MachinesOf(job.ID)[0], 15*time.Second)
 		time.Sleep(16 * time.Second)
-		if c.env.Saved == 0 {
+		if c.env.SavedCheckpoints() == 0 {
 			t.Error("nothing was saved")
 		}
 		c.untilDone(4*time.Minute, job.ID)
@@ -164,12 +164,12 @@
 		heals = append(heals, c.isolate(old, fake.Hold, "state", "cloud", "users"))
 		// With the cloud down the machine cannot be given back either: only X,
 		// after which the old leader stops answering, ends its tasks.
-		c.env.CloudDown = true
+		c.env.SetCloudDown(true)
 		time.Sleep(10 * time.Second)
 		c.env.Cancel("req-000001")
 		c.submit(serviceJob(3, 2), 0)
 		time.Sleep(45 * time.Second)
-		c.env.CloudDown = false
+		c.env.SetCloudDown(false)
 		for _, heal := range heals {
 			heal()
 		}
@@ -197,14 +197,14 @@
 		c.until("all run", 2*time.Minute, func() bool {
 			return !slices.ContainsFunc(c.jobs, func(jobID protocol.JobID) bool { return len(c.env.MachinesOf(jobID)) == 0 })
 		})
-		c.env.CloudDown = true // no return proves anything
+		c.env.SetCloudDown(true) // no return proves anything
 		for _, m := range c.env.Machines() {
 			c.env.Kill(m)
 		}
 		time.Sleep(20 * time.Second)
 		c.kill(c.leader()) // the next has never heard them
 		time.Sleep(2 * time.Minute)
-		c.env.CloudDown = false
+		c.env.SetCloudDown(false)
 		c.untilDone(4*time.Minute, c.jobs...)
 		if terms := c.latestTerm(); terms > 4 {
 			t.Errorf("%d terms", terms)
--- a/internal/server/normal_operation_test.go
+++ b/internal/server/normal_operation_test.go
@@ -88,7 +88,7 @@
 				t.Errorf("%s: %d, not %d", tc.what, rec.Code, tc.want)
 			}
 		}
-		c.env.CloudDown = true
+		c.env.SetCloudDown(true)
 		c.submit(serviceJob(5, 1), 0)
 		time.Sleep(10 * time.Second)
 		for _, node := range c.controllers {
@@ -98,7 +98,7 @@
 				t.Errorf("status page of %s: %s", node.cfg.Node, p)
 			}
 		}
-		c.env.CloudDown = false
+		c.env.SetCloudDown(false)
 	})
 }
 
--- a/internal/server/one_way_partition_test.go
+++ b/internal/server/one_way_partition_test.go
@@ -50,7 +50,7 @@
 			c.startWorkload()
 			time.Sleep(25 * time.Second) // what was rented beyond need is up
 			c.exhaustCapacity()
-			machines, expiriesBefore, terms := c.env.Machines(), c.env.LeaseExpiries, c.latestTerm()
+			machines, expiriesBefore, terms := c.env.Machines(), c.env.LeaseExpiries(), c.latestTerm()
 			c.blockOutbound(machines...)
 			time.Sleep(20 * time.Second)
 			if seed%2 == 1 {
@@ -62,7 +62,7 @@
 			}
 			// Each loses what it had, and nothing is put there to be lost again, but by a
 			// new leader, which cannot know before some report intervals are over.
-			if n := c.env.LeaseExpiries - expiriesBefore; n > len(machines)*int(1+seed%2) {
+			if n := c.env.LeaseExpiries() - expiriesBefore; n > len(machines)*int(1+seed%2) {
 				t.Errorf("%d leases of %d machines ran out with tasks", n, len(machines))
 			}
 			// One leader may leave the term to another, which can do no better.
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -70,11 +70,11 @@
 	leader := l.leader()
 	switch kind {
 	case 0: // answers are lost, transactions are throttled and refused
-		l.env.Store.Fault = l.faultyCommits()
-		ends = append(ends, func() { l.env.Store.Fault = nil })
+		l.env.Store.SetFault(l.faultyCommits())
+		ends = append(ends, func() { l.env.Store.SetFault(nil) })
 	case 1: // transactions are carried out late
-		l.env.Store.Late = l.lateCommits(0.15)
-		ends = append(ends, func() { l.env.Store.Late = nil })
+		l.env.Store.SetLate(l.lateCommits(0.15))
+		ends = append(ends, func() { l.env.Store.SetLate(nil) })
 	case 2: // the leader is refused, and then everybody, while users cancel
 		l.env.Store.Refuse(leader, true)
 		l.chains(2)
@@ -127,8 +127,9 @@
 		names, dep := productionSize()
 		runUpgradeIn(t, 810+seed, names, dep, func(c *testCluster) {
 			l := &load{testCluster: c, rng: rand.New(rand.NewPCG(seed, 13))}
-			c.network.Repeat = map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 20 * time.Second}
-			c.env.Store.PageMost, c.env.PageMost = 40, 70
+			c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 20 * time.Second})
+			c.env.Store.SetMaxPageSize(40)
+			c.env.SetCloudMaxPageSize(70)
 			l.arrays(12)
 			c.until("hundreds run", 3*time.Minute, func() bool { return len(c.env.Machines()) >= 200 })
 			for _, name := range names {
--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -24,7 +24,7 @@
 		c.submit(arrayJob(1, "check", 4), 100)
 		c.until("all run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 4 })
 		time.Sleep(3 * time.Second)
-		c.env.CloudDown = true // no return, no provisioning request
+		c.env.SetCloudDown(true) // no return, no provisioning request
 		c.env.Kill(c.env.MachinesOf("req-000001")[0])
 		time.Sleep(20 * time.Second) // its lease is over
 		var r records.RunRecord
@@ -62,7 +62,7 @@
 	t.Parallel()
 	run(t, 98, func(c *testCluster) {
 		n := 0
-		c.env.Store.LoseReply = func() bool { n++; return n%3 == 0 }
+		c.env.Store.SetLoseReply(func() bool { n++; return n%3 == 0 })
 		for i := range 4 {
 			c.submit(arrayJob(1+i, "check", 5), 15)
 		}
@@ -77,13 +77,13 @@
 	t.Parallel()
 	run(t, 100, func(c *testCluster) {
 		lost := 0
-		c.env.LoseReply = func(path string) bool {
-			if path == "/rentals" && c.env.Calls[path] < 40 && lost < 25 {
+		c.env.SetLoseCloudReply(func(path string, calls int) bool {
+			if path == "/rentals" && calls < 40 && lost < 25 {
 				lost++
 				return true
 			}
 			return false
-		}
+		})
 		c.submit(arrayJob(1, "check", 4), 20)
 		time.Sleep(8 * time.Second)
 		old := c.leader()
@@ -149,7 +149,7 @@
 	run(t, 132, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
-		c.env.Store.LoseEvent = func(key string) bool { return strings.HasPrefix(key, "o/") }
+		c.env.Store.SetLoseEvent(func(key string) bool { return strings.HasPrefix(key, "o/") })
 		c.submit(arrayJob(2, "check", 2), 5)
 		c.env.Cancel("req-000001")
 		c.untilDone(2*time.Minute, "req-000002")
--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -20,7 +20,7 @@
 			c.env.Store.Limit(c.deployment.State.Smaller())
 			var transactions, killed uint64
 			die := make(chan struct{}, 12)
-			c.env.Store.OnCommit = func(txn *protocol.Transaction) {
+			c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
 				c.checkPreconditions(txn)
 				further := func(mutation protocol.Mutation) bool { return isFurtherSegment(mutation.Set + mutation.Delete) }
 				if !slices.ContainsFunc(txn.Mutations, further) {
@@ -30,8 +30,8 @@
 					killed++
 					die <- struct{}{}
 				}
-			}
-			c.env.Store.Late = c.lateCommits(0.03)
+			})
+			c.env.Store.SetLate(c.lateCommits(0.03))
 			go func() {
 				for {
 					select {
@@ -45,12 +45,12 @@
 					}
 				}
 			}()
-			c.env.Uneven = 0.02 // so segments are written again and again
+			c.env.SetUneven(0.02) // so segments are written again and again
 			c.submit(largeArray(1, 200), 10)
 			c.submit(largeArray(2, 150), 10)
 			c.submit(dependingOn(largeArray(3, 70), testJobID(1)), 5)
 			c.untilDone(15*time.Minute, testJobID(1), testJobID(2), testJobID(3))
-			c.env.Store.Late = nil
+			c.env.Store.SetLate(nil)
 			c.until("the pieces are removed", 3*time.Minute, func() bool { return c.furtherSegments() == 0 })
 			if killed < 3 {
 				t.Errorf("only %d leaders died", killed)
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -35,8 +35,8 @@
 		c.boot(c.killLeader())
 		c.env.Cancel(testJobID(4))
 		c.untilDone(5*time.Minute, c.jobs[:3]...)
-		if c.env.LeaseExpiries > 0 {
-			t.Errorf("%d leases ran out", c.env.LeaseExpiries)
+		if c.env.LeaseExpiries() > 0 {
+			t.Errorf("%d leases ran out", c.env.LeaseExpiries())
 		}
 	})
 }
--- a/internal/server/upgrade_failures_test.go
+++ b/internal/server/upgrade_failures_test.go
@@ -17,7 +17,7 @@
 func TestLimitsBeforeFormat(t *testing.T) {
 	t.Parallel()
 	runUpgrade(t, 71, func(c *testCluster) {
-		c.env.Uneven = 0.01 // its tasks end one after the other
+		c.env.SetUneven(0.01) // its tasks end one after the other
 		c.submit(largeArray(1, 340), 40)
 		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) > 200 })
 		last := controllerNames[2]
@@ -34,7 +34,7 @@
 			t.Error("the cluster uses the new format without a node")
 		}
 		// The leader learns of the limits by the first.
-		if n := c.env.Store.Refusals[400]; n != 1 {
+		if n := c.env.Store.Refusals(400); n != 1 {
 			t.Errorf("%d writes beyond the limits", n)
 		}
 		heal()
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -20,10 +20,10 @@
 func runUpgradeIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
 	runIn(t, seed, names, dep, func(c *testCluster) {
 		c.restartAs(true, names...)
-		c.env.Store.OnCommit = func(txn *protocol.Transaction) {
+		c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
 			c.checkPreconditions(txn)
 			c.checkFormat(txn)
-		}
+		})
 		for _, key := range c.env.Store.Keys(records.PrefixNode) {
 			c.env.Store.Remove(key)
 		}
@@ -90,7 +90,7 @@
 		c.killLeader()
 		c.untilDone(10*time.Minute, append(whole, testJobID(1), testJobID(3))...)
 		c.until("the pieces are removed", 2*time.Minute, func() bool { return c.furtherSegments() == 0 })
-		if n := c.env.Store.Refusals[400]; n > 0 {
+		if n := c.env.Store.Refusals(400); n > 0 {
 			t.Errorf("%d writes beyond the limits", n)
 		}
 	})
