--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -54,8 +54,6 @@
 // and all controllers run in one synctest bubble, which owns the network, the fakes and
 // the log, so that scenarios share nothing and may run in parallel. SCENARIO_LOG writes
 // the log to standard error; -parallel 1 keeps the lines of a scenario together.
-// The race detector is of no use here: scenarios set the hooks of their own fakes, such
-// as Store.LoseReply, without a lock while the fakes read them.
 func runIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -131,10 +131,11 @@
 				if i%2 == 0 {
 					whole = append(whole, jobIDs...)
 				} else {
-					k := rng.IntN(4)
+					stage := rng.IntN(4)
+					pause := time.Duration(rng.IntN(20)) * time.Second
 					go func() {
-						time.Sleep(time.Duration(rng.IntN(20)) * time.Second)
-						c.env.Cancel(jobIDs[k])
+						time.Sleep(pause)
+						c.env.Cancel(jobIDs[stage])
 					}()
 				}
 				time.Sleep(time.Duration(rng.IntN(5)) * time.Second)
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -3,6 +3,7 @@
 import (
 	"math/rand/v2"
 	"slices"
+	"sync"
 	"testing"
 	"time"
 
@@ -15,7 +16,22 @@
 	rng       *rand.Rand
 	jobs      int
 	pipelines int
-	kept      []protocol.JobID // must be done in the end, unless one that they need is cancelled
+	keptMu    sync.Mutex
+	kept      []protocol.JobID // must be done in the end, unless one that they need is cancelled; guarded by keptMu
+}
+
+// keep adds jobs that must be done in the end.
+func (l *load) keep(jobIDs ...protocol.JobID) {
+	l.keptMu.Lock()
+	defer l.keptMu.Unlock()
+	l.kept = append(l.kept, jobIDs...)
+}
+
+// keptJobs returns the jobs that must be done in the end.
+func (l *load) keptJobs() []protocol.JobID {
+	l.keptMu.Lock()
+	defer l.keptMu.Unlock()
+	return slices.Clone(l.kept)
 }
 
 // arrays submits large arrays of both teams.
@@ -25,7 +41,7 @@
 		job := arrayJob(l.jobs, "check", 60+l.rng.IntN(60))
 		job.Team, job.EstimateS = []string{"red", "blue"}[l.jobs%2], 60
 		l.submit(job, 40)
-		l.kept = append(l.kept, job.ID)
+		l.keep(job.ID)
 	}
 }
 
@@ -34,7 +50,7 @@
 	for range count {
 		l.pipelines++
 		jobIDs := l.pipeline(10000 + 10*l.pipelines)
-		l.kept = append(l.kept, jobIDs...)
+		l.keep(jobIDs...)
 		if l.pipelines%2 == 0 {
 			continue
 		}
@@ -52,7 +68,8 @@
 func (l *load) ask() {
 	go func() {
 		for l.ctx.Err() == nil {
-			jobID := l.kept[int(l.env.Random()*float64(len(l.kept)))]
+			kept := l.keptJobs()
+			jobID := kept[int(l.env.Random()*float64(len(kept)))]
 			go l.env.Poll(jobID)
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -155,10 +172,10 @@
 			}
 			time.Sleep(30 * time.Second)
 			c.env.EndTroubles()
-			kept := slices.DeleteFunc(slices.Clone(l.kept), func(jobID protocol.JobID) bool { return !c.env.MayFinish(jobID) })
+			kept := slices.DeleteFunc(l.keptJobs(), func(jobID protocol.JobID) bool { return !c.env.MayFinish(jobID) })
 			c.expectAnswers(kept...)
 			c.untilDone(10*time.Minute, kept...)
-			for _, jobID := range l.kept {
+			for _, jobID := range l.keptJobs() {
 				if got := c.phase(jobID); got != protocol.PhaseDone && got != protocol.PhaseCancelled {
 					t.Errorf("%s is %s in the end", jobID, got)
 				}
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -30,6 +30,18 @@
 	}
 }
 
+// countLonger returns for how many jobs no question was answered for longer than a limit.
+func (g *pollGaps) countLonger(limit time.Duration) (count int) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, gap := range g.longest {
+		if gap > limit {
+			count++
+		}
+	}
+	return count
+}
+
 // More questions a second than the key-value store answers requests: every accepted job
 // stays known all the same. Each question is a read of its own, so that some jobs are
 // answered for while others are not for minutes. (Found on the bench, with 4,000
@@ -54,13 +66,7 @@
 		}
 		<-ctx.Done()
 		time.Sleep(10 * time.Second)
-		forgotten := 0
-		for _, gap := range gaps.longest {
-			if gap > 75*time.Second {
-				forgotten++
-			}
-		}
-		if forgotten > 0 {
+		if forgotten := gaps.countLonger(75 * time.Second); forgotten > 0 {
 			t.Errorf("%d of %d jobs had no answer for 75 s", forgotten, jobs)
 		}
 	})
