--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -113,7 +113,7 @@
 // checkRanTwice guards that at most one attempt of a task occupies a machine at any time.
 func (c *checker) checkRanTwice(machine *machineAgent, task *agentTask, sameTask []placedTask) {
 	for _, other := range sameTask {
-		c.addViolation("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v",
+		c.addViolation("ran_twice: %s/%d attempt %d on %s since %v and attempt %d on %s (hung %v, up %v, incarnation %d) at %v",
 			task.jobID, task.index, other.task.attempt, other.machine.id, other.task.stateSince, task.attempt, machine.id,
 			other.machine.hung, other.machine.up, other.machine.incarnation, time.Now())
 	}
@@ -125,7 +125,7 @@
 	cores, gpus := usedCores+spec.Cores, usedGPUs+spec.GPUs
 	for _, team := range c.env.Cfg.Teams {
 		if team.Name == spec.Team && exceedsQuota(&team, cores, gpus) {
-			c.addViolation("quota: %s with %s/%d on %s: %v of %v cores, %v of %v cards at %v",
+			c.addViolation("quota: %s with %s/%d on %s: %v of %v cores, %v of %v GPUs at %v",
 				spec.Team, task.jobID, task.index, machine.id, cores, team.CoresMax, gpus, team.GPUsMax, time.Now())
 		}
 	}
--- a/internal/fake/store_transaction.go
+++ b/internal/fake/store_transaction.go
@@ -131,7 +131,7 @@
 	violation := ""
 	preconditions, mutations := len(transaction.Preconditions), len(transaction.Mutations)
 	if s.maxOps > 0 && (mutations > s.maxOps || preconditions > 4*s.maxOps) {
-		violation = fmt.Sprintf("commit of %d changes, %d guards", mutations, preconditions)
+		violation = fmt.Sprintf("commit of %d mutations, %d preconditions", mutations, preconditions)
 	}
 	size := 0
 	for _, precondition := range transaction.Preconditions {
--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -23,8 +23,8 @@
 // A cancellation is confirmed to its user around the time at which the key-value store
 // is lost, for longer than cancel_s, while the agents go on sending heartbeats to the
 // leader of before. In every order of these events the job's tasks are gone
-// within cancel_s: the leader may answer reports only up to X after a time up to
-// which it knows every cancellation that any controller, itself included, has
+// within cancel_s: the leader may answer heartbeats only for the length of the leader
+// lease after a time up to which it knows every cancellation that any controller, itself included, has
 // confirmed. Where the controllers can name the jobs, it stops just those and all
 // else runs on.
 func TestCancellationBeforeOutage(t *testing.T) {
@@ -87,7 +87,7 @@
 		c.t.Errorf("cancelled, still on %v", on)
 	}
 	if on := c.env.MachinesOf("req-000002"); tc.othersContinue && (!slices.Equal(on, keep) || c.env.LeaseExpiries() > expiriesBefore) {
-		c.t.Errorf("%d leases ran out; the other service was on %v and is on %v", c.env.LeaseExpiries()-expiriesBefore, keep, on)
+		c.t.Errorf("%d leases expired; the other service was on %v and is on %v", c.env.LeaseExpiries()-expiriesBefore, keep, on)
 	}
 }
 
--- a/internal/server/cluster_checks_test.go
+++ b/internal/server/cluster_checks_test.go
@@ -8,8 +8,8 @@
 	"marblehaven/internal/records"
 )
 
-// checkPreconditions judges applied commits: a leader's writes are guarded by its term
-// and by the records they change, an open job's by its own version; otherwise a
+// checkPreconditions judges applied commits: a leader's writes have its term and the
+// records they change as preconditions, an open job's its own version; otherwise a
 // late copy could undo what came after it.
 func (c *testCluster) checkPreconditions(txn *protocol.Transaction) {
 	guarded := map[string]bool{}
@@ -20,7 +20,7 @@
 		key := mutation.Set + mutation.Delete
 		leaders := isRunSegment(key) || strings.HasPrefix(key, "d/") || strings.HasPrefix(key, "r/") || key == "catalog"
 		if (leaders && !guarded["term"]) || (strings.HasPrefix(key, "o/") && !guarded[key]) {
-			c.t.Errorf("unguarded change of %s", key)
+			c.t.Errorf("change of %s without its precondition", key)
 		}
 	}
 }
--- a/internal/server/cluster_deployments_test.go
+++ b/internal/server/cluster_deployments_test.go
@@ -40,7 +40,7 @@
 }
 
 // productionSize is a deployment with five controllers in which hundreds of machines are
-// rented, with the rates of a key-value store that serves as many, and smaller limits
+// provisioned, with the rates of a key-value store that serves as many, and smaller limits
 // announced.
 func productionSize() ([]string, config.Deployment) {
 	d := largeArrayDeployment()
@@ -51,8 +51,8 @@
 // fleetSize is how many machines the operators run.
 const fleetSize = 4000
 
-// atFleetSize is a deployment in which that many machines are rented, with agents that
-// report every ten seconds and the rates of a small key-value store.
+// atFleetSize is a deployment in which that many machines are provisioned, with agents that
+// send heartbeats every ten seconds and the rates of a small key-value store.
 func atFleetSize() config.Deployment {
 	d := testDeployment()
 	d.Teams = []config.Team{{Name: "red", Cores: 20000, CoresMax: 100000}, {Name: "blue", Cores: 20000, CoresMax: 100000}}
--- a/internal/server/cluster_jobs_test.go
+++ b/internal/server/cluster_jobs_test.go
@@ -120,7 +120,7 @@
 	c.t.Helper()
 	c.env.SetAskedNodes(c.addressOf(name))
 	if st, s := c.env.Cancel(jobID); st != 200 || s.Phase != protocol.PhaseCancelled {
-		c.t.Errorf("withdrawing %s: %d %q", jobID, st, s.Phase)
+		c.t.Errorf("cancelling %s: %d %q", jobID, st, s.Phase)
 	}
 	c.env.SetAskedNodes()
 }
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -83,7 +83,7 @@
 
 // expectRecovery ends all failures and judges what must hold then: every accepted job is
 // known, cancelled ones have nothing left, the others run and end,
-// and none is left waiting beside room.
+// and none is left waiting beside free capacity.
 func (c *testCluster) expectRecovery() {
 	c.t.Helper()
 	c.env.Store.Refuse("", false)
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -93,7 +93,7 @@
 		c.submit(largeArray(3, 1), 300)
 		time.Sleep(100 * time.Millisecond) // its start is about to be recorded
 		if st := c.cancelWithoutEvent(testJobID(3)); st.Phase != protocol.PhaseCancelled {
-			t.Fatalf("a job withdrawn at its start is %s", st.Phase)
+			t.Fatalf("a job cancelled at its start is %s", st.Phase)
 		}
 		for range 200 {
 			time.Sleep(50 * time.Millisecond)
@@ -119,7 +119,7 @@
 		c.submit(dependingOn(arrayJob(3, "stage", 2), testJobID(2)), 60)
 		<-refused // and the second job ends in a moment
 		if st := c.cancelWithoutEvent(testJobID(2)); st.Phase != protocol.PhaseCancelled {
-			t.Fatalf("a job withdrawn at its end is %s", st.Phase)
+			t.Fatalf("a job cancelled at its end is %s", st.Phase)
 		}
 		time.Sleep(time.Minute)
 		if on := c.env.MachinesOf(testJobID(3)); len(on) > 0 {
--- a/internal/server/compound_machine_cases_test.go
+++ b/internal/server/compound_machine_cases_test.go
@@ -59,7 +59,7 @@
 func oldHeartbeatsOfDeadMachines(c *testCluster, variant uint64) {
 	c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second})
 	c.submit(arrayJob(1, "check", 8), 200)
-	c.submit(arrayJob(2, "check", 8), 50) // leaves room behind
+	c.submit(arrayJob(2, "check", 8), 50) // leaves free capacity behind
 	c.untilDone(2*time.Minute, "req-000002")
 	c.env.SetCloudDown(true) // no return proves anything, so only the leases can
 	for _, m := range slices.Compact(c.env.MachinesOf("req-000001"))[:2] {
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -29,7 +29,7 @@
 		c.untilCancelled(time.Second, late.ID)
 		// A cancellation that is answered with done stops nothing.
 		if _, st := c.env.Cancel(whole[1]); st.Phase != protocol.PhaseDone {
-			t.Errorf("a finished job withdrawn is %s", st.Phase)
+			t.Errorf("a finished job that is cancelled is %s", st.Phase)
 		}
 		// That one of the jobs named is cancelled doesn't make up for one that nobody
 		// submitted. (Found on the bench, just after an outage.)
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -40,7 +40,7 @@
 		expiriesBefore := c.env.LeaseExpiries()
 		time.Sleep(time.Minute)
 		if more := c.env.LeaseExpiries() - expiriesBefore; more > 0 {
-			t.Errorf("%d leases ran out after the outage", more)
+			t.Errorf("%d leases expired after the outage", more)
 		}
 		c.env.EndTroubles()
 		c.expectAnswers(c.jobs...)
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -54,7 +54,7 @@
 		c.kill(controllerNames[old])
 		c.env.SetAskedNodes(c.env.NodeAddrs()[(old+1)%3]) // the dead one would cost a second
 		if st, s := c.env.Cancel("req-000001"); st != 200 || s.Phase != protocol.PhaseCancelled {
-			t.Fatalf("withdraw: %d %q", st, s.Phase)
+			t.Fatalf("cancel: %d %q", st, s.Phase)
 		}
 		if c.leader() != "" {
 			t.Fatal("a leader was there already")
@@ -163,7 +163,7 @@
 
 // A controller that has lost the key-value store and the other controllers, but
 // neither users nor agents, sends users away instead of keeping them asking
-// it, and answers its agents no longer than X; another leads meanwhile.
+// it, and answers its agents no longer than the leader lease; another leads meanwhile.
 func TestLeaderReachesOnlyAgents(t *testing.T) {
 	t.Parallel()
 	runWith(t, 133, []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, func(c *testCluster) {
@@ -194,7 +194,7 @@
 		rec = httptest.NewRecorder()
 		cut.api.ServeHTTP(rec, httptest.NewRequest("POST", "/hello", bytes.NewReader(r)))
 		if rec.Code == 200 {
-			t.Error("it still answers reports")
+			t.Error("it still answers heartbeats")
 		}
 		c.env.SetCloudDown(false)
 		c.expectAnswers("req-000001", "req-000002")
@@ -217,10 +217,10 @@
 		heal := c.isolate(old, fake.Hold, c.env.Machines()...)
 		time.Sleep(25 * time.Second) // twice a lease
 		if c.leader() == old {
-			t.Error("a leader without workers keeps its term")
+			t.Error("a leader without agents keeps its term")
 		}
 		if c.env.LeaseExpiries() > expiriesBefore || !slices.Equal(on(), before) {
-			t.Errorf("%d leases ran out; ran on %s, now on %s", c.env.LeaseExpiries()-expiriesBefore, before, on())
+			t.Errorf("%d leases expired; ran on %s, now on %s", c.env.LeaseExpiries()-expiriesBefore, before, on())
 		}
 		heal()
 		c.submit(arrayJob(21, "check", 6), 10)
@@ -240,7 +240,7 @@
 }
 
 // A process that is back within a fraction of a second, also while a term is
-// being taken, finds its former life's lease, requests and half-taken terms,
+// being taken, finds its previous process's lease, requests and half-taken terms,
 // some of them carried out late or twice; each term is held once.
 func TestControllerRestartsAtOnce(t *testing.T) {
 	t.Parallel()
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -101,11 +101,11 @@
 			return len(c.env.MachinesOf("req-000001")) == 1 && len(c.env.MachinesOf("req-000002")) >= 2
 		})
 		time.Sleep(10 * time.Second)
-		rented := c.env.MachinesProvisioned()
+		provisioned := c.env.MachinesProvisioned()
 		heal := c.isolate(c.leader(), fake.Hold, c.env.Machines()...)
 		time.Sleep(11 * time.Second)
-		if n := len(c.env.Machines()); n < rented {
-			t.Errorf("%d of %d machines are left after a cut of the leader", n, rented)
+		if n := len(c.env.Machines()); n < provisioned {
+			t.Errorf("%d of %d machines are left after a cut of the leader", n, provisioned)
 		}
 		heal()
 		time.Sleep(10 * time.Second)
@@ -123,7 +123,7 @@
 	for i, with := range []bool{false, true} {
 		run(t, 111+uint64(i), func(c *testCluster) {
 			on := c.runServicePairs(12)
-			time.Sleep(20 * time.Second) // what was rented beyond need is up
+			time.Sleep(20 * time.Second) // what was provisioned beyond need is up
 			for _, zone := range []string{"a", "b"} {
 				for _, m := range on() {
 					if c.env.Zone(m) == zone {
@@ -162,8 +162,8 @@
 			}
 		}
 		heals = append(heals, c.isolate(old, fake.Hold, "state", "cloud", "users"))
-		// With the cloud down the machine cannot be given back either: only X,
-		// after which the old leader stops answering, ends its tasks.
+		// With the cloud down the machine cannot be given back either: only the end of the
+		// leader lease, after which the old leader stops answering, ends its tasks.
 		c.env.SetCloudDown(true)
 		time.Sleep(10 * time.Second)
 		c.env.Cancel("req-000001")
@@ -213,7 +213,7 @@
 }
 
 // A machine that is back at once has lost all that ran on it, and its counters
-// begin anew, so that its heartbeats look older than those of its former life. It
+// begin anew, so that its heartbeats look older than those from before the reboot. It
 // must not be taken for silent until its lease is over.
 func TestMachineRebootsAtOnce(t *testing.T) {
 	t.Parallel()
--- a/internal/server/normal_operation_test.go
+++ b/internal/server/normal_operation_test.go
@@ -23,7 +23,7 @@
 		c.untilDone(6*time.Minute, c.jobs[1:]...)
 		c.until("replicas run in both zones", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 		if st, s := c.env.Cancel("req-000002"); st != 200 || s.Phase != protocol.PhaseDone {
-			t.Errorf("withdrawing a finished job: %d %q", st, s.Phase)
+			t.Errorf("cancelling a finished job: %d %q", st, s.Phase)
 		}
 		if st := c.env.Submit(arrayJob(2, "check", 30), 15); st != 200 {
 			t.Errorf("late repeat of a finished job: %d", st)
@@ -74,7 +74,7 @@
 			{"again", "POST", "/v1/jobs", body(func(m map[string]any) { m["ref"] = "req-000003" }), 200},
 			{"unknown job", "GET", "/v1/jobs/req-000009", nil, 404},
 			{"malformed ref", "GET", "/v1/jobs/x", nil, 404},
-			{"withdrawal of an unknown job", "POST", "/v1/jobs/req-000009/withdraw", nil, 404},
+			{"cancellation of an unknown job", "POST", "/v1/jobs/req-000009/withdraw", nil, 404},
 			{"wrong method", "PUT", "/v1/jobs", nil, 405},
 			{"wrong method", "DELETE", "/v1/jobs/req-000002", nil, 405},
 			{"no such path", "GET", "/v2", nil, 404},
--- a/internal/server/one_way_partition_test.go
+++ b/internal/server/one_way_partition_test.go
@@ -24,7 +24,7 @@
 		})
 		partitioned := c.env.MachinesOf("req-000001")[0]
 		c.blockOutbound(partitioned)
-		// It answers commands, but after some report intervals gets nothing more.
+		// It answers commands, but after some heartbeat intervals gets nothing more.
 		time.Sleep(10500 * time.Millisecond)
 		if slices.Contains(c.env.MachinesOf("req-000002"), partitioned) {
 			t.Error("work is still put on a machine that has fallen silent")
@@ -42,13 +42,13 @@
 
 // No agent can open a connection for much longer than a lease and the wait after it:
 // the machines answer commands, so they are there, and are not given back. (Found on the
-// bench by days/mute.toml: all machines went back at once and were rented anew.)
+// bench by days/mute.toml: all machines went back at once and were provisioned anew.)
 func TestFleetOutboundPartition(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(2) {
 		run(t, 350+seed, func(c *testCluster) {
 			c.startWorkload()
-			time.Sleep(25 * time.Second) // what was rented beyond need is up
+			time.Sleep(25 * time.Second) // what was provisioned beyond need is up
 			c.exhaustCapacity()
 			machines, expiriesBefore, terms := c.env.Machines(), c.env.LeaseExpiries(), c.latestTerm()
 			c.blockOutbound(machines...)
@@ -61,9 +61,9 @@
 				t.Errorf("of %v only %v are left", machines, left)
 			}
 			// Each loses what it had, and nothing is put there to be lost again, but by a
-			// new leader, which cannot know before some report intervals are over.
+			// new leader, which cannot know before some heartbeat intervals are over.
 			if n := c.env.LeaseExpiries() - expiriesBefore; n > len(machines)*int(1+seed%2) {
-				t.Errorf("%d leases of %d machines ran out with tasks", n, len(machines))
+				t.Errorf("%d leases of %d machines expired with tasks", n, len(machines))
 			}
 			// One leader may leave the term to another, which can do no better.
 			if n := c.latestTerm() - terms; n > protocol.Term(1+seed%2) {
--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -12,9 +12,9 @@
 	"marblehaven/internal/records"
 )
 
-// What has ended goes from the records even if the job waits for room and nothing of it
-// is started: a new leader takes what they hold for running until X and a lease are over,
-// counts it in the team's limit and starts it no sooner. (Found on the bench by
+// What has ended goes from the records even if the job waits for capacity and nothing of it
+// is started: a new leader takes what they hold for running until the leader lease and an
+// agent lease are over, counts it in the team's limit and starts it no sooner. (Found on the bench by
 // days/mute.toml.)
 func TestRunRecordDropsEndedTasks(t *testing.T) {
 	t.Parallel()
@@ -36,7 +36,7 @@
 }
 
 // Submissions and cancellations delayed beyond their answers are settled by the
-// guards of their commits, not guessed.
+// preconditions of their commits, not guessed.
 func TestLateSubmitAndCancel(t *testing.T) {
 	t.Parallel()
 	run(t, 40, func(c *testCluster) {
@@ -57,7 +57,7 @@
 }
 
 // Commits whose answers are lost were applied: they are settled by reading, by
-// the leader as well as by those who serve users.
+// the leader as well as by the controllers that serve users.
 func TestCommitOutcomeUnknown(t *testing.T) {
 	t.Parallel()
 	run(t, 98, func(c *testCluster) {
@@ -71,8 +71,8 @@
 	})
 }
 
-// A provisioning request whose answer is lost is asked for again under the same claim, also
-// by the next leader, and rents once.
+// A provisioning request whose answer is lost is asked for again with the same request ID, also
+// by the next leader, and provisions once.
 func TestProvisioningOutcomeUnknown(t *testing.T) {
 	t.Parallel()
 	run(t, 100, func(c *testCluster) {
@@ -92,7 +92,7 @@
 		c.boot(old)
 		c.untilDone(4*time.Minute, "req-000001")
 		if n := c.env.MachinesProvisioned(); n > 2 {
-			t.Errorf("%d machines were rented for 4 tasks of half a machine", n)
+			t.Errorf("%d machines were provisioned for 4 tasks of half a machine", n)
 		}
 	})
 }
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -36,7 +36,7 @@
 		c.env.Cancel(testJobID(4))
 		c.untilDone(5*time.Minute, c.jobs[:3]...)
 		if c.env.LeaseExpiries() > 0 {
-			t.Errorf("%d leases ran out", c.env.LeaseExpiries())
+			t.Errorf("%d leases expired", c.env.LeaseExpiries())
 		}
 	})
 }
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -72,8 +72,8 @@
 	})
 }
 
-// Users ask about hundreds of jobs that wait for others, at a rate that the state
-// service can just answer, and an outage lets the questions pile up. It is answering
+// Users ask about hundreds of jobs that wait for others, at a rate that the key-value
+// store can just answer, and an outage lets the questions pile up. It is answering
 // them all soon after, and throttles few requests: calls that were throttled and made
 // again and again, each with all that it had read before, kept it busy for minutes, and
 // jobs were forgotten. (Found on the bench, at production size.)
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -85,11 +85,11 @@
 		c.untilUpgraded(20 * time.Second)
 		c.env.Store.Limit(c.deployment.State.Smaller())
 		c.submit(largeArray(3, 340), 20)
-		c.until("pieces are written", 2*time.Minute, func() bool { return c.furtherSegments() > 3 })
+		c.until("segments are written", 2*time.Minute, func() bool { return c.furtherSegments() > 3 })
 		whole := c.pipeline(100)
 		c.killLeader()
 		c.untilDone(10*time.Minute, append(whole, testJobID(1), testJobID(3))...)
-		c.until("the pieces are removed", 2*time.Minute, func() bool { return c.furtherSegments() == 0 })
+		c.until("the segments are removed", 2*time.Minute, func() bool { return c.furtherSegments() == 0 })
 		if n := c.env.Store.Refusals(400); n > 0 {
 			t.Errorf("%d writes beyond the limits", n)
 		}
