--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -18,9 +18,8 @@
 // looks at task starts and at answers to users as they happen, and at all machines and jobs
 // periodically. It reads the fakes' own state, never the controllers'.
 type checker struct {
-	LateStart time.Duration // the longest time from a confirmed cancellation to a start
-
 	env         *Environment
+	lateStart   time.Duration // the longest time from a confirmed cancellation to a start
 	records     *runRecordReader
 	violations  []string
 	faultsEnded bool // the test causes no more faults
@@ -43,6 +42,13 @@
 	return slices.Clone(c.violations)
 }
 
+// LateStart returns the longest time from a confirmed cancellation to a start.
+func (c *checker) LateStart() time.Duration {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	return c.lateStart
+}
+
 // addViolation records a violation. The caller holds the mutex.
 func (c *checker) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
@@ -62,7 +68,7 @@
 		c.addViolation("too_early: %s/%d on %s at %v", task.jobID, task.index, machine.id, time.Now())
 	}
 	if !job.cancelConfirmed.IsZero() {
-		c.LateStart = max(c.LateStart, time.Since(job.cancelConfirmed))
+		c.lateStart = max(c.lateStart, time.Since(job.cancelConfirmed))
 	}
 	c.checkCancelledTask(machine, task)
 }
@@ -107,7 +113,7 @@
 // checkRanTwice guards that at most one attempt of a task occupies a machine at any time.
 func (c *checker) checkRanTwice(machine *machineAgent, task *agentTask, sameTask []placedTask) {
 	for _, other := range sameTask {
-		c.addViolation("ran_twice: %s/%d try %d on %s since %v and try %d on %s (hung %v, up %v, tenure %d) at %v",
+		c.addViolation("ran_twice: %s/%d attempt %d on %s since %v and attempt %d on %s (hung %v, up %v, incarnation %d) at %v",
 			task.jobID, task.index, other.task.attempt, other.machine.id, other.task.stateSince, task.attempt, machine.id,
 			other.machine.hung, other.machine.up, other.machine.incarnation, time.Now())
 	}
@@ -119,7 +125,7 @@
 	cores, gpus := usedCores+spec.Cores, usedGPUs+spec.GPUs
 	for _, team := range c.env.Cfg.Teams {
 		if team.Name == spec.Team && exceedsQuota(&team, cores, gpus) {
-			c.addViolation("quota: %s with %s/%d on %s: %v of %v cores, %v of %v cards at %v",
+			c.addViolation("quota: %s with %s/%d on %s: %v of %v cores, %v of %v GPUs at %v",
 				spec.Team, task.jobID, task.index, machine.id, cores, team.CoresMax, gpus, team.GPUsMax, time.Now())
 		}
 	}
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -54,8 +54,6 @@
 // and all controllers run in one synctest bubble, which owns the network, the fakes and
 // the log, so that scenarios share nothing and may run in parallel. SCENARIO_LOG writes
 // the log to standard error; -parallel 1 keeps the lines of a scenario together.
-// The race detector is of no use here: scenarios set the hooks of their own fakes, such
-// as Store.LoseReply, without a lock while the fakes read them.
 func runIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -66,7 +64,7 @@
 		}
 		c.log = slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
 		c.env = fake.NewEnvironment(ctx, c.network, dep, testTypes)
-		c.env.Store.OnCommit = c.checkPreconditions
+		c.env.Store.SetOnCommit(c.checkPreconditions)
 		for i, name := range names {
 			c.env.AddNode(name, fmt.Sprintf("10.0.0.%d:80", i+1))
 			c.boot(name)
@@ -169,7 +167,9 @@
 }
 
 // addressOf returns the address at which a controller serves users.
-func (c *testCluster) addressOf(name string) string { return c.env.Nodes[slices.Index(c.names, name)] }
+func (c *testCluster) addressOf(name string) string {
+	return c.env.NodeAddrs()[slices.Index(c.names, name)]
+}
 
 // others returns all controllers but one.
 func (c *testCluster) others(name string) []string {
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -83,7 +83,7 @@
 
 // expectRecovery ends all failures and judges what must hold then: every accepted job is
 // known, cancelled ones have nothing left, the others run and end,
-// and none is left waiting beside room.
+// and none is left waiting beside free capacity.
 func (c *testCluster) expectRecovery() {
 	c.t.Helper()
 	c.env.Store.Refuse("", false)
@@ -93,9 +93,12 @@
 			c.boot(n)
 		}
 	}
-	c.env.Store.Slow, c.env.Store.Late, c.env.Store.LoseReply, c.env.Store.LoseEvent = nil, nil, nil, nil
-	c.network.Delay = nil
-	c.env.CloudDown = false
+	c.env.Store.SetSlow(nil)
+	c.env.Store.SetLate(nil)
+	c.env.Store.SetLoseReply(nil)
+	c.env.Store.SetLoseEvent(nil)
+	c.network.SetDelay(nil)
+	c.env.SetCloudDown(false)
 	c.heal()
 	c.env.EndTroubles()
 	c.expectAnswers(c.jobs...)
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -83,7 +83,7 @@
 		time.Sleep(10 * time.Second)
 		c.env.NoticePreemption(c.env.MachinesOf(job.ID)[0], 15*time.Second)
 		time.Sleep(16 * time.Second)
-		if c.env.Saved == 0 {
+		if c.env.SavedCheckpoints() == 0 {
 			t.Error("nothing was saved")
 		}
 		c.untilDone(4*time.Minute, job.ID)
@@ -101,11 +101,11 @@
 			return len(c.env.MachinesOf("req-000001")) == 1 && len(c.env.MachinesOf("req-000002")) >= 2
 		})
 		time.Sleep(10 * time.Second)
-		rented := c.env.MachinesProvisioned()
+		provisioned := c.env.MachinesProvisioned()
 		heal := c.isolate(c.leader(), fake.Hold, c.env.Machines()...)
 		time.Sleep(11 * time.Second)
-		if n := len(c.env.Machines()); n < rented {
-			t.Errorf("%d of %d machines are left after a cut of the leader", n, rented)
+		if n := len(c.env.Machines()); n < provisioned {
+			t.Errorf("%d of %d machines are left after a cut of the leader", n, provisioned)
 		}
 		heal()
 		time.Sleep(10 * time.Second)
@@ -123,7 +123,7 @@
 	for i, with := range []bool{false, true} {
 		run(t, 111+uint64(i), func(c *testCluster) {
 			on := c.runServicePairs(12)
-			time.Sleep(20 * time.Second) // what was rented beyond need is up
+			time.Sleep(20 * time.Second) // what was provisioned beyond need is up
 			for _, zone := range []string{"a", "b"} {
 				for _, m := range on() {
 					if c.env.Zone(m) == zone {
@@ -162,14 +162,14 @@
 			}
 		}
 		heals = append(heals, c.isolate(old, fake.Hold, "state", "cloud", "users"))
-		// With the cloud down the machine cannot be given back either: only X,
-		// after which the old leader stops answering, ends its tasks.
-		c.env.CloudDown = true
+		// With the cloud down the machine cannot be given back either: only the end of the
+		// leader lease, after which the old leader stops answering, ends its tasks.
+		c.env.SetCloudDown(true)
 		time.Sleep(10 * time.Second)
 		c.env.Cancel("req-000001")
 		c.submit(serviceJob(3, 2), 0)
 		time.Sleep(45 * time.Second)
-		c.env.CloudDown = false
+		c.env.SetCloudDown(false)
 		for _, heal := range heals {
 			heal()
 		}
@@ -197,14 +197,14 @@
 		c.until("all run", 2*time.Minute, func() bool {
 			return !slices.ContainsFunc(c.jobs, func(jobID protocol.JobID) bool { return len(c.env.MachinesOf(jobID)) == 0 })
 		})
-		c.env.CloudDown = true // no return proves anything
+		c.env.SetCloudDown(true) // no return proves anything
 		for _, m := range c.env.Machines() {
 			c.env.Kill(m)
 		}
 		time.Sleep(20 * time.Second)
 		c.kill(c.leader()) // the next has never heard them
 		time.Sleep(2 * time.Minute)
-		c.env.CloudDown = false
+		c.env.SetCloudDown(false)
 		c.untilDone(4*time.Minute, c.jobs...)
 		if terms := c.latestTerm(); terms > 4 {
 			t.Errorf("%d terms", terms)
@@ -213,7 +213,7 @@
 }
 
 // A machine that is back at once has lost all that ran on it, and its counters
-// begin anew, so that its heartbeats look older than those of its former life. It
+// begin anew, so that its heartbeats look older than those from before the reboot. It
 // must not be taken for silent until its lease is over.
 func TestMachineRebootsAtOnce(t *testing.T) {
 	t.Parallel()
--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -12,9 +12,9 @@
 	"marblehaven/internal/records"
 )
 
-// What has ended goes from the records even if the job waits for room and nothing of it
-// is started: a new leader takes what they hold for running until X and a lease are over,
-// counts it in the team's limit and starts it no sooner. (Found on the bench by
+// What has ended goes from the records even if the job waits for capacity and nothing of it
+// is started: a new leader takes what they hold for running until the leader lease and an
+// agent lease are over, counts it in the team's limit and starts it no sooner. (Found on the bench by
 // days/mute.toml.)
 func TestRunRecordDropsEndedTasks(t *testing.T) {
 	t.Parallel()
@@ -24,7 +24,7 @@
 		c.submit(arrayJob(1, "check", 4), 100)
 		c.until("all run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 4 })
 		time.Sleep(3 * time.Second)
-		c.env.CloudDown = true // no return, no provisioning request
+		c.env.SetCloudDown(true) // no return, no provisioning request
 		c.env.Kill(c.env.MachinesOf("req-000001")[0])
 		time.Sleep(20 * time.Second) // its lease is over
 		var r records.RunRecord
@@ -36,7 +36,7 @@
 }
 
 // Submissions and cancellations delayed beyond their answers are settled by the
-// guards of their commits, not guessed.
+// preconditions of their commits, not guessed.
 func TestLateSubmitAndCancel(t *testing.T) {
 	t.Parallel()
 	run(t, 40, func(c *testCluster) {
@@ -57,12 +57,12 @@
 }
 
 // Commits whose answers are lost were applied: they are settled by reading, by
-// the leader as well as by those who serve users.
+// the leader as well as by the controllers that serve users.
 func TestCommitOutcomeUnknown(t *testing.T) {
 	t.Parallel()
 	run(t, 98, func(c *testCluster) {
 		n := 0
-		c.env.Store.LoseReply = func() bool { n++; return n%3 == 0 }
+		c.env.Store.SetLoseReply(func() bool { n++; return n%3 == 0 })
 		for i := range 4 {
 			c.submit(arrayJob(1+i, "check", 5), 15)
 		}
@@ -71,19 +71,19 @@
 	})
 }
 
-// A provisioning request whose answer is lost is asked for again under the same claim, also
-// by the next leader, and rents once.
+// A provisioning request whose answer is lost is asked for again with the same request ID, also
+// by the next leader, and provisions once.
 func TestProvisioningOutcomeUnknown(t *testing.T) {
 	t.Parallel()
 	run(t, 100, func(c *testCluster) {
 		lost := 0
-		c.env.LoseReply = func(path string) bool {
-			if path == "/rentals" && c.env.Calls[path] < 40 && lost < 25 {
+		c.env.SetLoseCloudReply(func(path string, calls int) bool {
+			if path == "/rentals" && calls < 40 && lost < 25 {
 				lost++
 				return true
 			}
 			return false
-		}
+		})
 		c.submit(arrayJob(1, "check", 4), 20)
 		time.Sleep(8 * time.Second)
 		old := c.leader()
@@ -92,7 +92,7 @@
 		c.boot(old)
 		c.untilDone(4*time.Minute, "req-000001")
 		if n := c.env.MachinesProvisioned(); n > 2 {
-			t.Errorf("%d machines were rented for 4 tasks of half a machine", n)
+			t.Errorf("%d machines were provisioned for 4 tasks of half a machine", n)
 		}
 	})
 }
@@ -149,7 +149,7 @@
 	run(t, 132, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
-		c.env.Store.LoseEvent = func(key string) bool { return strings.HasPrefix(key, "o/") }
+		c.env.Store.SetLoseEvent(func(key string) bool { return strings.HasPrefix(key, "o/") })
 		c.submit(arrayJob(2, "check", 2), 5)
 		c.env.Cancel("req-000001")
 		c.untilDone(2*time.Minute, "req-000002")
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -30,6 +30,18 @@
 	}
 }
 
+// countLonger returns for how many jobs no question was answered for longer than a limit.
+func (g *pollGaps) countLonger(limit time.Duration) (count int) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, gap := range g.longest {
+		if gap > limit {
+			count++
+		}
+	}
+	return count
+}
+
 // More questions a second than the key-value store answers requests: every accepted job
 // stays known all the same. Each question is a read of its own, so that some jobs are
 // answered for while others are not for minutes. (Found on the bench, with 4,000
@@ -54,20 +66,14 @@
 		}
 		<-ctx.Done()
 		time.Sleep(10 * time.Second)
-		forgotten := 0
-		for _, gap := range gaps.longest {
-			if gap > 75*time.Second {
-				forgotten++
-			}
-		}
-		if forgotten > 0 {
+		if forgotten := gaps.countLonger(75 * time.Second); forgotten > 0 {
 			t.Errorf("%d of %d jobs had no answer for 75 s", forgotten, jobs)
 		}
 	})
 }
 
-// Users ask about hundreds of jobs that wait for others, at a rate that the state
-// service can just answer, and an outage lets the questions pile up. It is answering
+// Users ask about hundreds of jobs that wait for others, at a rate that the key-value
+// store can just answer, and an outage lets the questions pile up. It is answering
 // them all soon after, and throttles few requests: calls that were throttled and made
 // again and again, each with all that it had read before, kept it busy for minutes, and
 // jobs were forgotten. (Found on the bench, at production size.)
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -20,10 +20,10 @@
 func runUpgradeIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
 	runIn(t, seed, names, dep, func(c *testCluster) {
 		c.restartAs(true, names...)
-		c.env.Store.OnCommit = func(txn *protocol.Transaction) {
+		c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
 			c.checkPreconditions(txn)
 			c.checkFormat(txn)
-		}
+		})
 		for _, key := range c.env.Store.Keys(records.PrefixNode) {
 			c.env.Store.Remove(key)
 		}
@@ -85,12 +85,12 @@
 		c.untilUpgraded(20 * time.Second)
 		c.env.Store.Limit(c.deployment.State.Smaller())
 		c.submit(largeArray(3, 340), 20)
-		c.until("pieces are written", 2*time.Minute, func() bool { return c.furtherSegments() > 3 })
+		c.until("segments are written", 2*time.Minute, func() bool { return c.furtherSegments() > 3 })
 		whole := c.pipeline(100)
 		c.killLeader()
 		c.untilDone(10*time.Minute, append(whole, testJobID(1), testJobID(3))...)
-		c.until("the pieces are removed", 2*time.Minute, func() bool { return c.furtherSegments() == 0 })
-		if n := c.env.Store.Refusals[400]; n > 0 {
+		c.until("the segments are removed", 2*time.Minute, func() bool { return c.furtherSegments() == 0 })
+		if n := c.env.Store.Refusals(400); n > 0 {
 			t.Errorf("%d writes beyond the limits", n)
 		}
 	})
