--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -36,75 +36,88 @@
 var sentinels = []error{kvstore.ErrOutcomeUnknown, kvstore.ErrUnavailable, kvstore.ErrThrottled, kvstore.ErrConflict, kvstore.ErrNotFound,
 	kvstore.ErrLeaseExpired, kvstore.ErrInvalidRequest, kvstore.ErrTooLarge, kvstore.ErrCompacted, kvstore.ErrInDoubt}
 
-// TestOutcomes pins what each operation makes of each answer, and which answers show that
-// the store serves this node. An unknown outcome taken for a known one would lose or
-// repeat a write.
-func TestOutcomes(t *testing.T) {
-	get := func(ctx context.Context, c *kvstore.Client) error {
+// operation is a call of the client.
+type operation = func(context.Context, *kvstore.Client) error
+
+// unreadable is a body that cannot be decoded.
+var unreadable = []byte("unreadable")
+
+// The operations on some key, some prefix or a lease.
+var (
+	get operation = func(ctx context.Context, c *kvstore.Client) error {
 		_, err := c.Get(ctx, "some/key")
 		return err
 	}
-	list := func(ctx context.Context, c *kvstore.Client) error {
+	list operation = func(ctx context.Context, c *kvstore.Client) error {
 		_, err := c.List(ctx, "some/key", "", 10)
 		return err
 	}
-	commit := func(ctx context.Context, c *kvstore.Client) error {
+	commit operation = func(ctx context.Context, c *kvstore.Client) error {
 		_, err := c.Commit(ctx, protocol.Transaction{Mutations: []protocol.Mutation{{Set: "some/key", Value: 1}}})
 		return err
 	}
-	grant := func(ctx context.Context, c *kvstore.Client) error {
+	grant operation = func(ctx context.Context, c *kvstore.Client) error {
 		_, err := c.GrantLease(ctx, time.Second)
 		return err
 	}
-	keepAlive := func(ctx context.Context, c *kvstore.Client) error { return c.KeepAlive(ctx, 7) }
-	revoke := func(ctx context.Context, c *kvstore.Client) error { return c.RevokeLease(ctx, 7) }
-	watch := func(ctx context.Context, c *kvstore.Client) error {
+	keepAlive operation = func(ctx context.Context, c *kvstore.Client) error { return c.KeepAlive(ctx, 7) }
+	revoke    operation = func(ctx context.Context, c *kvstore.Client) error { return c.RevokeLease(ctx, 7) }
+	watch     operation = func(ctx context.Context, c *kvstore.Client) error {
 		_, err := c.Watch(ctx, "some/key", 5, time.Second)
 		return err
 	}
-	unreadable := []byte("unreadable")
-	type operation = func(context.Context, *kvstore.Client) error
-	for _, c := range []struct {
-		name      string
-		operation operation
-		status    int
-		body      any // encoded unless it is bytes
-		want      error
-		served    bool
-		names     string // what the error must name
-	}{
-		{"get: found", get, 200, protocol.KeyValue{Key: "some/key", Version: 3}, nil, true, ""},
-		{"get: no version", get, 200, protocol.KeyValue{Key: "some/key"}, kvstore.ErrOutcomeUnknown, true, "some/key"},
-		{"get: no such key", get, 404, nil, kvstore.ErrNotFound, true, "some/key"},
-		{"get: unreadable", get, 200, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
-		{"get: no connection", get, 0, nil, kvstore.ErrOutcomeUnknown, false, "connection refused"},
-		{"get: unavailable", get, 503, nil, kvstore.ErrUnavailable, false, "some/key"},
-		{"get: throttled", get, 429, nil, kvstore.ErrThrottled, true, "some/key"},
-		{"get: unexpected status", get, 409, nil, kvstore.ErrOutcomeUnknown, true, "409"},
-		{"list: page", list, 200, protocol.KeyValuePage{}, nil, true, ""},
-		{"list: unexpected status", list, 404, nil, kvstore.ErrOutcomeUnknown, true, "some/key"},
-		{"commit: executed", commit, 200, protocol.TransactionReply{Revision: 4}, nil, true, ""},
-		{"commit: no revision", commit, 200, protocol.TransactionReply{}, kvstore.ErrOutcomeUnknown, true, "some/key"},
-		{"commit: conflict", commit, 409, protocol.TransactionReply{FailedKeys: []string{"term"}}, kvstore.ErrConflict, true, "some/key"},
-		{"commit: unreadable conflict", commit, 409, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
-		{"commit: rejected", commit, 400, protocol.ErrorReply{Error: "too many rows"}, kvstore.ErrInvalidRequest, true, "too many rows"},
-		{"commit: unreadable rejection", commit, 400, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
-		{"commit: no such lease", commit, 400, protocol.ErrorReply{Error: protocol.ReasonNoLease}, kvstore.ErrLeaseExpired, true, "some/key"},
-		{"commit: unavailable", commit, 503, nil, kvstore.ErrUnavailable, false, "some/key"},
-		{"commit: throttled", commit, 429, nil, kvstore.ErrThrottled, true, "some/key"},
-		{"commit: gateway's error", commit, 502, nil, kvstore.ErrOutcomeUnknown, true, "502"},
-		{"grant: granted", grant, 200, protocol.Lease{ID: 7}, nil, true, ""},
-		{"grant: no lease", grant, 200, protocol.Lease{}, kvstore.ErrOutcomeUnknown, true, "1s"},
-		{"keep-alive: renewed", keepAlive, 200, nil, nil, true, ""},
-		{"keep-alive: expired", keepAlive, 404, nil, kvstore.ErrLeaseExpired, true, "7"},
-		{"keep-alive: unexpected status", keepAlive, 400, nil, kvstore.ErrOutcomeUnknown, true, "7"},
-		{"revoke: revoked", revoke, 200, nil, nil, true, ""},
-		{"revoke: expired before", revoke, 404, nil, nil, true, ""},
-		{"revoke: unavailable", revoke, 503, nil, kvstore.ErrUnavailable, false, "7"},
-		{"watch: changes", watch, 200, protocol.WatchReply{Revision: 6}, nil, true, ""},
-		{"watch: compacted", watch, 410, nil, kvstore.ErrCompacted, true, "some/key"},
-		{"watch: no connection", watch, 0, nil, kvstore.ErrOutcomeUnknown, false, "connection refused"},
-	} {
+)
+
+// outcomeCase is what an operation makes of an answer.
+type outcomeCase struct {
+	name      string
+	operation operation
+	status    int
+	body      any // encoded unless it is bytes
+	want      error
+	served    bool
+	names     string // what the error must name
+}
+
+var outcomeCases = []outcomeCase{
+	{"get: found", get, 200, protocol.KeyValue{Key: "some/key", Version: 3}, nil, true, ""},
+	{"get: no version", get, 200, protocol.KeyValue{Key: "some/key"}, kvstore.ErrOutcomeUnknown, true, "some/key"},
+	{"get: no such key", get, 404, nil, kvstore.ErrNotFound, true, "some/key"},
+	{"get: unreadable", get, 200, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
+	{"get: no connection", get, 0, nil, kvstore.ErrOutcomeUnknown, false, "connection refused"},
+	{"get: unavailable", get, 503, nil, kvstore.ErrUnavailable, false, "some/key"},
+	{"get: throttled", get, 429, nil, kvstore.ErrThrottled, true, "some/key"},
+	{"get: unexpected status", get, 409, nil, kvstore.ErrOutcomeUnknown, true, "409"},
+	{"list: page", list, 200, protocol.KeyValuePage{}, nil, true, ""},
+	{"list: unexpected status", list, 404, nil, kvstore.ErrOutcomeUnknown, true, "some/key"},
+	{"commit: executed", commit, 200, protocol.TransactionReply{Revision: 4}, nil, true, ""},
+	{"commit: no revision", commit, 200, protocol.TransactionReply{}, kvstore.ErrOutcomeUnknown, true, "some/key"},
+	{"commit: conflict", commit, 409, protocol.TransactionReply{FailedKeys: []string{"term"}}, kvstore.ErrConflict, true, "some/key"},
+	{"commit: unreadable conflict", commit, 409, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
+	{"commit: rejected", commit, 400, protocol.ErrorReply{Error: "too many rows"}, kvstore.ErrInvalidRequest, true, "too many rows"},
+	{"commit: unreadable rejection", commit, 400, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
+	{"commit: no such lease", commit, 400, protocol.ErrorReply{Error: protocol.ReasonNoLease}, kvstore.ErrLeaseExpired, true, "some/key"},
+	{"commit: unavailable", commit, 503, nil, kvstore.ErrUnavailable, false, "some/key"},
+	{"commit: throttled", commit, 429, nil, kvstore.ErrThrottled, true, "some/key"},
+	{"commit: gateway's error", commit, 502, nil, kvstore.ErrOutcomeUnknown, true, "502"},
+	{"grant: granted", grant, 200, protocol.Lease{ID: 7}, nil, true, ""},
+	{"grant: no lease", grant, 200, protocol.Lease{}, kvstore.ErrOutcomeUnknown, true, "1s"},
+	{"keep-alive: renewed", keepAlive, 200, nil, nil, true, ""},
+	{"keep-alive: expired", keepAlive, 404, nil, kvstore.ErrLeaseExpired, true, "7"},
+	{"keep-alive: unexpected status", keepAlive, 400, nil, kvstore.ErrOutcomeUnknown, true, "7"},
+	{"revoke: revoked", revoke, 200, nil, nil, true, ""},
+	{"revoke: expired before", revoke, 404, nil, nil, true, ""},
+	{"revoke: unavailable", revoke, 503, nil, kvstore.ErrUnavailable, false, "7"},
+	{"watch: changes", watch, 200, protocol.WatchReply{Revision: 6}, nil, true, ""},
+	{"watch: compacted", watch, 410, nil, kvstore.ErrCompacted, true, "some/key"},
+	{"watch: no connection", watch, 0, nil, kvstore.ErrOutcomeUnknown, false, "connection refused"},
+}
+
+// TestOutcomes pins what each operation makes of each answer, and which answers show that
+// the store serves this node. An unknown outcome taken for a known one would lose or
+// repeat a write.
+func TestOutcomes(t *testing.T) {
+	for _, c := range outcomeCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				body, raw := c.body.([]byte)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -61,6 +61,12 @@
 func (leadingNode) UserCall(context.Context, *UserCall) *UserAnswer { return nil }
 func (leadingNode) IsLeader() bool                                  { return true }
 
+// acknowledgment is a cancellation that a peer has acknowledged.
+type acknowledgment struct {
+	jobID protocol.JobID
+	at    time.Time
+}
+
 // Acknowledged is compared with a record of all acknowledgments of the peers: none up to
 // its time may be missing, however late answers come, however often a peer restarts, and
 // whenever Acknowledged is called in between.
@@ -87,10 +93,6 @@
 			}
 			time.Sleep(time.Second)
 			group.Run(ctx)
-			type acknowledgment struct {
-				jobID protocol.JobID
-				at    time.Time
-			}
 			var all []acknowledgment
 			since := time.Now()
 			for n := range 300 {
