--- a/internal/leader/confirmation.go
+++ b/internal/leader/confirmation.go
@@ -114,10 +114,10 @@
 // term: whoever holds one knows it before it counts any agent's lease as expired, and
 // this leader's peers would have named it.
 func (l *Leader) confirmByPeers(now time.Time) {
-	if l.lease.mayStart(now) || l.Acknowledged == nil {
+	if l.lease.mayStart(now) || l.AcknowledgedCancellations == nil {
 		return
 	}
-	asOf, jobIDs, ok := l.Acknowledged(l.lease.lastConfirmation())
+	asOf, jobIDs, ok := l.AcknowledgedCancellations(l.lease.lastConfirmation())
 	if !ok {
 		return
 	}
--- a/internal/leader/failure_detection.go
+++ b/internal/leader/failure_detection.go
@@ -168,5 +168,5 @@
 		l.lease.heardMajority = true
 	}
 	hearsTooFew := expected >= tuning.IsolationMinMachines && float64(heard) < float64(expected)*tuning.IsolationShare
-	return hearsTooFew && (l.lease.heardMajority || l.Redirected() > max(heard, tuning.IsolationMinMachines))
+	return hearsTooFew && (l.lease.heardMajority || l.RedirectedHeartbeats() > max(heard, tuning.IsolationMinMachines))
 }
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -83,7 +83,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	store := kvstore.New("state:1", &recordedCalls{}, httpclient.NewMalformedLog(log), d.State)
-	leader := New(Dependencies{Config: cfg, Store: store, Log: log, OnNewerTerm: func(protocol.Term) {}, Resign: func() {}, Redirected: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
+	leader := New(Options{Config: cfg, Store: store, Log: log, OnNewerTerm: func(protocol.Term) {}, Resign: func() {}, RedirectedHeartbeats: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
 	leader.Bind(context.Background())
 	now := time.Now()
 	leader.tookOverAt, leader.lease.confirmedByWatch, leader.lease.confirmedByTerm = now, now, now
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -30,8 +30,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// Dependencies is what a leader works with.
-type Dependencies struct {
+// Options is what a leader works with.
+type Options struct {
 	Config *config.Config
 	Store  *kvstore.Client
 	Cloud  *cloud.Client
@@ -41,13 +41,13 @@
 	OnNewerTerm func(newer protocol.Term)
 	// Resign gives up the term for another controller to take.
 	Resign func()
-	// Redirected returns how many heartbeats the other controllers have redirected
+	// RedirectedHeartbeats returns how many heartbeats the other controllers have redirected
 	// lately.
-	Redirected func() int
-	// Acknowledged returns the jobs of which a controller has told a user that they
+	RedirectedHeartbeats func() int
+	// AcknowledgedCancellations returns the jobs of which a controller has told a user that they
 	// are cancelled, and the time up to which the list is complete for
 	// acknowledgments after since; ok is false if a controller cannot tell.
-	Acknowledged func(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool)
+	AcknowledgedCancellations func(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool)
 }
 
 // ErrMayNotAnswer is returned for a heartbeat that the leader may not answer now: its
@@ -57,7 +57,7 @@
 // Leader is the leader of one term. Its actor (Run) owns the parts, the inbox and the
 // order of a cycle; each part owns its state.
 type Leader struct {
-	Dependencies
+	Options
 	leadership election.Leadership
 	tookOverAt time.Time
 	// ctx is the context of the term. It is stored because the actor outlives any
@@ -86,14 +86,14 @@
 }
 
 // New makes the leader of a term.
-func New(dependencies Dependencies, leadership election.Leadership) *Leader {
-	deployment := &dependencies.Config.Deployment
+func New(options Options, leadership election.Leadership) *Leader {
+	deployment := &options.Config.Deployment
 	return &Leader{
-		Dependencies: dependencies,
-		leadership:   leadership,
+		Options:    options,
+		leadership: leadership,
 		// Every connection may carry a heartbeat that waits for its answer. After a
 		// failover all agents report at once, and none of them is refused here.
-		inbox:        make(chan message, deployment.Sockets(len(dependencies.Config.Peers)).Incoming),
+		inbox:        make(chan message, deployment.Sockets(len(options.Config.Peers)).Incoming),
 		lease:        newLeaderLease(deployment.Workers),
 		jobs:         newJobTable(),
 		dependencies: newDependencyTable(),
@@ -104,7 +104,7 @@
 		provisioner:  newProvisioner(),
 		catalog:      newMachineCatalog(),
 		images:       newImageInventoryKeeper(),
-		estimator:    newRunTimeEstimator(dependencies.Config.Operator.Estimator),
+		estimator:    newRunTimeEstimator(options.Config.Operator.Estimator),
 	}
 }
 
--- a/internal/leader/lease_test.go
+++ b/internal/leader/lease_test.go
@@ -88,7 +88,7 @@
 		named, other := leader.jobs.open["req-000000"], leader.jobs.open["req-000001"]
 		dropAll(now, named, other)
 		late := now.Add(time.Minute)
-		leader.Acknowledged = func(time.Time) (time.Time, []protocol.JobID, bool) { return late, []protocol.JobID{named.id}, true }
+		leader.AcknowledgedCancellations = func(time.Time) (time.Time, []protocol.JobID, bool) { return late, []protocol.JobID{named.id}, true }
 		leader.confirmByPeers(late)
 		if !named.cancelled || other.cancelled || !leader.lease.lastProof().Equal(late) {
 			t.Fatalf("cancelled %v and %v, last proof %v", named.cancelled, other.cancelled, leader.lease.lastProof().Sub(now))
--- a/internal/server/leadership.go
+++ b/internal/server/leadership.go
@@ -12,12 +12,12 @@
 // lead runs the leader for one term. The candidate calls it when it has won the term,
 // and ends ctx when the term is over.
 func (c *controller) lead(ctx context.Context, leadership election.Leadership) {
-	termLeader := leader.New(leader.Dependencies{
+	termLeader := leader.New(leader.Options{
 		Config: c.cfg, Store: c.store, Cloud: c.cloud, Agents: c.agents, Log: c.log,
-		OnNewerTerm:  func(term protocol.Term) { c.candidate.ObserveTerm(records.LeaderRecord{Term: term}) },
-		Resign:       c.candidate.Resign,
-		Redirected:   c.peers.Redirected,
-		Acknowledged: c.acknowledged,
+		OnNewerTerm:               func(term protocol.Term) { c.candidate.ObserveTerm(records.LeaderRecord{Term: term}) },
+		Resign:                    c.candidate.Resign,
+		RedirectedHeartbeats:      c.peers.Redirected,
+		AcknowledgedCancellations: c.acknowledged,
 	}, leadership)
 	termLeader.Bind(ctx)
 	c.activeLeader.Store(termLeader)
