--- a/internal/leader/commit_batch.go
+++ b/internal/leader/commit_batch.go
@@ -14,9 +14,9 @@
 	transaction protocol.Transaction
 	segments    []segmentWrite
 	closed      []jobClosing
-	provisioned []*provisioning   // requests that are recorded
-	obsolete    []*provisioning   // requests whose records are deleted
-	orphans     []orphanedSegment // deleted
+	provisioned []*provisioningState // requests that are recorded
+	obsolete    []*provisioningState // requests whose records are deleted
+	orphans     []orphanedSegment    // deleted
 	// maxMutations is how many mutations the transaction may have, and bytes how
 	// large it is, in bytes as JSON.
 	maxMutations int
@@ -116,7 +116,7 @@
 }
 
 // addProvisioning records requests that are not recorded yet.
-func (b *commitBatch) addProvisioning(requests map[string]*provisioning) {
+func (b *commitBatch) addProvisioning(requests map[string]*provisioningState) {
 	for _, request := range requests {
 		if !request.recorded && b.fits(1, smallRecordBytes) {
 			b.put(records.ProvisioningKey(request.ID), request.ProvisioningRequest, smallRecordBytes)
@@ -126,7 +126,7 @@
 }
 
 // addObsolete deletes the records of requests whose machines are known otherwise.
-func (b *commitBatch) addObsolete(requests map[string]*provisioning) {
+func (b *commitBatch) addObsolete(requests map[string]*provisioningState) {
 	for _, request := range requests {
 		if request.recorded && request.obsolete && b.fits(1, smallRecordBytes) {
 			b.remove(records.ProvisioningKey(request.ID))
--- a/internal/leader/deprovisioning_test.go
+++ b/internal/leader/deprovisioning_test.go
@@ -18,7 +18,7 @@
 func TestDeprovisioningTakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(350, 30)
-		w := &recordedCalls{answer: make(chan struct{})}
+		w := &recordingTransport{answer: make(chan struct{})}
 		leader.Cloud = cloud.New("cloud:1", w, httpclient.NewMalformedLog(leader.Log), 1000)
 		for i := 0; i < 350; i += 10 {
 			leader.deprovision(leader.machines.sorted[i:i+10], "test", now)
--- a/internal/leader/dispatch_test.go
+++ b/internal/leader/dispatch_test.go
@@ -17,7 +17,7 @@
 func TestHandshakesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(2100, 1000)
-		w := &recordedCalls{answer: make(chan struct{})}
+		w := &recordingTransport{answer: make(chan struct{})}
 		defer close(w.answer)
 		leader.Agents = agent.New(w, httpclient.NewMalformedLog(leader.Log), 5000)
 		leader.leadership.Term++ // a leader that has seen none of them yet
--- a/internal/leader/failure_detection.go
+++ b/internal/leader/failure_detection.go
@@ -165,8 +165,8 @@
 		}
 	}
 	if 2*heard > expected {
-		l.lease.heardMajority = true
+		l.lease.majorityReported = true
 	}
 	hearsTooFew := expected >= tuning.IsolationMinMachines && float64(heard) < float64(expected)*tuning.IsolationShare
-	return hearsTooFew && (l.lease.heardMajority || l.RedirectedHeartbeats() > max(heard, tuning.IsolationMinMachines))
+	return hearsTooFew && (l.lease.majorityReported || l.RedirectedHeartbeats() > max(heard, tuning.IsolationMinMachines))
 }
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -75,7 +75,7 @@
 // direct command.
 func (l *Leader) applyStatus(machine *cluster.Machine, status *protocol.Heartbeat, now time.Time) {
 	wasUp, unknownBefore := machine.Up, machine.UnknownTaskCount
-	ended, isNew := machine.ApplyStatus(status, parseTask, now, l.agentLeaseExpiry(now))
+	ended, isNew := machine.ApplyStatus(status, parseTaskName, now, l.agentLeaseExpiry(now))
 	if !isNew {
 		return
 	}
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -21,7 +21,7 @@
 	leader.jobs.open["req-1"] = job
 	machine := cluster.NewMachine("m-1", leader.termToken(), now, now.Add(time.Hour))
 	machine.ApplyStatus(&protocol.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, Token: leader.termToken(), Tasks: []protocol.TaskStatus{
-		{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}}}, parseTask, now, now)
+		{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}}}, parseTaskName, now, now)
 	job.unrecordedDone[0] = true
 	if o := leader.reconcileCommands(machine); len(o) > 0 {
 		t.Errorf("commanded %v before the completion was recorded", o)
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -22,14 +22,14 @@
 	"marblehaven/internal/records"
 )
 
-// recordedCalls records the calls that come, and answers them when told to.
-type recordedCalls struct {
+// recordingTransport records the calls that come, and answers them when told to.
+type recordingTransport struct {
 	mu     sync.Mutex
 	hosts  []string
 	answer chan struct{}
 }
 
-func (c *recordedCalls) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *recordingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c.mu.Lock()
 	c.hosts = append(c.hosts, r.URL.Hostname())
 	c.mu.Unlock()
@@ -41,17 +41,17 @@
 	}
 }
 
-func (c *recordedCalls) seen() []string {
+func (c *recordingTransport) seen() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.hosts)
 }
 
-// withSilentStore gives a leader a key-value store that never answers, so that a commit
+// withUnresponsiveStore gives a leader a key-value store that never answers, so that a commit
 // stays in flight. The returned function ends its calls.
-func withSilentStore(t *testing.T, leader *Leader) (end func()) {
+func withUnresponsiveStore(t *testing.T, leader *Leader) (end func()) {
 	t.Helper()
-	leader.Store = kvstore.New("state:1", &recordedCalls{}, httpclient.NewMalformedLog(leader.Log), leader.Config.Deployment.State)
+	leader.Store = kvstore.New("state:1", &recordingTransport{}, httpclient.NewMalformedLog(leader.Log), leader.Config.Deployment.State)
 	ctx, cancel := context.WithCancel(t.Context())
 	leader.Bind(ctx)
 	return func() {
@@ -60,8 +60,8 @@
 	}
 }
 
-// dropAll removes all placements of some jobs.
-func dropAll(now time.Time, jobs ...*jobState) {
+// removeAllPlacements removes all placements of some jobs.
+func removeAllPlacements(now time.Time, jobs ...*jobState) {
 	for _, job := range jobs {
 		for _, placement := range job.placements {
 			placement.Machine.RemovePlacement(placement, now)
@@ -82,7 +82,7 @@
 		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprint("t", i), Cores: 900, CoresMax: 10000})
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	store := kvstore.New("state:1", &recordedCalls{}, httpclient.NewMalformedLog(log), d.State)
+	store := kvstore.New("state:1", &recordingTransport{}, httpclient.NewMalformedLog(log), d.State)
 	leader := New(Options{Config: cfg, Store: store, Log: log, OnNewerTerm: func(protocol.Term) {}, Resign: func() {}, RedirectedHeartbeats: func() int { return 0 }}, election.Leadership{Term: 1, TermVersion: 1})
 	leader.Bind(context.Background())
 	now := time.Now()
@@ -99,7 +99,7 @@
 		machine := leader.machineByID(fmt.Sprintf("m-%06d", i), now)
 		heartbeat := fullHeartbeat(leader, i, 1)
 		for _, t := range heartbeat.Tasks {
-			k, _ := parseTask(t.Task)
+			k, _ := parseTaskName(t.Task)
 			placement := &cluster.Placement{TaskKey: k, Attempt: 1, Incarnation: 1, Machine: machine, Recorded: true, Sent: true, Since: now}
 			machine.Placements[k] = placement
 			leader.jobs.open[k.Job].placements[k.Task] = placement
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -145,8 +145,8 @@
 // taskName spells a task as agents do.
 func taskName(key cluster.TaskKey) string { return string(key.Job) + "/" + strconv.Itoa(key.Task) }
 
-// parseTask reads a task's name; ok is false if it is none.
-func parseTask(name string) (key cluster.TaskKey, ok bool) {
+// parseTaskName reads a task's name; ok is false if it is none.
+func parseTaskName(name string) (key cluster.TaskKey, ok bool) {
 	jobID, number, found := strings.Cut(name, "/")
 	task, err := strconv.Atoi(number)
 	return cluster.TaskKey{Job: protocol.JobID(jobID), Task: task}, found && err == nil && task >= 0
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -26,8 +26,8 @@
 	confirmedByPeers time.Time
 	// answeringSince is since when heartbeats could be answered without a break.
 	answeringSince time.Time
-	// heardMajority is set once most machines were heard of in this term.
-	heardMajority bool
+	// majorityReported is set once most machines were heard of in this term.
+	majorityReported bool
 }
 
 func newLeaderLease(agents config.Workers) leaderLease {
--- a/internal/leader/lease_test.go
+++ b/internal/leader/lease_test.go
@@ -43,7 +43,7 @@
 	leader, now = newLoadedLeader(2100, 1000)
 	free(leader)
 	resigned := false
-	leader.Config.Peers, leader.lease.heardMajority = make([]config.Peer, 4), true
+	leader.Config.Peers, leader.lease.majorityReported = make([]config.Peer, 4), true
 	leader.Resign = func() { resigned = true }
 	// One start was recorded and not yet sent: its job may be cancelled by now.
 	machine := leader.machines.sorted[100]
@@ -68,7 +68,7 @@
 		}
 	}
 	// Once the store has answered the start goes out.
-	w := &recordedCalls{answer: make(chan struct{})}
+	w := &recordingTransport{answer: make(chan struct{})}
 	defer close(w.answer)
 	leader.Agents = agent.New(w, httpclient.NewMalformedLog(leader.Log), 5000)
 	later := now.Add(12 * time.Second)
@@ -84,9 +84,9 @@
 func TestCancellationKnownBeforeItsRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(8, 2)
-		defer withSilentStore(t, leader)()
+		defer withUnresponsiveStore(t, leader)()
 		named, other := leader.jobs.open["req-000000"], leader.jobs.open["req-000001"]
-		dropAll(now, named, other)
+		removeAllPlacements(now, named, other)
 		late := now.Add(time.Minute)
 		leader.AcknowledgedCancellations = func(time.Time) (time.Time, []protocol.JobID, bool) { return late, []protocol.JobID{named.id}, true }
 		leader.confirmByPeers(late)
--- a/internal/leader/pending_writes.go
+++ b/internal/leader/pending_writes.go
@@ -88,7 +88,7 @@
 // would for ever keep out what takes several, such as closing a job; and what is
 // placed meanwhile shares the write of its job. Starts of production don't wait.
 func (l *Leader) awaitsBudget(pending []pendingWrite, budget int) bool {
-	mutations := l.provisioner.unrecorded()
+	mutations := l.provisioner.countUnrecorded()
 	for _, write := range pending {
 		switch write.order {
 		case writeProductionStarts:
--- a/internal/leader/pending_writes_test.go
+++ b/internal/leader/pending_writes_test.go
@@ -16,9 +16,9 @@
 func TestClosingIsNotStarvedByStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(8, 2)
-		defer withSilentStore(t, leader)()
+		defer withUnresponsiveStore(t, leader)()
 		over, busy := leader.jobs.open["req-000000"], leader.jobs.open["req-000001"]
-		dropAll(now, over, busy)
+		removeAllPlacements(now, over, busy)
 		over.segment(0).version, busy.segment(0).version = 1, 1
 		over.doneCount = over.spec.Tasks
 		leader.writer.limiter.AllowN(now, leader.writer.limiter.Burst())
--- a/internal/leader/provisioner.go
+++ b/internal/leader/provisioner.go
@@ -16,8 +16,8 @@
 // calls. Requests are recorded before the call, so that a new leader repeats them:
 // repeated, a request provisions at most once.
 type provisioner struct {
-	requests map[string]*provisioning // by ID
-	sequence int                      // of the latest request of this term
+	requests map[string]*provisioningState // by ID
+	sequence int                           // of the latest request of this term
 	backoffs map[capacityPool]*capacityBackoff
 
 	deprovisionQueue    []*cluster.Machine
@@ -31,11 +31,11 @@
 }
 
 func newProvisioner() provisioner {
-	return provisioner{requests: map[string]*provisioning{}, backoffs: map[capacityPool]*capacityBackoff{}}
+	return provisioner{requests: map[string]*provisioningState{}, backoffs: map[capacityPool]*capacityBackoff{}}
 }
 
-// provisioning is a provisioning request and what has become of it.
-type provisioning struct {
+// provisioningState is a provisioning request and what has become of it.
+type provisioningState struct {
 	records.ProvisioningRequest
 	recorded   bool
 	calling    bool // a call is under way
@@ -45,7 +45,7 @@
 	obsolete   bool      // its record may go
 }
 
-func (p *provisioning) pool() capacityPool { return capacityPool{p.Type, p.Zone, p.Spot} }
+func (p *provisioningState) pool() capacityPool { return capacityPool{p.Type, p.Zone, p.Spot} }
 
 // capacityPool is what capacity is asked for in: a machine type in a zone, as spot
 // machines or ordinary ones.
@@ -60,8 +60,8 @@
 	delay time.Duration
 }
 
-// unrecorded is how many requests wait to be recorded.
-func (p *provisioner) unrecorded() (count int) {
+// countUnrecorded returns how many requests wait to be recorded.
+func (p *provisioner) countUnrecorded() (count int) {
 	for _, request := range p.requests {
 		if !request.recorded {
 			count++
@@ -88,7 +88,7 @@
 // minute went into requests that provisioned nothing.
 func (l *Leader) requestMachines(pool capacityPool, count int, now time.Time) {
 	l.provisioner.sequence++
-	request := &provisioning{ProvisioningRequest: records.ProvisioningRequest{
+	request := &provisioningState{ProvisioningRequest: records.ProvisioningRequest{
 		// With the term the ID is unique over all leaders, for ever.
 		ID:          fmt.Sprintf("r-%d-%d", l.leadership.Term, l.provisioner.sequence),
 		Type:        pool.machineType,
@@ -104,7 +104,7 @@
 
 // provisionResult is the cloud's answer to a request, or that there is none.
 type provisionResult struct {
-	request    *provisioning
+	request    *provisioningState
 	machineIDs []string
 	err        error
 }
@@ -147,12 +147,12 @@
 }
 
 // rejectRequest ends a request that has provisioned nothing and never will.
-func (l *Leader) rejectRequest(request *provisioning, now time.Time) {
+func (l *Leader) rejectRequest(request *provisioningState, now time.Time) {
 	request.resolved, request.obsolete = true, true
 	l.provisioner.backOff(request.pool(), now)
 }
 
-func (l *Leader) onProvisioned(request *provisioning, machineIDs []string, now time.Time) {
+func (l *Leader) onProvisioned(request *provisioningState, machineIDs []string, now time.Time) {
 	request.resolved, request.machineIDs = true, machineIDs
 	l.provisioner.cloudAvailable = true
 	for _, id := range machineIDs {
--- a/internal/leader/provisioner_test.go
+++ b/internal/leader/provisioner_test.go
@@ -29,7 +29,7 @@
 func TestRequestIsRecordedBeforeItIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(1, 1)
-		calls := &recordedCalls{answer: make(chan struct{})}
+		calls := &recordingTransport{answer: make(chan struct{})}
 		leader.Cloud = cloud.New("cloud:1", calls, httpclient.NewMalformedLog(leader.Log), 1000)
 		leader.requestMachines(capacityPool{machineType: "big", zone: "a"}, 3, now)
 		leader.callProvisioning(now)
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -64,7 +64,7 @@
 	for _, entry := range stored.provisioning.Entries {
 		var request records.ProvisioningRequest
 		if err := codec.Unmarshal(entry.Value, &request); err == nil {
-			l.provisioner.requests[request.ID] = &provisioning{ProvisioningRequest: request, recorded: true}
+			l.provisioner.requests[request.ID] = &provisioningState{ProvisioningRequest: request, recorded: true}
 		}
 	}
 	if stored.catalog.Value == nil {
--- a/internal/leader/run_record_test.go
+++ b/internal/leader/run_record_test.go
@@ -47,7 +47,7 @@
 		tasks := 1 + rng.IntN(200)
 		job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: tasks}}, 1, time.Now())
 		leader := &Leader{formats: formatVersions{cluster: records.FormatWhole}}
-		leader.Store = kvstore.New("state:1", &recordedCalls{}, nil, config.State{StateLimits: config.StateLimits{ValueKB: float64(1 + rng.IntN(8))}})
+		leader.Store = kvstore.New("state:1", &recordingTransport{}, nil, config.State{StateLimits: config.StateLimits{ValueKB: float64(1 + rng.IntN(8))}})
 		machine := &cluster.Machine{ID: "m-000001"}
 		stored := map[int]records.RunRecord{}
 		model := make([]taskState, tasks)
@@ -126,7 +126,7 @@
 	limits := leader.Config.Deployment.State
 	value := tuning.ValueMinKB
 	limits.Next.ValueKB = &value
-	leader.Store = kvstore.New("state:1", &recordedCalls{}, httpclient.NewMalformedLog(leader.Log), limits)
+	leader.Store = kvstore.New("state:1", &recordingTransport{}, httpclient.NewMalformedLog(leader.Log), limits)
 	leader.useFormat(records.FormatSegmented)
 	job := leader.jobs.open["req-000000"]
 	job.spec.Tasks = 300
