--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Operator.Rho != 1.5 || c.Operator.GiveBackFactor != DefaultOperator().GiveBackFactor || c.Team("t") == nil {
+	if c.Operator.Rho != 1.5 || c.Operator.IdleTimeoutBootFactor != DefaultOperator().IdleTimeoutBootFactor || c.Team("t") == nil {
 		t.Errorf("read as %+v", c)
 	}
 	// Settings that the service cannot work with are refused by one line that names the
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,11 +14,11 @@
 	Rho float64 `toml:"rho"`
 	// DeadlineFactor times the estimated run time is the deadline of a job without one.
 	DeadlineFactor float64 `toml:"default_deadline_factor"`
-	// GiveBackFactor times the boot time of its type is how long an idle machine is
+	// IdleTimeoutBootFactor times the boot time of its type is how long an idle machine is
 	// kept before scale in, at the type's lowest price. A higher price shortens it.
-	GiveBackFactor float64 `toml:"give_back_boot_factor"`
-	// CallBudget is the share of the cloud's call rate limit that is used.
-	CallBudget float64 `toml:"cloud_call_share"`
+	IdleTimeoutBootFactor float64 `toml:"give_back_boot_factor"`
+	// CloudCallShare is the share of the cloud's call rate limit that is used.
+	CloudCallShare float64 `toml:"cloud_call_share"`
 	// Estimator chooses the run-time estimate: estimatorRecent corrects the user's
 	// estimate by the recent runs of the job's class, estimatorUser takes it as it is.
 	Estimator string `toml:"estimator"`
@@ -26,7 +26,7 @@
 
 // DefaultOperator returns the values used without an operators' file.
 func DefaultOperator() Operator {
-	return Operator{Rho: 1, DeadlineFactor: 3, GiveBackFactor: 4, CallBudget: 0.8, Estimator: estimatorRecent}
+	return Operator{Rho: 1, DeadlineFactor: 3, IdleTimeoutBootFactor: 4, CloudCallShare: 0.8, Estimator: estimatorRecent}
 }
 
 // load reads the operators' file over the values that the settings have now.
@@ -55,8 +55,8 @@
 	return errors.Join(
 		checkRange("rho", o.Rho, 0, 10),
 		checkRange("default_deadline_factor", o.DeadlineFactor, 1, 100),
-		checkRange("give_back_boot_factor", o.GiveBackFactor, 0, 100),
-		checkRange("cloud_call_share", o.CallBudget, 0.05, 1),
+		checkRange("give_back_boot_factor", o.IdleTimeoutBootFactor, 0, 100),
+		checkRange("cloud_call_share", o.CloudCallShare, 0.05, 1),
 	)
 }
 
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -33,7 +33,7 @@
 // part of the calls that may be made goes into lists.
 func (l *Leader) listInterval() time.Duration {
 	pages := float64(len(l.machines.byID)/tuning.ListMax + 1)
-	callsPerSecond := l.Config.Deployment.Cloud.RPS * l.Config.Operator.CallBudget
+	callsPerSecond := l.Config.Deployment.Cloud.RPS * l.Config.Operator.CloudCallShare
 	return max(tuning.ListInterval, seconds(pages/(callsPerSecond*tuning.ListShare)))
 }
 
@@ -65,7 +65,7 @@
 	}
 	l.deprovision(failed, "failed", now)
 	l.planHandshakes(now)
-	lag := tuning.ListLags * l.Config.Deployment.Cloud.ListLag()
+	lag := tuning.ListLagFactor * l.Config.Deployment.Cloud.ListLag()
 	l.machines.pruneRemoved(result.began, lag)
 	l.markObsoleteRequests(listed)
 }
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -59,13 +59,13 @@
 
 func (l *Leader) emptySnapshot() *scheduler.Snapshot {
 	return &scheduler.Snapshot{
-		Rho:                 l.Config.Operator.Rho,
-		IdleBootFactor:      l.Config.Operator.GiveBackFactor,
-		GPUPriority:         l.jobs.gpuPriority,
-		GPURequest:          l.jobs.gpuRequest,
-		StarvationShare:     tuning.StarvationShare,
-		StarvationShareIdle: tuning.StarvationShareIdle,
-		ExhaustedPools:      map[scheduler.CapacityPool]bool{},
+		Rho:                   l.Config.Operator.Rho,
+		IdleTimeoutBootFactor: l.Config.Operator.IdleTimeoutBootFactor,
+		GPUPriority:           l.jobs.gpuPriority,
+		GPURequest:            l.jobs.gpuRequest,
+		StarvationShare:       tuning.StarvationShare,
+		StarvationShareIdle:   tuning.StarvationShareIdle,
+		ExhaustedPools:        map[scheduler.CapacityPool]bool{},
 	}
 }
 
@@ -235,7 +235,7 @@
 		IdleS:       b.now.Sub(machine.IdleSince).Seconds(),
 		GPUIdleS:    b.now.Sub(machine.GPUIdleSince).Seconds(),
 	}
-	bootLimit := seconds(tuning.BootSlow * machineType.BootS)
+	bootLimit := seconds(tuning.BootExpectedFactor * machineType.BootS)
 	entry.Booting = !machine.Up && !machine.Deprovisioning && b.now.Sub(machine.ProvisionedAt) < bootLimit
 	if machine.Up && !entry.Schedulable && !machine.Deprovisioning && machine.PreemptionAt.IsZero() {
 		b.unresolved++
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -79,7 +79,7 @@
 
 func (l *Leader) neverCameUp(machine *cluster.Machine, now time.Time) bool {
 	return !machine.Up && len(machine.Placements) == 0 && l.catalog.loaded &&
-		now.Sub(machine.ProvisionedAt) > seconds(tuning.BootGiveUp*l.bootTimeS(machine))
+		now.Sub(machine.ProvisionedAt) > seconds(tuning.BootTimeoutFactor*l.bootTimeS(machine))
 }
 
 // drain saves in time what can be saved on a machine that the cloud takes away.
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -11,7 +11,7 @@
 // one task, and six machines that are not schedulable yet.
 func starvedGangSnapshot() *Snapshot {
 	snapshot := &Snapshot{
-		Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5,
+		Rho: 1, IdleTimeoutBootFactor: 4, StarvationShare: 0.5,
 		GPUPriority: 2, GPURequest: Resources{4, 4, 8},
 		ExhaustedPools: map[CapacityPool]bool{},
 		Types:          []MachineType{{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones}},
--- a/internal/scheduler/generator_test.go
+++ b/internal/scheduler/generator_test.go
@@ -13,7 +13,7 @@
 // randomSnapshot makes a snapshot. If busy is set, machines carry tasks that could be
 // preempted.
 func randomSnapshot(rng *rand.Rand, busy bool) *Snapshot {
-	snapshot := &Snapshot{Rho: 1, IdleBootFactor: 2, MayScaleOut: true, MayScaleIn: true, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{},
+	snapshot := &Snapshot{Rho: 1, IdleTimeoutBootFactor: 2, MayScaleOut: true, MayScaleIn: true, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{},
 		Types: []MachineType{
 			{Name: "small", Capacity: Resources{4, 0, 16}, Price: 0.2, SpotPrice: 0.06, BootS: 30, FetchGBps: 1, Zones: zones},
 			{Name: "big", Capacity: Resources{16, 0, 64}, Price: 1, SpotPrice: 0.3, BootS: 40, FetchGBps: 1, Zones: zones},
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -40,5 +40,5 @@
 	if machineType.SpotPrice > 0 {
 		lowestPrice = math.Min(lowestPrice, machineType.SpotPrice)
 	}
-	return s.IdleBootFactor * machineType.BootS * lowestPrice / price
+	return s.IdleTimeoutBootFactor * machineType.BootS * lowestPrice / price
 }
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -93,15 +93,15 @@
 
 // Snapshot is all that a plan is made from.
 type Snapshot struct {
-	Types          []MachineType
-	Machines       []Machine
-	Jobs           []Job
-	Teams          []Team
-	ExhaustedPools map[CapacityPool]bool // refused for lack of capacity lately
-	Rho            float64               // ρ of DRPA, eq. 28: a larger one scales out sooner
-	IdleBootFactor float64               // boot times for which an idle machine is kept, see idleTimeout
-	MayScaleOut    bool
-	MayScaleIn     bool
+	Types                 []MachineType
+	Machines              []Machine
+	Jobs                  []Job
+	Teams                 []Team
+	ExhaustedPools        map[CapacityPool]bool // refused for lack of capacity lately
+	Rho                   float64               // ρ of DRPA, eq. 28: a larger one scales out sooner
+	IdleTimeoutBootFactor float64               // boot times for which an idle machine is kept, see idleTimeout
+	MayScaleOut           bool
+	MayScaleIn            bool
 	// StarvationShare is the share of the provisioned machines that starved jobs may
 	// claim ahead of others.
 	StarvationShare float64
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -43,7 +43,7 @@
 
 func newLoadSimulation(seed uint64) *loadSimulation {
 	snapshot := &Snapshot{
-		Rho: 1, IdleBootFactor: 4, StarvationShare: 0.5,
+		Rho: 1, IdleTimeoutBootFactor: 4, StarvationShare: 0.5,
 		GPUPriority: 2, GPURequest: Resources{4, 4, 8},
 		ExhaustedPools: map[CapacityPool]bool{},
 		Types: []MachineType{
--- a/internal/server/controller.go
+++ b/internal/server/controller.go
@@ -91,7 +91,7 @@
 	c := &controller{cfg: cfg, log: log, supportedFormat: records.FormatSupported}
 	malformed := httpclient.NewMalformedLog(log)
 	c.store = kvstore.New(cfg.Services.State, via.store, malformed, cfg.Deployment.State)
-	c.cloud = cloud.New(cfg.Services.Cloud, via.cloud, malformed, cfg.Deployment.Cloud.RPS*cfg.Operator.CallBudget)
+	c.cloud = cloud.New(cfg.Services.Cloud, via.cloud, malformed, cfg.Deployment.Cloud.RPS*cfg.Operator.CloudCallShare)
 	c.agents = agent.New(via.agents, malformed, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
 	c.candidate = election.New(c.store, cfg.Node, log)
 	c.users = api.NewUsers(cfg, c.store, log)
--- a/internal/tuning/provisioning.go
+++ b/internal/tuning/provisioning.go
@@ -15,9 +15,9 @@
 	// most of the call budget is left for provisioning.
 	ListInterval = 3 * time.Second
 
-	// ListLags times list_lag_s is how long after a machine was deprovisioned a read of the
+	// ListLagFactor times list_lag_s is how long after a machine was deprovisioned a read of the
 	// list may begin that still names it. The list usually lags by twice list_lag_s at most.
-	ListLags = 6
+	ListLagFactor = 6
 
 	// ListShare is the share of the call budget that reads of the list may take.
 	ListShare = 0.25
@@ -45,11 +45,11 @@
 	// Capacity comes back when others give machines back.
 	NoCapacityBackoffMax = 40 * time.Second
 
-	// BootSlow times bootS is how long a machine that boots counts as capacity to come.
+	// BootExpectedFactor times bootS is how long a machine that boots counts as capacity to come.
 	// Usual boots end at 1.5 times bootS.
-	BootSlow = 2.0
+	BootExpectedFactor = 2.0
 
-	// BootGiveUp times bootS is how long a machine may boot before it is taken for one that
+	// BootTimeoutFactor times bootS is how long a machine may boot before it is taken for one that
 	// never comes up. Some boots take several times bootS.
-	BootGiveUp = 4.0
+	BootTimeoutFactor = 4.0
 )
