--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -59,13 +59,13 @@
 
 func (l *Leader) emptySnapshot() *scheduler.Snapshot {
 	return &scheduler.Snapshot{
-		Rho:                   l.Config.Operator.Rho,
-		IdleTimeoutBootFactor: l.Config.Operator.IdleTimeoutBootFactor,
-		GPUPriority:           l.jobs.gpuPriority,
-		GPURequest:            l.jobs.gpuRequest,
-		StarvationShare:       tuning.StarvationShare,
-		StarvationShareIdle:   tuning.StarvationShareIdle,
-		ExhaustedPools:        map[scheduler.CapacityPool]bool{},
+		Rho:                           l.Config.Operator.Rho,
+		IdleTimeoutBootFactor:         l.Config.Operator.IdleTimeoutBootFactor,
+		LowestGPUPriority:             l.jobs.gpuPriority,
+		LargestGPURequest:             l.jobs.gpuRequest,
+		StarvationShare:               tuning.StarvationShare,
+		StarvationShareLowestPriority: tuning.StarvationShareLowestPriority,
+		ExhaustedPools:                map[scheduler.CapacityPool]bool{},
 	}
 }
 
@@ -151,17 +151,17 @@
 		guaranteed = withinGuarantee(request, demand[team], b.guaranteedQuota(team))
 	}
 	entry := scheduler.Job{
-		ID:         job.id,
-		Spec:       &job.spec,
-		Request:    request,
-		Priority:   chained.Priority,
-		Guaranteed: guaranteed,
-		EstimateS:  chained.EstimateS,
-		Waiting:    b.waitingTasks(job),
-		Running:    len(job.placements),
-		Team:       team,
-		BackingOff: b.now.Before(job.backoffUntil),
-		Weight:     1,
+		ID:              job.id,
+		Spec:            &job.spec,
+		Request:         request,
+		Priority:        chained.Priority,
+		WithinGuarantee: guaranteed,
+		EstimateS:       chained.EstimateS,
+		Waiting:         b.waitingTasks(job),
+		Running:         len(job.placements),
+		Team:            team,
+		BackingOff:      b.now.Before(job.backoffUntil),
+		Weight:          1,
 	}
 	var countsTasks bool
 	entry.DeadlineS, countsTasks = b.leader.deadlineFor(job, entry.EstimateS, chained.DeadlineS, guaranteed, b.now)
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -12,7 +12,7 @@
 func starvedGangSnapshot() *Snapshot {
 	snapshot := &Snapshot{
 		Rho: 1, IdleTimeoutBootFactor: 4, StarvationShare: 0.5,
-		GPUPriority: 2, GPURequest: Resources{4, 4, 8},
+		LowestGPUPriority: 2, LargestGPURequest: Resources{4, 4, 8},
 		ExhaustedPools: map[CapacityPool]bool{},
 		Types:          []MachineType{{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones}},
 		Teams:          []Team{{}},
--- a/internal/scheduler/generator_test.go
+++ b/internal/scheduler/generator_test.go
@@ -13,7 +13,7 @@
 // randomSnapshot makes a snapshot. If busy is set, machines carry tasks that could be
 // preempted.
 func randomSnapshot(rng *rand.Rand, busy bool) *Snapshot {
-	snapshot := &Snapshot{Rho: 1, IdleTimeoutBootFactor: 2, MayScaleOut: true, MayScaleIn: true, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{},
+	snapshot := &Snapshot{Rho: 1, IdleTimeoutBootFactor: 2, MayScaleOut: true, MayScaleIn: true, LowestGPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{},
 		Types: []MachineType{
 			{Name: "small", Capacity: Resources{4, 0, 16}, Price: 0.2, SpotPrice: 0.06, BootS: 30, FetchGBps: 1, Zones: zones},
 			{Name: "big", Capacity: Resources{16, 0, 64}, Price: 1, SpotPrice: 0.3, BootS: 40, FetchGBps: 1, Zones: zones},
@@ -70,17 +70,17 @@
 // randomJob makes the state of a job. Of a gang all tasks wait or none.
 func randomJob(rng *rand.Rand, spec *protocol.Job) Job {
 	job := Job{
-		ID:            spec.ID,
-		Spec:          spec,
-		Request:       RequestOf(spec),
-		Priority:      protocol.PriorityLevel(rng.IntN(4)),
-		Guaranteed:    rng.IntN(2) == 0,
-		EstimateS:     float64(rng.IntN(60)),
-		DeadlineS:     float64(rng.IntN(400) - 100),
-		Waiting:       rng.IntN(spec.Tasks + 1),
-		Team:          rng.IntN(2),
-		RunningByZone: map[string]int{},
-		BackingOff:    rng.IntN(8) == 0,
+		ID:              spec.ID,
+		Spec:            spec,
+		Request:         RequestOf(spec),
+		Priority:        protocol.PriorityLevel(rng.IntN(4)),
+		WithinGuarantee: rng.IntN(2) == 0,
+		EstimateS:       float64(rng.IntN(60)),
+		DeadlineS:       float64(rng.IntN(400) - 100),
+		Waiting:         rng.IntN(spec.Tasks + 1),
+		Team:            rng.IntN(2),
+		RunningByZone:   map[string]int{},
+		BackingOff:      rng.IntN(8) == 0,
 	}
 	if spec.Kind == protocol.KindGang && job.Waiting > 0 {
 		job.Waiting = spec.Tasks
@@ -90,9 +90,9 @@
 
 // noteGPUWork lets the snapshot know of a job that needs GPUs.
 func noteGPUWork(snapshot *Snapshot, job *Job) {
-	seen, request := snapshot.GPURequest, job.Request
-	snapshot.GPUPriority = max(snapshot.GPUPriority, job.Priority)
-	snapshot.GPURequest = Resources{max(seen.Cores, request.Cores), max(seen.GPUs, request.GPUs), max(seen.MemGB, request.MemGB)}
+	seen, request := snapshot.LargestGPURequest, job.Request
+	snapshot.LowestGPUPriority = max(snapshot.LowestGPUPriority, job.Priority)
+	snapshot.LargestGPURequest = Resources{max(seen.Cores, request.Cores), max(seen.GPUs, request.GPUs), max(seen.MemGB, request.MemGB)}
 }
 
 // randomMachine makes the i-th machine, with nothing on it.
--- a/internal/scheduler/gpupolicy.go
+++ b/internal/scheduler/gpupolicy.go
@@ -52,7 +52,7 @@
 // there is so much: the GPUs that are left can then be used.
 func (p *gpuMachinePolicy) capacityBesideGPUWork(machine *Machine, job *pendingJob) int {
 	free := machine.Free
-	if gpuRequest := p.snapshot.GPURequest; gpuRequest.GPUs > 0 && free.fits(gpuRequest) {
+	if gpuRequest := p.snapshot.LargestGPURequest; gpuRequest.GPUs > 0 && free.fits(gpuRequest) {
 		free = free.Minus(gpuRequest, 1)
 	}
 	return free.CapacityFor(job.Request)
@@ -72,10 +72,10 @@
 // with GPUs. As long as none has been seen, as after a failover, only the lowest
 // priority is certain to be.
 func (p *gpuMachinePolicy) lowestGPUPriority() protocol.PriorityLevel {
-	if p.snapshot.GPUPriority < 0 {
+	if p.snapshot.LowestGPUPriority < 0 {
 		return LowestPriority - 1
 	}
-	return p.snapshot.GPUPriority
+	return p.snapshot.LowestGPUPriority
 }
 
 // runsGPUWork tells whether tasks that need GPUs are on the machine.
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -41,7 +41,7 @@
 	return cmp.Or(
 		compareTrueFirst(x.isProduction(), y.isProduction()),
 		compareTrueFirst(o.promoted[a], o.promoted[b]),
-		compareTrueFirst(x.Guaranteed, y.Guaranteed),
+		compareTrueFirst(x.WithinGuarantee, y.WithinGuarantee),
 		cmp.Compare(x.Priority, y.Priority),
 		compareTrueFirst(x.needsGPUs(), y.needsGPUs()))
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -35,7 +35,7 @@
 // That one job found no capacity on a machine busy fetching says nothing of a job of
 // the same kind whose image is there.
 func TestExhaustedKindsAreByImage(t *testing.T) {
-	snapshot := &Snapshot{Rho: 1, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
+	snapshot := &Snapshot{Rho: 1, LowestGPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
 		Types:    []MachineType{{Name: "small", Capacity: Resources{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}},
 		Machines: []Machine{{Zone: "a", Schedulable: true, Free: Resources{4, 0, 16}, Images: []string{"there"}, PendingFetchGB: 2 * tuning.FetchAheadS}}}
 	for i, image := range []string{"elsewhere", "there"} {
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -9,7 +9,7 @@
 
 // Production preempts the lowest priority, even if less work would be lost elsewhere.
 func TestLowestPriorityIsPreemptedFirst(t *testing.T) {
-	snapshot := &Snapshot{Rho: 1, GPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
+	snapshot := &Snapshot{Rho: 1, LowestGPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
 		Types: []MachineType{{Name: "small", Capacity: Resources{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}}}
 	addSingleTaskJob(snapshot, protocol.KindService, 0).Waiting = 1
 	for _, level := range []protocol.PriorityLevel{2, 3} {
--- a/internal/scheduler/reference_test.go
+++ b/internal/scheduler/reference_test.go
@@ -54,7 +54,7 @@
 	model := &referenceModel{
 		snapshot:          snapshot,
 		teams:             slices.Clone(snapshot.Teams),
-		lowestGPUPriority: snapshot.GPUPriority,
+		lowestGPUPriority: snapshot.LowestGPUPriority,
 		placed:            map[string]int{},
 	}
 	if model.lowestGPUPriority < 0 {
@@ -259,7 +259,7 @@
 // leavesGPURequestFree tells whether the largest request with GPUs still fits beside
 // the task if it fits now.
 func (s *referenceSearch) leavesGPURequestFree(i int) bool {
-	free, request, reserved := s.free[i], s.job.Request, s.model.snapshot.GPURequest
+	free, request, reserved := s.free[i], s.job.Request, s.model.snapshot.LargestGPURequest
 	if free.Cores < reserved.Cores || free.GPUs < reserved.GPUs || free.MemGB < reserved.MemGB {
 		return true
 	}
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -57,18 +57,18 @@
 
 // Job is a job that is not done.
 type Job struct {
-	ID            protocol.JobID
-	Spec          *protocol.Job
-	Request       Resources // of one task
-	Priority      protocol.PriorityLevel
-	Guaranteed    bool    // within its team's guaranteed quota
-	DeadlineS     float64 // seconds from now until it should be complete
-	EstimateS     float64 // estimated run time of a task in seconds
-	Waiting       int     // tasks to be started
-	Running       int
-	RunningByZone map[string]int // tasks that may be running, by zone ("": unknown)
-	BackingOff    bool           // starts nothing for a while, after failures
-	Team          int            // index in Snapshot.Teams
+	ID              protocol.JobID
+	Spec            *protocol.Job
+	Request         Resources // of one task
+	Priority        protocol.PriorityLevel
+	WithinGuarantee bool    // within its team's guaranteed quota
+	DeadlineS       float64 // seconds from now until it should be complete
+	EstimateS       float64 // estimated run time of a task in seconds
+	Waiting         int     // tasks to be started
+	Running         int
+	RunningByZone   map[string]int // tasks that may be running, by zone ("": unknown)
+	BackingOff      bool           // starts nothing for a while, after failures
+	Team            int            // index in Snapshot.Teams
 	// Weight is what the job counts for when not all can be in time: 1, or its tasks
 	// where the service-level objective counts tasks.
 	Weight float64
@@ -105,14 +105,14 @@
 	// StarvationShare is the share of the provisioned machines that starved jobs may
 	// claim ahead of others.
 	StarvationShare float64
-	// StarvationShareIdle is the share of the provisioned cores that the lowest
+	// StarvationShareLowestPriority is the share of the provisioned cores that the lowest
 	// priority may have, with its running tasks, while its starved jobs go first.
-	StarvationShareIdle float64
-	// GPUPriority is the lowest priority of the work with GPUs that has been seen, -1
+	StarvationShareLowestPriority float64
+	// LowestGPUPriority is the lowest priority of the work with GPUs that has been seen, -1
 	// if there was none.
-	GPUPriority protocol.PriorityLevel
-	// GPURequest is the most of each resource that a task of that work requests.
-	GPURequest Resources
+	LowestGPUPriority protocol.PriorityLevel
+	// LargestGPURequest is the most of each resource that a task of that work requests.
+	LargestGPURequest Resources
 }
 
 // typeOf is the type of a machine.
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -61,7 +61,7 @@
 	budget := &starvationBudget{
 		cores:               starvationShare{left: provisioned.cores * snapshot.StarvationShare},
 		gpus:                starvationShare{left: provisioned.gpus * snapshot.StarvationShare},
-		lowestPriorityCores: provisioned.cores * snapshot.StarvationShareIdle,
+		lowestPriorityCores: provisioned.cores * snapshot.StarvationShareLowestPriority,
 	}
 	for i := range snapshot.Jobs {
 		if job := &snapshot.Jobs[i]; job.isLowestWithoutGPUs() {
@@ -97,7 +97,7 @@
 	return true
 }
 
-// isLowestWithoutGPUs tells whether the job is of those that StarvationShareIdle bounds.
+// isLowestWithoutGPUs tells whether the job is of those that StarvationShareLowestPriority bounds.
 func (j *Job) isLowestWithoutGPUs() bool {
 	return j.Priority == LowestPriority && !j.needsGPUs()
 }
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -32,9 +32,9 @@
 	// others: a boot, for jobs whose machines were just requested.
 	StarvationMinS = 30.0
 
-	// StarvationShareIdle is the share of the provisioned cores that jobs of the lowest
+	// StarvationShareLowestPriority is the share of the provisioned cores that jobs of the lowest
 	// priority may have while those that have waited too long go before others.
-	StarvationShareIdle = 0.4
+	StarvationShareLowestPriority = 0.4
 
 	// StarvationShare is the largest share of the provisioned machines that is reserved for
 	// jobs that have waited too long, beyond one job. The others must be served as well.
