--- a/internal/leader/format_versions.go
+++ b/internal/leader/format_versions.go
@@ -56,7 +56,7 @@
 
 func (l *Leader) readVersions(ctx context.Context) (versions versionsResult, err error) {
 	versions.byController = map[string]int{}
-	page, err := l.Store.ListAll(ctx, records.PrefixNode)
+	page, err := l.Store.ListAll(ctx, records.PrefixNodeVersion)
 	if err != nil {
 		return versions, err
 	}
@@ -66,10 +66,10 @@
 			l.Log.Error("unreadable version record, it counts as an earlier version", "key", entry.Key, "err", err)
 			continue
 		}
-		controller := entry.Key[len(records.PrefixNode):]
+		controller := entry.Key[len(records.PrefixNodeVersion):]
 		versions.byController[controller] = version.Format
 	}
-	_, err = l.Store.Get(ctx, records.KeyCluster)
+	_, err = l.Store.Get(ctx, records.KeyClusterVersion)
 	versions.committed = err == nil
 	if errors.Is(err, kvstore.ErrNotFound) {
 		err = nil
@@ -92,7 +92,7 @@
 }
 
 func (l *Leader) commitFormat(ctx context.Context) bool {
-	err := l.putRecord(ctx, records.KeyCluster, records.FormatVersion{Format: records.FormatSupported})
+	err := l.putRecord(ctx, records.KeyClusterVersion, records.FormatVersion{Format: records.FormatSupported})
 	if err != nil {
 		l.Log.Info("recording the cluster's version failed, it is read before the next try", "err", err)
 	}
--- a/internal/leader/image_inventory.go
+++ b/internal/leader/image_inventory.go
@@ -39,7 +39,7 @@
 	}
 	maxBytes := l.Config.Deployment.State.Smaller().ValueBytes()
 	inventory, count := newImageInventory(l.machines.sorted[l.images.nextMachine:], maxBytes)
-	key := fmt.Sprint(records.PrefixImages, l.images.nextPart)
+	key := fmt.Sprint(records.PrefixImageInventory, l.images.nextPart)
 	l.images.nextMachine += count
 	l.images.nextPart++
 	go func() {
@@ -88,7 +88,7 @@
 
 // loadImageInventory reads what an earlier leader knew. Without it all goes on.
 func (l *Leader) loadImageInventory(ctx context.Context) {
-	page, err := l.Store.ListAll(ctx, records.PrefixImages)
+	page, err := l.Store.ListAll(ctx, records.PrefixImageInventory)
 	if err != nil {
 		l.Log.Debug("reading the image inventory failed, going on without", "err", err)
 		return
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -49,7 +49,7 @@
 	if stored.catalog, err = l.Store.Get(ctx, records.KeyCatalog); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return stored, err
 	}
-	if stored.cluster, err = l.Store.Get(ctx, records.KeyCluster); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
+	if stored.cluster, err = l.Store.Get(ctx, records.KeyClusterVersion); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return stored, err
 	}
 	return stored, nil
--- a/internal/records/format.go
+++ b/internal/records/format.go
@@ -10,8 +10,8 @@
 	FormatSupported = FormatSegmented
 )
 
-// FormatVersion is stored under NodeKey as the newest format version that a controller reads
-// and writes, and under KeyCluster as the version that the whole cluster uses.
+// FormatVersion is stored under NodeVersionKey as the newest format version that a controller reads
+// and writes, and under KeyClusterVersion as the version that the whole cluster uses.
 type FormatVersion struct {
 	Format int `msgpack:"v"`
 }
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -15,16 +15,16 @@
 	KeyLeader = "leader"
 	// KeyCatalog holds the cloud's machine types, for controllers that cannot ask the cloud.
 	KeyCatalog = "catalog"
-	// KeyCluster holds the FormatVersion that the whole cluster uses.
-	KeyCluster = "version"
+	// KeyClusterVersion holds the FormatVersion that the whole cluster uses.
+	KeyClusterVersion = "version"
 	// PrefixOpen begins the keys of open jobs and of their run records.
 	PrefixOpen = "o/"
 	// PrefixProvisioning begins the keys of provisioning requests.
 	PrefixProvisioning = "r/"
-	// PrefixImages begins the keys of the parts of the image cache inventory.
-	PrefixImages = "h/"
-	// PrefixNode begins the keys of the controllers' format versions.
-	PrefixNode = "v/"
+	// PrefixImageInventory begins the keys of the parts of the image cache inventory.
+	PrefixImageInventory = "h/"
+	// PrefixNodeVersion begins the keys of the controllers' format versions.
+	PrefixNodeVersion = "v/"
 )
 
 // OpenKey returns the key of the record of an open job.
@@ -36,8 +36,8 @@
 // ProvisioningKey returns the key of the record of a provisioning request.
 func ProvisioningKey(requestID string) string { return PrefixProvisioning + requestID }
 
-// NodeKey returns the key of the format version that a controller has recorded.
-func NodeKey(node string) string { return PrefixNode + node }
+// NodeVersionKey returns the key of the format version that a controller has recorded.
+func NodeVersionKey(node string) string { return PrefixNodeVersion + node }
 
 // segmentSuffix follows the key of an open job in the keys of its run record.
 const segmentSuffix = "/t"
--- a/internal/server/format_version.go
+++ b/internal/server/format_version.go
@@ -33,7 +33,7 @@
 // or a later one. A record that cannot be decoded is overwritten. The precondition on
 // the key's version keeps a delayed write from undoing a newer one.
 func (c *controller) writeFormatVersion(ctx context.Context) error {
-	key := records.NodeKey(c.cfg.Node)
+	key := records.NodeVersionKey(c.cfg.Node)
 	entry, err := c.store.Get(ctx, key)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return err
--- a/internal/server/upgrade_failures_test.go
+++ b/internal/server/upgrade_failures_test.go
@@ -48,7 +48,7 @@
 func TestUnreadableVersion(t *testing.T) {
 	t.Parallel()
 	runUpgrade(t, 74, func(c *testCluster) {
-		c.env.Store.Corrupt(records.NodeKey(controllerNames[2]))
+		c.env.Store.Corrupt(records.NodeVersionKey(controllerNames[2]))
 		c.restartAs(false, controllerNames[0], controllerNames[1])
 		time.Sleep(20 * time.Second)
 		if c.upgraded() {
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -24,10 +24,10 @@
 			c.checkPreconditions(txn)
 			c.checkFormat(txn)
 		})
-		for _, key := range c.env.Store.Keys(records.PrefixNode) {
+		for _, key := range c.env.Store.Keys(records.PrefixNodeVersion) {
 			c.env.Store.Remove(key)
 		}
-		c.env.Store.Remove(records.KeyCluster)
+		c.env.Store.Remove(records.KeyClusterVersion)
 		c.restartAs(true, names...)
 		c.until("a node leads", time.Minute, func() bool { return c.leader() != "" })
 		scenario(c)
@@ -58,7 +58,7 @@
 // upgraded tells whether the cluster uses the new version of the formats.
 func (c *testCluster) upgraded() bool {
 	var v records.FormatVersion
-	raw := c.env.Store.Value(records.KeyCluster)
+	raw := c.env.Store.Value(records.KeyClusterVersion)
 	return raw != nil && codec.Unmarshal(raw, &v) == nil && v.Format == records.FormatSegmented
 }
 
