--- a/internal/cluster/heartbeat_order_test.go
+++ b/internal/cluster/heartbeat_order_test.go
@@ -20,7 +20,7 @@
 			return false
 		}
 		machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration))
-		machine.RecordAnswer()
+		machine.RecordHeartbeatReply()
 		return true
 	}
 	for sequence := uint64(2); sequence < 6; sequence++ {
--- a/internal/cluster/one_way_partition.go
+++ b/internal/cluster/one_way_partition.go
@@ -32,5 +32,5 @@
 	return p.unacknowledged >= tuning.OneWayPartitionHeartbeats
 }
 
-// RecordAnswer records that a heartbeat is replied to with the token that is issued now.
-func (m *Machine) RecordAnswer() { m.repliedToken = m.IssuedToken }
+// RecordHeartbeatReply records that a heartbeat is replied to with the token that is issued now.
+func (m *Machine) RecordHeartbeatReply() { m.repliedToken = m.IssuedToken }
--- a/internal/cluster/one_way_partition_test.go
+++ b/internal/cluster/one_way_partition_test.go
@@ -20,7 +20,7 @@
 		heartbeat := newHeartbeat(1, sequence, firstToken)
 		machine.AcceptHeartbeat(heartbeat)
 		machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration))
-		machine.RecordAnswer()
+		machine.RecordHeartbeatReply()
 	}
 	if machine.Schedulable(now, time.Minute) {
 		t.Error("schedulable during a one-way partition")
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -67,7 +67,7 @@
 	if expiry := l.agentLeaseExpiry(now); machine.AcknowledgedToken >= l.termToken() || expiry.After(machine.LeaseExpiry) {
 		machine.LeaseExpiry = expiry
 	}
-	machine.RecordAnswer()
+	machine.RecordHeartbeatReply()
 	return &protocol.HeartbeatReply{Token: machine.IssuedToken, Commands: l.reconcileCommands(machine)}
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -118,7 +118,7 @@
 // post gives up with the context.
 func (l *Leader) Run() {
 	l.tookOverAt = time.Now()
-	l.lease.answeringSince = l.tookOverAt.Add(tuning.AgentRetry)
+	l.lease.answeringSince = l.tookOverAt.Add(tuning.AgentFailoverDelay)
 	revision, ok := l.load(l.ctx)
 	if !ok {
 		return
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -91,10 +91,10 @@
 	for _, placement := range machine.Placements {
 		job := l.jobs.open[placement.Job]
 		if job == nil || placement.Stopping || placement.State != protocol.TaskRunning || job.spec.CheckpointIntervalS <= 0 ||
-			leftS > job.spec.CheckpointSaveS+tuning.NoticeMargin {
+			leftS > job.spec.CheckpointSaveS+tuning.NoticeMarginS {
 			continue
 		}
-		gracePeriodS := job.spec.CheckpointSaveS + tuning.SaveMargin
+		gracePeriodS := job.spec.CheckpointSaveS + tuning.SaveMarginS
 		l.stopPlacement(placement, gracePeriodS, now)
 		if !job.isGang() {
 			continue
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -18,9 +18,9 @@
 	// place for CommandTimeout.
 	HandshakesInFlight = 128
 
-	// AgentRetry is how long an agent takes to notice that a controller does not answer and
+	// AgentFailoverDelay is how long an agent takes to notice that a controller does not answer and
 	// to turn to another one: 4 s for the answer, 1 s until the next attempt.
-	AgentRetry = 5 * time.Second
+	AgentFailoverDelay = 5 * time.Second
 
 	// HeartbeatJitter times report_s is the longest pause between two heartbeats of an
 	// agent, as the interface with agents says.
@@ -32,7 +32,7 @@
 
 	// UnreachableHeartbeats is how many heartbeat intervals a silent machine that does not
 	// answer commands either is waited for, if its tasks can wait. Heartbeats come every
-	// 0.75 to 1.25 intervals, and after a lost one in about AgentRetry.
+	// 0.75 to 1.25 intervals, and after a lost one in about AgentFailoverDelay.
 	UnreachableHeartbeats = 3.5
 
 	// OneWayPartitionShare is the largest share of the machines that may be in a one-way
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -61,11 +61,11 @@
 	// ErrorBackoffMax is the longest such pause; it doubles with each failure.
 	ErrorBackoffMax = 30 * time.Second
 
-	// SaveMargin is added to flushS, in seconds, for the grace period of a task that saves
+	// SaveMarginS is added to flushS, in seconds, for the grace period of a task that saves
 	// a checkpoint, for the way of the command.
-	SaveMargin = 1.0
+	SaveMarginS = 1.0
 
-	// NoticeMargin is how many seconds before the end of a preemption notice a checkpoint
+	// NoticeMarginS is how many seconds before the end of a preemption notice a checkpoint
 	// must be saved, since the notice may end early.
-	NoticeMargin = 4.0
+	NoticeMarginS = 4.0
 )
