--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -66,7 +66,7 @@
 		malformed:   malformed,
 		inFlight:    make(chan struct{}, sockets.Users),
 		connections: newConnectionTable(sockets.Incoming),
-		idleTimeout: max(tuning.IdleMin, tuning.IdleHeartbeats*heartbeatInterval),
+		idleTimeout: max(tuning.IncomingIdleTimeoutMin, tuning.IdleHeartbeats*heartbeatInterval),
 	}
 }
 
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -124,7 +124,7 @@
 	for _, entry := range entries {
 		bytes += len(entry.Value)
 	}
-	pages := float64(1 + max(len(entries)/tuning.StatePage, bytes/tuning.StatePageBytes))
+	pages := float64(1 + max(len(entries)/tuning.StorePageKeys, bytes/tuning.StorePageBytes))
 	return min(tuning.SharedReadsPause, time.Duration(pages/s.rate*float64(time.Second)))
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -101,7 +101,7 @@
 		for _, peers := range []int{2, 4, 6, 10} {
 			d := Deployment{Limits: Limits{Sockets: n}}
 			s := d.Sockets(peers)
-			if sum := s.Incoming + s.Commands + s.Users + 2*peers + tuning.SocketsOwn; sum > n || s.Users < 1 || s.Commands < 1 {
+			if sum := s.Incoming + s.Commands + s.Users + 2*peers + tuning.SocketsReserved; sum > n || s.Users < 1 || s.Commands < 1 {
 				t.Errorf("%d sockets, %d peers: %+v", n, peers, s)
 			}
 			if n >= 1000 && s.Incoming < n/2 {
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -17,8 +17,8 @@
 // Sockets divides the limit. The process's own sockets, two for each peer and those
 // of users' calls come off first.
 func (d *Deployment) Sockets(peers int) Sockets {
-	users := min(tuning.MaxInflight, d.Limits.Sockets/tuning.SocketsUsers)
-	left := d.Limits.Sockets - tuning.SocketsOwn - 2*peers - users
-	commands := min(tuning.SocketsCommandsMax, int(float64(left)*tuning.SocketsCommands))
+	users := min(tuning.MaxInflight, d.Limits.Sockets/tuning.SocketsUserDivisor)
+	left := d.Limits.Sockets - tuning.SocketsReserved - 2*peers - users
+	commands := min(tuning.SocketsCommandsMax, int(float64(left)*tuning.SocketsCommandShare))
 	return Sockets{Users: users, Incoming: left - commands, Commands: commands}
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -87,7 +87,7 @@
 		var keepAlives atomic.Int32
 		c.store.SetSlow(func(path string) time.Duration {
 			if strings.HasSuffix(path, keepAlivePath) && keepAlives.Add(1)%2 == 0 {
-				return tuning.StateTimeout
+				return tuning.StoreTimeout
 			}
 			return 0
 		})
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -17,7 +17,7 @@
 	request := call{
 		operation: OperationGrant,
 		target:    ttl.String(),
-		timeout:   tuning.StateTimeout,
+		timeout:   tuning.StoreTimeout,
 		method:    http.MethodPost,
 		path:      "/grants",
 		body:      protocol.LeaseRequest{TTLMS: ttl.Milliseconds()},
@@ -36,7 +36,7 @@
 	return c.do(ctx, call{
 		operation:    OperationKeepAlive,
 		target:       fmt.Sprint(lease),
-		timeout:      tuning.StateTimeout,
+		timeout:      tuning.StoreTimeout,
 		method:       http.MethodPost,
 		path:         fmt.Sprintf("/grants/%d/touch", lease),
 		statusErrors: map[int]error{http.StatusNotFound: ErrLeaseExpired},
@@ -49,7 +49,7 @@
 	err := c.do(ctx, call{
 		operation:    OperationRevoke,
 		target:       fmt.Sprint(lease),
-		timeout:      tuning.StateTimeout,
+		timeout:      tuning.StoreTimeout,
 		method:       http.MethodDelete,
 		path:         fmt.Sprintf("/grants/%d", lease),
 		statusErrors: map[int]error{http.StatusNotFound: ErrLeaseExpired},
--- a/internal/kvstore/read.go
+++ b/internal/kvstore/read.go
@@ -16,7 +16,7 @@
 	request := call{
 		operation:    OperationRead,
 		target:       key,
-		timeout:      tuning.StateTimeout,
+		timeout:      tuning.StoreTimeout,
 		method:       http.MethodGet,
 		path:         "/keys/" + key,
 		responses:    map[int]any{http.StatusOK: &entry},
@@ -40,7 +40,7 @@
 	err := c.do(ctx, call{
 		operation: OperationList,
 		target:    prefix,
-		timeout:   tuning.StateTimeout,
+		timeout:   tuning.StoreTimeout,
 		method:    http.MethodGet,
 		path:      "/keys?" + query.Encode(),
 		responses: map[int]any{http.StatusOK: &page},
@@ -55,7 +55,7 @@
 func (c *Client) ListAll(ctx context.Context, prefix string) (protocol.KeyValuePage, error) {
 	var all protocol.KeyValuePage
 	for last := ""; ; {
-		page, err := c.List(ctx, prefix, last, tuning.StatePage)
+		page, err := c.List(ctx, prefix, last, tuning.StorePageKeys)
 		if err != nil {
 			return protocol.KeyValuePage{}, err
 		}
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -18,7 +18,7 @@
 	request := call{
 		operation: OperationCommit,
 		target:    mutatedKeys(&txn),
-		timeout:   tuning.StateTimeout,
+		timeout:   tuning.StoreTimeout,
 		method:    http.MethodPost,
 		path:      "/commit",
 		responses: map[int]any{
--- a/internal/server/transports.go
+++ b/internal/server/transports.go
@@ -22,8 +22,8 @@
 // networkTransports returns the transports of a process on a real network.
 func networkTransports(cfg *config.Config) transports {
 	return transports{
-		store:  transport(tuning.StateConns),
-		cloud:  transport(tuning.CloudConns),
+		store:  transport(tuning.StoreIdleConns),
+		cloud:  transport(tuning.CloudIdleConns),
 		agents: agentTransport(cfg.Deployment.Sockets(len(cfg.Peers)).Commands),
 		peer:   peer.Dial,
 	}
@@ -45,6 +45,6 @@
 func agentTransport(sockets int) *http.Transport {
 	agents := transport(1)
 	agents.MaxIdleConns = max(1, sockets/2)
-	agents.IdleConnTimeout = tuning.IdleMin
+	agents.IdleConnTimeout = tuning.IncomingIdleTimeoutMin
 	return agents
 }
--- a/internal/tuning/election.go
+++ b/internal/tuning/election.go
@@ -14,7 +14,7 @@
 	KeepAliveInterval = 400 * time.Millisecond
 
 	// KeepAlivesInFlight is how many keep-alives may be in flight at once. Each may take
-	// StateTimeout, so with four a keep-alive is sent every KeepAliveInterval whatever
+	// StoreTimeout, so with four a keep-alive is sent every KeepAliveInterval whatever
 	// becomes of the earlier ones.
 	KeepAlivesInFlight = 4
 
--- a/internal/tuning/leases.go
+++ b/internal/tuning/leases.go
@@ -10,7 +10,7 @@
 	WatchHold = 1000 * time.Millisecond
 
 	// WatchGrace is added to WatchHold before a watch without an answer is given up, for
-	// the same reason as StateTimeout.
+	// the same reason as StoreTimeout.
 	WatchGrace = 1500 * time.Millisecond
 
 	// RereadInterval is the pause between complete reads of the open jobs beside the watch.
--- a/internal/tuning/sockets.go
+++ b/internal/tuning/sockets.go
@@ -12,29 +12,29 @@
 	// idle. An agent that is gone, or sends its heartbeats to another controller, must not
 	// hold a socket for long.
 	IdleHeartbeats = 5
-	// IdleMin is the least time that such a connection is kept idle, since users ask about a
+	// IncomingIdleTimeoutMin is the least time that such a connection is kept idle, since users ask about a
 	// job every 5 s. Idle connections to agents are kept as long.
-	IdleMin = 20 * time.Second
+	IncomingIdleTimeoutMin = 20 * time.Second
 
 	// DialTimeout ends an attempt to connect: a host that is cut off does not answer.
 	DialTimeout = 1 * time.Second
 
-	// StateConns is how many idle connections to the store are kept: for two watches, a
+	// StoreIdleConns is how many idle connections to the store are kept: for two watches, a
 	// commit and users' calls.
-	StateConns = 12
-	// CloudConns is the same for the cloud, which gets a few calls a second.
-	CloudConns = 2
+	StoreIdleConns = 12
+	// CloudIdleConns is the same for the cloud, which gets a few calls a second.
+	CloudIdleConns = 2
 
-	// SocketsOwn is how many sockets a process keeps for itself, beside those for users'
+	// SocketsReserved is how many sockets a process keeps for itself, beside those for users'
 	// calls to the store, peers and agents: listeners, the leader's calls to the store and
 	// the cloud, and those that the runtime opens.
-	SocketsOwn = 48
+	SocketsReserved = 48
 
-	// SocketsCommands is the share of the sockets left after these, and after two for each
+	// SocketsCommandShare is the share of the sockets left after these, and after two for each
 	// peer, that commands to agents may take, idle connections included. The rest is for
 	// connections made to this process: an agent holds one of these all the time, and one
 	// for a command only for milliseconds.
-	SocketsCommands = 0.2
+	SocketsCommandShare = 0.2
 
 	// SocketsCommandsMax is the largest number of sockets for commands, half of which may be
 	// in use. With CommandTimeout for each machine that hangs, a tenth of 4,000 machines is
@@ -48,7 +48,7 @@
 	// MaxInflight is the largest number of users' requests that one controller works on at
 	// once.
 	MaxInflight = 256
-	// SocketsUsers divides the limit of sockets into another bound of that number, since
+	// SocketsUserDivisor divides the limit of sockets into another bound of that number, since
 	// each request may take a socket to the store: at most a sixth goes there.
-	SocketsUsers = 6
+	SocketsUserDivisor = 6
 )
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -4,14 +4,14 @@
 
 // Constants of the key-value store.
 const (
-	// StateTimeout ends a call to the store. Answers usually take less than 10 ms and now
+	// StoreTimeout ends a call to the store. Answers usually take less than 10 ms and now
 	// and then a few hundred, so this is well beyond the slow ones.
-	StateTimeout = 1500 * time.Millisecond
+	StoreTimeout = 1500 * time.Millisecond
 
-	// StatePage is the largest number of keys in a page of a list, as the store says.
-	StatePage = 1000
-	// StatePageBytes is the largest size of such a page in bytes, as the store says.
-	StatePageBytes = 512 << 10
+	// StorePageKeys is the largest number of keys in a page of a list, as the store says.
+	StorePageKeys = 1000
+	// StorePageBytes is the largest size of such a page in bytes, as the store says.
+	StorePageBytes = 512 << 10
 
 	// LeaderWriteShare is the leader's share of the store's mutations a second. The rest is
 	// left for submissions and cancellations by all controllers.
