--- a/internal/api/confirmedopen.go
+++ b/internal/api/confirmedopen.go
@@ -32,7 +32,7 @@
 func (c *confirmedOpenJobs) confirm(jobID protocol.JobID, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.confirmedAt) >= tuning.FinalCache {
+	if len(c.confirmedAt) >= tuning.FinalStatusCacheSize {
 		clear(c.confirmedAt)
 	}
 	c.confirmedAt[jobID] = at
--- a/internal/api/finalstatuses.go
+++ b/internal/api/finalstatuses.go
@@ -29,7 +29,7 @@
 func (f *finalStatuses) put(status protocol.JobStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.statuses) >= tuning.FinalCache {
+	if len(f.statuses) >= tuning.FinalStatusCacheSize {
 		clear(f.statuses)
 	}
 	f.statuses[status.ID] = status
--- a/internal/api/jobreader.go
+++ b/internal/api/jobreader.go
@@ -73,7 +73,7 @@
 	}
 	// One list call reads them all: the keys of the open record and of the segments of
 	// the run record are next to each other in the order of keys.
-	page, err := j.store.List(ctx, records.OpenKey(jobID), "", 1+tuning.SegmentsRead)
+	page, err := j.store.List(ctx, records.OpenKey(jobID), "", 1+tuning.SegmentsReadMax)
 	if errors.Is(err, kvstore.ErrThrottled) {
 		j.shared.noteThrottled()
 	}
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -59,11 +59,11 @@
 }
 
 // enabled tells whether callers are to share their reads, since the store has throttled
-// one within tuning.SharedReadsFor.
+// one within tuning.SharedReadsDuration.
 func (s *sharedReads) enabled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.throttledAt.IsZero() && time.Since(s.throttledAt) < tuning.SharedReadsFor
+	return !s.throttledAt.IsZero() && time.Since(s.throttledAt) < tuning.SharedReadsDuration
 }
 
 // records returns the records of an open job from a reading that begins after the call;
@@ -137,7 +137,7 @@
 		return nil
 	}
 	end := first + 1
-	for end < len(entries) && end-first <= tuning.SegmentsRead && strings.HasPrefix(entries[end].Key, key+"/") {
+	for end < len(entries) && end-first <= tuning.SegmentsReadMax && strings.HasPrefix(entries[end].Key, key+"/") {
 		end++
 	}
 	return entries[first:end]
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -22,7 +22,7 @@
 	if !protocol.ValidJobID(jobID) {
 		return noSuchJobReply()
 	}
-	return s.retrier.untilKnown(ctx, tuning.PollThrottleRetries, func() (userReply, error) {
+	return s.retrier.untilKnown(ctx, tuning.StatusCallThrottleRetries, func() (userReply, error) {
 		record, err := s.current(ctx, jobID)
 		if err != nil {
 			return userReply{}, err
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -76,11 +76,11 @@
 	return &Users{acknowledged: acknowledged, submissions: submissions, cancellations: cancellations, statuses: statuses}
 }
 
-// SetTypes sets the machine types of the cloud. No submission is accepted before.
-func (u *Users) SetTypes(types []protocol.MachineType) { u.submissions.setMachineTypes(types) }
+// SetMachineTypes sets the machine types of the cloud. No submission is accepted before.
+func (u *Users) SetMachineTypes(types []protocol.MachineType) { u.submissions.setMachineTypes(types) }
 
-// HasTypes tells whether the machine types are known.
-func (u *Users) HasTypes() bool { return u.submissions.hasMachineTypes() }
+// HasMachineTypes tells whether the machine types are known.
+func (u *Users) HasMachineTypes() bool { return u.submissions.hasMachineTypes() }
 
 // Acknowledged lists the jobs whose cancellation was acknowledged to users, and the
 // time since which the list is complete.
@@ -98,7 +98,7 @@
 func (u *Users) answer(ctx context.Context, call *peer.UserCall) userReply {
 	deadline := tuning.UserDeadline
 	if call.Operation == peer.OperationStatus {
-		deadline = tuning.PollDeadline
+		deadline = tuning.StatusCallDeadline
 	}
 	ctx, cancel := context.WithTimeout(ctx, deadline)
 	defer cancel()
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -29,4 +29,4 @@
 // it knows the machine types, and not while it is refused alone. While the key-value
 // store serves nobody it stays healthy, since removing all controllers would only add
 // to the outage.
-func (c *controller) Healthy() bool { return c.users.HasTypes() && !c.RefusedAlone() }
+func (c *controller) Healthy() bool { return c.users.HasMachineTypes() && !c.RefusedAlone() }
--- a/internal/server/machine_types.go
+++ b/internal/server/machine_types.go
@@ -14,7 +14,7 @@
 // needs to check what users submit. The leader's copy in the key-value store comes
 // first, so that not every controller spends some of the cloud's call budget.
 func (c *controller) loadMachineTypes(ctx context.Context) {
-	for !c.users.HasTypes() {
+	for !c.users.HasMachineTypes() {
 		var types []protocol.MachineType
 		entry, err := c.store.Get(ctx, records.KeyCatalog)
 		if err == nil {
@@ -24,7 +24,7 @@
 			types, err = c.cloud.Catalog(ctx)
 		}
 		if err == nil {
-			c.users.SetTypes(types)
+			c.users.SetMachineTypes(types)
 			return
 		}
 		select {
--- a/internal/tuning/users.go
+++ b/internal/tuning/users.go
@@ -14,8 +14,8 @@
 	// suffix it must fit in a key of the store, of 200 bytes.
 	MaxName = 150
 
-	// PollDeadline ends the work for a user's question about a job. The user waits 2 s.
-	PollDeadline = 1700 * time.Millisecond
+	// StatusCallDeadline ends the work for a user's question about a job. The user waits 2 s.
+	StatusCallDeadline = 1700 * time.Millisecond
 
 	// UserDeadline ends the work for any other request of a user. A user waits 5 s for the
 	// answer to a submission.
@@ -30,9 +30,9 @@
 	// submissions should be answered.
 	UserThrottleRetries = 3
 
-	// PollThrottleRetries is the same for a question about a job, which has 2 s and, unlike
+	// StatusCallThrottleRetries is the same for a question about a job, which has 2 s and, unlike
 	// a submission, is asked again only seconds later.
-	PollThrottleRetries = 15
+	StatusCallThrottleRetries = 15
 
 	// RetryBudget is how many retries of throttled requests a controller may make beyond
 	// RetryShare: enough for a burst of submissions.
@@ -45,26 +45,26 @@
 	// least that users wait anyway.
 	RetryAfterS = 1
 
-	// FinalCache is how many final phases a controller remembers, at about 100 bytes each.
-	FinalCache = 20000
+	// FinalStatusCacheSize is how many final phases a controller remembers, at about 100 bytes each.
+	FinalStatusCacheSize = 20000
 
 	// AcknowledgedJobs is how many cancelled jobs a controller remembers to have told users
 	// of, for a leader that the store does not answer. These are some seconds' worth of all
 	// mutations that a large site's store takes, and together less than MaxBody.
 	AcknowledgedJobs = 1000
 
-	// SegmentsRead is how many segments of a job's run record are read to answer a question
+	// SegmentsReadMax is how many segments of a job's run record are read to answer a question
 	// about the job. The counts of tasks in the answer are for display, so more need not be
 	// read for jobs of thousands of tasks.
-	SegmentsRead = 32
+	SegmentsReadMax = 32
 
-	// SharedReadsFor is for how long after a throttled read questions are answered from
+	// SharedReadsDuration is for how long after a throttled read questions are answered from
 	// shared reads of all open jobs: a user asks again within about 5 s.
-	SharedReadsFor = 5 * time.Second
+	SharedReadsDuration = 5 * time.Second
 	// SharedReadsShare is the share of the store's requests that shared reads of all
 	// controllers may take together.
 	SharedReadsShare = 0.3
 	// SharedReadsPause is the longest pause between two shared reads of a controller, well
-	// within PollDeadline.
+	// within StatusCallDeadline.
 	SharedReadsPause = time.Second
 )
