--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -29,9 +29,9 @@
 	// Summary fetches the leader's status, from this process or from a peer; not ok if
 	// the leader does not answer.
 	Summary(ctx context.Context) (leader.Status, bool)
-	// RefusedAlone tells whether the key-value store refuses this controller while it
+	// StoreRefusesOnlyThisNode tells whether the key-value store refuses this controller while it
 	// serves some peer. Users' calls are then forwarded.
-	RefusedAlone() bool
+	StoreRefusesOnlyThisNode() bool
 	// StoreReachable tells whether the key-value store serves this controller.
 	StoreReachable() bool
 }
--- a/internal/api/usercalls.go
+++ b/internal/api/usercalls.go
@@ -23,7 +23,7 @@
 		return
 	}
 	reply := storeRefusedReply
-	if !s.node.RefusedAlone() {
+	if !s.node.StoreRefusesOnlyThisNode() {
 		reply = s.users.answer(r.Context(), call)
 	}
 	if reply.storeRefused {
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -82,9 +82,9 @@
 // HasMachineTypes tells whether the machine types are known.
 func (u *Users) HasMachineTypes() bool { return u.submissions.hasMachineTypes() }
 
-// Acknowledged lists the jobs whose cancellation was acknowledged to users, and the
+// AcknowledgedCancellations lists the jobs whose cancellation was acknowledged to users, and the
 // time since which the list is complete.
-func (u *Users) Acknowledged() (jobIDs []protocol.JobID, since time.Time) {
+func (u *Users) AcknowledgedCancellations() (jobIDs []protocol.JobID, since time.Time) {
 	return u.acknowledged.list()
 }
 
--- a/internal/peer/exchange.go
+++ b/internal/peer/exchange.go
@@ -21,14 +21,14 @@
 
 // storeServedAt is when the key-value store last served the peer.
 func (e *exchange) storeServedAt() time.Time {
-	return e.answeredAt.Add(-milliseconds(e.status.StateMS))
+	return e.answeredAt.Add(-milliseconds(e.status.SinceStoreServedMS))
 }
 
 // acknowledgedCompleteSince is the moment since which the peer's list of acknowledged
-// cancellations is complete. The peer measured CompleteMS before it answered, so the
+// cancellations is complete. The peer measured AcknowledgedCompleteMS before it answered, so the
 // result is too late rather than too early.
 func (e *exchange) acknowledgedCompleteSince() time.Time {
-	return e.answeredAt.Add(-milliseconds(e.status.CompleteMS))
+	return e.answeredAt.Add(-milliseconds(e.status.AcknowledgedCompleteMS))
 }
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
@@ -102,12 +102,12 @@
 	return current.status, true
 }
 
-// Acknowledged returns the jobs whose cancellation the peers have acknowledged to
+// AcknowledgedCancellations returns the jobs whose cancellation the peers have acknowledged to
 // users, and the time up to which the list is complete for acknowledgments after
 // since. The time is zero without peers. The result is not ok if some peer cannot
 // vouch for that: it has restarted after since, has acknowledged more cancellations
 // than it keeps, or has not been asked yet.
-func (g *Group) Acknowledged(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
+func (g *Group) AcknowledgedCancellations(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, link := range g.links {
@@ -129,7 +129,7 @@
 	defer g.mu.Unlock()
 	total := uint64(0)
 	for _, link := range g.links {
-		if time.Since(link.last.answeredAt) <= tuning.PeerFresh {
+		if time.Since(link.last.answeredAt) <= tuning.PeerStatusMaxAge {
 			total += link.redirected.count(link.last.status.Redirected)
 		}
 	}
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -8,7 +8,7 @@
 )
 
 // StoreServedAfter tells whether the key-value store has served some peer after the
-// given time, and within tuning.PeerFresh.
+// given time, and within tuning.PeerStatusMaxAge.
 func (g *Group) StoreServedAfter(after time.Time) bool {
 	_, ok := g.linkServedAfter(after)
 	return ok
@@ -20,7 +20,7 @@
 	defer g.mu.Unlock()
 	for _, link := range g.links {
 		servedAt := link.last.storeServedAt()
-		if link.last.completed() && servedAt.After(after) && time.Since(servedAt) < tuning.PeerFresh {
+		if link.last.completed() && servedAt.After(after) && time.Since(servedAt) < tuning.PeerStatusMaxAge {
 			return link, true
 		}
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -43,7 +43,7 @@
 	}
 	time.Sleep(out)
 	p.mu.Lock()
-	*reply.(*Status) = Status{Acknowledged: slices.Clone(p.jobIDs), CompleteMS: time.Since(p.since).Milliseconds()}
+	*reply.(*Status) = Status{Acknowledged: slices.Clone(p.jobIDs), AcknowledgedCompleteMS: time.Since(p.since).Milliseconds()}
 	p.mu.Unlock()
 	time.Sleep(back)
 	return nil
@@ -67,9 +67,9 @@
 	at    time.Time
 }
 
-// Acknowledged is compared with a record of all acknowledgments of the peers: none up to
+// AcknowledgedCancellations is compared with a record of all acknowledgments of the peers: none up to
 // its time may be missing, however late answers come, however often a peer restarts, and
-// whenever Acknowledged is called in between.
+// whenever AcknowledgedCancellations is called in between.
 func TestAcknowledgedVouchesForNoMore(t *testing.T) {
 	complete, refused := 0, 0
 	for seed := range uint64(30) {
@@ -110,7 +110,7 @@
 					all = append(all, acknowledgment{jobID, time.Now()})
 				}
 				peer.mu.Unlock()
-				asOf, jobIDs, ok := group.Acknowledged(since)
+				asOf, jobIDs, ok := group.AcknowledgedCancellations(since)
 				if !ok {
 					refused++
 					continue
--- a/internal/peer/protocol.go
+++ b/internal/peer/protocol.go
@@ -25,13 +25,13 @@
 // Status is the state of a controller as it describes itself to its peers.
 type Status struct {
 	Leader records.LeaderRecord `msgpack:"l"`
-	// StateMS is the time since the key-value store last served the controller.
-	StateMS int64 `msgpack:"s"`
+	// SinceStoreServedMS is the time since the key-value store last served the controller.
+	SinceStoreServedMS int64 `msgpack:"s"`
 	// Acknowledged lists the jobs whose cancellation the controller has acknowledged
-	// to users, if the request asks for them. CompleteMS is the age of the moment
+	// to users, if the request asks for them. AcknowledgedCompleteMS is the age of the moment
 	// since which the list is complete.
-	Acknowledged []protocol.JobID `msgpack:"k,omitempty"`
-	CompleteMS   int64            `msgpack:"c,omitempty"`
+	Acknowledged           []protocol.JobID `msgpack:"k,omitempty"`
+	AcknowledgedCompleteMS int64            `msgpack:"c,omitempty"`
 	// Redirected counts the heartbeats that the controller redirected to others.
 	Redirected uint64 `msgpack:"t"`
 	// Summary is the leader's status page data, encoded, if the request asks for it.
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -9,13 +9,13 @@
 // StoreReachable tells whether the key-value store has served this controller lately.
 func (c *controller) StoreReachable() bool { return c.store.SinceServed() < tuning.StoreServedAge }
 
-// RefusedAlone tells whether the key-value store serves other controllers but not this
+// StoreRefusesOnlyThisNode tells whether the key-value store serves other controllers but not this
 // one, or this one is isolated. Another controller counts as served only if it was
-// served RefusedAloneLag later than this one: at the edges of an outage of the whole
+// served StoreRefusesOnlyThisNodeLag later than this one: at the edges of an outage of the whole
 // store, controllers notice it at slightly different times, and one taken for refused
 // alone would leave the load balancer, which takes it back later with each removal.
-func (c *controller) RefusedAlone() bool {
-	return !c.StoreReachable() && (c.peers.StoreServedAfter(time.Now().Add(tuning.RefusedAloneLag-c.store.SinceServed())) || c.isolated())
+func (c *controller) StoreRefusesOnlyThisNode() bool {
+	return !c.StoreReachable() && (c.peers.StoreServedAfter(time.Now().Add(tuning.StoreRefusesOnlyThisNodeLag-c.store.SinceServed())) || c.isolated())
 }
 
 // isolated tells whether neither the key-value store nor any other controller has
@@ -29,4 +29,6 @@
 // it knows the machine types, and not while it is refused alone. While the key-value
 // store serves nobody it stays healthy, since removing all controllers would only add
 // to the outage.
-func (c *controller) Healthy() bool { return c.users.HasMachineTypes() && !c.RefusedAlone() }
+func (c *controller) Healthy() bool {
+	return c.users.HasMachineTypes() && !c.StoreRefusesOnlyThisNode()
+}
--- a/internal/server/peer_calls.go
+++ b/internal/server/peer_calls.go
@@ -32,11 +32,11 @@
 	// The clock is read before the list: what this controller tells users from here
 	// on is later than asOf.
 	now := time.Now()
-	own, complete := c.users.Acknowledged()
+	own, complete := c.users.AcknowledgedCancellations()
 	if !complete.Before(since) {
 		return asOf, nil, false
 	}
-	asOf, jobIDs, ok = c.peers.Acknowledged(since)
+	asOf, jobIDs, ok = c.peers.AcknowledgedCancellations(since)
 	if asOf.IsZero() {
 		asOf = now
 	}
@@ -45,12 +45,12 @@
 
 // Status returns what this controller tells a peer that asks for its status.
 func (c *controller) Status(request *peer.StatusRequest) peer.Status {
-	status := peer.Status{StateMS: c.store.SinceServed().Milliseconds(), Redirected: c.api.Redirected()}
+	status := peer.Status{SinceStoreServedMS: c.store.SinceServed().Milliseconds(), Redirected: c.api.Redirected()}
 	status.Leader, _ = c.candidate.Leader()
 	if request.Acknowledged {
 		var since time.Time
-		status.Acknowledged, since = c.users.Acknowledged()
-		status.CompleteMS = time.Since(since).Milliseconds()
+		status.Acknowledged, since = c.users.AcknowledgedCancellations()
+		status.AcknowledgedCompleteMS = time.Since(since).Milliseconds()
 	}
 	if local := c.activeLeader.Load(); request.Summary && local != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), tuning.PeerTimeout)
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -27,16 +27,16 @@
 	// counts as reachable. The controller's watch on the leader key returns every second.
 	StoreServedAge = 2500 * time.Millisecond
 
-	// RefusedAloneLag is how much later than a controller its peers must have been served
+	// StoreRefusesOnlyThisNodeLag is how much later than a controller its peers must have been served
 	// by the store for that controller to count as refused alone. It is more than the
 	// controllers differ at the start of an outage of the store.
-	RefusedAloneLag = 2500 * time.Millisecond
+	StoreRefusesOnlyThisNodeLag = 2500 * time.Millisecond
 
 	// IsolatedAfter is how long neither the store nor a peer may have answered before a
 	// controller takes itself for isolated: several calls to either.
 	IsolatedAfter = 5 * time.Second
 
-	// PeerFresh is how old a peer's last service by the store, or its last answer, may be to
+	// PeerStatusMaxAge is how old a peer's last service by the store, or its last answer, may be to
 	// count as present: a second for the watch, one for the exchange, and their delays.
-	PeerFresh = 3 * time.Second
+	PeerStatusMaxAge = 3 * time.Second
 )
