--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Operator.Rho != 1.5 || c.Operator.GiveBackFactor != DefaultOperator().GiveBackFactor || c.Team("t") == nil {
+	if c.Operator.Rho != 1.5 || c.Operator.IdleTimeoutBootFactor != DefaultOperator().IdleTimeoutBootFactor || c.Team("t") == nil {
 		t.Errorf("read as %+v", c)
 	}
 	// Settings that the service cannot work with are refused by one line that names the
@@ -101,7 +101,7 @@
 		for _, peers := range []int{2, 4, 6, 10} {
 			d := Deployment{Limits: Limits{Sockets: n}}
 			s := d.Sockets(peers)
-			if sum := s.Incoming + s.Commands + s.Users + 2*peers + tuning.SocketsOwn; sum > n || s.Users < 1 || s.Commands < 1 {
+			if sum := s.Incoming + s.Commands + s.Users + 2*peers + tuning.SocketsReserved; sum > n || s.Users < 1 || s.Commands < 1 {
 				t.Errorf("%d sockets, %d peers: %+v", n, peers, s)
 			}
 			if n >= 1000 && s.Incoming < n/2 {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -49,7 +49,7 @@
 	if stored.catalog, err = l.Store.Get(ctx, records.KeyCatalog); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return stored, err
 	}
-	if stored.cluster, err = l.Store.Get(ctx, records.KeyCluster); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
+	if stored.cluster, err = l.Store.Get(ctx, records.KeyClusterVersion); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return stored, err
 	}
 	return stored, nil
@@ -64,7 +64,7 @@
 	for _, entry := range stored.provisioning.Entries {
 		var request records.ProvisioningRequest
 		if err := codec.Unmarshal(entry.Value, &request); err == nil {
-			l.provisioner.requests[request.ID] = &provisioning{ProvisioningRequest: request, recorded: true}
+			l.provisioner.requests[request.ID] = &provisioningState{ProvisioningRequest: request, recorded: true}
 		}
 	}
 	if stored.catalog.Value == nil {
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -79,7 +79,7 @@
 
 func (l *Leader) neverCameUp(machine *cluster.Machine, now time.Time) bool {
 	return !machine.Up && len(machine.Placements) == 0 && l.catalog.loaded &&
-		now.Sub(machine.ProvisionedAt) > seconds(tuning.BootGiveUp*l.bootTimeS(machine))
+		now.Sub(machine.ProvisionedAt) > seconds(tuning.BootTimeoutFactor*l.bootTimeS(machine))
 }
 
 // drain saves in time what can be saved on a machine that the cloud takes away.
@@ -91,10 +91,10 @@
 	for _, placement := range machine.Placements {
 		job := l.jobs.open[placement.Job]
 		if job == nil || placement.Stopping || placement.State != protocol.TaskRunning || job.spec.CheckpointIntervalS <= 0 ||
-			leftS > job.spec.CheckpointSaveS+tuning.NoticeMargin {
+			leftS > job.spec.CheckpointSaveS+tuning.NoticeMarginS {
 			continue
 		}
-		gracePeriodS := job.spec.CheckpointSaveS + tuning.SaveMargin
+		gracePeriodS := job.spec.CheckpointSaveS + tuning.SaveMarginS
 		l.stopPlacement(placement, gracePeriodS, now)
 		if !job.isGang() {
 			continue
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -32,9 +32,9 @@
 	// others: a boot, for jobs whose machines were just requested.
 	StarvationMinS = 30.0
 
-	// StarvationShareIdle is the share of the provisioned cores that jobs of the lowest
+	// StarvationShareLowestPriority is the share of the provisioned cores that jobs of the lowest
 	// priority may have while those that have waited too long go before others.
-	StarvationShareIdle = 0.4
+	StarvationShareLowestPriority = 0.4
 
 	// StarvationShare is the largest share of the provisioned machines that is reserved for
 	// jobs that have waited too long, beyond one job. The others must be served as well.
@@ -61,11 +61,11 @@
 	// ErrorBackoffMax is the longest such pause; it doubles with each failure.
 	ErrorBackoffMax = 30 * time.Second
 
-	// SaveMargin is added to flushS, in seconds, for the grace period of a task that saves
+	// SaveMarginS is added to flushS, in seconds, for the grace period of a task that saves
 	// a checkpoint, for the way of the command.
-	SaveMargin = 1.0
+	SaveMarginS = 1.0
 
-	// NoticeMargin is how many seconds before the end of a preemption notice a checkpoint
+	// NoticeMarginS is how many seconds before the end of a preemption notice a checkpoint
 	// must be saved, since the notice may end early.
-	NoticeMargin = 4.0
+	NoticeMarginS = 4.0
 )
