--- a/internal/leader/commit_batch.go
+++ b/internal/leader/commit_batch.go
@@ -97,12 +97,12 @@
 func (b *commitBatch) writeSegment(job *jobState, number int, record any, bytes int) {
 	write := segmentWrite{job: job, number: number}
 	for _, placement := range job.placements {
-		if !placement.Recorded && job.owns(number, placement.Task) {
+		if !placement.Recorded && job.segmentHolds(number, placement.Task) {
 			write.placed = append(write.placed, placement)
 		}
 	}
 	for task := range job.unrecordedDone {
-		if job.owns(number, task) {
+		if job.segmentHolds(number, task) {
 			write.done = append(write.done, task)
 		}
 	}
--- a/internal/leader/confirmation.go
+++ b/internal/leader/confirmation.go
@@ -127,7 +127,7 @@
 			l.cancelJob(job, now)
 		}
 	}
-	l.lease.confirmPeers(asOf)
+	l.lease.recordPeerProof(asOf)
 }
 
 // agentLeaseExpiry is when the lease of an agent whose heartbeat was answered at the
--- a/internal/leader/format_versions.go
+++ b/internal/leader/format_versions.go
@@ -33,14 +33,14 @@
 	committed    bool // the whole cluster uses records.FormatSupported
 }
 
-// watchVersions reads which format version each controller has recorded. Once all that
+// pollVersions reads which format version each controller has recorded. Once all that
 // the settings name read the formats of this program, it records that the whole
 // cluster uses them, conditional on the term. A controller never goes back to an
 // earlier version, so that holds for good.
-func (l *Leader) watchVersions(ctx context.Context) {
+func (l *Leader) pollVersions(ctx context.Context) {
 	for {
 		versions, err := l.readVersions(ctx)
-		if err == nil && !versions.committed && l.allControllersRead(versions.byController) {
+		if err == nil && !versions.committed && l.allControllersSupportFormat(versions.byController) {
 			versions.committed = l.commitFormat(ctx)
 		}
 		if err != nil {
@@ -77,9 +77,9 @@
 	return versions, err
 }
 
-// allControllersRead tells whether every controller of the settings reads what this
+// allControllersSupportFormat tells whether every controller of the settings reads what this
 // program writes.
-func (l *Leader) allControllersRead(byController map[string]int) bool {
+func (l *Leader) allControllersSupportFormat(byController map[string]int) bool {
 	if byController[l.Config.Node] < records.FormatSupported {
 		return false
 	}
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -41,7 +41,7 @@
 	recordUnreadable bool // a segment of the run record could not be read
 	backoffUntil     time.Time
 	failures         int
-	knownSince       time.Time // when this leader learnt of the job
+	addedAt          time.Time // when this leader learnt of the job
 }
 
 func newJob(jobID protocol.JobID, open *records.OpenJob, version protocol.Version, now time.Time) *jobState {
@@ -56,7 +56,7 @@
 		nextAttempt:    1,
 		placements:     map[int]*cluster.Placement{},
 		unrecordedDone: map[int]bool{},
-		knownSince:     now,
+		addedAt:        now,
 	}
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -127,7 +127,7 @@
 		"jobs", len(l.jobs.open), "machines", len(l.machines.byID), "requests", len(l.provisioner.requests))
 	go l.watchOpenJobs(l.ctx, revision)
 	go l.confirmTerm(l.ctx)
-	go l.watchVersions(l.ctx)
+	go l.pollVersions(l.ctx)
 	l.loop()
 }
 
@@ -147,7 +147,7 @@
 			return
 		case m := <-l.inbox:
 			l.handle(m)
-			l.handleArrived()
+			l.drainInbox()
 		case now := <-tick.C:
 			l.onTick(now)
 		case <-cycleTimer.C:
@@ -164,9 +164,9 @@
 	}
 }
 
-// handleArrived applies all messages that have arrived already, so that they are
+// drainInbox applies all messages that have arrived already, so that they are
 // decided upon together.
-func (l *Leader) handleArrived() {
+func (l *Leader) drainInbox() {
 	for {
 		select {
 		case m := <-l.inbox:
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -30,8 +30,8 @@
 	majorityReported bool
 }
 
-func newLeaderLease(agents config.Workers) leaderLease {
-	return leaderLease{duration: max(0, agents.CancellationLimit()-agents.LeaseDuration()-tuning.LeaderLeaseMargin)}
+func newLeaderLease(workers config.Workers) leaderLease {
+	return leaderLease{duration: max(0, workers.CancellationLimit()-workers.LeaseDuration()-tuning.LeaderLeaseMargin)}
 }
 
 // lastConfirmation is the time up to which the key-value store itself has proved that
@@ -64,8 +64,8 @@
 	return now.Sub(l.lastConfirmation()) < tuning.StartConfirmationAge
 }
 
-// confirmPeers notes a proof by the other controllers, unless there is a later one.
-func (l *leaderLease) confirmPeers(asOf time.Time) {
+// recordPeerProof notes a proof by the other controllers, unless there is a later one.
+func (l *leaderLease) recordPeerProof(asOf time.Time) {
 	if asOf.After(l.confirmedByPeers) {
 		l.confirmedByPeers = asOf
 	}
--- a/internal/leader/lease_test.go
+++ b/internal/leader/lease_test.go
@@ -135,7 +135,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			lease := newLeaderLease(config.Workers{LeaseS: 12, CancelS: 37})
 			lease.confirmedByWatch, lease.confirmedByTerm = tc.byWatch, tc.byTerm
-			lease.confirmPeers(tc.byPeers)
+			lease.recordPeerProof(tc.byPeers)
 			if got := lease.mayStart(now); got != tc.mayStart {
 				t.Errorf("may start: %v", got)
 			}
@@ -150,8 +150,8 @@
 func TestOlderProofByPeersIsIgnored(t *testing.T) {
 	now := time.Now()
 	lease := newLeaderLease(config.Workers{LeaseS: 12, CancelS: 37})
-	lease.confirmPeers(now)
-	lease.confirmPeers(now.Add(-time.Minute))
+	lease.recordPeerProof(now)
+	lease.recordPeerProof(now.Add(-time.Minute))
 	if !lease.lastProof().Equal(now) {
 		t.Errorf("the last proof went back by %v", now.Sub(lease.lastProof()))
 	}
--- a/internal/leader/pending_writes.go
+++ b/internal/leader/pending_writes.go
@@ -66,7 +66,7 @@
 			continue
 		}
 		if job.isOver() {
-			pending = append(pending, pendingWrite{job, records.NoSegment, writeClosing, job.knownSince})
+			pending = append(pending, pendingWrite{job, records.NoSegment, writeClosing, job.addedAt})
 			continue
 		}
 		for number := range job.segments {
--- a/internal/leader/record_writer.go
+++ b/internal/leader/record_writer.go
@@ -113,7 +113,7 @@
 	l.Log.Error("run record beyond the limits, its unsent starts are withdrawn", "job", job.id, "segment", number, "tasks", len(job.placements))
 	var unsent []*cluster.Placement
 	for _, placement := range job.placements {
-		if !placement.Recorded && job.owns(number, placement.Task) {
+		if !placement.Recorded && job.segmentHolds(number, placement.Task) {
 			unsent = append(unsent, placement)
 		}
 	}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -90,13 +90,13 @@
 		}
 		segments[jobID] = append(segments[jobID], entry)
 	}
-	for jobID, ofJob := range segments {
+	for jobID, jobSegments := range segments {
 		switch job := l.jobs.open[jobID]; {
 		case job != nil:
-			l.restoreRunRecord(job, ofJob, now)
+			l.restoreRunRecord(job, jobSegments, now)
 		case !isOpen[jobID]:
 			// The job was closed by a leader that did not delete all of its segments.
-			for _, entry := range ofJob {
+			for _, entry := range jobSegments {
 				l.writer.orphans = append(l.writer.orphans, orphanedSegment{entry.Key, entry.Version})
 			}
 		}
--- a/internal/leader/run_record.go
+++ b/internal/leader/run_record.go
@@ -34,26 +34,26 @@
 	return &j.segments[number]
 }
 
-func (j *jobState) isWritten(number int) bool {
+func (j *jobState) isSegmentWritten(number int) bool {
 	return number < len(j.segments) && j.segments[number].version > 0
 }
 
-// owns tells whether a task is kept in the segment with the number. The first segment
+// segmentHolds tells whether a task is kept in the segment with the number. The first segment
 // also keeps the tasks of segments that were not written yet (see
 // records.JoinSegments).
-func (j *jobState) owns(number, task int) bool {
+func (j *jobState) segmentHolds(number, task int) bool {
 	own := records.SegmentOf(task)
 	if number != 0 {
 		return own == number
 	}
-	return own == 0 || !j.isWritten(own)
+	return own == 0 || !j.isSegmentWritten(own)
 }
 
 // segmentRecord is a segment of the run record in the present state.
 func (j *jobState) segmentRecord(number int) records.RunRecord {
 	record := records.RunRecord{NextAttempt: j.nextAttempt, Done: j.doneInSegment(number), Placements: []records.Placement{}}
 	for task, placement := range j.placements {
-		if !j.owns(number, task) {
+		if !j.segmentHolds(number, task) {
 			continue
 		}
 		stored := records.Placement{Task: task, Attempt: placement.Attempt, Machine: placement.Machine.ID, Incarnation: placement.Incarnation}
@@ -77,7 +77,7 @@
 		for first := taskRange[0]; first <= taskRange[1]; {
 			endOfSegment := (records.SegmentOf(first)+1)*tuning.SegmentTasks - 1
 			last := min(taskRange[1], endOfSegment)
-			if j.owns(0, first) {
+			if j.segmentHolds(0, first) {
 				done.Append(first, last)
 			}
 			first = last + 1
@@ -88,7 +88,7 @@
 
 // splitSegments marks the segments that only the first one holds as yet to be
 // written. It returns false if there are none.
-func (j *jobState) splitSegments(holdStarts bool, now time.Time) bool {
+func (j *jobState) splitSegments(holdsStarts bool, now time.Time) bool {
 	inUse := map[int]bool{}
 	for task := range j.placements {
 		inUse[records.SegmentOf(task)] = true
@@ -100,8 +100,8 @@
 	}
 	split := false
 	for number := range inUse {
-		if number > 0 && !j.isWritten(number) {
-			j.segment(number).markDirty(holdStarts, now)
+		if number > 0 && !j.isSegmentWritten(number) {
+			j.segment(number).markDirty(holdsStarts, now)
 			split = true
 		}
 	}
@@ -115,7 +115,7 @@
 	number := records.SegmentOf(task)
 	fitsInOneValue := job.spec.Tasks*tuning.RecordEntryBytes <= l.Store.MaxValueBytes()
 	undivided := !l.formats.segmented() || fitsInOneValue
-	if undivided && !job.isWritten(number) {
+	if undivided && !job.isSegmentWritten(number) {
 		number = 0
 	}
 	job.segment(number).markDirty(holdsStart, now)
--- a/internal/leader/run_record_test.go
+++ b/internal/leader/run_record_test.go
@@ -103,7 +103,7 @@
 	}
 	number := dirty[rng.IntN(len(dirty))]
 	for task := range model {
-		if !job.owns(number, task) {
+		if !job.segmentHolds(number, task) {
 			continue
 		}
 		model[task] = 0
