--- a/internal/leader/confirmation.go
+++ b/internal/leader/confirmation.go
@@ -13,18 +13,20 @@
 	"marblehaven/internal/tuning"
 )
 
-// watchResult holds changes of open records. All changes that were answered to their
-// writers before asOf are in it or in an earlier one.
+// watchResult holds changes of open records. Every change that the store confirmed to its
+// writer before asOf is in this result or in an earlier one.
 type watchResult struct {
 	events []protocol.WatchEvent
 	asOf   time.Time
 }
 
-// termConfirmation says that the term key was read unchanged by a call begun at asOf.
+// termConfirmation is the result of a read of the term key, begun at asOf, that found the
+// key unchanged.
 type termConfirmation struct{ asOf time.Time }
 
-// watchOpenJobs learns of new jobs and cancellations. Each return of the watch also
-// proves that all changes answered before its call began are known here.
+// watchOpenJobs receives new jobs and cancellations from the store. Each return of the
+// watch also proves that the leader has received every change that the store confirmed
+// before the watch call began.
 func (l *Leader) watchOpenJobs(ctx context.Context, revision protocol.Revision) {
 	lastRead := time.Now()
 	for ctx.Err() == nil {
@@ -39,8 +41,9 @@
 			clock.Sleep(ctx, tuning.ElectionRetry)
 			continue
 		}
-		// All open records are read again now and then: a lost event would leave an
-		// accepted job waiting for ever, or a cancelled one running.
+		// All open records are read again every RereadInterval: if an event were lost, an
+		// accepted job would otherwise never start, or a cancelled one would never be
+		// stopped.
 		compacted := err != nil
 		if !compacted && time.Since(lastRead) <= tuning.RereadInterval {
 			continue
@@ -58,7 +61,7 @@
 	}
 }
 
-// listOpenJobs reads all open records, as a watch would tell of them.
+// listOpenJobs reads all open records and returns them in the form of watch events.
 func (l *Leader) listOpenJobs(ctx context.Context) (watchResult, protocol.Revision, error) {
 	result := watchResult{asOf: time.Now()}
 	page, err := l.Store.ListAll(ctx, records.PrefixOpen)
@@ -85,8 +88,9 @@
 	l.lease.confirmedByWatch = result.asOf
 }
 
-// confirmTerm reads the term key once a second. Unchanged, it proves that the term is
-// still this leader's; otherwise the newer term is reported, which ends this one.
+// confirmTerm reads the term key once a second. An unchanged key proves that this leader
+// still holds the term. A changed key means a newer term, which is reported and ends this
+// one.
 func (l *Leader) confirmTerm(ctx context.Context) {
 	for clock.Sleep(ctx, tuning.WatchHold) {
 		start := time.Now()
@@ -107,12 +111,14 @@
 
 func (c termConfirmation) apply(leader *Leader, _ time.Time) { leader.lease.confirmedByTerm = c.asOf }
 
-// confirmByPeers extends the leader's lease while the store proves nothing. The jobs
-// that users were told are cancelled since the last confirmation are cancelled here as
-// if their events had come. Once all controllers, this one included, have named theirs
-// up to some time, no cancellation acknowledged before it is unknown. Nor is a newer
-// term: whoever holds one knows it before it counts any agent's lease as expired, and
-// this leader's peers would have named it.
+// confirmByPeers extends the leader lease by reports of the controllers while the store
+// confirms nothing. Every job whose cancellation was acknowledged to a user since the
+// last confirmation is cancelled here as if its watch event had arrived.
+//
+// Once all controllers, this one included, have reported their acknowledgments up to some
+// time, this leader has missed no cancellation acknowledged before that time. It has
+// missed no newer term either: a controller that holds a newer term has received it
+// before it counts any agent's lease as expired, and the peers would have reported it.
 func (l *Leader) confirmByPeers(now time.Time) {
 	if l.lease.mayStart(now) || l.AcknowledgedCancellations == nil {
 		return
@@ -130,8 +136,8 @@
 	l.lease.recordPeerProof(asOf)
 }
 
-// agentLeaseExpiry is when the lease of an agent whose heartbeat was answered at the
-// given time has surely expired, by its own clock too.
+// agentLeaseExpiry returns the time after which the lease of an agent whose heartbeat was
+// answered at the given time must have expired, by the agent's own clock too.
 func (l *Leader) agentLeaseExpiry(answered time.Time) time.Time {
 	lease := seconds(l.Config.Deployment.Workers.LeaseS * (1 + tuning.ClockDrift))
 	return answered.Add(lease + tuning.AgentLeaseMargin)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,18 +1,18 @@
-// Package leader decides what runs where while its controller holds a term. One
-// actor owns everything that the leader knows: open jobs, machines and provisioning
-// requests. It is spoken to by messages only, and its helpers (calls of the key-value
-// store, the cloud and the agents) post their results as messages.
+// Package leader schedules the cluster's jobs while its controller holds a term. One
+// actor goroutine owns all state of the leader: open jobs, machines and provisioning
+// requests. Other goroutines reach the actor only by messages. The helper goroutines that
+// call the key-value store, the cloud and the agents post their results as messages.
 //
-// The order of effects is what keeps the promises to users through every failure:
+// The order of effects preserves the guarantees to users through every failure:
 //
 //   - A start is recorded in the job's run record before it is sent.
-//   - A task is released for another start only on proof that it has ended.
+//   - A task becomes free for another start only on proof that it has ended.
 //   - A completion is recorded before the agent may forget the attempt.
 //   - A provisioning request is recorded before the cloud is called.
 //   - Every write is conditional on the term, so a deposed leader writes nothing.
 //
 // The package must never act on the clock alone: without proof that the term is still
-// held (leaderLease) it starts nothing and answers no heartbeat.
+// held (see leaderLease) it starts nothing and answers no heartbeat.
 package leader
 
 import (
@@ -30,38 +30,41 @@
 	"marblehaven/internal/tuning"
 )
 
-// Options is what a leader works with.
+// Options holds the settings, the clients and the callbacks that a leader uses.
 type Options struct {
 	Config *config.Config
 	Store  *kvstore.Client
 	Cloud  *cloud.Client
 	Agents *agent.Client
 	Log    *slog.Logger
-	// OnNewerTerm tells the election of a term higher than the leader's.
+	// OnNewerTerm reports a term higher than the leader's to the election.
 	OnNewerTerm func(newer protocol.Term)
-	// Resign gives up the term for another controller to take.
+	// Resign ends the term so that another controller can take the next one.
 	Resign func()
-	// RedirectedHeartbeats returns how many heartbeats the other controllers have redirected
-	// lately.
+	// RedirectedHeartbeats returns how many heartbeats the other controllers have
+	// redirected recently.
 	RedirectedHeartbeats func() int
-	// AcknowledgedCancellations returns the jobs of which a controller has told a user that they
-	// are cancelled, and the time up to which the list is complete for
-	// acknowledgments after since; ok is false if a controller cannot tell.
+	// AcknowledgedCancellations returns the jobs whose cancellation a controller has
+	// acknowledged to a user, and the time up to which the list is complete for
+	// acknowledgments after since. ok is false if the list of some controller may be
+	// incomplete.
 	AcknowledgedCancellations func(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool)
 }
 
 // ErrMayNotAnswer is returned for a heartbeat that the leader may not answer now: its
-// lease has expired, the agent knows a newer term, or the inbox is full.
-var ErrMayNotAnswer = errors.New("the leader may not answer heartbeats now")
+// lease has expired, the agent has seen a newer term, the inbox is full or the term has
+// ended.
+var ErrMayNotAnswer = errors.New("heartbeat not answered: leader lease expired, newer term seen, inbox full or term ended")
 
-// Leader is the leader of one term. Its actor (Run) owns the parts, the inbox and the
-// order of a cycle; each part owns its state.
+// Leader schedules for one term. The actor goroutine (see Run) owns the inbox and the
+// parts below, and calls the parts in the order of a scheduling cycle. Each part owns its
+// state.
 type Leader struct {
 	Options
 	leadership election.Leadership
 	tookOverAt time.Time
-	// ctx is the context of the term. It is stored because the actor outlives any
-	// single call: helpers started by a message end with the term.
+	// ctx is the context of the term. It is stored because the actor outlives any single
+	// call: goroutines that a message starts end with the term.
 	ctx   context.Context
 	inbox chan message
 
@@ -80,19 +83,20 @@
 	status       statusReporter
 }
 
-// message is something that the actor is told. The actor's goroutine applies it.
+// message is an event for the actor. The actor's goroutine applies it.
 type message interface {
 	apply(leader *Leader, now time.Time)
 }
 
-// New makes the leader of a term.
+// New returns the leader of a term.
 func New(options Options, leadership election.Leadership) *Leader {
 	deployment := &options.Config.Deployment
 	return &Leader{
 		Options:    options,
 		leadership: leadership,
-		// Every connection may carry a heartbeat that waits for its answer. After a
-		// failover all agents report at once, and none of them is refused here.
+		// The inbox has room for one message from every incoming connection, since each
+		// may carry a heartbeat that waits for its answer. After a failover all agents
+		// send heartbeats at once, and none of these is rejected here.
 		inbox:        make(chan message, deployment.Sockets(len(options.Config.Peers)).Incoming),
 		lease:        newLeaderLease(deployment.Workers),
 		jobs:         newJobTable(),
@@ -111,11 +115,11 @@
 // Bind sets the context of the term. It must be called before any other method.
 func (l *Leader) Bind(ctx context.Context) { l.ctx = ctx }
 
-// Run leads until the context given to Bind ends.
+// Run reads the stored records and leads until the context given to Bind ends.
 //
-// The goroutines that it starts, and those that messages start, end with the context.
-// Nobody waits for them: all they do at the end of a call is to post its result, and
-// post gives up with the context.
+// The goroutines that Run and the messages start end with that context. Run does not wait
+// for them: the last step of each is to post its result, and post gives up when the
+// context ends.
 func (l *Leader) Run() {
 	l.tookOverAt = time.Now()
 	l.lease.answeringSince = l.tookOverAt.Add(tuning.AgentFailoverDelay)
@@ -131,9 +135,9 @@
 	l.loop()
 }
 
-// loop is the actor: it applies messages as they arrive, looks at the clock with each
-// tick, and runs a scheduling cycle when something has changed and the last one is
-// long enough ago.
+// loop is the actor: it applies messages as they arrive, does the work that depends on
+// time with each tick, and runs a scheduling cycle when something has changed and the
+// pause after the last cycle is over.
 func (l *Leader) loop() {
 	tick := time.NewTicker(tuning.TickInterval)
 	defer tick.Stop()
@@ -164,8 +168,8 @@
 	}
 }
 
-// drainInbox applies all messages that have arrived already, so that they are
-// decided upon together.
+// drainInbox applies all messages that are already in the inbox, so that one scheduling
+// cycle covers them all.
 func (l *Leader) drainInbox() {
 	for {
 		select {
@@ -179,7 +183,7 @@
 
 func (l *Leader) handle(m message) { m.apply(l, time.Now()) }
 
-// post sends a message to the actor, unless the term ends first.
+// post sends a message to the actor, or gives up when the term ends.
 func (l *Leader) post(m message) {
 	select {
 	case l.inbox <- m:
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -14,20 +14,20 @@
 	"marblehaven/internal/tuning"
 )
 
-// storedRecords is what an earlier leader left in the store.
+// storedRecords holds the records that earlier leaders have left in the store.
 type storedRecords struct {
 	open, provisioning protocol.KeyValuePage
 	catalog, cluster   protocol.KeyValue
 }
 
-// load reads the records that an earlier leader left, and returns the revision from
-// which open records are to be watched; ok is false if the term ends before.
+// load restores the state of the leader from the stored records, and returns the revision
+// from which to watch the open records. ok is false if the term ends first.
 func (l *Leader) load(ctx context.Context) (revision protocol.Revision, ok bool) {
 	for ctx.Err() == nil {
 		start := time.Now()
 		stored, err := l.readRecords(ctx)
 		if err != nil {
-			l.Log.Debug("reading records failed, it is tried again", "err", err)
+			l.Log.Debug("reading the stored records failed, the read is retried", "err", err)
 			clock.Sleep(ctx, tuning.ElectionRetry)
 			continue
 		}
@@ -57,7 +57,8 @@
 
 func (l *Leader) restore(stored *storedRecords, now time.Time) {
 	if stored.cluster.Version > 0 {
-		// Whatever it says, it was written when all controllers read segments.
+		// The content of the record does not matter: it is written only once all
+		// controllers support segments.
 		l.useFormat(records.FormatSegmented)
 	}
 	l.restoreJobs(stored.open.Entries, now)
@@ -77,7 +78,7 @@
 	}
 }
 
-// restoreJobs takes in the open jobs with the segments of their run records.
+// restoreJobs adds the open jobs with the segments of their run records.
 func (l *Leader) restoreJobs(entries []protocol.KeyValue, now time.Time) {
 	isOpen := map[protocol.JobID]bool{}
 	segments := map[protocol.JobID][]protocol.KeyValue{}
@@ -100,9 +101,11 @@
 				l.writer.orphans = append(l.writer.orphans, orphanedSegment{entry.Key, entry.Version})
 			}
 		}
-		// Otherwise the open record cannot be read: users are told that the job is queued.
+		// Otherwise the open record exists and cannot be decoded. Its segments are kept,
+		// and users see the job as queued.
 	}
-	// A job may have been cancelled while there was no leader: no event will tell.
+	// A job may have been cancelled while there was no leader. The watch starts too late
+	// to deliver an event for it.
 	for _, job := range l.jobs.open {
 		if job.cancelled {
 			l.cancelJob(job, now)
@@ -110,20 +113,20 @@
 	}
 }
 
-// restoreRunRecord takes in the segments of a job's run record.
+// restoreRunRecord restores the state of a job from the segments of its run record.
 func (l *Leader) restoreRunRecord(job *jobState, entries []protocol.KeyValue, now time.Time) {
 	segments := map[int]records.RunRecord{}
 	for _, entry := range entries {
 		_, number := records.ParseOpenKey(entry.Key)
 		if number < 0 || number >= max(1, records.SegmentCount(job.spec.Tasks)) {
-			l.Log.Error("run record of no task, it is deleted", "key", entry.Key)
+			l.Log.Error("run record segment beyond the job's tasks, the segment is deleted", "key", entry.Key)
 			l.writer.orphans = append(l.writer.orphans, orphanedSegment{entry.Key, entry.Version})
 			continue
 		}
 		job.segment(number).version = entry.Version
 		var segment records.RunRecord
 		if err := codec.Unmarshal(entry.Value, &segment); err != nil {
-			l.Log.Error("unreadable run record, the job backs off until its tasks have surely ended", "job", job.id, "segment", number, "err", err)
+			l.Log.Error("run record segment cannot be decoded, the job backs off until the tasks in it must have ended", "job", job.id, "segment", number, "err", err)
 			job.recordUnreadable = true
 			continue
 		}
@@ -139,18 +142,19 @@
 	}
 }
 
-// backOffUnreadable keeps a job of which a segment cannot be read from starting
-// anything until all that the segment may name has surely ended, as on machines that
-// were never heard of. Then the job goes on with what it has no record of: agents
-// have kept the results of what was done.
+// backOffUnreadable prevents starts of a job with an undecodable segment until every
+// attempt that the segment may name must have ended. That takes as long as for attempts
+// on a machine that has sent this leader no heartbeat (see machineByID). Then the job
+// starts every task that no decodable segment names. A task that was completed before
+// ends at once as done, since agents keep the results.
 func (l *Leader) backOffUnreadable(job *jobState) {
 	firstOfTerm := uint64(l.termToken()) + 1 // no earlier attempt has this number
 	job.nextAttempt = max(job.nextAttempt, firstOfTerm)
 	job.backOff(l.agentLeaseExpiry(l.tookOverAt.Add(l.lease.duration)))
 }
 
-// restorePlacement takes in a recorded placement. Its start may have been sent by the
-// earlier leader.
+// restorePlacement adds a placement from the run record. It counts as sent, since the
+// earlier leader may have sent its start.
 func (l *Leader) restorePlacement(job *jobState, stored records.Placement, now time.Time) {
 	machine := l.machineByID(stored.Machine, now)
 	if machine.Zone == "" {
