--- a/internal/leader/commit_batch.go
+++ b/internal/leader/commit_batch.go
@@ -9,21 +9,23 @@
 	"marblehaven/internal/tuning"
 )
 
-// commitBatch is one transaction of the leader and what it means once executed.
+// commitBatch is one transaction of the leader, with the changes of state that follow
+// once it is executed.
 type commitBatch struct {
 	transaction protocol.Transaction
 	segments    []segmentWrite
 	closed      []jobClosing
-	provisioned []*provisioningState // requests that are recorded
-	obsolete    []*provisioningState // requests whose records are deleted
-	orphans     []orphanedSegment    // deleted
-	// maxMutations is how many mutations the transaction may have, and bytes how
-	// large it is, in bytes as JSON.
+	provisioned []*provisioningState // requests that the transaction records
+	obsolete    []*provisioningState // requests whose records it deletes
+	orphans     []orphanedSegment    // segments that it deletes
+	// maxMutations is how many mutations the transaction may have. bytes is the size of
+	// the transaction in bytes as JSON.
 	maxMutations int
 	bytes        int
 }
 
-// segmentWrite is a segment of a run record in a commit, with what waits for it.
+// segmentWrite is the write of a segment of a run record, with what it allows once
+// executed.
 type segmentWrite struct {
 	job    *jobState
 	number int
@@ -43,11 +45,12 @@
 	version protocol.Version
 }
 
-// smallRecordBytes is more than a record of fixed form takes in a transaction, in
-// bytes as JSON.
+// smallRecordBytes is more than a final record, a provisioning request or a deletion takes
+// in a transaction, in bytes as JSON.
 const smallRecordBytes = 400
 
-// fits tells whether some more mutations of so many bytes as JSON fit.
+// fits reports whether the batch has room for more mutations with the given total size,
+// in bytes as JSON.
 func (b *commitBatch) fits(mutations, bytes int) bool {
 	return len(b.transaction.Mutations)+mutations <= b.maxMutations && b.bytes+bytes <= tuning.CommitBytes
 }
@@ -66,10 +69,11 @@
 	b.bytes += smallRecordBytes
 }
 
-// closeJob moves a job from its open to its final record. Segments of its run record
-// that do not fit in the transaction are removed later: without an open record nothing
-// counts them. That there is no final record yet is a precondition as well, by which a
-// conflict tells whether the transaction was executed (kvstore.Client.CommitUntilKnown).
+// closeJob replaces the open record of a job by its final record. Segments of the run
+// record that do not fit in the transaction are deleted later: without an open record
+// they have no effect. The transaction also requires that no final record exists yet, so
+// that a conflict shows whether an earlier attempt was executed (see
+// kvstore.Client.CommitUntilKnown).
 func (b *commitBatch) closeJob(job *jobState, now time.Time) {
 	if !b.fits(closeMutations+1, closeMutations*smallRecordBytes) {
 		return
@@ -92,8 +96,8 @@
 	b.closed = append(b.closed, jobClosing{job, final})
 }
 
-// writeSegment writes a segment of a job's run record, encoded in so many bytes as
-// JSON.
+// writeSegment adds the write of a segment of a job's run record, whose encoded size is
+// given in bytes as JSON.
 func (b *commitBatch) writeSegment(job *jobState, number int, record any, bytes int) {
 	write := segmentWrite{job: job, number: number}
 	for _, placement := range job.placements {
@@ -125,7 +129,8 @@
 	}
 }
 
-// addObsolete deletes the records of requests whose machines are known otherwise.
+// addObsolete deletes the records of obsolete requests: the cloud has rejected the
+// request, or a new leader would find its machines without the record.
 func (b *commitBatch) addObsolete(requests map[string]*provisioningState) {
 	for _, request := range requests {
 		if request.recorded && request.obsolete && b.fits(1, smallRecordBytes) {
--- a/internal/leader/pending_writes.go
+++ b/internal/leader/pending_writes.go
@@ -10,11 +10,11 @@
 	"marblehaven/internal/tuning"
 )
 
-// writeOrder tells which records are written first: the lowest.
+// writeOrder is the rank of a pending write. Writes of lower rank are written first.
 type writeOrder int
 
-// Starts of production come first, then what ends a job, then other starts by their
-// priority, and last what holds completions only.
+// Starts of production jobs come first, then the closing of jobs, then other starts by
+// their priority, and last the segments that hold only completions.
 const (
 	writeProductionStarts writeOrder = 0
 	writeClosing          writeOrder = 1
@@ -32,7 +32,7 @@
 // closeMutations is how many mutations move a job from its open to its final record.
 const closeMutations = 2
 
-// mutations is how many mutations of a transaction the write takes.
+// mutations returns how many mutations of a transaction the write takes.
 func (w pendingWrite) mutations() int {
 	if w.number != records.NoSegment {
 		return 1
@@ -56,9 +56,10 @@
 	return writeClosing + writeOrder(j.priority())
 }
 
-// pendingWrites lists what is to be written of jobs, in order. Starts wait for their
-// records, so they go first; then what users wait to be told; completions of parts of
-// a job can wait, since agents keep them.
+// pendingWrites lists the pending writes of all jobs in the order of their ranks. Starts
+// are not sent before they are recorded, and users wait for the final status of a job, so
+// both are due at once. Completions of a part of a job are due after CompletionDelay,
+// since agents keep them.
 func (l *Leader) pendingWrites(now time.Time) []pendingWrite {
 	var pending []pendingWrite
 	for _, job := range l.jobs.open {
@@ -83,10 +84,11 @@
 	return pending
 }
 
-// awaitsBudget tells whether to wait until the write budget allows a whole transaction
-// of what is pending. Written one by one as the budget is refilled, single mutations
-// would for ever keep out what takes several, such as closing a job; and what is
-// placed meanwhile shares the write of its job. Starts of production don't wait.
+// awaitsBudget reports whether to wait until the write budget allows a whole transaction
+// of the pending writes. If single mutations were written as soon as the budget allows
+// one, the budget would never suffice for a write that takes several, such as closing a
+// job. In addition, what is placed during the wait shares the write of its job. Starts of
+// production jobs do not wait.
 func (l *Leader) awaitsBudget(pending []pendingWrite, budget int) bool {
 	mutations := l.provisioner.countUnrecorded()
 	for _, write := range pending {
@@ -101,11 +103,11 @@
 	return budget < min(mutations, l.Store.MaxMutations())
 }
 
-// addPendingWrites adds what is pending to a commit, as far as it fits.
+// addPendingWrites adds the pending writes to a commit, as far as they fit.
 func (l *Leader) addPendingWrites(batch *commitBatch, pending []pendingWrite, budget int, now time.Time) {
 	for _, write := range pending {
 		if write.order == writeCompletions {
-			// A part of the budget is left for starts that come next.
+			// Half of a full budget is left for the starts that come next.
 			batch.maxMutations = min(batch.maxMutations, budget-l.writer.limiter.Burst()/2)
 		}
 		if !batch.fits(1, 0) {
@@ -119,7 +121,7 @@
 	}
 }
 
-// closingPhase is the final phase of a job that is over.
+// closingPhase returns the final phase of a job that is over.
 func (j *jobState) closingPhase() protocol.JobPhase {
 	if j.cancelled {
 		return protocol.PhaseCancelled
--- a/internal/leader/record_writer.go
+++ b/internal/leader/record_writer.go
@@ -20,11 +20,12 @@
 // budget.
 type recordWriter struct {
 	inFlight   *commitBatch
-	nextCommit time.Time // no commit before
-	// failingSince is since when every commit has failed; zero: the last one did not.
+	nextCommit time.Time // no commit starts before this time
+	// failingSince is when the current series of failed commits began, zero if the last
+	// commit succeeded. An unavailable store does not count as a failure.
 	failingSince time.Time
 	orphans      []orphanedSegment // to be deleted
-	limiter      *rate.Limiter     // of mutations
+	limiter      *rate.Limiter     // of mutations per second
 }
 
 func newRecordWriter(limits config.StateLimits) recordWriter {
@@ -32,12 +33,12 @@
 	return recordWriter{limiter: rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), limits.TxnOps))}
 }
 
-// spend takes mutations from the budget, all of it if there are more.
+// spend takes mutations from the write budget, at most a full burst.
 func (w *recordWriter) spend(mutations int, now time.Time) {
 	w.limiter.AllowN(now, min(mutations, w.limiter.Burst()))
 }
 
-// removeOrphans forgets orphans that were deleted.
+// removeOrphans drops the orphans that a commit has deleted.
 func (w *recordWriter) removeOrphans(deleted []orphanedSegment) {
 	w.orphans = slices.DeleteFunc(w.orphans, func(o orphanedSegment) bool { return slices.Contains(deleted, o) })
 }
@@ -50,10 +51,10 @@
 	err        error
 }
 
-// commit writes what is pending, as far as the limits of a transaction and the write
-// budget go. One commit is in flight at a time, so records never overtake one another;
-// each is conditional on its own version, so a late copy of an earlier commit cannot
-// undo a newer one.
+// commit writes the pending records, as far as the limits of a transaction and the write
+// budget allow. Only one commit is in flight at a time, so records are written in order.
+// Each write of a job's records is conditional on the version of its key, so a delayed
+// copy of an earlier commit cannot undo a newer one.
 func (l *Leader) commit(now time.Time) {
 	if l.writer.inFlight != nil || now.Before(l.writer.nextCommit) {
 		return
@@ -78,7 +79,7 @@
 	go l.runCommit(batch)
 }
 
-// runCommit carries a commit through until its outcome is known for good.
+// runCommit repeats a commit until its outcome is final, and posts the outcome.
 func (l *Leader) runCommit(batch *commitBatch) {
 	reply, err := l.Store.CommitUntilKnown(l.ctx, batch.transaction, records.KeyTerm)
 	l.post(commitResult{batch, reply.Revision, reply.FailedKeys, err})
@@ -100,17 +101,18 @@
 	}
 }
 
-// onRecordTooLarge finds a way on for a record that the store would refuse. A record
-// of the whole job is split: the other segments are written first, and then what is
-// left of it fits. Where it may not be split yet, the placements that were not sent are
-// withdrawn, and the rest is written when enough of it has ended.
+// onRecordTooLarge handles a segment that exceeds the store's limit for a value. Segment
+// 0 is split if the format allows it: the tasks of other segments are written to those
+// segments first, and the rest then fits in segment 0. Otherwise the placements that are
+// not recorded yet are withdrawn, and the segment is written when enough of its tasks
+// have ended.
 func (l *Leader) onRecordTooLarge(job *jobState, number int, now time.Time) {
 	l.cycle.request()
 	segment := job.segment(number)
 	if l.formats.segmented() && number == 0 && job.splitSegments(segment.holdsStarts, now) {
 		return
 	}
-	l.Log.Error("run record beyond the limits, its unsent starts are withdrawn", "job", job.id, "segment", number, "tasks", len(job.placements))
+	l.Log.Error("run record segment exceeds the value limit, its unsent starts are withdrawn", "job", job.id, "segment", number, "tasks", len(job.placements))
 	var unsent []*cluster.Placement
 	for _, placement := range job.placements {
 		if !placement.Recorded && job.segmentHolds(number, placement.Task) {
@@ -150,8 +152,8 @@
 	l.dispatchAll(now)
 }
 
-// onSegmentWritten releases what waited for a segment of a run record: starts may be
-// sent, and agents may forget what is done.
+// onSegmentWritten releases what waited for the write of a segment: its starts may be
+// sent, and agents may forget its completed tasks.
 func (l *Leader) onSegmentWritten(write segmentWrite, revision protocol.Revision) {
 	write.job.segment(write.number).version = revision.Version()
 	for _, task := range write.done {
@@ -166,7 +168,7 @@
 	}
 }
 
-// onJobClosed acts on a final record that was written.
+// onJobClosed removes a job from the open jobs after its final record was written.
 func (l *Leader) onJobClosed(closing jobClosing, now time.Time) {
 	job := closing.job
 	l.Log.Debug("job closed", "job", job.id, "phase", closing.final.Phase)
@@ -180,38 +182,38 @@
 	l.resolveDependency(job.id, dependencyOutcome{closing.final.Phase, time.UnixMilli(closing.final.ClosedMS)})
 }
 
-// onCommitFailed goes on after a commit that was not executed, or of which that is not
-// known.
+// onCommitFailed handles a commit that was not executed or whose outcome is unknown.
 func (l *Leader) onCommitFailed(result commitResult, now time.Time) {
 	result.batch.markUnwritten()
 	conflict := errors.Is(result.err, kvstore.ErrConflict)
 	switch {
 	case errors.Is(result.err, kvstore.ErrInDoubt):
-		// What was written is not known, and may still be written. The next term's key
-		// makes that impossible, and its leader reads what there is.
-		l.Log.Error("the outcome of a transaction is not known, leaving the term", "err", result.err)
+		// The transaction may have been executed, or may be executed later. The next term
+		// changes the term key, which rules out a later execution, and its leader reads
+		// what was written.
+		l.Log.Error("transaction outcome unknown, giving up the term", "err", result.err)
 		l.OnNewerTerm(l.leadership.Term + 1)
 		return
 	case conflict && slices.Contains(result.failedKeys, records.KeyTerm):
-		l.Log.Info("another controller has taken the term, leaving it")
+		l.Log.Info("another controller holds a newer term, giving up this term")
 		l.OnNewerTerm(l.leadership.Term + 1)
 		return
 	case conflict:
-		l.Log.Debug("commit refused, it is written anew", "keys", result.failedKeys)
+		l.Log.Debug("commit rejected by preconditions, its records are written again", "keys", result.failedKeys)
 	case errors.Is(result.err, kvstore.ErrUnavailable):
 		l.writer.nextCommit = now.Add(tuning.ElectionRetry)
 		return
 	default:
-		// The limits have become smaller; the next commit keeps to them.
-		l.Log.Error("commit failed, it is written anew", "err", result.err)
+		// The store's limits have become smaller. The next commit respects the new ones.
+		l.Log.Error("commit failed, its records are written again", "err", result.err)
 	}
 	if l.writer.failingSince.IsZero() {
 		l.writer.failingSince = now
 	}
 	if now.Sub(l.writer.failingSince) > tuning.CommitFailureLimit {
-		// The records are not what this leader takes them for, and nothing would be
-		// written ever again: the leader of a new term reads them anew.
-		l.Log.Error("records have changed behind this leader, leaving the term", "keys", result.failedKeys, "err", result.err)
+		// The stored records differ from this leader's state, so no further commit would
+		// succeed. The leader of a new term reads the records from the store.
+		l.Log.Error("stored records differ from this leader's state, giving up the term", "keys", result.failedKeys, "err", result.err)
 		l.OnNewerTerm(l.leadership.Term + 1)
 		return
 	}
@@ -219,7 +221,8 @@
 	l.writer.nextCommit = now.Add(tuning.CycleInterval)
 }
 
-// markUnwritten marks what the batch would have written as still to be written.
+// markUnwritten marks everything that the batch would have written as still to be
+// written.
 func (b *commitBatch) markUnwritten() {
 	for _, write := range b.segments {
 		segment := write.job.segment(write.number)
@@ -233,9 +236,9 @@
 	}
 }
 
-// withdrawStarts withdraws the new starts of jobs whose open record has changed: such
-// a job was cancelled meanwhile, and the event is on the way. The rest is written with
-// the next commit.
+// withdrawStarts withdraws the new starts of jobs whose open record has changed: such a
+// job was cancelled in the meantime, and the watch has not delivered the event yet. The
+// next commit writes the rest.
 func (l *Leader) withdrawStarts(result commitResult, now time.Time) {
 	for _, write := range result.batch.segments {
 		if !slices.Contains(result.failedKeys, records.OpenKey(write.job.id)) {
--- a/internal/leader/run_record.go
+++ b/internal/leader/run_record.go
@@ -9,16 +9,16 @@
 	"marblehaven/internal/tuning"
 )
 
-// runSegment is what the leader knows of one segment of a job's run record.
+// runSegment is the leader's state of one segment of a job's run record.
 type runSegment struct {
 	version     protocol.Version // 0: not written yet
-	dirty       bool             // the stored segment lags behind
+	dirty       bool             // the stored segment is out of date
 	dirtySince  time.Time
-	holdsStarts bool // starts wait for it to be written
+	holdsStarts bool // starts wait for the segment to be written
 	removed     bool // the commit in flight closes the job and removes the segment
 }
 
-// markDirty notes that the stored segment lags behind what must be in it.
+// markDirty records that the stored segment is out of date.
 func (s *runSegment) markDirty(holdsStarts bool, now time.Time) {
 	if !s.dirty {
 		s.dirty, s.dirtySince = true, now
@@ -26,7 +26,8 @@
 	s.holdsStarts = s.holdsStarts || holdsStarts
 }
 
-// segment returns a segment of the run record by its number.
+// segment returns the segment of the run record with a number, and adds it if there is
+// none.
 func (j *jobState) segment(number int) *runSegment {
 	for len(j.segments) <= number {
 		j.segments = append(j.segments, runSegment{})
@@ -38,8 +39,8 @@
 	return number < len(j.segments) && j.segments[number].version > 0
 }
 
-// segmentHolds tells whether a task is kept in the segment with the number. The first segment
-// also keeps the tasks of segments that were not written yet (see
+// segmentHolds reports whether the segment with the number keeps the state of a task.
+// Segment 0 also keeps the tasks of segments that were not written yet (see
 // records.JoinSegments).
 func (j *jobState) segmentHolds(number, task int) bool {
 	own := records.SegmentOf(task)
@@ -49,7 +50,7 @@
 	return own == 0 || !j.isSegmentWritten(own)
 }
 
-// segmentRecord is a segment of the run record in the present state.
+// segmentRecord returns the record of a segment for the present state of the job.
 func (j *jobState) segmentRecord(number int) records.RunRecord {
 	record := records.RunRecord{NextAttempt: j.nextAttempt, Done: j.doneInSegment(number), Placements: []records.Placement{}}
 	for task, placement := range j.placements {
@@ -66,7 +67,7 @@
 	return record
 }
 
-// doneInSegment is the part of the done tasks that is kept in a segment.
+// doneInSegment returns the done tasks that a segment keeps.
 func (j *jobState) doneInSegment(number int) records.TaskRanges {
 	if number != 0 {
 		first := number * tuning.SegmentTasks
@@ -86,8 +87,9 @@
 	return done
 }
 
-// splitSegments marks the segments that only the first one holds as yet to be
-// written. It returns false if there are none.
+// splitSegments marks every segment that was not written yet and has placements or done
+// tasks, which segment 0 still keeps, as to be written. It returns false if there is
+// none.
 func (j *jobState) splitSegments(holdsStarts bool, now time.Time) bool {
 	inUse := map[int]bool{}
 	for task := range j.placements {
@@ -108,9 +110,9 @@
 	return split
 }
 
-// markDirty notes that the record of a task lags behind. The first segment holds the
-// whole job until all controllers read segments, and where the whole surely fits in a
-// value: each segment that changes is a write.
+// markDirty records that the stored state of a task is out of date. Segment 0 keeps the
+// whole job until all controllers support segments, and also where the whole run record
+// is certain to fit in one value, since each changed segment takes a write.
 func (l *Leader) markDirty(job *jobState, task int, holdsStart bool, now time.Time) {
 	number := records.SegmentOf(task)
 	fitsInOneValue := job.spec.Tasks*tuning.RecordEntryBytes <= l.Store.MaxValueBytes()
