--- a/internal/leader/catalog.go
+++ b/internal/leader/catalog.go
@@ -15,7 +15,7 @@
 	types    []protocol.MachineType
 	index    map[string]int // of types, by name
 	loaded   bool
-	nextRead time.Time // no reading before
+	nextRead time.Time // no read starts before this time
 }
 
 func newMachineCatalog() machineCatalog { return machineCatalog{index: map[string]int{}} }
@@ -33,7 +33,7 @@
 	types []protocol.MachineType
 }
 
-// refreshCatalog reads the machine types and their prices when that is due.
+// refreshCatalog starts a read of the machine types and their prices when one is due.
 func (l *Leader) refreshCatalog(now time.Time) {
 	if !now.After(l.catalog.nextRead) {
 		return
@@ -67,10 +67,10 @@
 	l.cycle.request()
 }
 
-// saveCatalog keeps the catalog for controllers that cannot reach the cloud. Losing
-// this write does no harm, so it is not part of the commits.
+// saveCatalog stores the catalog for controllers that cannot reach the cloud. The loss of
+// this write does no harm, so it is not part of the batched commits.
 func (l *Leader) saveCatalog(ctx context.Context, types []protocol.MachineType) {
 	if err := l.putRecord(ctx, records.KeyCatalog, types); err != nil {
-		l.Log.Debug("saving the catalog failed, it is left", "err", err)
+		l.Log.Debug("saving the catalog failed, it is not retried", "err", err)
 	}
 }
--- a/internal/leader/deadlines.go
+++ b/internal/leader/deadlines.go
@@ -10,17 +10,17 @@
 	"marblehaven/internal/tuning"
 )
 
-// jobDeadline is a time by which a job should be complete, in seconds from when it
-// could begin. One that stands for an objective on the start counts tasks rather than
-// jobs.
+// jobDeadline is a time by which a job should be complete, in seconds from when the job
+// could start (readyAt). countsTasks is set if the deadline comes from an objective on
+// starts, which counts tasks rather than jobs.
 type jobDeadline struct {
 	seconds     float64
 	countsTasks bool
 }
 
-// deadlineFor is the time in seconds until D_k, the deadline that the job is held to,
-// or until the latest moment for its first start plus the estimate, if an objective
-// sets one. inheritedS is the time until the jobs that depend on this one need it.
+// deadlineFor returns the deadline that the job is held to, D_k, in seconds from now. If
+// it comes from an objective on starts, it is the latest time for the first start plus
+// the estimate. inheritedS is the time until the jobs that depend on this one need it.
 func (l *Leader) deadlineFor(job *jobState, estimateS, inheritedS float64, guaranteed bool, now time.Time) (deadlineS float64, countsTasks bool) {
 	ageS := now.Sub(job.readyAt).Seconds()
 	deadlines := l.deadlines(job, estimateS, guaranteed)
@@ -31,8 +31,8 @@
 		deadlines = append(deadlines, jobDeadline{l.Config.Operator.DeadlineFactor * estimateS, false})
 	}
 	slices.SortStableFunc(deadlines, func(a, b jobDeadline) int { return cmp.Compare(a.seconds, b.seconds) })
-	// The earliest that can still be kept; a job that has missed all of them is held to
-	// the last.
+	// The earliest deadline that can still be met counts, or the last one for a job that
+	// can meet none.
 	for _, deadline := range deadlines {
 		if deadline.seconds-ageS >= estimateS {
 			return deadline.seconds - ageS, deadline.countsTasks
@@ -42,7 +42,7 @@
 	return last.seconds - ageS, last.countsTasks
 }
 
-// deadlines lists the job's own deadline and what the objectives ask for it.
+// deadlines lists the job's own deadline and those that the objectives set for it.
 func (l *Leader) deadlines(job *jobState, estimateS float64, guaranteed bool) []jobDeadline {
 	var deadlines []jobDeadline
 	if job.spec.DeadlineS > 0 {
@@ -57,15 +57,16 @@
 	return deadlines
 }
 
-// ownDeadlineS is a multiple of the job's own deadline. That counts from the submission,
-// however long the job has waited for others.
+// ownDeadlineS returns a multiple of the job's own deadline, in seconds from readyAt. The
+// own deadline counts from the submission, however long the job has waited for its
+// dependencies.
 func (j *jobState) ownDeadlineS(times float64) float64 {
 	waitedS := j.readyAt.Sub(j.acceptedAt).Seconds()
 	return times*j.spec.DeadlineS - waitedS
 }
 
-// deadlineByObjective is what an objective asks for the job; applies is false if that is
-// nothing.
+// deadlineByObjective returns the deadline that an objective sets for the job; applies is
+// false if it sets none.
 func (j *jobState) deadlineByObjective(objective *config.Objective, estimateS float64, guaranteed bool) (deadline jobDeadline, applies bool) {
 	ofClass := objective.Class == j.spec.Class
 	notBegun := len(j.placements) == 0
@@ -83,10 +84,10 @@
 	return jobDeadline{}, false
 }
 
-// starvationBoundS is how long a job may wait for its first start, in seconds, before
-// it goes before others: early enough that even the largest begins in time. Capacity
-// for a gang falls free in one zone, a machine after another, and other gangs gather
-// theirs too.
+// starvationBoundS returns how long a job may wait for its first start, in seconds,
+// before it is scheduled ahead of others, so that even the largest job starts in time.
+// The bound is smaller for a gang: the machines for a gang become free one after another
+// in a single zone, and other gangs wait for machines as well.
 func starvationBoundS(job *jobState, estimateS, machines float64, zones int) float64 {
 	gangS := 0.0
 	if job.isGang() && job.spec.Tasks > 1 && machines > 0 {
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -13,15 +13,15 @@
 	"marblehaven/internal/tuning"
 )
 
-// dependencyTable knows which jobs wait for which others, and how those have ended as
-// far as that was needed.
+// dependencyTable records which jobs wait for which others, and the outcomes of those
+// others as far as they were needed.
 type dependencyTable struct {
 	dependents map[protocol.JobID][]protocol.JobID  // the jobs that wait for the one named
 	outcomes   map[protocol.JobID]dependencyOutcome // of closed jobs
-	// A lookup reads final records of dependencies; one is under way at a time.
+	// A lookup reads final records of dependencies. One is in flight at a time.
 	lookupInFlight bool
-	lookupBegan    time.Time // of the lookup under way
-	nextLookup     time.Time // no lookup before
+	lookupBegan    time.Time // start of the lookup in flight
+	nextLookup     time.Time // no lookup starts before this time
 }
 
 func newDependencyTable() dependencyTable {
@@ -31,14 +31,15 @@
 	}
 }
 
-// dependencyOutcome is how a job that others depend on has ended, by its final record.
+// dependencyOutcome is how a job that others depend on ended, according to its final
+// record.
 type dependencyOutcome struct {
 	phase    protocol.JobPhase
 	closedAt time.Time // zero: not recorded
 }
 
-// record remembers the outcome of a job. A full table is emptied: outcomes are read
-// again where they are needed.
+// record stores the outcome of a job. A full table is emptied first: outcomes are read
+// again from the store when they are needed.
 func (t *dependencyTable) record(jobID protocol.JobID, outcome dependencyOutcome) {
 	if len(t.outcomes) >= tuning.OutcomeCache {
 		clear(t.outcomes)
@@ -46,7 +47,8 @@
 	t.outcomes[jobID] = outcome
 }
 
-// removeDependent forgets what a job that is over was waiting for.
+// removeDependent removes a closed job from the dependents of the jobs that it waited
+// for.
 func (t *dependencyTable) removeDependent(job *jobState) {
 	for dependency := range job.pendingDependencies {
 		others := slices.DeleteFunc(t.dependents[dependency], func(id protocol.JobID) bool { return id == job.id })
@@ -58,7 +60,7 @@
 	}
 }
 
-// addDependencies notes what a job that has become known waits for.
+// addDependencies records which jobs a newly added job waits for.
 func (l *Leader) addDependencies(job *jobState) {
 	for _, dependency := range job.spec.DependsOn {
 		if job.pendingDependencies == nil {
@@ -76,8 +78,9 @@
 	}
 }
 
-// resolveDependency acts on the final record of a job: the jobs that wait for it go
-// on, or are cancelled with it. Nothing else lets a dependent job go on.
+// resolveDependency applies the final record of a job: the jobs that depend on it no
+// longer wait for it, or are cancelled with it. Nothing but a final record ends that
+// wait.
 func (l *Leader) resolveDependency(jobID protocol.JobID, outcome dependencyOutcome) {
 	l.dependencies.record(jobID, outcome)
 	if outcome.phase == protocol.PhaseCancelled {
@@ -98,8 +101,8 @@
 	delete(l.dependencies.dependents, jobID)
 }
 
-// cancelDependents cancels all jobs that need the one named, directly or through
-// others. None of them has begun, and none ever can.
+// cancelDependents cancels all open jobs that depend on the given one, directly or
+// through others. None of them has started, and none can start any more.
 func (l *Leader) cancelDependents(jobID protocol.JobID) {
 	queue := []protocol.JobID{jobID}
 	for len(queue) > 0 {
@@ -110,7 +113,7 @@
 			if job == nil || job.cancelled {
 				continue
 			}
-			l.Log.Info("job cancelled with a dependency", "job", dependent)
+			l.Log.Info("job cancelled because a dependency was cancelled", "job", dependent)
 			job.cancelled = true
 			l.cycle.request()
 			queue = append(queue, dependent)
@@ -118,16 +121,16 @@
 	}
 }
 
-// dependencyLookup holds what was read of dependencies: the outcomes of closed jobs,
-// and the open records of jobs that were not known here.
+// dependencyLookup is the result of a lookup: the outcomes of closed jobs, and the open
+// records of jobs that were missing from the job table.
 type dependencyLookup struct {
 	outcomes map[protocol.JobID]dependencyOutcome
 	open     []protocol.KeyValue
 }
 
-// lookUpDependencies reads the final records of dependencies that are not among the
-// open jobs. A dependency found neither closed nor open is looked up again: its open
-// record may have been missed, and that it is not known never means that it is done.
+// lookUpDependencies reads the final records of dependencies that are not among the open
+// jobs. A dependency that is found neither closed nor open is looked up again: the leader
+// may have missed its open record, and a missing record never means that the job is done.
 func (l *Leader) lookUpDependencies(now time.Time) {
 	if l.dependencies.lookupInFlight || now.Before(l.dependencies.nextLookup) {
 		return
@@ -159,11 +162,11 @@
 			continue
 		}
 		if err != nil {
-			continue // it is looked up again
+			continue // the next lookup reads it again
 		}
 		var final records.FinalRecord
 		if err := codec.Unmarshal(entry.Value, &final); err != nil {
-			l.Log.Error("unreadable final record of a dependency, its dependents wait", "job", jobID, "err", err)
+			l.Log.Error("final record of a dependency cannot be decoded, its dependents keep waiting", "job", jobID, "err", err)
 			continue
 		}
 		outcome := dependencyOutcome{phase: final.Phase}
--- a/internal/leader/format_versions.go
+++ b/internal/leader/format_versions.go
@@ -13,8 +13,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// formatVersions knows which format of records the whole cluster uses, and which each
-// controller has recorded that it reads.
+// formatVersions holds the version of the record formats that the whole cluster uses, and
+// the newest version that each controller has recorded as supported.
 type formatVersions struct {
 	cluster      int
 	byController map[string]int
@@ -24,19 +24,19 @@
 	return formatVersions{cluster: records.FormatWhole, byController: map[string]int{}}
 }
 
-// segmented tells whether run records may be divided into segments.
+// segmented reports whether run records may be divided into segments.
 func (f *formatVersions) segmented() bool { return f.cluster >= records.FormatSegmented }
 
-// versionsResult is what the controllers have recorded.
+// versionsResult holds the versions that the controllers have recorded.
 type versionsResult struct {
 	byController map[string]int
 	committed    bool // the whole cluster uses records.FormatSupported
 }
 
-// pollVersions reads which format version each controller has recorded. Once all that
-// the settings name read the formats of this program, it records that the whole
-// cluster uses them, conditional on the term. A controller never goes back to an
-// earlier version, so that holds for good.
+// pollVersions reads at intervals which format version each controller has recorded. Once
+// all controllers in the settings support the formats of this program, it records,
+// conditional on the term, that the whole cluster uses them, and returns. A controller
+// never goes back to an earlier version, so that record stays valid.
 func (l *Leader) pollVersions(ctx context.Context) {
 	for {
 		versions, err := l.readVersions(ctx)
@@ -44,7 +44,7 @@
 			versions.committed = l.commitFormat(ctx)
 		}
 		if err != nil {
-			l.Log.Debug("reading the controllers' versions failed, it is tried again", "err", err)
+			l.Log.Debug("reading the controllers' format versions failed, the read is retried", "err", err)
 		} else {
 			l.post(versions)
 		}
@@ -63,7 +63,7 @@
 	for _, entry := range page.Entries {
 		var version records.FormatVersion
 		if err := codec.Unmarshal(entry.Value, &version); err != nil {
-			l.Log.Error("unreadable version record, it counts as an earlier version", "key", entry.Key, "err", err)
+			l.Log.Error("format version record cannot be decoded, its controller counts as running an earlier version", "key", entry.Key, "err", err)
 			continue
 		}
 		controller := entry.Key[len(records.PrefixNodeVersion):]
@@ -77,8 +77,8 @@
 	return versions, err
 }
 
-// allControllersSupportFormat tells whether every controller of the settings reads what this
-// program writes.
+// allControllersSupportFormat reports whether every controller in the settings can read
+// what this program writes.
 func (l *Leader) allControllersSupportFormat(byController map[string]int) bool {
 	if byController[l.Config.Node] < records.FormatSupported {
 		return false
@@ -94,13 +94,13 @@
 func (l *Leader) commitFormat(ctx context.Context) bool {
 	err := l.putRecord(ctx, records.KeyClusterVersion, records.FormatVersion{Format: records.FormatSupported})
 	if err != nil {
-		l.Log.Info("recording the cluster's version failed, it is read before the next try", "err", err)
+		l.Log.Info("recording the cluster's format version failed, the record is read before the retry", "err", err)
 	}
 	return err == nil
 }
 
-// putRecord writes one record outside of the commits, conditional on the term. It is
-// for records that nothing waits for and that may be lost.
+// putRecord writes one record outside the batched commits, conditional on the term. It is
+// for records that nothing waits for and whose loss does no harm.
 func (l *Leader) putRecord(ctx context.Context, key string, value any) error {
 	_, err := l.Store.Commit(ctx, protocol.Transaction{
 		Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: l.leadership.TermVersion}},
@@ -116,7 +116,8 @@
 	}
 }
 
-// useFormat writes records in a version of the formats from now on.
+// useFormat switches to a newer version of the record formats. An earlier version has no
+// effect.
 func (l *Leader) useFormat(format int) {
 	if format <= l.formats.cluster {
 		return
@@ -127,8 +128,9 @@
 	l.Log.Info("cluster version", "format", format)
 }
 
-// maxPlacements is how many tasks of a job may be on machines at once: any number once
-// its run record is divided into segments, otherwise what one value surely holds.
+// maxPlacements returns how many tasks of a job may be on machines at once: any number
+// (tuning.MaxTasks) once the run record is divided into segments, otherwise as many as
+// are certain to fit in one value.
 func (l *Leader) maxPlacements() int {
 	if l.formats.segmented() {
 		return tuning.MaxTasks
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -12,17 +12,17 @@
 	"marblehaven/internal/scheduler"
 )
 
-// jobState is an open job as the leader knows it.
+// jobState is the leader's state of an open job.
 type jobState struct {
 	id          protocol.JobID
 	spec        protocol.Job
-	acceptedAt  time.Time // by the time of day
+	acceptedAt  time.Time // wall-clock time
 	cancelled   bool
 	openVersion protocol.Version
 	segments    []runSegment // of the run record, by number; see segment
 
 	pendingDependencies map[protocol.JobID]bool // not known to be done
-	readyAt             time.Time               // when the last dependency was done; without any, acceptedAt
+	readyAt             time.Time               // when the last dependency was done; acceptedAt if there is none
 
 	nextAttempt uint64 // the next unused attempt number
 	doneTasks   records.TaskRanges
@@ -34,14 +34,14 @@
 	// unrecordedDone holds the tasks whose completion is not recorded yet. Their
 	// agents must not forget them.
 	unrecordedDone map[int]bool
-	// awaitsOpenRecord is set while a controller says that the job is cancelled and
-	// the record with that has not been read yet. The known version of the record is
-	// out of date, so nothing can be written under a condition on it.
+	// awaitsOpenRecord is set when a controller reports the job as cancelled, until the
+	// leader has read the changed open record. The version that the leader has of the
+	// record is out of date by then, so no write may be conditional on it.
 	awaitsOpenRecord bool
 	recordUnreadable bool // a segment of the run record could not be read
 	backoffUntil     time.Time
 	failures         int
-	addedAt          time.Time // when this leader learnt of the job
+	addedAt          time.Time // when this leader added the job
 }
 
 func newJob(jobID protocol.JobID, open *records.OpenJob, version protocol.Version, now time.Time) *jobState {
@@ -60,8 +60,8 @@
 	}
 }
 
-// restore takes in the run record of an earlier leader. The placements are added by
-// restorePlacement.
+// restore restores the state of the job from the run record of an earlier leader. The
+// placements are added by restorePlacement.
 func (j *jobState) restore(record *records.RunRecord) {
 	j.nextAttempt = max(1, record.NextAttempt)
 	j.doneTasks = record.Done
@@ -83,11 +83,12 @@
 
 func (j *jobState) isGang() bool { return j.spec.Kind == protocol.KindGang }
 
-// unstarted is how many tasks are neither done nor possibly on a machine.
+// unstarted returns how many tasks are neither done nor possibly on a machine.
 func (j *jobState) unstarted() int { return j.spec.Tasks - j.doneCount - len(j.placements) }
 
-// waitingTasks is how many tasks may be started now. A gang starts whole: none may
-// while anything of an earlier attempt may still be on a machine.
+// waitingTasks returns how many tasks may be started now. All tasks of a gang start
+// together, so none may start while a task of an earlier attempt may still be on a
+// machine.
 func (j *jobState) waitingTasks() int {
 	if j.cancelled || len(j.pendingDependencies) > 0 || (j.isGang() && len(j.placements) > 0) {
 		return 0
@@ -95,8 +96,8 @@
 	return j.unstarted()
 }
 
-// fullyStarted tells whether all tasks have been started once; of a gang or a service,
-// whether all are on machines.
+// fullyStarted reports whether every task of an array has been started once, or whether
+// all tasks of a gang or a service are on machines.
 func (j *jobState) fullyStarted() bool {
 	if j.spec.Kind == protocol.KindArray {
 		return j.nextTask >= j.spec.Tasks
@@ -104,8 +105,8 @@
 	return len(j.placements) >= j.spec.Tasks
 }
 
-// isOver tells whether the job can be closed: nothing of it can be on a machine, and
-// nothing is left to do.
+// isOver reports whether the job can be closed: none of its tasks can be on a machine,
+// and no work is left.
 func (j *jobState) isOver() bool {
 	return len(j.placements) == 0 && (j.cancelled || j.doneCount >= j.spec.Tasks)
 }
@@ -121,15 +122,15 @@
 	return j.nextTask - 1
 }
 
-// requeueTask lets a task wait again.
+// requeueTask puts a task back among those that wait to be started.
 func (j *jobState) requeueTask(task int) {
 	if i, waits := slices.BinarySearch(j.requeued, task); !waits {
 		j.requeued = slices.Insert(j.requeued, i, task)
 	}
 }
 
-// backOff lets nothing of the job start before a time. It never shortens a back-off:
-// one may last until what an unreadable record named has surely ended.
+// backOff prevents starts of the job before a time. It never shortens a backoff, which
+// may last until the attempts that an undecodable record names must have ended.
 func (j *jobState) backOff(until time.Time) {
 	if until.After(j.backoffUntil) {
 		j.backoffUntil = until
@@ -142,10 +143,10 @@
 
 func (j *jobState) isProduction() bool { return j.priority() == protocol.LevelProduction }
 
-// taskName spells a task as agents do.
+// taskName returns the name that agents have for a task.
 func taskName(key cluster.TaskKey) string { return string(key.Job) + "/" + strconv.Itoa(key.Task) }
 
-// parseTaskName reads a task's name; ok is false if it is none.
+// parseTaskName parses the name of a task; ok is false if the name is malformed.
 func parseTaskName(name string) (key cluster.TaskKey, ok bool) {
 	jobID, number, found := strings.Cut(name, "/")
 	task, err := strconv.Atoi(number)
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -9,15 +9,15 @@
 	"marblehaven/internal/scheduler"
 )
 
-// jobTable holds the open jobs, and the jobs that were closed lately.
+// jobTable holds the open jobs and the jobs that were closed recently.
 type jobTable struct {
 	open map[protocol.JobID]*jobState
-	// closed remembers when jobs were closed, for as long as a reading under way may
-	// still name them as open (see pruneClosedJobs).
+	// closed holds when each job was closed, for as long as a read in flight may still
+	// return the job as open (see pruneClosedJobs).
 	closed map[protocol.JobID]time.Time
-	// gpuPriority is the lowest priority of the jobs with GPUs that were seen, -1
-	// without any, and gpuRequest the most that a task of one takes (see
-	// scheduler.Snapshot).
+	// gpuPriority is the lowest priority of all jobs with GPUs that were added, -1
+	// without any. gpuRequest is the most of each resource that a task of these jobs
+	// requests (see scheduler.Snapshot).
 	gpuPriority protocol.PriorityLevel
 	gpuRequest  scheduler.Resources
 }
@@ -50,13 +50,13 @@
 	return closed
 }
 
-// applyOpenRecord takes in the record of an open job: a new job, a cancellation, or
-// what is known already.
+// applyOpenRecord applies the record of an open job, which is a new job, a cancellation
+// or a version that was applied before.
 func (l *Leader) applyOpenRecord(key string, value []byte, version protocol.Version, now time.Time) {
 	jobID, _ := records.ParseOpenKey(key)
 	var open records.OpenJob
 	if err := codec.Unmarshal(value, &open); err != nil {
-		l.Log.Error("unreadable job record, the job is left as it is", "job", jobID, "err", err)
+		l.Log.Error("job record cannot be decoded, at most its cancellation takes effect", "job", jobID, "err", err)
 		l.onUnreadableRecord(jobID, value, now)
 		return
 	}
@@ -70,8 +70,8 @@
 	l.addJob(jobID, &open, version, now)
 }
 
-// onUnreadableRecord does what can be told from an open record that cannot be read: a
-// cancellation is carried out, since the job's user was told of it.
+// onUnreadableRecord handles an open record that cannot be decoded as a whole. A
+// cancellation in it still takes effect, since it was acknowledged to a user.
 func (l *Leader) onUnreadableRecord(jobID protocol.JobID, value []byte, now time.Time) {
 	if !records.MarkedCancelled(value) {
 		return
@@ -96,13 +96,13 @@
 	job := newJob(jobID, open, version, now)
 	l.jobs.add(job)
 	l.cycle.request()
-	l.Log.Debug("job known", "job", jobID, "class", open.Job.Class, "tasks", open.Job.Tasks, "age", now.Sub(job.acceptedAt))
+	l.Log.Debug("job added", "job", jobID, "class", open.Job.Class, "tasks", open.Job.Tasks, "age", now.Sub(job.acceptedAt))
 	l.addDependencies(job)
 }
 
-// pruneClosedJobs forgets the closed jobs that no reading under way can name as open: a
-// reading begun after a job was closed has been taken in, and readings of the same
-// kind come one after another.
+// pruneClosedJobs drops the closed jobs that no read in flight can return as open: a read
+// that began after the job was closed has been applied, and reads of the same kind follow
+// one another.
 func (l *Leader) pruneClosedJobs() {
 	for jobID, closedAt := range l.jobs.closed {
 		lookupMayName := l.dependencies.lookupInFlight && !l.dependencies.lookupBegan.After(closedAt)
--- a/internal/leader/run_time_estimate.go
+++ b/internal/leader/run_time_estimate.go
@@ -8,14 +8,15 @@
 )
 
 // runTimeEstimator corrects the owners' run-time estimates by the recent average of
-// actual over estimated time of the job's class (the paper's "recent average
-// runtime"). With fewer than two completed tasks the owner's value stands, as there.
+// actual over estimated time of the job's class (the paper's "recent average runtime").
+// With fewer than two completed tasks of the class the owner's estimate is used, as in
+// the paper.
 type runTimeEstimator struct {
-	ownerEstimatesOnly bool // the operators' setting "user": no correction
+	ownerEstimatesOnly bool // the operator setting "user": estimates are not corrected
 	classes            map[string]*classAverage
 }
 
-// classAverage is the average of a class.
+// classAverage is the moving average of a class.
 type classAverage struct {
 	completed int
 	ratio     float64 // of actual over estimated run times
@@ -25,7 +26,7 @@
 	return runTimeEstimator{ownerEstimatesOnly: setting == "user", classes: map[string]*classAverage{}}
 }
 
-// observe takes in the run time of a completed task.
+// observe adds the run time of a completed task to the average of its class.
 func (e *runTimeEstimator) observe(job *protocol.Job, tookS float64) {
 	if job.EstimateS <= 0 || tookS <= 0 {
 		return
@@ -40,7 +41,7 @@
 	average.completed++
 }
 
-// estimate returns the run time that is expected of a task of a job, in seconds.
+// estimate returns the expected run time of a task of the job, in seconds.
 func (e *runTimeEstimator) estimate(job *protocol.Job) float64 {
 	average := e.classes[job.Class]
 	if e.ownerEstimatesOnly || average == nil || average.completed < tuning.EstimatorMin {
