--- a/internal/leader/deadlines_test.go
+++ b/internal/leader/deadlines_test.go
@@ -7,9 +7,10 @@
 	"marblehaven/internal/config"
 )
 
-// The deadline counts from the submission, what objectives ask from when the last job
-// that the job depends on was done. A job that can no longer keep its deadline is held to the
-// multiple of its deadline that an objective names, and then to nothing earlier.
+// The job's own deadline counts from the submission, the deadline by an objective from
+// when the last job that it depends on was done. A job that can no longer meet its own
+// deadline is held to the multiple of it that an objective names, and after that to the
+// next later deadline.
 func TestDeadlineFor(t *testing.T) {
 	leader, now := newLoadedLeader(0, 1)
 	leader.Config.Deployment.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 1.5},
@@ -17,20 +18,20 @@
 	job := leader.jobs.open["req-000000"]
 	job.spec.DeadlineS = 100
 	none := math.Inf(1)
-	for _, w := range []struct{ age, ready, est, inherited, due float64 }{
+	for _, tc := range []struct{ ageS, readyAgeS, estimateS, inheritedS, wantS float64 }{
 		{10, 10, 20, none, 90},    // in time
 		{90, 90, 20, none, 60},    // held to 1.5 times
-		{140, 140, 20, none, 360}, // held to the objective
-		{90, 5, 20, none, 60},     // ready late, due as before
-		{140, 5, 20, none, 495},   // the objective counts from then
+		{140, 140, 20, none, 360}, // held to the objective on completion
+		{90, 5, 20, none, 60},     // ready late, the own deadline is unchanged
+		{140, 5, 20, none, 495},   // the objective counts from readiness
 		{10, 10, 20, 50, 50},      // needed earlier by a dependent
-		{10, 10, 20, 15, 90},      // which cannot be kept
+		{10, 10, 20, 15, 90},      // the need of the dependent cannot be met
 		{900, 900, 20, none, -400},
 	} {
-		job.acceptedAt = now.Add(-seconds(w.age))
-		job.readyAt = now.Add(-seconds(w.ready))
-		if due, _ := leader.deadlineFor(job, w.est, w.inherited, false, now); math.Abs(due-w.due) > 1e-6 {
-			t.Errorf("%+v: due in %v", w, due)
+		job.acceptedAt = now.Add(-seconds(tc.ageS))
+		job.readyAt = now.Add(-seconds(tc.readyAgeS))
+		if deadlineS, _ := leader.deadlineFor(job, tc.estimateS, tc.inheritedS, false, now); math.Abs(deadlineS-tc.wantS) > 1e-6 {
+			t.Errorf("%+v: deadline in %v s", tc, deadlineS)
 		}
 	}
 }
--- a/internal/leader/lease_test.go
+++ b/internal/leader/lease_test.go
@@ -15,12 +15,12 @@
 	"marblehaven/internal/records"
 )
 
-// A leader that was paused for seconds while its clocks ran on finds every machine
-// silent and every job waiting at once. Its last proof that it leads is as old: it
-// decides nothing, deprovisions nothing, calls nobody and does not resign until the
-// key-value store has answered.
+// A leader process was paused for seconds while its clocks advanced. Every machine then
+// appears silent and every job appears to wait at once. The leader's last proof that it
+// leads is as old. Until the key-value store has answered, the leader places nothing,
+// deprovisions nothing, calls no agent and does not resign.
 func TestPausedLeaderDecidesNothing(t *testing.T) {
-	free := func(leader *Leader) {
+	emptyMachines := func(leader *Leader) {
 		for _, machine := range leader.machines.sorted[:50] {
 			for _, placement := range machine.Placements {
 				delete(leader.jobs.open[placement.Job].placements, placement.Task)
@@ -29,23 +29,23 @@
 		}
 		leader.provisioner.listInFlight, leader.provisioner.listed, leader.catalog.nextRead, leader.images.nextSave = true, true, leader.tookOverAt.Add(time.Hour), leader.tookOverAt.Add(time.Hour)
 	}
-	placed := func(leader *Leader) (n int) {
+	countPlaced := func(leader *Leader) (n int) {
 		for _, machine := range leader.machines.sorted[:50] {
 			n += len(machine.Placements)
 		}
 		return n
 	}
 	leader, now := newLoadedLeader(2100, 1000)
-	free(leader)
-	if leader.schedule(now); placed(leader) == 0 {
-		t.Fatal("nothing was to be decided")
+	emptyMachines(leader)
+	if leader.schedule(now); countPlaced(leader) == 0 {
+		t.Fatal("the leader placed no task before the pause")
 	}
 	leader, now = newLoadedLeader(2100, 1000)
-	free(leader)
+	emptyMachines(leader)
 	resigned := false
 	leader.Config.Peers, leader.lease.majorityReported = make([]config.Peer, 4), true
 	leader.Resign = func() { resigned = true }
-	// One start was recorded and not yet sent: its job may be cancelled by now.
+	// One start is recorded and not sent yet. Its job may have been cancelled during the pause.
 	machine := leader.machines.sorted[100]
 	var start *cluster.Placement
 	for _, start = range machine.Placements {
@@ -53,8 +53,8 @@
 	}
 	start.Recorded, start.Sent, start.Incarnation = true, false, machine.Incarnation
 	machine.Addr, machine.Outbox = machine.ID+":1", []*cluster.Placement{start}
-	for _, still := range []time.Duration{4, 8, 12} {
-		later := now.Add(still * time.Second)
+	for _, pauseS := range []time.Duration{4, 8, 12} {
+		later := now.Add(pauseS * time.Second)
 		leader.onTick(later)
 		leader.runCycle(later)
 		calls := 0
@@ -63,54 +63,55 @@
 				calls++
 			}
 		}
-		if n := placed(leader); n > 0 || len(leader.provisioner.deprovisionQueue)+len(leader.provisioner.deprovisionInFlight)+calls+len(leader.provisioner.requests) > 0 || leader.writer.inFlight != nil || resigned {
-			t.Errorf("after %d s: %d placed, %d to be deprovisioned, %d called, resigned %v", still, n, len(leader.provisioner.deprovisionQueue)+len(leader.provisioner.deprovisionInFlight), calls, resigned)
+		if n := countPlaced(leader); n > 0 || len(leader.provisioner.deprovisionQueue)+len(leader.provisioner.deprovisionInFlight)+calls+len(leader.provisioner.requests) > 0 || leader.writer.inFlight != nil || resigned {
+			t.Errorf("after a pause of %d s: %d tasks placed, %d machines to be deprovisioned, %d agents called, resigned: %v", pauseS, n, len(leader.provisioner.deprovisionQueue)+len(leader.provisioner.deprovisionInFlight), calls, resigned)
 		}
 	}
-	// Once the store has answered the start goes out.
-	w := &recordingTransport{answer: make(chan struct{})}
-	defer close(w.answer)
-	leader.Agents = agent.New(w, httpclient.NewMalformedLog(leader.Log), 5000)
+	// Once the store has answered, the start is sent.
+	agentCalls := &recordingTransport{answer: make(chan struct{})}
+	defer close(agentCalls.answer)
+	leader.Agents = agent.New(agentCalls, httpclient.NewMalformedLog(leader.Log), 5000)
 	later := now.Add(12 * time.Second)
 	leader.lease.confirmedByWatch, leader.lease.confirmedByTerm = later, later
 	if leader.dispatch(machine, later); !start.Sent || len(machine.Outbox) > 0 {
-		t.Error("a start that waited for the store was never sent")
+		t.Error("a start that waited for the store was not sent after the store had answered")
 	}
 }
 
-// Controllers may name a job as cancelled before its record with that was read. The job is
-// stopped at once, but nothing is written under a condition on the version that is
-// known: the write would fail, and with it every other of the same commit.
+// Controllers may report a job as cancelled before the leader has read the changed record
+// of the job. The leader stops the job at once, but makes no write conditional on its
+// version of the record: the write would fail, and with it every other write of the same
+// commit.
 func TestCancellationKnownBeforeItsRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(8, 2)
 		defer withUnresponsiveStore(t, leader)()
-		named, other := leader.jobs.open["req-000000"], leader.jobs.open["req-000001"]
-		removeAllPlacements(now, named, other)
+		reported, other := leader.jobs.open["req-000000"], leader.jobs.open["req-000001"]
+		removeAllPlacements(now, reported, other)
 		late := now.Add(time.Minute)
-		leader.AcknowledgedCancellations = func(time.Time) (time.Time, []protocol.JobID, bool) { return late, []protocol.JobID{named.id}, true }
+		leader.AcknowledgedCancellations = func(time.Time) (time.Time, []protocol.JobID, bool) { return late, []protocol.JobID{reported.id}, true }
 		leader.confirmByPeers(late)
-		if !named.cancelled || other.cancelled || !leader.lease.lastProof().Equal(late) {
-			t.Fatalf("cancelled %v and %v, last proof %v", named.cancelled, other.cancelled, leader.lease.lastProof().Sub(now))
+		if !reported.cancelled || other.cancelled || !leader.lease.lastProof().Equal(late) {
+			t.Fatalf("reported job cancelled: %v, other job cancelled: %v, last proof after %v", reported.cancelled, other.cancelled, leader.lease.lastProof().Sub(now))
 		}
 		leader.commit(late)
 		if leader.writer.inFlight != nil {
-			t.Error("a job was closed on a version that is behind")
+			t.Error("a job was closed on an outdated version of its record")
 		}
-		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: named.spec, Cancelled: true}
-		raw, _ := codec.Marshal(o)
-		leader.applyOpenRecord(records.OpenKey(named.id), raw, named.openVersion+1, late)
+		open := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: reported.spec, Cancelled: true}
+		raw, _ := codec.Marshal(open)
+		leader.applyOpenRecord(records.OpenKey(reported.id), raw, reported.openVersion+1, late)
 		leader.commit(late)
-		isNamed := func(cl jobClosing) bool { return cl.job == named }
-		if leader.writer.inFlight == nil || !slices.ContainsFunc(leader.writer.inFlight.closed, isNamed) {
-			t.Error("a job whose record was read is not closed")
+		closesReported := func(closing jobClosing) bool { return closing.job == reported }
+		if leader.writer.inFlight == nil || !slices.ContainsFunc(leader.writer.inFlight.closed, closesReported) {
+			t.Error("the job is not closed although its changed record was read")
 		}
 	})
 }
 
-// The lease counts from proofs only: starts need a recent confirmation by the store
-// itself, of its watch and of the term key both; heartbeats may be answered for the
-// lease's duration after the last proof, whether by the store or by the other
+// The lease counts from proofs only. A start needs a recent confirmation by the store
+// itself, both by its watch and by the term key. Heartbeats may be answered for the
+// duration of the lease after the last proof, whether by the store or by the other
 // controllers.
 func TestLeaderLease(t *testing.T) {
 	const duration = 23 * time.Second // 37 s less 12 s less the margin of 2 s
@@ -137,22 +138,22 @@
 			lease.confirmedByWatch, lease.confirmedByTerm = tc.byWatch, tc.byTerm
 			lease.recordPeerProof(tc.byPeers)
 			if got := lease.mayStart(now); got != tc.mayStart {
-				t.Errorf("may start: %v", got)
+				t.Errorf("mayStart() = %v", got)
 			}
 			if got := lease.mayAnswer(now); got != tc.mayAnswer {
-				t.Errorf("may answer: %v", got)
+				t.Errorf("mayAnswer() = %v", got)
 			}
 		})
 	}
 }
 
-// A proof that comes late never shortens the lease.
+// A proof that arrives late never shortens the lease.
 func TestOlderProofByPeersIsIgnored(t *testing.T) {
 	now := time.Now()
 	lease := newLeaderLease(config.Workers{LeaseS: 12, CancelS: 37})
 	lease.recordPeerProof(now)
 	lease.recordPeerProof(now.Add(-time.Minute))
 	if !lease.lastProof().Equal(now) {
-		t.Errorf("the last proof went back by %v", now.Sub(lease.lastProof()))
+		t.Errorf("the last proof moved back by %v", now.Sub(lease.lastProof()))
 	}
 }
--- a/internal/leader/pending_writes_test.go
+++ b/internal/leader/pending_writes_test.go
@@ -9,39 +9,39 @@
 	"marblehaven/internal/protocol"
 )
 
-// Where starts take all of the write budget, a job whose tasks are done is closed all the
-// same: closing takes several mutations, and starts, of one mutation each, once took every
-// one of them as the budget was refilled, so that users were told of completed jobs a
-// minute late. Starts of production are written as soon as the budget has a mutation.
+// A job whose tasks are done is closed even if starts could use all of the write budget.
+// Closing takes several mutations and a start only one. Starts once took every mutation
+// as soon as the budget was refilled, so that users were told of completed jobs a minute
+// late. Starts of production jobs are written as soon as the budget has one mutation.
 func TestClosingIsNotStarvedByStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(8, 2)
 		defer withUnresponsiveStore(t, leader)()
-		over, busy := leader.jobs.open["req-000000"], leader.jobs.open["req-000001"]
-		removeAllPlacements(now, over, busy)
-		over.segment(0).version, busy.segment(0).version = 1, 1
-		over.doneCount = over.spec.Tasks
+		finished, active := leader.jobs.open["req-000000"], leader.jobs.open["req-000001"]
+		removeAllPlacements(now, finished, active)
+		finished.segment(0).version, active.segment(0).version = 1, 1
+		finished.doneCount = finished.spec.Tasks
 		leader.writer.limiter.AllowN(now, leader.writer.limiter.Burst())
 		closed := func() bool {
-			return leader.writer.inFlight != nil && slices.ContainsFunc(leader.writer.inFlight.closed, func(cl jobClosing) bool { return cl.job == over })
+			return leader.writer.inFlight != nil && slices.ContainsFunc(leader.writer.inFlight.closed, func(closing jobClosing) bool { return closing.job == finished })
 		}
 		refill := time.Duration(float64(time.Second) / float64(leader.writer.limiter.Limit()))
 		for task := 0; !closed(); task++ {
 			if task > leader.Store.MaxMutations() {
-				t.Fatalf("not closed when %d changes could have been written", task)
+				t.Fatalf("the job is not closed after a write budget of %d mutations", task)
 			}
 			leader.writer.inFlight = nil
 			now = now.Add(refill)
-			leader.markDirty(busy, 0, true, now)
+			leader.markDirty(active, 0, true, now)
 			leader.commit(now)
 		}
 		leader.writer.inFlight = nil
 		leader.writer.limiter.AllowN(now, int(leader.writer.limiter.TokensAt(now)))
-		busy.spec.Priority = protocol.PriorityProduction
+		active.spec.Priority = protocol.PriorityProduction
 		now = now.Add(refill)
-		leader.markDirty(busy, 0, true, now)
+		leader.markDirty(active, 0, true, now)
 		if leader.commit(now); leader.writer.inFlight == nil || len(leader.writer.inFlight.segments) != 1 {
-			t.Error("a start of production waits for the budget of other writes")
+			t.Error("a start of a production job waits for the budget of other writes")
 		}
 	})
 }
--- a/internal/leader/run_record_test.go
+++ b/internal/leader/run_record_test.go
@@ -18,29 +18,29 @@
 	"marblehaven/internal/tuning"
 )
 
-// taskState is what a plain model keeps of a task: 0 if nothing was recorded, the
+// taskState is the state of a task in the reference model: 0 if nothing was recorded, the
 // attempt of a placement, or completed.
 type taskState int
 
 const completed taskState = -1
 
-// stateOf lists the states of all tasks as a record says.
-func stateOf(r *records.RunRecord, tasks int) []taskState {
-	out := make([]taskState, tasks)
-	for _, p := range r.Placements {
-		out[p.Task] = taskState(p.Attempt)
+// stateOf returns the states of all tasks according to a record.
+func stateOf(record *records.RunRecord, tasks int) []taskState {
+	states := make([]taskState, tasks)
+	for _, placement := range record.Placements {
+		states[placement.Task] = taskState(placement.Attempt)
 	}
-	for task := range out {
-		if r.Done.Has(task) {
-			out[task] = completed
+	for task := range states {
+		if record.Done.Has(task) {
+			states[task] = completed
 		}
 	}
-	return out
+	return states
 }
 
-// Segments of a run record are written in any order, from before the record is split on,
-// and read at any moment. Each task is then as the last write that held it said:
-// nothing that was recorded is missing, and nothing older comes back.
+// Segments of a run record are written in any order, beginning before the record is
+// split, and read at any time. Each task then has the state of the last write that
+// contained it: no recorded state is missing, and no older one returns.
 func TestSegmentsComparedWithModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range 200 {
@@ -68,14 +68,14 @@
 				}
 			}
 			whole := records.JoinSegments(stored)
-			if d := cmp.Diff(model, stateOf(&whole, tasks)); d != "" {
-				t.Fatalf("%d tasks, step %d: %s", tasks, step, d)
+			if diff := cmp.Diff(model, stateOf(&whole, tasks)); diff != "" {
+				t.Fatalf("%d tasks, step %d: joined segments differ from the model (-model +segments): %s", tasks, step, diff)
 			}
 		}
 	}
 }
 
-// changeTask starts a task, completes it, or takes its placement back.
+// changeTask starts a task, completes it, or withdraws its placement.
 func changeTask(job *jobState, task int, machine *cluster.Machine, rng *rand.Rand) {
 	switch {
 	case job.doneTasks.Has(task):
@@ -90,7 +90,7 @@
 	}
 }
 
-// writeSegment writes one of the segments that lag behind.
+// writeSegment writes one of the segments that are out of date.
 func writeSegment(job *jobState, rng *rand.Rand, stored map[int]records.RunRecord, model []taskState, version protocol.Version) {
 	var dirty []int
 	for number := range job.segments {
@@ -119,8 +119,9 @@
 	segment.version, segment.dirty, segment.holdsStarts = version, false, false
 }
 
-// A record of the whole job that is beyond the limits by now is split, its other
-// segments first, without withdrawing what runs, and each fits.
+// A record of the whole job that exceeds the limits after they have become smaller is
+// split. Its other segments are written first, no running task is withdrawn, and each
+// segment fits.
 func TestSplitLargeRecord(t *testing.T) {
 	leader, now := newLoadedLeader(0, 1)
 	limits := leader.Config.Deployment.State
@@ -141,32 +142,33 @@
 	stored := map[int]records.RunRecord{0: {NextAttempt: job.nextAttempt}}
 	for commits := 0; job.segment(0).dirty; commits++ {
 		if commits > 20 {
-			t.Fatal("the record is not written")
+			t.Fatal("the run record is still not written after the last commit allowed")
 		}
 		now = now.Add(time.Second)
 		batch := &commitBatch{maxMutations: 6}
 		later := now.Add(time.Minute)
 		leader.addPendingWrites(batch, leader.pendingWrites(later), 1000, later)
-		for i, w := range batch.segments {
+		for i, write := range batch.segments {
 			raw := batch.transaction.Mutations[i].Value.(msgpack.RawMessage)
 			if size, err := codec.JSONSize(raw); err != nil || size > leader.Store.MaxValueBytes() {
-				t.Errorf("segment %d of %d bytes, %v", w.number, size, err)
+				t.Errorf("segment %d has %d bytes, error %v", write.number, size, err)
 			}
-			var r records.RunRecord
-			if err := codec.Unmarshal(raw, &r); err != nil {
+			var record records.RunRecord
+			if err := codec.Unmarshal(raw, &record); err != nil {
 				t.Fatal(err)
 			}
-			stored[w.number] = r
-			leader.onSegmentWritten(w, protocol.Revision(commits+2))
+			stored[write.number] = record
+			leader.onSegmentWritten(write, protocol.Revision(commits+2))
 		}
 	}
 	whole := records.JoinSegments(stored)
 	if len(job.placements) != 299 || len(whole.Placements) != 299 || whole.Done.Count() != 1 {
-		t.Errorf("%d run; recorded are %d and %v done", len(job.placements), len(whole.Placements), whole.Done)
+		t.Errorf("%d tasks run; recorded are %d placements and done tasks %v", len(job.placements), len(whole.Placements), whole.Done)
 	}
 }
 
-// A segment fits in the smallest value that is served with, whatever its tasks are at.
+// A segment fits in the smallest value limit that the settings accept, whatever the
+// states of its tasks are.
 func TestSegmentFits(t *testing.T) {
 	for _, share := range []int{0, 2, 3, 1000} {
 		job := newJob("req-1", &records.OpenJob{Job: protocol.Job{ID: "req-1", Tasks: tuning.MaxTasks, Spread: true}}, 1, time.Now())
@@ -185,7 +187,7 @@
 			t.Fatal(err)
 		}
 		if size, err := codec.JSONSize(raw); err != nil || size > tuning.ValueMinKB*1024 {
-			t.Errorf("%d bytes, %v", size, err)
+			t.Errorf("segment has %d bytes, error %v", size, err)
 		}
 	}
 }
