--- a/internal/scheduler/eligibility.go
+++ b/internal/scheduler/eligibility.go
@@ -58,13 +58,13 @@
 func (p *planner) eligible(machine *Machine, job *pendingJob, tasksByZone map[string]int) bool {
 	return p.snapshot.allowsMachine(job.Spec, machine) &&
 		ZoneCapacity(job.Spec, tasksByZone, machine.Zone) > 0 &&
-		!job.keepsOff(p.snapshot.typeOf(machine))
+		!job.avoidsType(p.snapshot.typeOf(machine))
 }
 
 // capacityOn is how many tasks of the job the machine takes now.
 func (p *planner) capacityOn(machine *Machine, job *pendingJob) int {
-	if job.keepsOff(p.snapshot.typeOf(machine)) {
-		return p.gpuPolicy.capacityBesideGPUs(machine, job)
+	if job.avoidsType(p.snapshot.typeOf(machine)) {
+		return p.gpuPolicy.capacityForNonGPUWork(machine, job)
 	}
 	return machine.Free.CapacityFor(job.Request)
 }
--- a/internal/scheduler/exhausted.go
+++ b/internal/scheduler/exhausted.go
@@ -24,20 +24,20 @@
 
 // contains tells whether a search for tasks of the job is known to find nothing.
 func (e exhaustedKinds) contains(job *pendingJob, target placementTarget) bool {
-	return hasPlainKind(job, target) && e[kindOf(job, target)]
+	return dependsOnlyOnKind(job, target) && e[kindOf(job, target)]
 }
 
 // add remembers that a search for tasks of the job found too little.
 func (e exhaustedKinds) add(job *pendingJob, target placementTarget) {
-	if hasPlainKind(job, target) {
+	if dependsOnlyOnKind(job, target) {
 		e[kindOf(job, target)] = true
 	}
 }
 
-// hasPlainKind tells whether the search depends on nothing but the kind. Conditions on
+// dependsOnlyOnKind tells whether the search depends on nothing but the kind. Conditions on
 // zones make it depend on where the job's other tasks are, and a gang finds nothing
 // where its tasks have no place together. Preemption is for single tasks of gangs only.
-func hasPlainKind(job *pendingJob, target placementTarget) bool {
+func dependsOnlyOnKind(job *pendingJob, target placementTarget) bool {
 	if job.isGang() && target != targetPreempted {
 		return false
 	}
--- a/internal/scheduler/gpupolicy.go
+++ b/internal/scheduler/gpupolicy.go
@@ -34,9 +34,9 @@
 	return false
 }
 
-// capacityBesideGPUs is how many tasks of a job that keeps off GPUs the machine takes
+// capacityForNonGPUWork is how many tasks of a job that keeps off GPUs the machine takes
 // all the same. Only work that ends by itself may be there.
-func (p *gpuMachinePolicy) capacityBesideGPUs(machine *Machine, job *pendingJob) int {
+func (p *gpuMachinePolicy) capacityForNonGPUWork(machine *Machine, job *pendingJob) int {
 	switch {
 	case job.Spec.Kind == protocol.KindService:
 		return 0
--- a/internal/scheduler/gpuwait.go
+++ b/internal/scheduler/gpuwait.go
@@ -16,11 +16,11 @@
 	releaseS []float64
 }
 
-// waitS is how long it is likely to take until provisioned machines have capacity for
+// estimateWaitS is how long it is likely to take until provisioned machines have capacity for
 // the tasks of a job with GPUs, under the zone constraint and, if the job needs one
 // zone, in the zone where it takes the shortest. The machines then count as taken for
 // as long as the job runs, so that the next job does not count on them too.
-func (g *gpuReleases) waitS(job *Job, tasks int, zone zoneConstraint) float64 {
+func (g *gpuReleases) estimateWaitS(job *Job, tasks int, zone zoneConstraint) float64 {
 	if g.releaseS == nil {
 		g.releaseS = lastReleases(g.snapshot.Machines)
 	}
--- a/internal/scheduler/pendingjob.go
+++ b/internal/scheduler/pendingjob.go
@@ -24,8 +24,8 @@
 	return &pendingJob{Job: job, index: index, tasksByZone: tasksByZone, avoidsGPUs: avoidsGPUMachines(snapshot, job)}
 }
 
-// isPlayerFacing tells whether the job is a service that must start at once.
-func (j *pendingJob) isPlayerFacing() bool {
+// isProductionService tells whether the job is a service that must start at once.
+func (j *pendingJob) isProductionService() bool {
 	return j.isProduction() && j.Spec.Kind == protocol.KindService
 }
 
@@ -38,12 +38,12 @@
 	return ZoneCapacity(j.Spec, j.tasksByZone, zone)
 }
 
-// keepsOff tells whether the job must not use machines of the type because of their GPUs.
-func (j *pendingJob) keepsOff(machineType *MachineType) bool {
+// avoidsType tells whether the job must not use machines of the type because of their GPUs.
+func (j *pendingJob) avoidsType(machineType *MachineType) bool {
 	return j.avoidsGPUs && machineType.Capacity.GPUs > 0
 }
 
 // mayAdd tells whether machines of the type may be added for the job.
 func (j *pendingJob) mayAdd(machineType *MachineType) bool {
-	return TypeFits(machineType, j.Spec) && !j.keepsOff(machineType)
+	return TypeFits(machineType, j.Spec) && !j.avoidsType(machineType)
 }
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -46,7 +46,7 @@
 // soon). That is asked for work with GPUs only, whose machines are expensive and take
 // one task each; small work spreads over all machines that can be had.
 func (p *planner) scaleOutHelps(job *Job, tasks int, zone zoneConstraint, bootS float64) bool {
-	return !job.needsGPUs() || p.gpuReleases.waitS(job, tasks, zone) > bootS
+	return !job.needsGPUs() || p.gpuReleases.estimateWaitS(job, tasks, zone) > bootS
 }
 
 // scaleOut asks for the cheapest machines that hold the tasks (P2 of DRPA, eq. 30).
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -111,7 +111,7 @@
 // of them need no further machine.
 func (p *planner) useReadyMachines(job *pendingJob, tasks int) int {
 	found := 0
-	if job.isPlayerFacing() {
+	if job.isProductionService() {
 		found = p.useCachedImages(job, tasks)
 	}
 	return found + p.startTasks(job, tasks-found, targetReady)
