--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -63,7 +63,7 @@
 func (p *planner) gangCapacities(job *pendingJob) map[zoneConstraint]*gangCapacity {
 	capacities := map[zoneConstraint]*gangCapacity{}
 	in := func(zone string) *gangCapacity {
-		key := gatheringZone(job.Job, zone)
+		key := zoneConstraintFor(job.Job, zone)
 		if capacities[key] == nil {
 			capacities[key] = &gangCapacity{}
 		}
@@ -121,7 +121,7 @@
 			break
 		}
 		machine := &p.pool.machines[i]
-		if gatheringZone(job.Job, machine.Zone) != zone || !machine.acceptsTasks() || !p.eligibleForGang(machine, job) {
+		if zoneConstraintFor(job.Job, machine.Zone) != zone || !machine.acceptsTasks() || !p.eligibleForGang(machine, job) {
 			continue
 		}
 		count := min(left, machine.Free.CapacityFor(job.Request))
--- a/internal/scheduler/gpuwait.go
+++ b/internal/scheduler/gpuwait.go
@@ -55,7 +55,7 @@
 	byZone := map[zoneConstraint][]int{}
 	for i := range g.snapshot.Machines {
 		if machine := &g.snapshot.Machines[i]; zone.allows(machine.Zone) && g.usableWhenEmpty(machine, job) {
-			key := gatheringZone(job, machine.Zone)
+			key := zoneConstraintFor(job, machine.Zone)
 			byZone[key] = append(byZone[key], i)
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -87,7 +87,7 @@
 		tasks -= p.preempt(job, tasks, targetReady)
 	}
 	withoutMachine := tasks
-	zone, tasks := p.awaitCapacity(job, tasks)
+	zone, tasks := p.reserveFutureCapacity(job, tasks)
 	if slackS > 0 || tasks == 0 {
 		return
 	}
@@ -133,10 +133,10 @@
 	return started
 }
 
-// awaitCapacity counts tasks against machines that are booting, and a gang also against
+// reserveFutureCapacity counts tasks against machines that are booting, and a gang also against
 // those that fall free where it gathers. It returns the zone in which the rest must
 // be and how many tasks the rest is.
-func (p *planner) awaitCapacity(job *pendingJob, tasks int) (zoneConstraint, int) {
+func (p *planner) reserveFutureCapacity(job *pendingJob, tasks int) (zoneConstraint, int) {
 	if job.isGang() {
 		return p.reserveForGang(job, tasks)
 	}
--- a/internal/scheduler/zone.go
+++ b/internal/scheduler/zone.go
@@ -14,9 +14,9 @@
 	return c == anyZone || string(c) == zone
 }
 
-// gatheringZone is the constraint under which a machine in the zone counts for the
+// zoneConstraintFor is the constraint under which a machine in the zone counts for the
 // job: tasks that must share a zone are counted zone by zone, others all together.
-func gatheringZone(job *Job, zone string) zoneConstraint {
+func zoneConstraintFor(job *Job, zone string) zoneConstraint {
 	if job.Spec.OneZone {
 		return zoneConstraint(zone)
 	}
