--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -62,7 +62,7 @@
 // if it needs none.
 func (p *planner) gangCapacities(job *pendingJob) map[zoneConstraint]*gangCapacity {
 	capacities := map[zoneConstraint]*gangCapacity{}
-	in := func(zone string) *gangCapacity {
+	capacityIn := func(zone string) *gangCapacity {
 		key := zoneConstraintFor(job.Job, zone)
 		if capacities[key] == nil {
 			capacities[key] = &gangCapacity{}
@@ -71,7 +71,7 @@
 	}
 	for i := range p.pool.machines {
 		if machine := &p.pool.machines[i]; p.eligibleForGang(machine, job) {
-			in(machine.Zone).addMachine(machine, p.snapshot.typeOf(machine), job.Request)
+			capacityIn(machine.Zone).addMachine(machine, p.snapshot.typeOf(machine), job.Request)
 		}
 	}
 	for typeIndex := range p.snapshot.Types {
@@ -81,7 +81,7 @@
 		}
 		for _, zone := range machineType.Zones {
 			if p.canScaleOutIn(job, typeIndex, zone) {
-				in(zone).canScaleOut = true
+				capacityIn(zone).canScaleOut = true
 			}
 		}
 	}
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -17,9 +17,9 @@
 		Types:          []MachineType{{Name: "card", Capacity: Resources{8, 4, 16}, Price: 9, BootS: 35, FetchGBps: 1, Zones: zones}},
 		Teams:          []Team{{}},
 	}
-	snapshot.Jobs = append(snapshot.Jobs, gangOfCards("big", 4, 5))
+	snapshot.Jobs = append(snapshot.Jobs, gpuGang("big", 4, 5))
 	for i := range 8 {
-		snapshot.Jobs = append(snapshot.Jobs, gangOfCards(protocol.JobID(fmt.Sprint("small", i)), 1, 0))
+		snapshot.Jobs = append(snapshot.Jobs, gpuGang(protocol.JobID(fmt.Sprint("small", i)), 1, 0))
 	}
 	for i := range 6 {
 		snapshot.Machines = append(snapshot.Machines, Machine{ID: fmt.Sprint("m", i), Zone: "a", Free: snapshot.Types[0].Capacity})
@@ -27,8 +27,8 @@
 	return snapshot
 }
 
-// gangOfCards is a gang each task of which takes all GPUs of a machine.
-func gangOfCards(jobID protocol.JobID, tasks int, starvedS float64) Job {
+// gpuGang is a gang each task of which takes all GPUs of a machine.
+func gpuGang(jobID protocol.JobID, tasks int, starvedS float64) Job {
 	spec := &protocol.Job{
 		ID: jobID, Kind: protocol.KindGang, Priority: protocol.PriorityStandard,
 		Tasks: tasks, Cores: 4, GPUs: 4, MemGB: 8, OneZone: true,
--- a/internal/scheduler/generator_test.go
+++ b/internal/scheduler/generator_test.go
@@ -25,7 +25,7 @@
 		job := randomJob(rng, randomSpec(rng, i))
 		snapshot.Jobs = append(snapshot.Jobs, job)
 		if job.Spec.GPUs > 0 {
-			noteGPUWork(snapshot, &job)
+			recordGPUWork(snapshot, &job)
 		}
 	}
 	for i := range rng.IntN(9) {
@@ -88,8 +88,8 @@
 	return job
 }
 
-// noteGPUWork lets the snapshot know of a job that needs GPUs.
-func noteGPUWork(snapshot *Snapshot, job *Job) {
+// recordGPUWork lets the snapshot know of a job that needs GPUs.
+func recordGPUWork(snapshot *Snapshot, job *Job) {
 	seen, request := snapshot.LargestGPURequest, job.Request
 	snapshot.LowestGPUPriority = max(snapshot.LowestGPUPriority, job.Priority)
 	snapshot.LargestGPURequest = Resources{max(seen.Cores, request.Cores), max(seen.GPUs, request.GPUs), max(seen.MemGB, request.MemGB)}
--- a/internal/scheduler/invariants_test.go
+++ b/internal/scheduler/invariants_test.go
@@ -93,13 +93,13 @@
 		if tasks > job.Waiting || partOfGang || job.BackingOff {
 			t.Fatalf("snapshot %d: job %d starts %d", c.number, jobIndex, tasks)
 		}
-		c.zonesOf(t, jobIndex)
+		c.zones(t, jobIndex)
 	}
 }
 
-// zonesOf: a spread job has at most half of its tasks in a zone and a job bound to one
+// zones: a spread job has at most half of its tasks in a zone and a job bound to one
 // zone is in one, unless the snapshot was not so already.
-func (c *planCheck) zonesOf(t *testing.T, jobIndex int) {
+func (c *planCheck) zones(t *testing.T, jobIndex int) {
 	t.Helper()
 	job, inZones := &c.snapshot.Jobs[jobIndex], c.tasksByZone[jobIndex]
 	half := (job.Spec.Tasks + 1) / 2
--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -11,9 +11,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// sameClass returns a snapshot of jobs that share a class and differ in their deadlines
+// singleClassSnapshot returns a snapshot of jobs that share a class and differ in their deadlines
 // and in how long the one core takes for them.
-func sameClass(rng *rand.Rand) *Snapshot {
+func singleClassSnapshot(rng *rand.Rand) *Snapshot {
 	snapshot := &Snapshot{
 		Types:    []MachineType{{Name: "small", Capacity: Resources{Cores: 1, MemGB: 8}, Price: 1}},
 		Machines: []Machine{{Schedulable: true}},
@@ -27,9 +27,9 @@
 	return snapshot
 }
 
-// inTime counts the jobs that meet their deadlines if they are worked on one after
+// countInTime counts the jobs that meet their deadlines if they are worked on one after
 // another.
-func inTime(jobs []Job, order []int) (count int) {
+func countInTime(jobs []Job, order []int) (count int) {
 	load := 0.0
 	for _, i := range order {
 		load += float64(jobs[i].Waiting)
@@ -40,8 +40,8 @@
 	return count
 }
 
-// mostInTime tries every set of jobs, the earliest deadline first.
-func mostInTime(jobs []Job) (most int) {
+// maxInTime tries every set of jobs, the earliest deadline first.
+func maxInTime(jobs []Job) (most int) {
 	byDeadline := make([]int, len(jobs))
 	for i := range byDeadline {
 		byDeadline[i] = i
@@ -54,7 +54,7 @@
 				chosen = append(chosen, i)
 			}
 		}
-		if inTime(jobs, chosen) == bits.OnesCount(set) {
+		if countInTime(jobs, chosen) == bits.OnesCount(set) {
 			most = max(most, len(chosen))
 		}
 	}
@@ -66,12 +66,12 @@
 	rng := rand.New(rand.NewPCG(11, 12))
 	overloaded := 0
 	for i := range 500 {
-		snapshot := sameClass(rng)
-		want := mostInTime(snapshot.Jobs)
+		snapshot := singleClassSnapshot(rng)
+		want := maxInTime(snapshot.Jobs)
 		if want < len(snapshot.Jobs) {
 			overloaded++
 		}
-		if got := inTime(snapshot.Jobs, Order(snapshot)); got != want {
+		if got := countInTime(snapshot.Jobs, Order(snapshot)); got != want {
 			t.Fatalf("snapshot %d: %d jobs in time instead of %d: %+v", i, got, want, snapshot.Jobs)
 		}
 	}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -132,7 +132,7 @@
 
 // distributeInZone divides the tasks over the candidates that satisfy the constraint,
 // in their order.
-func (p *planner) distributeInZone(job *pendingJob, tasks int, candidates []candidate, only zoneConstraint) ([]Start, int) {
+func (p *planner) distributeInZone(job *pendingJob, tasks int, candidates []candidate, constraint zoneConstraint) ([]Start, int) {
 	if len(candidates) == 0 {
 		return nil, 0
 	}
@@ -141,7 +141,7 @@
 	left := tasks
 	for _, c := range candidates {
 		zone := p.pool.machines[c.machine].Zone
-		if !only.allows(zone) {
+		if !constraint.allows(zone) {
 			continue
 		}
 		count := min(left, c.capacity, ZoneCapacity(job.Spec, tasksByZone, zone))
--- a/internal/scheduler/reference_test.go
+++ b/internal/scheduler/reference_test.go
@@ -133,9 +133,9 @@
 
 // chooseInOneZone takes the zone that takes the most tasks; of equal ones that with the
 // least capacity, and then that of the cheapest machine.
-func (m *referenceModel) chooseInOneZone(job *referenceJob, cached bool, anywhere []int) []int {
+func (m *referenceModel) chooseInOneZone(job *referenceJob, cached bool, unrestricted []int) []int {
 	preferred := slices.Clone(zones)
-	if len(anywhere) > 0 && m.snapshot.Machines[anywhere[0]].Zone == zones[1] {
+	if len(unrestricted) > 0 && m.snapshot.Machines[unrestricted[0]].Zone == zones[1] {
 		slices.Reverse(preferred)
 	}
 	if m.capacityOfZone(job, cached, preferred[1]) < m.capacityOfZone(job, cached, preferred[0]) {
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -104,14 +104,14 @@
 	machineType := &p.snapshot.Types[typeIndex]
 	var offers []offer
 	for _, name := range machineType.Zones {
-		inZone := min(tasks, job.zoneCapacity(name))
-		if inZone == 0 || !zone.allows(name) {
+		tasksInZone := min(tasks, job.zoneCapacity(name))
+		if tasksInZone == 0 || !zone.allows(name) {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
 			pool := CapacityPool{typeIndex, name, spot}
 			if p.snapshot.mayRequest(pool, job.Spec) {
-				offers = append(offers, offer{pool, inZone, machineType.Capacity.CapacityFor(job.Request), machineType.HourlyPrice(spot)})
+				offers = append(offers, offer{pool, tasksInZone, machineType.Capacity.CapacityFor(job.Request), machineType.HourlyPrice(spot)})
 			}
 		}
 	}
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -19,7 +19,7 @@
 		for now := 0; now < 1200; now++ {
 			simulation.step(now)
 		}
-		simulation.checkBeginnings(t, seed)
+		simulation.checkStarts(t, seed)
 		simulation.checkTeams(t, seed)
 	}
 }
@@ -34,8 +34,8 @@
 }
 
 type simulatedJob struct {
-	submittedAt, begunAt int // begunAt is -1 until all tasks have begun
-	durationS            int
+	submittedAt, startedAt int // begunAt is -1 until all tasks have begun
+	durationS              int
 }
 
 // simulatedRun is tasks of a job on a machine that end together.
@@ -66,7 +66,7 @@
 	for range 2 {
 		s.submit(now)
 	}
-	s.age(now)
+	s.updateDeadlines(now)
 	for _, start := range Decide(s.snapshot).Starts {
 		s.start(start, now)
 	}
@@ -107,7 +107,7 @@
 		ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: 2,
 		EstimateS: 60, Waiting: spec.Tasks, Weight: 1, Team: s.rng.IntN(10),
 	})
-	s.jobs = append(s.jobs, simulatedJob{submittedAt: now, begunAt: -1, durationS: 30 + s.rng.IntN(60)})
+	s.jobs = append(s.jobs, simulatedJob{submittedAt: now, startedAt: -1, durationS: 30 + s.rng.IntN(60)})
 }
 
 // randomSpec makes a gang, an array or nothing. Of the gangs' tasks, half are in the
@@ -127,8 +127,8 @@
 	return spec
 }
 
-// age brings deadlines and starvation up to now.
-func (s *loadSimulation) age(now int) {
+// updateDeadlines brings deadlines and starvation up to now.
+func (s *loadSimulation) updateDeadlines(now int) {
 	for i := range s.snapshot.Jobs {
 		job := &s.snapshot.Jobs[i]
 		ageS := float64(now - s.jobs[i].submittedAt)
@@ -150,20 +150,20 @@
 	s.snapshot.Teams[job.Team].Used = s.snapshot.Teams[job.Team].Used.Minus(job.Request, -start.Count)
 	s.runs = append(s.runs, simulatedRun{start.Job, start.Machine, start.Count, now + state.durationS})
 	if job.Waiting == 0 {
-		state.begunAt = now
+		state.startedAt = now
 		s.waits[job.Team] = append(s.waits[job.Team], now-state.submittedAt)
 	}
 }
 
-// checkBeginnings: every job has all begun within four minutes, if it had so long.
-func (s *loadSimulation) checkBeginnings(t *testing.T, seed uint64) {
+// checkStarts: every job has all begun within four minutes, if it had so long.
+func (s *loadSimulation) checkStarts(t *testing.T, seed uint64) {
 	t.Helper()
 	for i, state := range s.jobs {
-		neverBegun := state.begunAt < 0 && state.submittedAt < 960
-		if neverBegun || state.begunAt-state.submittedAt > 240 {
+		neverStarted := state.startedAt < 0 && state.submittedAt < 960
+		if neverStarted || state.startedAt-state.submittedAt > 240 {
 			job := &s.snapshot.Jobs[i]
 			t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s",
-				seed, i, job.Spec.Tasks, job.Spec.Kind, job.Team, state.submittedAt, state.begunAt)
+				seed, i, job.Spec.Tasks, job.Spec.Kind, job.Team, state.submittedAt, state.startedAt)
 		}
 	}
 }
