--- a/internal/scheduler/chain.go
+++ b/internal/scheduler/chain.go
@@ -2,25 +2,28 @@
 
 import "marblehaven/internal/protocol"
 
-// ChainedJob is a job with its dependencies, as far as deadlines and priorities go.
+// ChainedJob holds what PropagateDeadlines needs of a job: its priority, deadline, run
+// time and dependencies.
 type ChainedJob struct {
 	Priority  protocol.PriorityLevel // the smaller the level, the higher the priority
-	DeadlineS float64                // seconds from now until it should be complete; +Inf: no deadline
+	DeadlineS float64                // seconds from now until the job should be complete; +Inf without a deadline
 	EstimateS float64                // estimated run time in seconds
-	DependsOn []int                  // indices of the jobs that must be done before it starts
+	DependsOn []int                  // indices of the jobs that must be done before this one starts
 }
 
-// PropagateDeadlines gives each job the highest priority of all its dependents, direct
-// or through others, and the earliest time by which it must be complete for their
-// deadlines to be kept: a deadline less the estimates on the longest path (the critical
-// path) from the job to the one that is due.
+// PropagateDeadlines raises the priority of each job to the highest among its direct and
+// indirect dependents, and lowers its deadline to the time by which the job must be
+// complete for all of them to meet theirs. Each dependent requires its own deadline minus
+// the estimates of the jobs after this one on the longest path to the dependent (the
+// critical path).
 //
-// Dependencies form a directed acyclic graph, since only accepted jobs can be named.
-// Should stored records hold a cycle all the same, its jobs pass nothing on, and the
-// priorities and deadlines of all other jobs are still propagated.
+// Dependencies form a directed acyclic graph, since a job can name only jobs that were
+// accepted before. If stored records contain a cycle nevertheless, its jobs and the jobs
+// that they depend on pass nothing on; propagation between all other jobs still
+// completes.
 func PropagateDeadlines(jobs []ChainedJob) {
 	pending := countDependents(jobs)
-	var ready []int // jobs that have heard from all of their dependents
+	var ready []int // jobs that have inherited from all of their dependents
 	for i, dependents := range pending {
 		if dependents == 0 {
 			ready = append(ready, i)
@@ -51,7 +54,8 @@
 }
 
 // inheritFrom takes over the priority and the deadline of a dependent where they are
-// stricter. The dependent must have its run time left after this job is complete.
+// stricter. The inherited deadline leaves time for the dependent to run after this job is
+// complete.
 func (j *ChainedJob) inheritFrom(dependent *ChainedJob) {
 	j.Priority = min(j.Priority, dependent.Priority)
 	j.DeadlineS = min(j.DeadlineS, dependent.DeadlineS-dependent.EstimateS)
--- a/internal/scheduler/exhausted.go
+++ b/internal/scheduler/exhausted.go
@@ -6,8 +6,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// taskKind is all that a search for capacity depends on. Tasks of one kind are alike:
-// where one found nothing, the next finds nothing either.
+// taskKind holds everything that a search for capacity depends on. If a search for one
+// task finds nothing, a search for another task of the same kind finds nothing either.
 type taskKind struct {
 	request      Resources
 	machineTypes string
@@ -18,25 +18,27 @@
 	image        string
 }
 
-// exhaustedKinds remembers the kinds of tasks for which no capacity was left. Capacity
-// only shrinks within a plan, so searches for the same kind can be left out.
+// exhaustedKinds is the set of task kinds for which no capacity was left. Capacity only
+// shrinks while a plan is made, so further searches for these kinds are skipped.
 type exhaustedKinds map[taskKind]bool
 
-// contains tells whether a search for tasks of the job is known to find nothing.
+// contains reports whether an earlier search has shown that the target has no capacity
+// for tasks of the job.
 func (e exhaustedKinds) contains(job *pendingJob, target placementTarget) bool {
 	return dependsOnlyOnKind(job, target) && e[kindOf(job, target)]
 }
 
-// add remembers that a search for tasks of the job found too little.
+// add records that a search found too little capacity for tasks of the job.
 func (e exhaustedKinds) add(job *pendingJob, target placementTarget) {
 	if dependsOnlyOnKind(job, target) {
 		e[kindOf(job, target)] = true
 	}
 }
 
-// dependsOnlyOnKind tells whether the search depends on nothing but the kind. Conditions on
-// zones make it depend on where the job's other tasks are, and a gang finds nothing
-// where its tasks have no place together. Preemption is for single tasks of gangs only.
+// dependsOnlyOnKind reports whether the result of a search depends on nothing but the
+// task kind. With conditions on zones it also depends on where the job's other tasks are,
+// and a search for a gang fails if its tasks do not all fit. Preemption for a gang is not
+// affected: it is attempted only for gangs of a single task.
 func dependsOnlyOnKind(job *pendingJob, target placementTarget) bool {
 	if job.isGang() && target != targetPreempted {
 		return false
@@ -54,7 +56,7 @@
 		target:       target,
 	}
 	if target == targetCached || target == targetReady {
-		kind.image = job.Spec.Image // a machine fetches only so many images at once
+		kind.image = job.Spec.Image // a machine with many pending fetches takes no further image
 	}
 	return kind
 }
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -7,11 +7,13 @@
 	"slices"
 )
 
-// orderByFeasibility rearranges a class of jobs, which comes in the order of deadlines,
-// so that as many as possible are in time (the Moore-Hodgson rule, weighted): jobs
-// that can be in time stay in their order, the others follow, the least load for its
-// weight first. load is the time that the machines need for all classes before, and
-// loadOf the time that they need for one job; the load after the class is returned.
+// orderByFeasibility reorders a class of jobs, sorted by deadline, so that as many jobs
+// as possible, by weight, meet their deadlines (the weighted Moore-Hodgson rule). Jobs
+// that can be in time keep their order; the others follow, the smallest load per weight
+// first.
+//
+// load is the time that the machines need for all earlier classes, and loadOf returns the
+// time that they need for one job. The result is the load including this class.
 func orderByFeasibility(jobs []Job, class []int, load float64, loadOf func(*Job) float64) float64 {
 	feasibleLoad, postponed := postponeLargest(jobs, class, load, loadOf)
 	if len(postponed) == 0 {
@@ -38,9 +40,9 @@
 	return feasibleLoad
 }
 
-// postponeLargest goes through the class and, whenever a job would be late, postpones
-// the job of those so far that has the largest load for its weight. It returns the
-// load with the jobs that are left, and those that were postponed.
+// postponeLargest adds the jobs of the class one by one. Whenever a job would be late,
+// postponeLargest postpones the job with the largest load per weight among those added so
+// far. It returns the load without the postponed jobs, and the postponed jobs.
 func postponeLargest(jobs []Job, class []int, load float64, loadOf func(*Job) float64) (float64, []postponedJob) {
 	feasible := make(loadHeap, 0, len(class))
 	var postponed []postponedJob
@@ -59,7 +61,7 @@
 	return load, postponed
 }
 
-// addLoads returns the load after a class whose order stays as it is.
+// addLoads returns the load including a class whose order does not change.
 func addLoads(jobs []Job, class []int, load float64, loadOf func(*Job) float64) float64 {
 	for _, jobIndex := range class {
 		load += loadOf(&jobs[jobIndex])
@@ -67,19 +69,22 @@
 	return load
 }
 
-// postponedJob is a job that is or may be postponed, by its position in the class.
+// postponedJob is a job that is or may be postponed, identified by its position in the
+// class.
 type postponedJob struct {
 	position            int
 	load, loadPerWeight float64
 }
 
-// loadHeap has the largest load for its weight on top, of equal ones the last.
+// loadHeap is a heap of jobs with the largest load per weight on top; among equal loads,
+// the last job of the class is on top.
 type loadHeap []postponedJob
 
-// Len is the number of jobs in the heap.
+// Len returns the number of jobs in the heap.
 func (h loadHeap) Len() int { return len(h) }
 
-// Less puts the largest load for its weight on top, of equals the last job.
+// Less reports whether job a has a larger load per weight than job b, or an equal one and
+// a later position.
 func (h loadHeap) Less(a, b int) bool {
 	return h[a].loadPerWeight > h[b].loadPerWeight || (h[a].loadPerWeight == h[b].loadPerWeight && h[a].position > h[b].position)
 }
@@ -87,10 +92,10 @@
 // Swap exchanges two jobs.
 func (h loadHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *loadHeap) Push(x any) { *h = append(*h, x.(postponedJob)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *loadHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -5,28 +5,29 @@
 	"slices"
 )
 
-// gangCapacity is what a zone has for a gang, in tasks.
+// gangCapacity is the capacity of a zone for the tasks of a gang, in tasks.
 type gangCapacity struct {
 	free    int // on machines that are up
 	booting int // on machines that are booting
 	total   int // on all eligible machines if they were empty
-	// canScaleOut tells whether machines can be added there.
+	// canScaleOut is set if machines can be added in the zone.
 	canScaleOut bool
 }
 
-// canHost tells whether all tasks can be in the zone sooner or later.
+// canHost reports whether all tasks can run in the zone once its machines are free or
+// more are added.
 func (c *gangCapacity) canHost(tasks int) bool { return c.total >= tasks || c.canScaleOut }
 
-// available is how many of the tasks find capacity that is free or booting.
+// available returns how many of the tasks fit in the free and booting capacity.
 func (c *gangCapacity) available(tasks int) int { return min(tasks, c.free+c.booting) }
 
-// reserveForGang chooses the zone in which a gang gathers and counts the gang against
-// the booting capacity there. It returns the zone and how many tasks find no capacity
-// there, free or booting.
+// reserveForGang chooses the zone in which a gang waits for capacity, and counts the gang
+// against the booting capacity there. It returns the zone and the number of tasks for
+// which the zone has neither free nor booting capacity.
 //
-// A starved gang also gets what is free reserved: all of its machines must be free at
-// once, and otherwise smaller jobs take every machine that falls free, so that the
-// gang never starts.
+// For a starved gang, free capacity is reserved as well. All machines of a gang must be
+// free at once; without the reservation, smaller jobs take each machine as it becomes
+// free, and the gang never starts.
 func (p *planner) reserveForGang(job *pendingJob, tasks int) (zone zoneConstraint, unplaced int) {
 	zone, found := p.chooseGangZone(job, tasks)
 	if !found {
@@ -35,8 +36,9 @@
 	return zone, p.reserveInZone(job, tasks, zone)
 }
 
-// chooseGangZone picks the zone with the most capacity free or booting, of equal ones
-// that with the larger machines in total. No zone is found if there is none of either.
+// chooseGangZone returns the zone with the most free and booting capacity for the gang,
+// and among equal ones the zone with the larger total capacity. found is false if no zone
+// that can hold the whole gang has free or booting capacity.
 func (p *planner) chooseGangZone(job *pendingJob, tasks int) (best zoneConstraint, found bool) {
 	capacities := p.gangCapacities(job)
 	bestAvailable := 0
@@ -53,13 +55,13 @@
 	return best, found
 }
 
-// allowsGangIn tells whether the job's own conditions allow a gang in the zone.
+// allowsGangIn reports whether the job's own zone conditions allow a gang in the zone.
 func allowsGangIn(job *pendingJob, zone zoneConstraint) bool {
 	return zone == anyZone || ZoneCapacity(job.Spec, nil, string(zone)) > 0
 }
 
-// gangCapacities is what each zone has for the gang; all zones together under anyZone
-// if it needs none.
+// gangCapacities returns the capacity of each zone for the gang. If the gang does not
+// need a single zone, the capacity of all zones is summed up under anyZone.
 func (p *planner) gangCapacities(job *pendingJob) map[zoneConstraint]*gangCapacity {
 	capacities := map[zoneConstraint]*gangCapacity{}
 	capacityIn := func(zone string) *gangCapacity {
@@ -88,7 +90,7 @@
 	return capacities
 }
 
-// addMachine counts a machine in.
+// addMachine adds the machine's capacity for tasks with the request.
 func (c *gangCapacity) addMachine(machine *Machine, machineType *MachineType, request Resources) {
 	c.total += machineType.Capacity.CapacityFor(request)
 	switch {
@@ -99,20 +101,22 @@
 	}
 }
 
-// eligibleForGang tells whether a gang may be on the machine. The gang is placed as a
-// whole, so tasks that its job has elsewhere are left out.
+// eligibleForGang reports whether tasks of a gang may run on the machine. Tasks that the
+// job has elsewhere do not count, since a gang is placed as a whole.
 func (p *planner) eligibleForGang(machine *Machine, job *pendingJob) bool {
 	return p.eligible(machine, job, nil)
 }
 
-// canScaleOutIn tells whether machines of the type may be requested in the zone.
+// canScaleOutIn reports whether machines of the type, spot instances or others, may be
+// requested in the zone.
 func (p *planner) canScaleOutIn(job *pendingJob, typeIndex int, zone string) bool {
 	return p.snapshot.mayRequest(CapacityPool{typeIndex, zone, false}, job.Spec) ||
 		p.snapshot.mayRequest(CapacityPool{typeIndex, zone, true}, job.Spec)
 }
 
-// reserveInZone counts the gang against the machines of the zone and returns how many
-// of its tasks are left.
+// reserveInZone counts the gang against the machines of the zone and returns how many of
+// its tasks find no capacity. Capacity is taken from booting machines, and for a starved
+// gang also from machines that are up, which are then kept from scale in.
 func (p *planner) reserveInZone(job *pendingJob, tasks int, zone zoneConstraint) int {
 	isStarved := job.StarvedS > 0
 	left := tasks
--- a/internal/scheduler/gpupolicy.go
+++ b/internal/scheduler/gpupolicy.go
@@ -2,12 +2,12 @@
 
 import "marblehaven/internal/protocol"
 
-// gpuMachinePolicy decides how much of a machine with GPUs other work may use. Such
-// machines cost many times as much, so other work never keeps one that would be
-// returned otherwise, and never delays the work that needs the GPUs.
+// gpuMachinePolicy decides how much of a machine with GPUs other work may use. Machines
+// with GPUs cost many times as much as others, so other work must neither keep one that
+// would otherwise be returned nor delay work that needs the GPUs.
 type gpuMachinePolicy struct {
 	snapshot *Snapshot
-	// gpuWorkWaits tells whether tasks that need GPUs could be started.
+	// gpuWorkWaits is set if tasks that need GPUs wait and may be started.
 	gpuWorkWaits bool
 }
 
@@ -20,8 +20,8 @@
 	return policy
 }
 
-// avoidsGPUMachines tells whether a job must keep off machines with GPUs: it needs
-// none, and there is a machine type without GPUs that it can use instead.
+// avoidsGPUMachines reports whether a job must avoid machines with GPUs: the job needs no
+// GPUs, and its tasks fit a machine type without GPUs.
 func avoidsGPUMachines(snapshot *Snapshot, job *Job) bool {
 	if job.needsGPUs() {
 		return false
@@ -34,8 +34,8 @@
 	return false
 }
 
-// capacityForNonGPUWork is how many tasks of a job that keeps off GPUs the machine takes
-// all the same. Only work that ends by itself may be there.
+// capacityForNonGPUWork returns how many tasks of a job that avoids GPUs a machine with
+// GPUs can take. Services get none, since they do not end until they are cancelled.
 func (p *gpuMachinePolicy) capacityForNonGPUWork(machine *Machine, job *pendingJob) int {
 	switch {
 	case job.Spec.Kind == protocol.KindService:
@@ -48,8 +48,9 @@
 	return 0
 }
 
-// capacityBesideGPUWork leaves free what one more task with GPUs needs, as long as
-// there is so much: the GPUs that are left can then be used.
+// capacityBesideGPUWork returns how many tasks of the job fit beside GPU work. If one
+// more task with GPUs would fit, its request is left free so that the remaining GPUs can
+// be used.
 func (p *gpuMachinePolicy) capacityBesideGPUWork(machine *Machine, job *pendingJob) int {
 	free := machine.Free
 	if gpuRequest := p.snapshot.LargestGPURequest; gpuRequest.GPUs > 0 && free.fits(gpuRequest) {
@@ -58,9 +59,9 @@
 	return free.CapacityFor(job.Request)
 }
 
-// mayUseIdleGPUs tells whether the job may use all of a machine whose GPUs are idle:
-// no work with GPUs waits for it, the job can be preempted when such work comes, and
-// the machine is not about to be returned.
+// mayUseIdleGPUs reports whether the job may use all free capacity of a machine whose
+// GPUs are idle: no work with GPUs waits, the job can be preempted when such work
+// arrives, and the machine is not about to be returned.
 func (p *gpuMachinePolicy) mayUseIdleGPUs(machine *Machine, job *pendingJob) bool {
 	return !p.gpuWorkWaits &&
 		job.Priority > p.lowestGPUPriority() &&
@@ -68,9 +69,9 @@
 		!p.snapshot.idleTooLong(machine)
 }
 
-// lowestGPUPriority is the priority below which every job can be preempted for work
-// with GPUs. As long as none has been seen, as after a failover, only the lowest
-// priority is certain to be.
+// lowestGPUPriority returns the priority below which every job can be preempted for work
+// with GPUs. Until a job with GPUs has been seen, for example after a failover, only jobs
+// of the lowest priority are certain to be preemptible.
 func (p *gpuMachinePolicy) lowestGPUPriority() protocol.PriorityLevel {
 	if p.snapshot.LowestGPUPriority < 0 {
 		return LowestPriority - 1
@@ -78,7 +79,7 @@
 	return p.snapshot.LowestGPUPriority
 }
 
-// runsGPUWork tells whether tasks that need GPUs are on the machine.
+// runsGPUWork reports whether tasks that need GPUs are on the machine.
 func (p *gpuMachinePolicy) runsGPUWork(machine *Machine) bool {
 	for _, running := range machine.Tasks {
 		if p.snapshot.Jobs[running.Job].needsGPUs() {
--- a/internal/scheduler/gpuwait.go
+++ b/internal/scheduler/gpuwait.go
@@ -7,19 +7,19 @@
 	"slices"
 )
 
-// gpuReleases is when the work on each machine is likely to end, with the waiting work
-// that was counted against it.
+// gpuReleases estimates when the work on each machine ends, including the waiting work
+// that has been counted against the machine.
 type gpuReleases struct {
 	snapshot *Snapshot
-	// releaseS is by machine, in seconds from now. It is filled at the first use:
-	// most plans never ask.
+	// releaseS holds the estimate for each machine, in seconds from now. It is computed
+	// at first use, since most plans do not need it.
 	releaseS []float64
 }
 
-// estimateWaitS is how long it is likely to take until provisioned machines have capacity for
-// the tasks of a job with GPUs, under the zone constraint and, if the job needs one
-// zone, in the zone where it takes the shortest. The machines then count as taken for
-// as long as the job runs, so that the next job does not count on them too.
+// estimateWaitS returns the estimated time until provisioned machines have capacity for
+// the tasks of a job with GPUs, under the zone constraint. If the job needs one zone, the
+// zone with the shortest wait counts. The chosen machines are marked as taken for the run
+// time of the job, so that the next job does not count on them too.
 func (g *gpuReleases) estimateWaitS(job *Job, tasks int, zone zoneConstraint) float64 {
 	if g.releaseS == nil {
 		g.releaseS = lastReleases(g.snapshot.Machines)
@@ -39,7 +39,8 @@
 	return shortestS
 }
 
-// lastReleases is when the last task of each machine is likely to end.
+// lastReleases returns when the last task of each machine is likely to end, in seconds
+// from now.
 func lastReleases(machines []Machine) []float64 {
 	releaseS := make([]float64, len(machines))
 	for i := range machines {
@@ -62,14 +63,16 @@
 	return byZone
 }
 
-// usableWhenEmpty tells whether the machine is up and would take tasks of the job.
+// usableWhenEmpty reports whether the machine is up and can take tasks of the job once it
+// is empty.
 func (g *gpuReleases) usableWhenEmpty(machine *Machine, job *Job) bool {
 	isUp := machine.Schedulable || len(machine.Tasks) > 0
 	return isUp && g.snapshot.typeOf(machine).Capacity.fits(job.Request) && g.snapshot.allowsMachine(job.Spec, machine)
 }
 
-// firstReleased returns the machines that are released first and hold the tasks
-// together, and when the last of them is released; +Inf if all are too few.
+// firstReleased returns the machines that are released first and together hold the tasks,
+// and the time at which the last of them is released, which is +Inf if all machines
+// together are too few.
 func (g *gpuReleases) firstReleased(machines []int, job *Job, tasks int) (used []int, waitS float64) {
 	slices.SortStableFunc(machines, func(a, b int) int { return cmp.Compare(g.releaseS[a], g.releaseS[b]) })
 	missing := tasks
--- a/internal/scheduler/machinepool.go
+++ b/internal/scheduler/machinepool.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// machinePool is the machines of the snapshot with what the plan has put on them, and
-// behind them the machines that the plan adds. The indices keep searches short: most
-// machines of a busy cluster are full.
+// machinePool holds the machines of the snapshot with the tasks that the plan has placed
+// on them, followed by the machines that the plan adds. The lists of indices shorten
+// searches, since most machines of a busy cluster are full.
 type machinePool struct {
 	machines []Machine
 	// withCapacity lists the machines on which some waiting task may fit.
 	withCapacity []int
-	// preemptible lists the machines with tasks below production.
+	// preemptible lists the machines that have tasks with a priority below production.
 	preemptible []int
 }
 
@@ -32,8 +32,8 @@
 	return pool
 }
 
-// leastRequest is the least of each resource that a task of any waiting job requests.
-// A machine with less of one resource fits none of them.
+// leastRequest returns, for each resource, the smallest amount that a task of any waiting
+// job requests. A machine with less of any one resource fits none of these tasks.
 func leastRequest(jobs []Job) Resources {
 	least := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
 	for i := range jobs {
@@ -50,10 +50,11 @@
 	p.machines = append(p.machines, Machine{Type: pool.Type, Zone: pool.Zone, Spot: pool.Spot, Booting: true, Free: free})
 }
 
-// addTasks puts tasks on a machine that is up, and their image among those it fetches.
+// addTasks adds tasks to a machine that is up, and their image to the images that the
+// machine fetches.
 func (m *Machine) addTasks(job *pendingJob, count int) {
 	if !m.hasImage(job.Spec.Image) {
-		// The slices are clipped because the snapshot's machine shares them.
+		// Clipping makes append copy the slices, which the snapshot's machine shares.
 		m.Images = append(slices.Clip(m.Images), job.Spec.Image)
 		m.PendingFetchGB += job.Spec.ImageGB
 	}
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -7,11 +7,11 @@
 )
 
 // Order returns the indices of the jobs in the order in which they are scheduled:
-// production first, then starved jobs (see promoteStarved), then jobs within their
-// team's guaranteed quota, then by priority, with work that needs GPUs before other
-// work of the same priority. Jobs that are equal in all of this form a class; within a
-// class the earliest deadline goes first, except that jobs which cannot all be in time
-// are rearranged by orderByFeasibility.
+// production first, then starved jobs (see promoteStarved), then jobs within their team's
+// guaranteed quota, then by priority, with work that needs GPUs before other work of the
+// same priority. Jobs that are equal in all of this form a class. Within a class the
+// earliest deadline goes first, but jobs that cannot all be in time are reordered by
+// orderByFeasibility.
 func Order(snapshot *Snapshot) []int {
 	o := newOrdering(snapshot)
 	order := make([]int, len(snapshot.Jobs))
@@ -27,7 +27,7 @@
 type ordering struct {
 	snapshot    *Snapshot
 	provisioned provisionedCapacity
-	promoted    []bool // by job: starved, and within the share for starved jobs
+	promoted    []bool // by job: starved, and within the capacity share of starved jobs
 }
 
 func newOrdering(snapshot *Snapshot) *ordering {
@@ -35,7 +35,8 @@
 	return &ordering{snapshot: snapshot, provisioned: provisioned, promoted: promoteStarved(snapshot, provisioned)}
 }
 
-// compareClasses orders two jobs by their classes; 0 means that they share one.
+// compareClasses orders two jobs by their classes; 0 means that they are in the same
+// class.
 func (o *ordering) compareClasses(a, b int) int {
 	x, y := &o.snapshot.Jobs[a], &o.snapshot.Jobs[b]
 	return cmp.Or(
@@ -46,8 +47,8 @@
 		compareTrueFirst(x.needsGPUs(), y.needsGPUs()))
 }
 
-// compare orders two jobs before infeasible ones are postponed. Promoted jobs keep to
-// the order of their starvation, across classes; production is never among them.
+// compare orders two jobs before infeasible ones are postponed. Promoted jobs are ordered
+// by compareStarved, regardless of their class; production jobs are never promoted.
 func (o *ordering) compare(a, b int) int {
 	x, y := &o.snapshot.Jobs[a], &o.snapshot.Jobs[b]
 	if o.promoted[a] && o.promoted[b] {
@@ -56,9 +57,9 @@
 	return cmp.Or(o.compareClasses(a, b), cmp.Compare(x.DeadlineS, y.DeadlineS), cmp.Compare(x.ID, y.ID))
 }
 
-// postponeInfeasible rearranges each class of the order by feasibility. The load of all
-// classes before counts, apart for machines with GPUs and without. Promoted jobs keep
-// their order: they go first because they waited, whether they are in time or not.
+// postponeInfeasible reorders each class by feasibility. The load of all earlier classes
+// counts, separately for machines with and without GPUs. Promoted jobs keep their order:
+// they were promoted because of their wait, whether or not they can be in time.
 func (o *ordering) postponeInfeasible(order []int) {
 	loadS, gpuLoadS := 0.0, 0.0
 	for first := 0; first < len(order); {
@@ -77,7 +78,7 @@
 	}
 }
 
-// endOfClass returns the index behind the last job of the class that begins at first.
+// endOfClass returns the index after the last job of the class that begins at first.
 func (o *ordering) endOfClass(order []int, first int) int {
 	end := first + 1
 	for end < len(order) && o.compareClasses(order[first], order[end]) == 0 {
@@ -86,19 +87,19 @@
 	return end
 }
 
-// loadOnCores is how long all provisioned cores together take for a job, in seconds.
+// loadOnCores returns how long all provisioned cores together take for a job, in seconds.
 func (o *ordering) loadOnCores(job *Job) float64 {
 	return job.remainingWork(job.Request.Cores) / math.Max(o.provisioned.cores, 1)
 }
 
-// loadOnGPUs is how long all provisioned GPUs together take for a job, in seconds.
+// loadOnGPUs returns how long all provisioned GPUs together take for a job, in seconds.
 func (o *ordering) loadOnGPUs(job *Job) float64 {
 	return job.remainingWork(job.Request.GPUs) / math.Max(o.provisioned.gpus, 1)
 }
 
-// provisionedCapacity is the size of the machines that are up or booting: GPUs, and
-// the cores of machines without GPUs. Cores beside GPUs do not count, since other
-// work gets only what GPU work leaves over there.
+// provisionedCapacity is the total capacity of the machines that are up or booting: GPUs,
+// and the cores of machines without GPUs. Cores of machines with GPUs do not count, since
+// other work gets only what GPU work leaves over there.
 type provisionedCapacity struct{ cores, gpus float64 }
 
 func provisionedCapacityOf(snapshot *Snapshot) provisionedCapacity {
@@ -117,8 +118,8 @@
 	return total
 }
 
-// remainingWork is what is left to do of the job, in units of the request times
-// seconds. Tasks that run are taken to be half done.
+// remainingWork returns the work of the job that is left, in units of the request times
+// seconds. Running tasks count as half done.
 func (j *Job) remainingWork(request float64) float64 {
 	return (float64(j.Waiting) + float64(j.Running)/2) * j.EstimateS * request
 }
--- a/internal/scheduler/pendingjob.go
+++ b/internal/scheduler/pendingjob.go
@@ -10,10 +10,10 @@
 type pendingJob struct {
 	*Job
 	index int
-	// tasksByZone counts the job's tasks by zone: those that run, and those that the
-	// plan starts, makes way for or adds machines for.
+	// tasksByZone counts the job's tasks by zone: running tasks, and tasks that the plan
+	// starts, preempts others for or adds machines for.
 	tasksByZone map[string]int
-	// avoidsGPUs tells whether the job must keep off machines with GPUs.
+	// avoidsGPUs is set if the job must avoid machines with GPUs.
 	avoidsGPUs bool
 }
 
@@ -24,26 +24,28 @@
 	return &pendingJob{Job: job, index: index, tasksByZone: tasksByZone, avoidsGPUs: avoidsGPUMachines(snapshot, job)}
 }
 
-// isProductionService tells whether the job is a service that must start at once.
+// isProductionService reports whether the job is a service of production priority. Such
+// services are player-facing and must start at once.
 func (j *pendingJob) isProductionService() bool {
 	return j.isProduction() && j.Spec.Kind == protocol.KindService
 }
 
-// mayPreempt tells whether tasks of lower priorities are preempted for the job:
-// production must not wait, and machines with GPUs are kept idle for work that needs them.
+// mayPreempt reports whether tasks of lower priorities are preempted for the job:
+// production must not wait, and machines with GPUs are kept for work that needs them.
 func (j *pendingJob) mayPreempt() bool { return j.isProduction() || j.needsGPUs() }
 
-// zoneCapacity is how many more tasks of the job may be in the zone.
+// zoneCapacity returns how many more tasks of the job may run in the zone.
 func (j *pendingJob) zoneCapacity(zone string) int {
 	return ZoneCapacity(j.Spec, j.tasksByZone, zone)
 }
 
-// avoidsType tells whether the job must not use machines of the type because of their GPUs.
+// avoidsType reports whether the job must not use machines of the type because of their
+// GPUs.
 func (j *pendingJob) avoidsType(machineType *MachineType) bool {
 	return j.avoidsGPUs && machineType.Capacity.GPUs > 0
 }
 
-// mayAdd tells whether machines of the type may be added for the job.
+// mayAdd reports whether machines of the type may be added for the job.
 func (j *pendingJob) mayAdd(machineType *MachineType) bool {
 	return TypeFits(machineType, j.Spec) && !j.avoidsType(machineType)
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -9,22 +9,22 @@
 	"marblehaven/internal/tuning"
 )
 
-// placementTarget says on which machines a search looks for capacity.
+// placementTarget selects the machines on which a search looks for capacity.
 type placementTarget int
 
 const (
-	// targetReady is machines that are up.
+	// targetReady selects machines that are up.
 	targetReady placementTarget = iota
-	// targetCached is machines that are up and have the job's image.
+	// targetCached selects machines that are up and have or fetch the job's image.
 	targetCached
-	// targetBooting is machines that are not up yet. Tasks are only counted against
-	// their capacity, so that no further machines are added for them.
+	// targetBooting selects machines that are not up yet. Tasks are only counted
+	// against their capacity, so that no further machines are added for them.
 	targetBooting
-	// targetPreempted is capacity that preemption makes.
+	// targetPreempted stands for capacity that preemption makes.
 	targetPreempted
 )
 
-// admits tells whether the search looks at the machine.
+// admits reports whether the target includes the machine, for tasks with the image.
 func (t placementTarget) admits(machine *Machine, image string) bool {
 	switch t {
 	case targetBooting:
@@ -39,11 +39,11 @@
 type candidate struct {
 	machine, capacity int
 	cost              float64 // price times estimate (P1 of DRPA, eq. 29)
-	tieBreak          float64 // decides between equal costs, the least first
+	tieBreak          float64 // orders candidates of equal cost, the smallest first
 }
 
-// place puts up to the given number of tasks on machines of the target (bin packing)
-// and returns how many found capacity; all of a gang's tasks or none.
+// place puts up to the given number of tasks on machines of the target (bin packing) and
+// returns how many it placed. A gang's tasks are placed all together or not at all.
 func (p *planner) place(job *pendingJob, tasks int, target placementTarget) int {
 	if tasks == 0 || p.exhausted.contains(job, target) {
 		return 0
@@ -75,7 +75,8 @@
 	return found
 }
 
-// candidate tells whether a machine of the pool is a candidate, and at what cost.
+// candidate returns a machine of the pool as a candidate with its cost; ok is false if
+// the machine is excluded or has no capacity for a task of the job.
 func (p *planner) candidate(index int, job *pendingJob, target placementTarget) (c candidate, ok bool) {
 	machine := &p.pool.machines[index]
 	if !target.admits(machine, job.Spec.Image) || !p.snapshot.allowsMachine(job.Spec, machine) {
@@ -91,15 +92,17 @@
 	return candidate{index, capacity, p.placementCost(machine, job), tieBreak(machine, job)}, true
 }
 
-// fetchesTooMuch tells whether the machine has so many images to fetch that none should
-// be added. Fetches share the rate: one after another the first are there sooner, and
-// what waits meanwhile may find a better place.
+// fetchesTooMuch reports whether the machine lacks the image and already has so many
+// images to fetch that no other should be added. Fetches share the rate of the machine:
+// with fewer at a time the first ones complete sooner, and tasks that wait meanwhile may
+// find a better machine.
 func (p *planner) fetchesTooMuch(machine *Machine, image string) bool {
 	return !machine.hasImage(image) && machine.PendingFetchGB > tuning.FetchAheadS*p.snapshot.typeOf(machine).FetchGBps
 }
 
-// placementCost is the price of a task's share of the machine times the estimate (P1 of
-// DRPA, eq. 29). An image that is still to be fetched counts in the estimate.
+// placementCost returns the price of a task's share of the machine times the estimate (P1
+// of DRPA, eq. 29). The time to fetch a missing image, after all pending fetches, is part
+// of the estimate.
 func (p *planner) placementCost(machine *Machine, job *pendingJob) float64 {
 	machineType := p.snapshot.typeOf(machine)
 	estimateS := job.EstimateS
@@ -113,8 +116,9 @@
 	return machineType.HourlyPrice(machine.Spot) * share * math.Max(estimateS, 1)
 }
 
-// tieBreak prefers the fuller machine, or for work with GPUs the one used last, so that
-// others stay empty and can be returned.
+// tieBreak returns the free cores of the machine, or for work with GPUs the time since
+// its GPUs were used, so that the fuller or last used machine is preferred and others
+// stay empty and can be returned.
 func tieBreak(machine *Machine, job *pendingJob) float64 {
 	if job.needsGPUs() {
 		return machine.GPUIdleS
@@ -130,8 +134,8 @@
 	return p.distributeInZone(job, tasks, candidates, anyZone)
 }
 
-// distributeInZone divides the tasks over the candidates that satisfy the constraint,
-// in their order.
+// distributeInZone divides the tasks over the candidates that satisfy the constraint, in
+// the order of the candidates.
 func (p *planner) distributeInZone(job *pendingJob, tasks int, candidates []candidate, constraint zoneConstraint) ([]Start, int) {
 	if len(candidates) == 0 {
 		return nil, 0
@@ -157,9 +161,9 @@
 	return starts, tasks - left
 }
 
-// distributeInBestZone puts the tasks into the zone that takes the most of them, of
-// equal ones into that with the least capacity, so that the other keeps what a larger
-// gang will need.
+// distributeInBestZone puts the tasks into the zone that takes the most of them, and
+// among equal ones into the zone with the least capacity, so that the zone with more
+// capacity remains available for a larger gang.
 func (p *planner) distributeInBestZone(job *pendingJob, tasks int, candidates []candidate) (best []Start, placed int) {
 	capacityByZone := map[string]int{}
 	for _, c := range candidates {
@@ -180,8 +184,8 @@
 	return best, placed
 }
 
-// addStart takes the capacity of a start from its machine and enters it in the plan.
-// On machines that are booting only the capacity is taken.
+// addStart takes the capacity of a start from its machine and adds the start to the plan.
+// On machines that are booting, only the capacity is taken.
 func (p *planner) addStart(job *pendingJob, start Start, target placementTarget) {
 	machine := &p.pool.machines[start.Machine]
 	machine.Free = machine.Free.Minus(job.Request, start.Count)
