--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -9,7 +9,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// inherited follows every path from a job to its dependents.
+// inherited returns the priority and deadline that a job inherits, computed by following
+// every path from the job to its dependents.
 func inherited(jobs []ChainedJob, i int) (priority protocol.PriorityLevel, deadlineS float64) {
 	priority, deadlineS = jobs[i].Priority, jobs[i].DeadlineS
 	for k := range jobs {
@@ -24,7 +25,8 @@
 	return priority, deadlineS
 }
 
-// randomChain makes up to nine jobs that depend on jobs accepted before.
+// randomChain returns up to nine random jobs, each of which may depend on the jobs before
+// it.
 func randomChain(rng *rand.Rand) []ChainedJob {
 	jobs := make([]ChainedJob, 1+rng.IntN(9))
 	for i := range jobs {
@@ -41,7 +43,7 @@
 	return jobs
 }
 
-// On random graphs the priority and deadline that reach a job are those found by
+// On random graphs, the propagated priorities and deadlines must equal those found by
 // following every path.
 func TestPropagateDeadlines(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -53,14 +55,15 @@
 			priority, deadlineS := inherited(jobs, i)
 			sameDeadline := math.Abs(got[i].DeadlineS-deadlineS) <= 1e-6 || got[i].DeadlineS == deadlineS
 			if got[i].Priority != priority || !sameDeadline {
-				t.Fatalf("job %d of %+v: priority %d deadline %v instead of %d, %v", i, jobs, got[i].Priority, got[i].DeadlineS, priority, deadlineS)
+				t.Fatalf("job %d of %+v: priority %d, deadline %v; want priority %d, deadline %v", i, jobs, got[i].Priority, got[i].DeadlineS, priority, deadlineS)
 			}
 		}
 	}
 }
 
-// Records can hold no cycle, since only accepted jobs may be named. If one did all the
-// same, the decisions would go on.
+// Records cannot contain a cycle, since only accepted jobs can be named as dependencies.
+// If one exists nevertheless, PropagateDeadlines must return and leave the other jobs
+// intact.
 func TestPropagateDeadlinesWithCycle(t *testing.T) {
 	jobs := []ChainedJob{
 		{Priority: 3, DeadlineS: 10, DependsOn: []int{1}},
@@ -69,6 +72,6 @@
 	}
 	PropagateDeadlines(jobs)
 	if jobs[2].Priority != 1 {
-		t.Errorf("%+v", jobs)
+		t.Errorf("the priority of the job outside the cycle has changed: %+v", jobs)
 	}
 }
--- a/internal/scheduler/eligibility_test.go
+++ b/internal/scheduler/eligibility_test.go
@@ -6,8 +6,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// A task on a machine whose zone is not known, as after a failover, may be in any zone.
-// (Without this, spread services were put together after one.)
+// A task on a machine of unknown zone, as after a failover, may be in any zone. If it did
+// not count in each zone, too many tasks of a spread service would be placed in one zone
+// after a failover.
 func TestUnknownZoneCounts(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -20,7 +21,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			if n := ZoneCapacity(&test.spec, test.tasksByZone, "a"); n != 0 {
-				t.Errorf("capacity for %d more", n)
+				t.Errorf("capacity for %d more tasks, want none", n)
 			}
 		})
 	}
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -7,8 +7,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// starvedGangSnapshot has a gang of four tasks that has waited too long, eight gangs of
-// one task, and six machines that are not schedulable yet.
+// starvedGangSnapshot returns a snapshot with a starved gang of four tasks, eight gangs
+// of one task, and six machines that are not schedulable yet.
 func starvedGangSnapshot() *Snapshot {
 	snapshot := &Snapshot{
 		Rho: 1, IdleTimeoutBootFactor: 4, StarvationShare: 0.5,
@@ -27,7 +27,7 @@
 	return snapshot
 }
 
-// gpuGang is a gang each task of which takes all GPUs of a machine.
+// gpuGang returns a gang each task of which takes all GPUs of a machine.
 func gpuGang(jobID protocol.JobID, tasks int, starvedS float64) Job {
 	spec := &protocol.Job{
 		ID: jobID, Kind: protocol.KindGang, Priority: protocol.PriorityStandard,
@@ -40,35 +40,36 @@
 	}
 }
 
-// A gang that has waited too long gets the machines that fall free reserved, also
-// against smaller gangs that would be served before it; once all are there it starts.
-// Without the reservation the small ones take every machine for ever.
+// A starved gang gets the machines that become free reserved, also against smaller gangs
+// that would otherwise be scheduled before it, and starts once it has enough machines.
+// Without the reservation the small gangs take every machine and the starved gang never
+// starts.
 func TestStarvedGangGathers(t *testing.T) {
 	snapshot := starvedGangSnapshot()
 	started := false
-	for round := 0; round < 6 && !started; round++ { // one machine falls free after another
+	for round := 0; round < 6 && !started; round++ { // one more machine becomes free in each round
 		snapshot.Machines[round].Schedulable = true
 		for _, start := range Decide(snapshot).Starts {
 			if start.Job == 0 {
 				started = started || round >= 3
 			} else if !started {
-				t.Fatalf("round %d: %s takes a machine that the starved gang waits for", round, snapshot.Jobs[start.Job].ID)
+				t.Fatalf("round %d: %s takes a machine that is reserved for the starved gang", round, snapshot.Jobs[start.Job].ID)
 			}
 		}
 	}
 	if !started {
 		t.Error("the starved gang did not start")
 	}
-	snapshot.Jobs[0].StarvedS = 0 // the same gang, not starved, goes behind
+	snapshot.Jobs[0].StarvedS = 0 // without starvation the same gang is scheduled after the others
 	snapshot.Machines[5].Schedulable, snapshot.Jobs[0].DeadlineS = false, -1
 	if plan := Decide(snapshot); len(plan.Starts) == 0 || plan.Starts[0].Job == 0 {
-		t.Errorf("starts %v", plan.Starts)
+		t.Errorf("starts %v, want a small gang to start before the large one", plan.Starts)
 	}
 }
 
-// A gang for which a part of the capacity is there gets machines added for the rest.
-// Taking the free machine, or machines in different zones, for all that it needs would
-// let it wait for ever.
+// If one zone has capacity for a part of a gang, machines are added for the rest. If the
+// free machine, or machines in different zones, counted as enough for the whole gang, it
+// would wait indefinitely.
 func TestGangScalesOutForTheRest(t *testing.T) {
 	spec := &protocol.Job{ID: "g", Kind: protocol.KindGang, Tasks: 3, Cores: 4, GPUs: 2, MemGB: 8, OneZone: true, Spot: true}
 	snapshot := &Snapshot{Rho: 1, MayScaleOut: true, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
@@ -78,6 +79,6 @@
 		snapshot.Machines = append(snapshot.Machines, Machine{Zone: zone, Schedulable: true, Free: snapshot.Types[0].Capacity})
 	}
 	if requests := Decide(snapshot).ScaleOuts; len(requests) != 1 || requests[0].Count != 1 {
-		t.Errorf("requests %+v, not one more machine", requests)
+		t.Errorf("scale-out requests %+v, want one request for one machine", requests)
 	}
 }
--- a/internal/scheduler/generator_test.go
+++ b/internal/scheduler/generator_test.go
@@ -10,8 +10,8 @@
 // zones are the zones of the tests' clusters.
 var zones = []string{"a", "b"}
 
-// randomSnapshot makes a snapshot. If busy is set, machines carry tasks that could be
-// preempted.
+// randomSnapshot returns a random snapshot. If busy is set, machines have tasks that can
+// be preempted.
 func randomSnapshot(rng *rand.Rand, busy bool) *Snapshot {
 	snapshot := &Snapshot{Rho: 1, IdleTimeoutBootFactor: 2, MayScaleOut: true, MayScaleIn: true, LowestGPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{},
 		Types: []MachineType{
@@ -39,8 +39,8 @@
 	return snapshot
 }
 
-// randomSpec makes the description of the i-th job. The order of the draws decides
-// what a seed stands for.
+// randomSpec returns a random description of the i-th job. The order of the random draws
+// must not change, since it determines the snapshot that belongs to a seed.
 func randomSpec(rng *rand.Rand, i int) *protocol.Job {
 	kinds := []protocol.JobKind{protocol.KindArray, protocol.KindArray, protocol.KindGang, protocol.KindService}
 	spec := &protocol.Job{
@@ -67,7 +67,7 @@
 	return spec
 }
 
-// randomJob makes the state of a job. Of a gang all tasks wait or none.
+// randomJob returns a random state of a job. Of a gang, either all tasks wait or none.
 func randomJob(rng *rand.Rand, spec *protocol.Job) Job {
 	job := Job{
 		ID:              spec.ID,
@@ -88,14 +88,15 @@
 	return job
 }
 
-// recordGPUWork lets the snapshot know of a job that needs GPUs.
+// recordGPUWork updates the snapshot's priority and request of GPU work for a job that
+// needs GPUs.
 func recordGPUWork(snapshot *Snapshot, job *Job) {
 	seen, request := snapshot.LargestGPURequest, job.Request
 	snapshot.LowestGPUPriority = max(snapshot.LowestGPUPriority, job.Priority)
 	snapshot.LargestGPURequest = Resources{max(seen.Cores, request.Cores), max(seen.GPUs, request.GPUs), max(seen.MemGB, request.MemGB)}
 }
 
-// randomMachine makes the i-th machine, with nothing on it.
+// randomMachine returns the i-th machine, without tasks.
 func randomMachine(rng *rand.Rand, i int, types []MachineType) Machine {
 	machine := Machine{
 		ID:             fmt.Sprint("m", i),
@@ -113,7 +114,8 @@
 	return machine
 }
 
-// addRandomTasks puts a task on the machine of each of some jobs that fit there.
+// addRandomTasks picks some of the jobs that fit on the machine and places one task of
+// each there.
 func addRandomTasks(rng *rand.Rand, snapshot *Snapshot, machine *Machine) {
 	for jobIndex := range snapshot.Jobs {
 		job := &snapshot.Jobs[jobIndex]
--- a/internal/scheduler/invariants_test.go
+++ b/internal/scheduler/invariants_test.go
@@ -9,8 +9,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// Whatever the snapshot, a plan keeps the rules on places, capacity and quota, only
-// preempts lower priorities, and only returns what is empty.
+// For every snapshot, a plan obeys the rules on placement, capacity and quotas, preempts
+// only lower priorities, and returns only empty machines.
 func TestPlanKeepsRules(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	preemptions, scaleOuts := 0, 0
@@ -28,19 +28,19 @@
 		scaleOuts += len(check.plan.ScaleOuts)
 	}
 	if preemptions == 0 || scaleOuts == 0 {
-		t.Errorf("%d preemptions and %d requests for machines: the snapshots test too little", preemptions, scaleOuts)
+		t.Errorf("%d preemptions and %d scale-out requests: the snapshots must lead to both", preemptions, scaleOuts)
 	}
 }
 
-// planCheck holds a plan and what its starts add up to.
+// planCheck holds a plan and the totals of its starts.
 type planCheck struct {
-	number      int // of the snapshot, for messages
+	number      int // of the snapshot, for failure messages
 	snapshot    *Snapshot
 	plan        Plan
 	free        []Resources            // by machine
-	teams       []Team                 // with what is started
-	started     map[int]int            // tasks by job
-	tasksByZone map[int]map[string]int // by job, with those that ran before
+	teams       []Team                 // including what the plan starts
+	started     map[int]int            // started tasks by job
+	tasksByZone map[int]map[string]int // by job, including tasks that ran before
 	machineUsed map[int]bool
 }
 
@@ -69,7 +69,8 @@
 	c.machineUsed[start.Machine] = true
 }
 
-// starts: each task is on a machine that is up and that its job allows.
+// starts checks that each task is started on a machine that is up and that its job
+// allows.
 func (c *planCheck) starts(t *testing.T) {
 	t.Helper()
 	for _, start := range c.plan.Starts {
@@ -78,27 +79,27 @@
 		zoneAllowed := spec.Zone == "" || spec.Zone == machine.Zone
 		typeAllowed := spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, c.snapshot.Types[machine.Type].Name)
 		if !machine.Schedulable || !optionAllowed || !zoneAllowed || !typeAllowed {
-			t.Fatalf("snapshot %d: job %d on machine %d", c.number, start.Job, start.Machine)
+			t.Fatalf("snapshot %d: job %d must not start on machine %d", c.number, start.Job, start.Machine)
 		}
 	}
 }
 
-// startedJobs: no job starts more than waits or while it backs off, a gang starts
-// whole, and conditions on zones hold.
+// startedJobs checks that no job starts more tasks than wait, that none starts during its
+// backoff, that gangs start as a whole, and that conditions on zones hold.
 func (c *planCheck) startedJobs(t *testing.T) {
 	t.Helper()
 	for jobIndex, tasks := range c.started {
 		job := &c.snapshot.Jobs[jobIndex]
 		partOfGang := job.Spec.Kind == protocol.KindGang && tasks < job.Waiting
 		if tasks > job.Waiting || partOfGang || job.BackingOff {
-			t.Fatalf("snapshot %d: job %d starts %d", c.number, jobIndex, tasks)
+			t.Fatalf("snapshot %d: job %d must not start %d tasks", c.number, jobIndex, tasks)
 		}
 		c.zones(t, jobIndex)
 	}
 }
 
-// zones: a spread job has at most half of its tasks in a zone and a job bound to one
-// zone is in one, unless the snapshot was not so already.
+// zones checks that a spread job has at most half of its tasks in a zone and that a job
+// bound to one zone is in one, unless the snapshot violated this already.
 func (c *planCheck) zones(t *testing.T, jobIndex int) {
 	t.Helper()
 	job, inZones := &c.snapshot.Jobs[jobIndex], c.tasksByZone[jobIndex]
@@ -107,61 +108,63 @@
 		notSpread := job.Spec.Spread && tasks > half && tasks > job.RunningByZone[zone]
 		notTogether := job.Spec.OneZone && len(inZones) > 1 && len(job.RunningByZone) < 2
 		if notSpread || notTogether {
-			t.Fatalf("snapshot %d: job %d in zones %v", c.number, jobIndex, inZones)
+			t.Fatalf("snapshot %d: job %d violates its zone conditions with tasks by zone %v", c.number, jobIndex, inZones)
 		}
 	}
 }
 
-// capacity: no machine has more on it than it holds.
+// capacity checks that no machine is given more than its capacity.
 func (c *planCheck) capacity(t *testing.T) {
 	t.Helper()
 	for i, free := range c.free {
 		if free.Cores < -epsilon || free.GPUs < -epsilon || free.MemGB < -epsilon {
-			t.Fatalf("snapshot %d: machine %d is overfull: %+v", c.number, i, free)
+			t.Fatalf("snapshot %d: machine %d is over its capacity, free %+v", c.number, i, free)
 		}
 	}
 }
 
-// quotas: no team gets more than its quota, or than it had before.
+// quotas checks that no team uses more than its quota, or than it used before if that is
+// more.
 func (c *planCheck) quotas(t *testing.T) {
 	t.Helper()
 	exceeds := func(limit, used, before float64) bool { return limit > 0 && used > max(limit, before)+epsilon }
 	for i, team := range c.teams {
 		before := c.snapshot.Teams[i].Used
 		if exceeds(team.Max.Cores, team.Used.Cores, before.Cores) || exceeds(team.Max.GPUs, team.Used.GPUs, before.GPUs) {
-			t.Fatalf("snapshot %d: team %d uses %+v", c.number, i, team)
+			t.Fatalf("snapshot %d: team %d exceeds its quota: %+v", c.number, i, team)
 		}
 	}
 }
 
-// preemptions: what is preempted has a lower priority than some job that waits.
+// preemptions checks that each preempted job has a lower priority than some job that
+// waits.
 func (c *planCheck) preemptions(t *testing.T) {
 	t.Helper()
 	for _, preemption := range c.plan.Preemptions {
 		preempted := &c.snapshot.Jobs[preemption.Job]
 		higherWaits := slices.ContainsFunc(c.snapshot.Jobs, func(job Job) bool { return job.Waiting > 0 && job.Priority < preempted.Priority })
 		if !higherWaits {
-			t.Fatalf("snapshot %d: job %d is preempted for nothing above it", c.number, preemption.Job)
+			t.Fatalf("snapshot %d: job %d is preempted but no job of a higher priority waits", c.number, preemption.Job)
 		}
 	}
 }
 
-// scaleOuts: machines are requested where their type exists.
+// scaleOuts checks that machines are requested only in zones that have their type.
 func (c *planCheck) scaleOuts(t *testing.T) {
 	t.Helper()
 	for _, request := range c.plan.ScaleOuts {
 		if request.Count < 1 || !slices.Contains(c.snapshot.Types[request.Type].Zones, request.Zone) {
-			t.Fatalf("snapshot %d: requests %+v", c.number, request)
+			t.Fatalf("snapshot %d: invalid scale-out request %+v", c.number, request)
 		}
 	}
 }
 
-// scaleIns: only machines that are empty and stay so are returned.
+// scaleIns checks that only machines that are empty and get no tasks are returned.
 func (c *planCheck) scaleIns(t *testing.T) {
 	t.Helper()
 	for _, i := range c.plan.ScaleIns {
 		if !c.snapshot.Machines[i].Empty || c.machineUsed[i] {
-			t.Fatalf("snapshot %d: returns machine %d in use", c.number, i)
+			t.Fatalf("snapshot %d: machine %d is returned while in use", c.number, i)
 		}
 	}
 }
--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -11,8 +11,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// singleClassSnapshot returns a snapshot of jobs that share a class and differ in their deadlines
-// and in how long the one core takes for them.
+// singleClassSnapshot returns a random snapshot of jobs that share a class and differ in
+// their deadlines and in the time that the only core needs for them.
 func singleClassSnapshot(rng *rand.Rand) *Snapshot {
 	snapshot := &Snapshot{
 		Types:    []MachineType{{Name: "small", Capacity: Resources{Cores: 1, MemGB: 8}, Price: 1}},
@@ -27,8 +27,8 @@
 	return snapshot
 }
 
-// countInTime counts the jobs that meet their deadlines if they are worked on one after
-// another.
+// countInTime returns how many jobs meet their deadlines if they run one after another in
+// the given order.
 func countInTime(jobs []Job, order []int) (count int) {
 	load := 0.0
 	for _, i := range order {
@@ -40,7 +40,8 @@
 	return count
 }
 
-// maxInTime tries every set of jobs, the earliest deadline first.
+// maxInTime returns the largest number of jobs that can be in time. It tries every set of
+// jobs, the earliest deadline first.
 func maxInTime(jobs []Job) (most int) {
 	byDeadline := make([]int, len(jobs))
 	for i := range byDeadline {
@@ -61,7 +62,8 @@
 	return most
 }
 
-// Of jobs that cannot all meet their deadlines, as many do as any order allows.
+// If not all jobs can meet their deadlines, as many meet them as in the best possible
+// order.
 func TestOrderKeepsMostJobsInTime(t *testing.T) {
 	rng := rand.New(rand.NewPCG(11, 12))
 	overloaded := 0
@@ -72,10 +74,10 @@
 			overloaded++
 		}
 		if got := countInTime(snapshot.Jobs, Order(snapshot)); got != want {
-			t.Fatalf("snapshot %d: %d jobs in time instead of %d: %+v", i, got, want, snapshot.Jobs)
+			t.Fatalf("snapshot %d: %d jobs in time, want %d: %+v", i, got, want, snapshot.Jobs)
 		}
 	}
 	if overloaded < 100 {
-		t.Errorf("only in %d snapshots not all jobs can be in time", overloaded)
+		t.Errorf("only %d snapshots are overloaded, too few to test the order", overloaded)
 	}
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -12,7 +12,7 @@
 )
 
 // Placing the tasks of a job together must put as many on each machine as placing them
-// one by one, each where it costs least.
+// one by one, each on the machine with the lowest cost.
 func TestStartsMatchReferenceModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	placed := 0
@@ -24,7 +24,7 @@
 			placed += start.Count
 		}
 		if diff := cmp.Diff(referencePlacements(snapshot), got); diff != "" {
-			t.Fatalf("snapshot %d: %s", i, diff)
+			t.Fatalf("snapshot %d: tasks by job and machine differ (-want +got):\n%s", i, diff)
 		}
 	}
 	if placed < 4000 {
@@ -32,8 +32,8 @@
 	}
 }
 
-// That one job found no capacity on a machine busy fetching says nothing of a job of
-// the same kind whose image is there.
+// A machine with many pending fetches takes no job whose image it lacks. That must not
+// exclude the machine for a job of the same kind whose image it has.
 func TestExhaustedKindsAreByImage(t *testing.T) {
 	snapshot := &Snapshot{Rho: 1, LowestGPUPriority: -1, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
 		Types:    []MachineType{{Name: "small", Capacity: Resources{4, 0, 16}, Price: 1, BootS: 30, FetchGBps: 1, Zones: zones}},
@@ -46,6 +46,6 @@
 		})
 	}
 	if starts := Decide(snapshot).Starts; len(starts) != 1 || starts[0].Job != 1 {
-		t.Errorf("starts %+v", starts)
+		t.Errorf("starts %+v, want only one of job 1", starts)
 	}
 }
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -19,12 +19,12 @@
 			Tasks: []RunningTasks{{Job: len(snapshot.Jobs) - 1, Count: 1, LostWorkS: float64(level*10 - 15)}}})
 	}
 	if preemptions := Decide(snapshot).Preemptions; len(preemptions) != 1 || preemptions[0].Job != 2 {
-		t.Errorf("preempts %+v", preemptions)
+		t.Errorf("preemptions %+v, want only one of job 2", preemptions)
 	}
 }
 
-// addSingleTaskJob adds a job of one task that takes all cores of a machine. The pointer
-// is good until the next job is added.
+// addSingleTaskJob adds a job of one task that takes all cores of a machine. The returned
+// pointer is valid until the next job is added.
 func addSingleTaskJob(snapshot *Snapshot, kind protocol.JobKind, level protocol.PriorityLevel) *Job {
 	spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(len(snapshot.Jobs))), Kind: kind, Tasks: 1, Cores: 4, MemGB: 4}
 	snapshot.Jobs = append(snapshot.Jobs, Job{ID: spec.ID, Spec: spec, Request: RequestOf(spec), Priority: level, EstimateS: 60, DeadlineS: 100})
--- a/internal/scheduler/reference_test.go
+++ b/internal/scheduler/reference_test.go
@@ -8,21 +8,23 @@
 	"marblehaven/internal/tuning"
 )
 
-// referenceModel places one task after another, each where it costs least, and looks at
-// everything anew each time. It shares with the planner only the order of the jobs,
-// prices and idle timeouts; its conditions are written out a second time on purpose.
+// referenceModel places tasks one at a time, each on the machine with the lowest cost,
+// and evaluates all machines again for each task. It shares only the order of the jobs,
+// prices and idle timeouts with the planner; its conditions are implemented a second time
+// on purpose.
 type referenceModel struct {
 	snapshot     *Snapshot
 	machines     []referenceMachine
 	teams        []Team
 	gpuWorkWaits bool
-	// lowestGPUPriority is the priority that work on machines with idle GPUs must be below.
+	// lowestGPUPriority is the priority below which a job must be to run on machines with
+	// idle GPUs.
 	lowestGPUPriority protocol.PriorityLevel
 	// placed counts tasks by job and machine, see placementKey.
 	placed map[string]int
 }
 
-// referenceMachine is what changes about a machine while tasks are placed.
+// referenceMachine is the state of a machine that changes while tasks are placed.
 type referenceMachine struct {
 	free           Resources
 	runsGPUWork    bool
@@ -39,7 +41,8 @@
 
 func placementKey(job *Job, machine *Machine) string { return string(job.ID) + "@" + machine.ID }
 
-// referencePlacements returns how many tasks of which job belong on which machine.
+// referencePlacements returns the expected number of tasks by job and machine, see
+// placementKey.
 func referencePlacements(snapshot *Snapshot) map[string]int {
 	model := newReferenceModel(snapshot)
 	for _, jobIndex := range Order(snapshot) {
@@ -73,8 +76,8 @@
 	return model
 }
 
-// placeJob places the tasks of a job. Player-facing services go where their image is,
-// then anywhere.
+// placeJob places the tasks of a job. Tasks of player-facing services go to machines with
+// their image first, then to any.
 func (m *referenceModel) placeJob(waiting *Job) {
 	job := &referenceJob{Job: waiting, limit: m.tasksWithinQuota(waiting), tasksByZone: map[string]int{}}
 	maps.Copy(job.tasksByZone, waiting.RunningByZone)
@@ -94,7 +97,8 @@
 	}
 }
 
-// tasksWithinQuota adds one task after another until the team's quota is exceeded.
+// tasksWithinQuota counts the waiting tasks that can be added one by one before the
+// team's quota is exceeded.
 func (m *referenceModel) tasksWithinQuota(job *Job) int {
 	team := m.teams[job.Team]
 	tasks := 0
@@ -122,7 +126,7 @@
 	m.placed[placementKey(job.Job, &m.snapshot.Machines[i])]++
 }
 
-// chooseMachines returns the machine of each task that can be placed.
+// chooseMachines returns the machine for each task that can be placed.
 func (m *referenceModel) chooseMachines(job *referenceJob, cached bool) []int {
 	machines := m.search(job, cached, "").run()
 	if job.Spec.OneZone {
@@ -131,8 +135,9 @@
 	return machines
 }
 
-// chooseInOneZone takes the zone that takes the most tasks; of equal ones that with the
-// least capacity, and then that of the cheapest machine.
+// chooseInOneZone chooses the zone that takes the most tasks; among equal ones the zone
+// with the least capacity, and then that of the cheapest machine. unrestricted lists the
+// machines chosen from all zones.
 func (m *referenceModel) chooseInOneZone(job *referenceJob, cached bool, unrestricted []int) []int {
 	preferred := slices.Clone(zones)
 	if len(unrestricted) > 0 && m.snapshot.Machines[unrestricted[0]].Zone == zones[1] {
@@ -150,20 +155,22 @@
 	return best
 }
 
-// capacityOfZone counts all tasks that a zone could take, however many are to be placed.
+// capacityOfZone returns how many tasks of the job the zone could take, regardless of how
+// many are to be placed.
 func (m *referenceModel) capacityOfZone(job *referenceJob, cached bool, zone string) int {
 	search := m.search(job, cached, zone)
 	search.unlimited = true
 	return len(search.run())
 }
 
-// referenceSearch places tasks of a job by way of trial.
+// referenceSearch places tasks of a job on copies of the free resources, so that the
+// model does not change.
 type referenceSearch struct {
 	model       *referenceModel
 	job         *referenceJob
-	cached      bool   // only where the image is
+	cached      bool   // only on machines that have the image
 	onlyZone    string // "": any
-	unlimited   bool   // as many tasks as there is capacity for
+	unlimited   bool   // place as many tasks as there is capacity for
 	free        []Resources
 	tasksByZone map[string]int
 }
@@ -176,7 +183,7 @@
 	return search
 }
 
-// run returns the machine of each task.
+// run returns the machine for each task that can be placed.
 func (s *referenceSearch) run() []int {
 	var chosen []int
 	for len(chosen) < s.job.limit || s.unlimited {
@@ -191,7 +198,8 @@
 	return chosen
 }
 
-// cheapest returns the machine on which the next task costs least, -1 if there is none.
+// cheapest returns the machine with the lowest cost for the next task, or -1 if there is
+// none.
 func (s *referenceSearch) cheapest() int {
 	best, bestCost := -1, 0.0
 	for i := range s.model.snapshot.Machines {
@@ -206,27 +214,27 @@
 	return best
 }
 
-// admits tells whether the next task may be on the i-th machine.
+// admits reports whether the next task may run on the i-th machine.
 func (s *referenceSearch) admits(i int) bool {
 	machine := &s.model.snapshot.Machines[i]
 	return machine.Schedulable && s.fits(i) && s.allowsMachine(machine) && s.allowsZone(machine.Zone) &&
 		s.allowsGPUs(i) && s.allowsFetch(i)
 }
 
-// fits tells whether the task's request is free on the machine.
+// fits reports whether the machine has the task's request free.
 func (s *referenceSearch) fits(i int) bool {
 	free, request := s.free[i], s.job.Request
 	return free.Cores >= request.Cores && free.GPUs >= request.GPUs && free.MemGB >= request.MemGB
 }
 
-// allowsMachine tells whether the job accepts the machine's type and purchase option.
+// allowsMachine reports whether the job accepts the machine's type and purchase option.
 func (s *referenceSearch) allowsMachine(machine *Machine) bool {
 	spec := s.job.Spec
 	typeAllowed := len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, s.model.snapshot.Types[machine.Type].Name)
 	return typeAllowed && (!machine.Spot || spec.Spot)
 }
 
-// allowsZone tells whether the job's conditions allow one more task in the zone.
+// allowsZone reports whether the job's conditions allow one more task in the zone.
 func (s *referenceSearch) allowsZone(zone string) bool {
 	spec := s.job.Spec
 	if (spec.Zone != "" && spec.Zone != zone) || (s.onlyZone != "" && s.onlyZone != zone) {
@@ -239,8 +247,9 @@
 	return !spec.Spread || s.tasksByZone[zone] < half || (s.unlimited && s.job.tasksByZone[zone] < half)
 }
 
-// allowsGPUs tells whether a job without need of GPUs may be on the machine: if it has
-// GPUs only beside work that uses them, or as long as no such work wants it.
+// allowsGPUs reports whether the GPUs of the machine, if any, allow the job. A job that
+// can run without GPUs is allowed only beside work that uses them, or while no such work
+// waits.
 func (s *referenceSearch) allowsGPUs(i int) bool {
 	model, machine, spec := s.model, &s.model.snapshot.Machines[i], s.job.Spec
 	if model.snapshot.Types[machine.Type].Capacity.GPUs == 0 || spec.GPUs > 0 || !fitsTypeWithoutGPUs(model.snapshot, spec) {
@@ -256,8 +265,8 @@
 		machine.GPUIdleS < model.snapshot.idleTimeout(machine)
 }
 
-// leavesGPURequestFree tells whether the largest request with GPUs still fits beside
-// the task if it fits now.
+// leavesGPURequestFree reports whether the largest request with GPUs, if it fits now,
+// still fits beside the task.
 func (s *referenceSearch) leavesGPURequestFree(i int) bool {
 	free, request, reserved := s.free[i], s.job.Request, s.model.snapshot.LargestGPURequest
 	if free.Cores < reserved.Cores || free.GPUs < reserved.GPUs || free.MemGB < reserved.MemGB {
@@ -266,7 +275,7 @@
 	return free.Cores-reserved.Cores >= request.Cores && free.MemGB-reserved.MemGB >= request.MemGB
 }
 
-// allowsFetch tells whether the machine has the image or may fetch one more.
+// allowsFetch reports whether the machine has the image or may fetch one more.
 func (s *referenceSearch) allowsFetch(i int) bool {
 	machine := &s.model.machines[i]
 	if slices.Contains(machine.images, s.job.Spec.Image) {
@@ -276,7 +285,8 @@
 	return !s.cached && machine.pendingFetchGB <= tuning.FetchAheadS*rate
 }
 
-// cost is the price of a task's share of the machine times the estimate with all fetches.
+// cost returns the price of a task's share of the machine times the estimate, which
+// includes all fetches.
 func (s *referenceSearch) cost(i int) float64 {
 	machine, state := &s.model.snapshot.Machines[i], &s.model.machines[i]
 	machineType := s.model.snapshot.Types[machine.Type]
@@ -287,8 +297,9 @@
 	return machineType.HourlyPrice(machine.Spot) / float64(machineType.Capacity.CapacityFor(s.job.Request)) * max(estimateS, 1)
 }
 
-// winsTie tells whether of two machines with equal costs the i-th is preferred: the
-// fuller one, or for work with GPUs the one whose GPUs were used last.
+// winsTie reports whether the i-th machine is preferred over the best one so far at equal
+// cost: the fuller one is preferred, or for work with GPUs the one whose GPUs were used
+// last.
 func (s *referenceSearch) winsTie(i, best int) bool {
 	machines := s.model.snapshot.Machines
 	if s.job.Spec.GPUs > 0 {
@@ -297,7 +308,7 @@
 	return s.free[i].Cores < s.free[best].Cores
 }
 
-// fitsTypeWithoutGPUs tells whether there is a machine type without GPUs for the job.
+// fitsTypeWithoutGPUs reports whether there is a machine type without GPUs for the job.
 func fitsTypeWithoutGPUs(snapshot *Snapshot, spec *protocol.Job) bool {
 	for _, machineType := range snapshot.Types {
 		capacity := machineType.Capacity
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -9,10 +9,10 @@
 	"marblehaven/internal/protocol"
 )
 
-// Over random loads that the machines can carry, every job begins within four minutes,
-// the largest of its kind too: a gang in one zone on machines that small ones keep
-// taking, and an array of hundreds among small ones; and each of the teams gets as much
-// as the others.
+// Under random loads that the machines can carry, every job starts within four minutes,
+// including the largest of each kind: a gang that needs one zone while small gangs keep
+// taking its machines, and an array of hundreds of tasks among small arrays. Each team is
+// also served as well as the others.
 func TestLargestBegin(t *testing.T) {
 	for seed := range uint64(12) {
 		simulation := newLoadSimulation(seed)
@@ -24,21 +24,21 @@
 	}
 }
 
-// loadSimulation plays random jobs on a cluster of fixed size, second by second.
+// loadSimulation simulates random jobs on a cluster of fixed size in steps of one second.
 type loadSimulation struct {
 	rng      *rand.Rand
 	snapshot *Snapshot
-	jobs     []simulatedJob // along with snapshot.Jobs
+	jobs     []simulatedJob // in the order of snapshot.Jobs
 	runs     []simulatedRun
-	waits    [][]int // by team: seconds until all tasks of a job had begun
+	waits    [][]int // by team: seconds from the submission of a job until all its tasks had started
 }
 
 type simulatedJob struct {
-	submittedAt, startedAt int // begunAt is -1 until all tasks have begun
+	submittedAt, startedAt int // startedAt is -1 until all tasks have started
 	durationS              int
 }
 
-// simulatedRun is tasks of a job on a machine that end together.
+// simulatedRun is a group of tasks of a job on a machine that end together.
 type simulatedRun struct{ job, machine, tasks, endsAt int }
 
 func newLoadSimulation(seed uint64) *loadSimulation {
@@ -60,7 +60,7 @@
 	return &loadSimulation{rng: rand.New(rand.NewPCG(seed, 9)), snapshot: snapshot, waits: make([][]int, 10)}
 }
 
-// step plays one second.
+// step simulates one second.
 func (s *loadSimulation) step(now int) {
 	s.endRuns(now)
 	for range 2 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// endRuns gives back what the tasks that end now have used.
+// endRuns frees the resources of the tasks that end now.
 func (s *loadSimulation) endRuns(now int) {
 	for _, run := range s.runs {
 		if run.endsAt != now {
@@ -110,8 +110,8 @@
 	s.jobs = append(s.jobs, simulatedJob{submittedAt: now, startedAt: -1, durationS: 30 + s.rng.IntN(60)})
 }
 
-// randomSpec makes a gang, an array or nothing. Of the gangs' tasks, half are in the
-// largest.
+// randomSpec returns a gang, an array or nothing. About half of the tasks of gangs belong
+// to the largest gangs.
 func (s *loadSimulation) randomSpec() *protocol.Job {
 	spec := &protocol.Job{ID: protocol.JobID(fmt.Sprint(len(s.snapshot.Jobs))), MemGB: 8, Cores: 4, Spot: true}
 	switch {
@@ -127,7 +127,7 @@
 	return spec
 }
 
-// updateDeadlines brings deadlines and starvation up to now.
+// updateDeadlines sets the deadline and the starvation of each job for the time now.
 func (s *loadSimulation) updateDeadlines(now int) {
 	for i := range s.snapshot.Jobs {
 		job := &s.snapshot.Jobs[i]
@@ -140,7 +140,7 @@
 	}
 }
 
-// start carries out a start of the plan.
+// start carries out one start of a plan.
 func (s *loadSimulation) start(start Start, now int) {
 	job, machine, state := &s.snapshot.Jobs[start.Job], &s.snapshot.Machines[start.Machine], &s.jobs[start.Job]
 	machine.Free = machine.Free.Minus(job.Request, start.Count)
@@ -155,26 +155,27 @@
 	}
 }
 
-// checkStarts: every job has all begun within four minutes, if it had so long.
+// checkStarts checks that every job started all its tasks within four minutes, unless it
+// was submitted too late for that.
 func (s *loadSimulation) checkStarts(t *testing.T, seed uint64) {
 	t.Helper()
 	for i, state := range s.jobs {
 		neverStarted := state.startedAt < 0 && state.submittedAt < 960
 		if neverStarted || state.startedAt-state.submittedAt > 240 {
 			job := &s.snapshot.Jobs[i]
-			t.Errorf("seed %d: job %d of %d tasks (%s, team %d), there at %d s, has all begun at %d s",
+			t.Errorf("seed %d: job %d of %d tasks (%s, team %d), submitted at %d s, had started all tasks at %d s",
 				seed, i, job.Spec.Tasks, job.Spec.Kind, job.Team, state.submittedAt, state.startedAt)
 		}
 	}
 }
 
-// checkTeams: half of each team's jobs wait for no more than a minute.
+// checkTeams checks that half of each team's jobs wait for no more than a minute.
 func (s *loadSimulation) checkTeams(t *testing.T, seed uint64) {
 	t.Helper()
 	for team, waits := range s.waits {
 		slices.Sort(waits)
 		if len(waits) > 0 && waits[len(waits)/2] > 60 {
-			t.Errorf("seed %d: half of the jobs of team %d wait over %d s", seed, team, waits[len(waits)/2])
+			t.Errorf("seed %d: the median wait of the jobs of team %d is %d s, want at most 60 s", seed, team, waits[len(waits)/2])
 		}
 	}
 }
