--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -117,8 +117,8 @@
 }
 
 // tieBreak returns the free cores of the machine, or for work with GPUs the time since
-// its GPUs were used, so that the fuller or last used machine is preferred and others
-// stay empty and can be returned.
+// its GPUs were last used. The fuller or more recently used machine is preferred, so that
+// others stay empty and can be returned.
 func tieBreak(machine *Machine, job *pendingJob) float64 {
 	if job.needsGPUs() {
 		return machine.GPUIdleS
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// scaleIn adds the machines to the plan that are to be returned: those that have been
-// idle for too long, except those that the plan uses or reserves for a gang.
+// scaleIn plans the return of machines that have been idle for too long, except those
+// that the plan uses or reserves for a gang.
 func (p *planner) scaleIn() {
 	inUse := make([]bool, len(p.pool.machines))
 	for _, start := range p.plan.Starts {
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// offer is a capacity pool with the number of the tasks that it can hold.
+// offer is a capacity pool with the number of tasks that would be placed on its machines.
 type offer struct {
 	pool                   CapacityPool
 	tasks, tasksPerMachine int
