--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -11,9 +11,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// sameClass returns a snapshot of jobs that share a class and differ in their deadlines
-// and in how long the one core takes for them.
-func sameClass(rng *rand.Rand) *Snapshot {
+// singleClassSnapshot returns a random snapshot of jobs that share a class and differ in
+// their deadlines and in the time that the only core needs for them.
+func singleClassSnapshot(rng *rand.Rand) *Snapshot {
 	snapshot := &Snapshot{
 		Types:    []MachineType{{Name: "small", Capacity: Resources{Cores: 1, MemGB: 8}, Price: 1}},
 		Machines: []Machine{{Schedulable: true}},
@@ -27,9 +27,9 @@
 	return snapshot
 }
 
-// inTime counts the jobs that meet their deadlines if they are worked on one after
-// another.
-func inTime(jobs []Job, order []int) (count int) {
+// countInTime returns how many jobs meet their deadlines if they run one after another in
+// the given order.
+func countInTime(jobs []Job, order []int) (count int) {
 	load := 0.0
 	for _, i := range order {
 		load += float64(jobs[i].Waiting)
@@ -40,8 +40,9 @@
 	return count
 }
 
-// mostInTime tries every set of jobs, the earliest deadline first.
-func mostInTime(jobs []Job) (most int) {
+// maxInTime returns the largest number of jobs that can be in time. It tries every set of
+// jobs, the earliest deadline first.
+func maxInTime(jobs []Job) (most int) {
 	byDeadline := make([]int, len(jobs))
 	for i := range byDeadline {
 		byDeadline[i] = i
@@ -54,28 +55,29 @@
 				chosen = append(chosen, i)
 			}
 		}
-		if inTime(jobs, chosen) == bits.OnesCount(set) {
+		if countInTime(jobs, chosen) == bits.OnesCount(set) {
 			most = max(most, len(chosen))
 		}
 	}
 	return most
 }
 
-// Of jobs that cannot all meet their deadlines, as many do as any order allows.
+// If not all jobs can meet their deadlines, as many meet them as in the best possible
+// order.
 func TestOrderKeepsMostJobsInTime(t *testing.T) {
 	rng := rand.New(rand.NewPCG(11, 12))
 	overloaded := 0
 	for i := range 500 {
-		snapshot := sameClass(rng)
-		want := mostInTime(snapshot.Jobs)
+		snapshot := singleClassSnapshot(rng)
+		want := maxInTime(snapshot.Jobs)
 		if want < len(snapshot.Jobs) {
 			overloaded++
 		}
-		if got := inTime(snapshot.Jobs, Order(snapshot)); got != want {
-			t.Fatalf("snapshot %d: %d jobs in time instead of %d: %+v", i, got, want, snapshot.Jobs)
+		if got := countInTime(snapshot.Jobs, Order(snapshot)); got != want {
+			t.Fatalf("snapshot %d: %d jobs in time, want %d: %+v", i, got, want, snapshot.Jobs)
 		}
 	}
 	if overloaded < 100 {
-		t.Errorf("only in %d snapshots not all jobs can be in time", overloaded)
+		t.Errorf("only %d snapshots are overloaded, too few to test the order", overloaded)
 	}
 }
