--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -15,8 +15,8 @@
 // It is safe for concurrent use.
 type acknowledgedCancellations struct {
 	mu            sync.Mutex
-	known         map[protocol.JobID]bool
-	jobs          []acknowledgment // in the order of their acknowledgments
+	listed         map[protocol.JobID]bool
+	acknowledgments          []acknowledgment // in the order of their acknowledgments
 	completeSince time.Time        // no acknowledgment after this time is missing
 }
 
@@ -29,31 +29,31 @@
 // newAcknowledgedCancellations begins a list at the start of the process. An earlier
 // process of this controller may have acknowledged cancellations until just before.
 func newAcknowledgedCancellations(start time.Time) *acknowledgedCancellations {
-	return &acknowledgedCancellations{known: map[protocol.JobID]bool{}, completeSince: start}
+	return &acknowledgedCancellations{listed: map[protocol.JobID]bool{}, completeSince: start}
 }
 
 // add notes a job whose cancellation is about to be acknowledged.
 func (a *acknowledgedCancellations) add(jobID protocol.JobID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.known[jobID] {
+	if a.listed[jobID] {
 		return // the time limit cancel_s counts from the first acknowledgment
 	}
-	if len(a.jobs) >= tuning.AcknowledgedJobs {
-		a.completeSince = a.jobs[0].at
-		delete(a.known, a.jobs[0].jobID)
-		a.jobs = a.jobs[1:]
+	if len(a.acknowledgments) >= tuning.AcknowledgedJobs {
+		a.completeSince = a.acknowledgments[0].at
+		delete(a.listed, a.acknowledgments[0].jobID)
+		a.acknowledgments = a.acknowledgments[1:]
 	}
-	a.known[jobID] = true
-	a.jobs = append(a.jobs, acknowledgment{jobID, time.Now()})
+	a.listed[jobID] = true
+	a.acknowledgments = append(a.acknowledgments, acknowledgment{jobID, time.Now()})
 }
 
 // list returns the jobs and the time since which the list is complete.
 func (a *acknowledgedCancellations) list() (jobIDs []protocol.JobID, since time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	jobIDs = make([]protocol.JobID, len(a.jobs))
-	for i, acknowledged := range a.jobs {
+	jobIDs = make([]protocol.JobID, len(a.acknowledgments))
+	for i, acknowledged := range a.acknowledgments {
 		jobIDs[i] = acknowledged.jobID
 	}
 	return jobIDs, a.completeSince
--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -69,7 +69,7 @@
 		return err
 	}
 	c.acknowledged.add(jobID)
-	c.confirmed.forget(jobID)
+	c.confirmed.remove(jobID)
 	record.status.Phase = protocol.PhaseCancelled
 	return nil
 }
--- a/internal/api/confirmedopen.go
+++ b/internal/api/confirmedopen.go
@@ -38,18 +38,18 @@
 	c.confirmedAt[jobID] = at
 }
 
-// asOf returns when a job was last confirmed open, if that may still be relied on. The
+// lastConfirmation returns when a job was last confirmed open, if that may still be relied on. The
 // leader closes a job soon after a dependency is cancelled; the limit serves the case
 // that it cannot, when other controllers must find out in time for cancel_s.
-func (c *confirmedOpenJobs) asOf(jobID protocol.JobID) (at time.Time, ok bool) {
+func (c *confirmedOpenJobs) lastConfirmation(jobID protocol.JobID) (at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	at = c.confirmedAt[jobID]
 	return at, time.Since(at) < c.validFor
 }
 
-// forget drops the confirmation of a job whose cancellation is about to be acknowledged.
-func (c *confirmedOpenJobs) forget(jobID protocol.JobID) {
+// remove drops the confirmation of a job whose cancellation is about to be acknowledged.
+func (c *confirmedOpenJobs) remove(jobID protocol.JobID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.confirmedAt, jobID)
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -112,7 +112,7 @@
 			continue
 		}
 		walk.seen[jobID] = true
-		if confirmedAt, ok := walk.confirmed.asOf(jobID); ok {
+		if confirmedAt, ok := walk.confirmed.lastConfirmation(jobID); ok {
 			walk.limitAsOf(confirmedAt)
 		} else {
 			unseen = append(unseen, jobID)
@@ -126,7 +126,7 @@
 func (walk *dependencyWalk) lookUpListed(jobIDs []protocol.JobID, listing jobListing, valid bool) (results []lookupResult, remaining []protocol.JobID) {
 	for _, jobID := range jobIDs {
 		open, listed := listing.jobs[jobID]
-		switch status, final := walk.reader.finals.get(jobID); {
+		switch status, final := walk.reader.finalStatuses.get(jobID); {
 		case final:
 			results = append(results, lookupResult{jobID: jobID, job: &jobRecord{status: status}})
 		case valid && listed:
--- a/internal/api/jobreader.go
+++ b/internal/api/jobreader.go
@@ -19,7 +19,7 @@
 type jobReader struct {
 	store        *kvstore.Client
 	shared       *sharedReads
-	finals       *finalStatuses
+	finalStatuses       *finalStatuses
 	acknowledged *acknowledgedCancellations
 	log          *slog.Logger
 }
@@ -28,7 +28,7 @@
 // after the open record, and closing replaces one by the other in one transaction, so a
 // job without either had neither when the open record was read.
 func (j *jobReader) read(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
-	if status, ok := j.finals.get(jobID); ok {
+	if status, ok := j.finalStatuses.get(jobID); ok {
 		return &jobRecord{status: status}, nil
 	}
 	entries, err := j.openRecords(ctx, jobID)
@@ -139,6 +139,6 @@
 		return nil, fmt.Errorf("%w of %s: %w", errUnreadable, jobID, err)
 	}
 	status := protocol.JobStatus{ID: jobID, Phase: final.Phase, Done: final.TasksDone}
-	j.finals.put(status)
+	j.finalStatuses.put(status)
 	return &jobRecord{status: status}, nil
 }
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -47,7 +47,7 @@
 		s.confirmed.confirm(jobID, start)
 		return record, nil
 	}
-	if _, ok := s.confirmed.asOf(jobID); ok {
+	if _, ok := s.confirmed.lastConfirmation(jobID); ok {
 		return record, nil
 	}
 	resolved, err := s.resolver.resolve(ctx, record.open.Job.DependsOn)
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -40,7 +40,7 @@
 	reader := &jobReader{
 		store:        store,
 		shared:       newSharedReads(store, cfg),
-		finals:       newFinalStatuses(),
+		finalStatuses:       newFinalStatuses(),
 		acknowledged: acknowledged,
 		log:          log,
 	}
