--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -14,10 +14,10 @@
 // A job is added before the reply leaves, so the list is never shorter than it claims.
 // It is safe for concurrent use.
 type acknowledgedCancellations struct {
-	mu            sync.Mutex
-	listed         map[protocol.JobID]bool
-	acknowledgments          []acknowledgment // in the order of their acknowledgments
-	completeSince time.Time        // no acknowledgment after this time is missing
+	mu              sync.Mutex
+	listed          map[protocol.JobID]bool
+	acknowledgments []acknowledgment // in the order of their acknowledgments
+	completeSince   time.Time        // no acknowledgment after this time is missing
 }
 
 // acknowledgment is the first reply that told a user of a job's cancellation.
--- a/internal/api/jobreader.go
+++ b/internal/api/jobreader.go
@@ -17,11 +17,11 @@
 // jobReader reads the records of jobs from the key-value store. Only final statuses are
 // answered from memory. It is safe for concurrent use.
 type jobReader struct {
-	store        *kvstore.Client
-	shared       *sharedReads
-	finalStatuses       *finalStatuses
-	acknowledged *acknowledgedCancellations
-	log          *slog.Logger
+	store         *kvstore.Client
+	shared        *sharedReads
+	finalStatuses *finalStatuses
+	acknowledged  *acknowledgedCancellations
+	log           *slog.Logger
 }
 
 // read returns a job; nil means that it was never accepted. The final record is read
@@ -75,7 +75,7 @@
 	// the run record are next to each other in the order of keys.
 	page, err := j.store.List(ctx, records.OpenKey(jobID), "", 1+tuning.SegmentsReadMax)
 	if errors.Is(err, kvstore.ErrThrottled) {
-		j.shared.noteThrottled()
+		j.shared.recordThrottled()
 	}
 	if err != nil {
 		return nil, err
--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -24,8 +24,8 @@
 type openJobListings struct {
 	store    *kvstore.Client
 	validFor time.Duration // how long a listing may be relied on
-	// reading is held by the caller that lists; other callers wait and use its listing.
-	reading chan struct{}
+	// readLock is held by the caller that lists; other callers wait and use its listing.
+	readLock chan struct{}
 
 	mu     sync.Mutex // guards the rest
 	latest jobListing
@@ -42,7 +42,7 @@
 }
 
 func newOpenJobListings(store *kvstore.Client, validFor time.Duration) *openJobListings {
-	return &openJobListings{store: store, validFor: validFor, reading: make(chan struct{}, 1)}
+	return &openJobListings{store: store, validFor: validFor, readLock: make(chan struct{}, 1)}
 }
 
 // latestValid returns the latest listing and whether it may still be relied on.
@@ -70,8 +70,8 @@
 // read returns a listing that may be relied on, a new one if the latest is too old.
 func (o *openJobListings) read(ctx context.Context) (jobListing, error) {
 	select {
-	case o.reading <- struct{}{}:
-		defer func() { <-o.reading }()
+	case o.readLock <- struct{}{}:
+		defer func() { <-o.readLock }()
 	case <-ctx.Done():
 		return jobListing{}, ctx.Err()
 	}
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -26,12 +26,12 @@
 	store *kvstore.Client
 	// rate is how many pages a second this controller may read in this way.
 	rate float64
-	// turn is held by the reading in progress, so that there is one at a time.
-	turn chan struct{}
+	// readLock is held by the reading in progress, so that there is one at a time.
+	readLock chan struct{}
 
 	mu          sync.Mutex  // guards the rest
 	throttledAt time.Time   // when a request was throttled last
-	next        *sharedRead // the reading that has not begun, nil if nobody waits for one
+	pending     *sharedRead // the reading that has not begun, nil if nobody waits for one
 	notBefore   time.Time   // when the next reading may begin
 }
 
@@ -45,14 +45,14 @@
 func newSharedReads(store *kvstore.Client, cfg *config.Config) *sharedReads {
 	controllers := float64(len(cfg.Peers) + 1)
 	return &sharedReads{
-		store: store,
-		rate:  cfg.Deployment.State.Smaller().RPS * tuning.SharedReadsShare / controllers,
-		turn:  make(chan struct{}, 1),
+		store:    store,
+		rate:     cfg.Deployment.State.Smaller().RPS * tuning.SharedReadsShare / controllers,
+		readLock: make(chan struct{}, 1),
 	}
 }
 
-// noteThrottled notes that the key-value store has throttled a read.
-func (s *sharedReads) noteThrottled() {
+// recordThrottled notes that the key-value store has throttled a read.
+func (s *sharedReads) recordThrottled() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.throttledAt = time.Now()
@@ -69,51 +69,51 @@
 // records returns the records of an open job from a reading that begins after the call;
 // none if the job is not open.
 func (s *sharedReads) records(ctx context.Context, jobID protocol.JobID) ([]protocol.KeyValue, error) {
-	reading := s.join()
+	read := s.join()
 	select {
-	case <-reading.done:
+	case <-read.done:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if reading.err != nil {
-		return nil, reading.err
+	if read.err != nil {
+		return nil, read.err
 	}
-	return recordsOf(reading.entries, jobID), nil
+	return recordsOf(read.entries, jobID), nil
 }
 
 // join returns the reading that begins next, and schedules one if there is none.
 func (s *sharedReads) join() *sharedRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.next == nil {
-		s.next = &sharedRead{done: make(chan struct{})}
-		go s.run(s.next)
+	if s.pending == nil {
+		s.pending = &sharedRead{done: make(chan struct{})}
+		go s.run(s.pending)
 	}
-	return s.next
+	return s.pending
 }
 
 // run carries out a reading when its turn has come and the pause is over.
-func (s *sharedReads) run(reading *sharedRead) {
-	s.turn <- struct{}{}
-	defer func() { <-s.turn }()
+func (s *sharedReads) run(read *sharedRead) {
+	s.readLock <- struct{}{}
+	defer func() { <-s.readLock }()
 	s.mu.Lock()
 	pause := time.Until(s.notBefore)
 	s.mu.Unlock()
 	time.Sleep(pause)
 	s.mu.Lock()
-	s.next = nil // callers from now on wait for another reading
+	s.pending = nil // callers from now on wait for another reading
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.UserDeadline)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	page, err := s.store.ListAll(ctx, records.PrefixOpen)
-	reading.entries, reading.err = page.Entries, err
-	close(reading.done)
+	read.entries, read.err = page.Entries, err
+	close(read.done)
 	if errors.Is(err, kvstore.ErrThrottled) {
-		s.noteThrottled()
+		s.recordThrottled()
 	}
 	s.mu.Lock()
-	s.notBefore = began.Add(s.pause(page.Entries))
+	s.notBefore = start.Add(s.pause(page.Entries))
 	s.mu.Unlock()
 }
 
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -38,11 +38,11 @@
 	confirmed := newConfirmedOpenJobs(validFor)
 	retrier := &outcomeRetrier{budget: newRetryBudget(), log: log}
 	reader := &jobReader{
-		store:        store,
-		shared:       newSharedReads(store, cfg),
-		finalStatuses:       newFinalStatuses(),
-		acknowledged: acknowledged,
-		log:          log,
+		store:         store,
+		shared:        newSharedReads(store, cfg),
+		finalStatuses: newFinalStatuses(),
+		acknowledged:  acknowledged,
+		log:           log,
 	}
 	resolver := &dependencyResolver{
 		reader:    reader,
