--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -29,7 +29,7 @@
 	if !protocol.ValidJobID(jobID) {
 		return noSuchJobReply()
 	}
-	return c.retrier.untilKnown(ctx, tuning.UserThrottleRetries, func() (userReply, error) {
+	return c.retrier.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (userReply, error) {
 		record, err := c.reader.read(ctx, jobID)
 		switch {
 		case err != nil:
@@ -41,16 +41,16 @@
 		case record.unreadable:
 			return unavailableReply, nil
 		}
-		if err := c.mark(ctx, record); err != nil {
+		if err := c.markCancelled(ctx, record); err != nil {
 			return userReply{}, err
 		}
 		return jobReply(http.StatusOK, record.status), nil
 	})
 }
 
-// mark writes the cancellation into a job's open record, then acknowledges it. The
+// markCancelled writes the cancellation into a job's open record, then acknowledges it. The
 // outcome is unknown if the record has changed since it was read.
-func (c *cancellations) mark(ctx context.Context, record *jobRecord) error {
+func (c *cancellations) markCancelled(ctx context.Context, record *jobRecord) error {
 	jobID := record.status.ID
 	record.open.Cancelled = true
 	if checkRecordSize(record.open, c.limits) != nil {
--- a/internal/api/outcomeretry.go
+++ b/internal/api/outcomeretry.go
@@ -17,10 +17,10 @@
 	log    *slog.Logger
 }
 
-// untilKnown repeats an attempt until it returns a reply. An attempt that the key-value
+// retryUntilKnown repeats an attempt until it returns a reply. An attempt that the key-value
 // store throttles is repeated a few times within the retry budget. If the store refuses
 // to serve, that is the reply at once.
-func (o *outcomeRetrier) untilKnown(ctx context.Context, throttleRetries int, attempt func() (userReply, error)) userReply {
+func (o *outcomeRetrier) retryUntilKnown(ctx context.Context, throttleRetries int, attempt func() (userReply, error)) userReply {
 	for throttled := 0; ; {
 		reply, err := attempt()
 		switch {
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -22,8 +22,8 @@
 	if !protocol.ValidJobID(jobID) {
 		return noSuchJobReply()
 	}
-	return s.retrier.untilKnown(ctx, tuning.StatusCallThrottleRetries, func() (userReply, error) {
-		record, err := s.current(ctx, jobID)
+	return s.retrier.retryUntilKnown(ctx, tuning.StatusCallThrottleRetries, func() (userReply, error) {
+		record, err := s.readWithDependencies(ctx, jobID)
 		if err != nil {
 			return userReply{}, err
 		}
@@ -34,10 +34,10 @@
 	})
 }
 
-// current reads a job as jobReader.read does. If a dependency is cancelled, so is the
+// readWithDependencies reads a job as jobReader.read does. If a dependency is cancelled, so is the
 // job, and its own open record is marked before the reply leaves: then no controller can
 // reply otherwise, whatever it knows of the dependencies.
-func (s *statusQueries) current(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
+func (s *statusQueries) readWithDependencies(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
 	start := time.Now()
 	record, err := s.reader.read(ctx, jobID)
 	if err != nil || record == nil || !record.isOpen() || record.open.Cancelled {
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	if resolved.state == dependencyCancelled {
-		return record, s.cancellations.mark(ctx, record)
+		return record, s.cancellations.markCancelled(ctx, record)
 	}
 	s.confirmed.confirm(jobID, resolved.asOf)
 	return record, nil
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -68,7 +68,7 @@
 	if err := checkRecordSize(open, &s.config.Deployment.State); err != nil {
 		return s.reject(ctx, job.ID, http.StatusBadRequest, err)
 	}
-	return s.retrier.untilKnown(ctx, tuning.UserThrottleRetries, func() (userReply, error) { return s.accept(ctx, open) })
+	return s.retrier.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (userReply, error) { return s.accept(ctx, open) })
 }
 
 // existingTypes returns the sorted names of the machine types that exist. A long list of
@@ -84,8 +84,8 @@
 // reject answers a submission that cannot be accepted. A job that was accepted before
 // stays accepted, even if the machine types or the limits have changed since.
 func (s *submissions) reject(ctx context.Context, jobID protocol.JobID, status int, reason error) userReply {
-	return s.retrier.untilKnown(ctx, tuning.UserThrottleRetries, func() (userReply, error) {
-		record, err := s.statuses.current(ctx, jobID)
+	return s.retrier.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (userReply, error) {
+		record, err := s.statuses.readWithDependencies(ctx, jobID)
 		switch {
 		case err != nil:
 			return userReply{}, err
@@ -111,7 +111,7 @@
 	open.Cancelled = resolved.state == dependencyCancelled
 	err = s.writeOpenRecord(ctx, open)
 	if errors.Is(err, kvstore.ErrConflict) {
-		return s.acceptedBefore(ctx, jobID)
+		return s.existingJobReply(ctx, jobID)
 	}
 	if err != nil {
 		return userReply{}, err
@@ -134,9 +134,9 @@
 	return err
 }
 
-// acceptedBefore replies with the status of a job whose record exists already.
-func (s *submissions) acceptedBefore(ctx context.Context, jobID protocol.JobID) (userReply, error) {
-	record, err := s.statuses.current(ctx, jobID)
+// existingJobReply replies with the status of a job whose record exists already.
+func (s *submissions) existingJobReply(ctx context.Context, jobID protocol.JobID) (userReply, error) {
+	record, err := s.statuses.readWithDependencies(ctx, jobID)
 	if err != nil {
 		return userReply{}, err
 	}
