--- a/internal/protocol/decode_job.go
+++ b/internal/protocol/decode_job.go
@@ -19,7 +19,7 @@
 // of range. It reads the map field by field, because decoding into a generic map would trust
 // lengths claimed in the body, and decoding into a struct would accept mistyped fields.
 func DecodeJob(body []byte) (*Job, error) {
-	reader := newJobReader(body)
+	reader := newSubmissionReader(body)
 	if err := reader.readAll(); err != nil {
 		return nil, err
 	}
@@ -31,7 +31,7 @@
 }
 
 // fieldKind says which values a field of a submission may have. Only fields of the kinds from
-// optionalTypes on may be missing or null.
+// optionalMachineTypes on may be missing or null.
 type fieldKind int
 
 const (
@@ -39,27 +39,27 @@
 	requiredCount
 	requiredAmount
 	requiredBool
-	optionalTypes
-	optionalIDs
+	optionalMachineTypes
+	optionalJobIDs
 	optionalText
 	optionalAmount
 )
 
 // required reports whether a field of this kind must be present and not null.
-func (k fieldKind) required() bool { return k < optionalTypes }
+func (k fieldKind) required() bool { return k < optionalMachineTypes }
 
 // jobFields gives the kind of each field of a submission. Other fields are ignored.
 var jobFields = map[string]fieldKind{
 	"ref": requiredText, "workload": requiredText, "owner": requiredText, "shape": requiredText,
 	"rank": requiredText, "pieces": requiredCount, "cores": requiredAmount, "cards": requiredAmount,
-	"memGb": requiredAmount, "bundle": requiredText, "imageGb": requiredAmount, "flavors": optionalTypes,
+	"memGb": requiredAmount, "bundle": requiredText, "imageGb": requiredAmount, "flavors": optionalMachineTypes,
 	"quarry": optionalText, "samePlace": requiredBool, "spread": requiredBool, "loaners": requiredBool,
 	"guessS": requiredAmount, "snapshotS": requiredAmount, "flushS": requiredAmount, "dueS": optionalAmount,
-	"awaits": optionalIDs,
+	"awaits": optionalJobIDs,
 }
 
-// jobReader holds the decoded fields of a submission, by their type and spelling.
-type jobReader struct {
+// submissionReader holds the decoded fields of a submission, by their type and spelling.
+type submissionReader struct {
 	decoder *msgpack.Decoder
 	texts   map[string]string
 	amounts map[string]float64
@@ -69,8 +69,8 @@
 	seen    map[string]bool
 }
 
-func newJobReader(body []byte) *jobReader {
-	return &jobReader{
+func newSubmissionReader(body []byte) *submissionReader {
+	return &submissionReader{
 		decoder: msgpack.NewDecoder(bytes.NewReader(body)),
 		texts:   map[string]string{},
 		amounts: map[string]float64{},
@@ -81,7 +81,7 @@
 }
 
 // readAll reads the whole body and checks that no required field is missing.
-func (r *jobReader) readAll() error {
+func (r *submissionReader) readAll() error {
 	code, err := r.decoder.PeekCode()
 	if err != nil || !isMap(code) {
 		return errors.New("not a map")
@@ -107,7 +107,7 @@
 }
 
 // readField reads a key and its value. It skips unknown fields.
-func (r *jobReader) readField() error {
+func (r *submissionReader) readField() error {
 	key, err := r.readKey()
 	if err != nil {
 		return err
@@ -141,7 +141,7 @@
 }
 
 // readKey reads the key of a field.
-func (r *jobReader) readKey() (string, error) {
+func (r *submissionReader) readKey() (string, error) {
 	code, err := r.decoder.PeekCode()
 	if err != nil {
 		return "", err
@@ -154,7 +154,7 @@
 
 // readValue reads a value that begins with the given MessagePack code. It returns false if a
 // field of this kind may not have the value.
-func (r *jobReader) readValue(key string, kind fieldKind, code byte) (valid bool, err error) {
+func (r *submissionReader) readValue(key string, kind fieldKind, code byte) (valid bool, err error) {
 	switch kind {
 	case requiredText, optionalText:
 		return r.readText(key, code)
@@ -167,11 +167,11 @@
 	}
 	list, valid, err := decodeStrings(r.decoder, code)
 	r.lists[key] = list
-	return valid && (kind != optionalTypes || len(list) > 0), err
+	return valid && (kind != optionalMachineTypes || len(list) > 0), err
 }
 
 // readText reads a name that is neither empty nor too long.
-func (r *jobReader) readText(key string, code byte) (valid bool, err error) {
+func (r *submissionReader) readText(key string, code byte) (valid bool, err error) {
 	if !msgpcode.IsString(code) {
 		return false, nil
 	}
@@ -181,7 +181,7 @@
 }
 
 // readTaskCount reads the number of tasks, the only count in a submission.
-func (r *jobReader) readTaskCount(code byte) (valid bool, err error) {
+func (r *submissionReader) readTaskCount(code byte) (valid bool, err error) {
 	if !isInteger(code) {
 		return false, nil
 	}
@@ -191,7 +191,7 @@
 }
 
 // readAmount reads a number that is finite and not negative.
-func (r *jobReader) readAmount(key string, code byte) (valid bool, err error) {
+func (r *submissionReader) readAmount(key string, code byte) (valid bool, err error) {
 	if !isInteger(code) && code != msgpcode.Float && code != msgpcode.Double {
 		return false, nil
 	}
@@ -201,7 +201,7 @@
 }
 
 // readBool reads a truth value.
-func (r *jobReader) readBool(key string, code byte) (valid bool, err error) {
+func (r *submissionReader) readBool(key string, code byte) (valid bool, err error) {
 	if code != msgpcode.True && code != msgpcode.False {
 		return false, nil
 	}
@@ -210,7 +210,7 @@
 }
 
 // job returns the job that the fields describe.
-func (r *jobReader) job() *Job {
+func (r *submissionReader) job() *Job {
 	return &Job{
 		ID:                  JobID(r.texts["ref"]),
 		Class:               r.texts["workload"],
--- a/internal/protocol/decode_job_test.go
+++ b/internal/protocol/decode_job_test.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func valid() map[string]any {
+func validSubmission() map[string]any {
 	return map[string]any{"ref": "req-000412", "workload": "train", "owner": "vision", "shape": "group", "rank": "high",
 		"pieces": 16, "cores": 8.0, "cards": 1, "memGb": 64.0, "bundle": "img-07", "imageGb": 6.2, "flavors": []string{"g8"},
 		"quarry": nil, "samePlace": true, "spread": false, "loaners": true, "guessS": 240.0, "snapshotS": 30.0,
@@ -29,7 +29,7 @@
 	want := &Job{ID: "req-000412", Class: "train", Team: "vision", Kind: KindGang, Priority: PriorityHigh, Tasks: 16, Cores: 8, GPUs: 1,
 		MemGB: 64, Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, OneZone: true, Spot: true, EstimateS: 240,
 		CheckpointIntervalS: 30, CheckpointSaveS: 4, DeadlineS: 900}
-	m := valid()
+	m := validSubmission()
 	m["unheardOf"] = map[string]any{"deep": []any{1, nil, "x"}}
 	got, err := DecodeJob(encode(t, m))
 	if err != nil {
@@ -39,7 +39,7 @@
 		t.Error(d)
 	}
 	for _, key := range []string{"flavors", "quarry", "dueS"} {
-		m := valid()
+		m := validSubmission()
 		delete(m, key)
 		if _, err := DecodeJob(encode(t, m)); err != nil {
 			t.Errorf("without %s: %v", key, err)
@@ -48,8 +48,8 @@
 }
 
 func TestDecodeJobRefuses(t *testing.T) {
-	change := func(key string, v any) []byte {
-		m := valid()
+	withField := func(key string, v any) []byte {
+		m := validSubmission()
 		m[key] = v
 		return encode(t, m)
 	}
@@ -57,37 +57,37 @@
 		"empty":               nil,
 		"not MessagePack":     {0xc1},
 		"a list":              encode(t, []int{1}),
-		"trailing bytes":      append(encode(t, valid()), 0),
-		"cut short":           encode(t, valid())[:40],
+		"trailing bytes":      append(encode(t, validSubmission()), 0),
+		"cut short":           encode(t, validSubmission())[:40],
 		"number as key":       {0x81, 0x01, 0x02},
-		"list length a lie":   append(bytes.TrimSuffix(change("flavors", nil), []byte{0xc0}), 0xdd, 0xff, 0xff, 0xff, 0xff),
-		"pieces not whole":    change("pieces", 16.0),
-		"pieces zero":         change("pieces", 0),
-		"pieces too many":     change("pieces", 100001),
-		"pieces huge":         change("pieces", uint64(math.MaxUint64)),
-		"cores negative":      change("cores", -1.0),
-		"cores NaN":           change("cores", math.NaN()),
-		"memGb infinite":      change("memGb", math.Inf(1)),
-		"cards text":          change("cards", "1"),
-		"loaners number":      change("loaners", 1),
-		"flavors text":        change("flavors", "g8"),
-		"flavors of numbers":  change("flavors", []int{1}),
-		"quarry number":       change("quarry", 1),
-		"dueS negative":       change("dueS", -1),
-		"unknown shape":       change("shape", "array"),
-		"unknown rank":        change("rank", "urgent"),
-		"ref without prefix":  change("ref", "000412"),
-		"ref with a slash":    change("ref", "req-1/2"),
-		"ref without number":  change("ref", "req-"),
-		"ref with letters":    change("ref", "req-12a"),
-		"owner null":          change("owner", nil),
-		"bundle empty":        change("bundle", ""),
-		"field occurs twice":  append(append([]byte{0xde, 0, 21}, encode(t, valid())[3:]...), append(encode(t, "pieces"), 1)...),
-		"bundle far too long": change("bundle", string(make([]byte, 1000))),
+		"list length a lie":   append(bytes.TrimSuffix(withField("flavors", nil), []byte{0xc0}), 0xdd, 0xff, 0xff, 0xff, 0xff),
+		"pieces not whole":    withField("pieces", 16.0),
+		"pieces zero":         withField("pieces", 0),
+		"pieces too many":     withField("pieces", 100001),
+		"pieces huge":         withField("pieces", uint64(math.MaxUint64)),
+		"cores negative":      withField("cores", -1.0),
+		"cores NaN":           withField("cores", math.NaN()),
+		"memGb infinite":      withField("memGb", math.Inf(1)),
+		"cards text":          withField("cards", "1"),
+		"loaners number":      withField("loaners", 1),
+		"flavors text":        withField("flavors", "g8"),
+		"flavors of numbers":  withField("flavors", []int{1}),
+		"quarry number":       withField("quarry", 1),
+		"dueS negative":       withField("dueS", -1),
+		"unknown shape":       withField("shape", "array"),
+		"unknown rank":        withField("rank", "urgent"),
+		"ref without prefix":  withField("ref", "000412"),
+		"ref with a slash":    withField("ref", "req-1/2"),
+		"ref without number":  withField("ref", "req-"),
+		"ref with letters":    withField("ref", "req-12a"),
+		"owner null":          withField("owner", nil),
+		"bundle empty":        withField("bundle", ""),
+		"field occurs twice":  append(append([]byte{0xde, 0, 21}, encode(t, validSubmission())[3:]...), append(encode(t, "pieces"), 1)...),
+		"bundle far too long": withField("bundle", string(make([]byte, 1000))),
 	}
-	for key := range valid() {
+	for key := range validSubmission() {
 		if key != "flavors" && key != "quarry" && key != "dueS" {
-			m := maps.Clone(valid())
+			m := maps.Clone(validSubmission())
 			delete(m, key)
 			cases["without "+key] = encode(t, m)
 		}
@@ -100,7 +100,7 @@
 }
 
 func FuzzDecodeJob(f *testing.F) {
-	f.Add(encode(f, valid()))
+	f.Add(encode(f, validSubmission()))
 	f.Add([]byte{0x81, 0xa3, 'r', 'e', 'f', 0xdb, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		job, err := DecodeJob(body)
