--- a/internal/peer/compatible_test.go
+++ b/internal/peer/compatible_test.go
@@ -24,8 +24,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var kept map[string]string
-	if err := json.Unmarshal(raw, &kept); err != nil {
+	var productionHex map[string]string
+	if err := json.Unmarshal(raw, &productionHex); err != nil {
 		t.Fatal(err)
 	}
 	job := protocol.Job{ID: "req-000412", Class: "train", Team: "vision", Kind: protocol.KindGang, Priority: protocol.PriorityHigh, Tasks: 16, Cores: 8, GPUs: 1,
@@ -49,10 +49,10 @@
 		"userCall":   &UserCall{Operation: "poll", JobID: "req-000412", Body: []byte{0x80}},
 		"userAnswer": &UserAnswer{Status: 200, Body: []byte{0x80}},
 	} {
-		t.Run(name, func(t *testing.T) { compareWithProduction(t, kept[name], want) })
-		delete(kept, name)
+		t.Run(name, func(t *testing.T) { compareWithProduction(t, productionHex[name], want) })
+		delete(productionHex, name)
 	}
-	for name := range kept {
+	for name := range productionHex {
 		t.Errorf("%s is not compared", name)
 	}
 }
@@ -61,19 +61,19 @@
 // the wanted value, and encodes that value to the same bytes.
 func compareWithProduction(t *testing.T, encoded string, want any) {
 	t.Helper()
-	old, err := hex.DecodeString(encoded)
-	if err != nil || len(old) == 0 {
+	production, err := hex.DecodeString(encoded)
+	if err != nil || len(production) == 0 {
 		t.Fatalf("no production bytes: %v", err)
 	}
 	got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
-	if err := codec.Unmarshal(old, got); err != nil {
+	if err := codec.Unmarshal(production, got); err != nil {
 		t.Error(err)
 	}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Errorf("decoded differently: %s", d)
 	}
-	if now, err := codec.Marshal(want); err != nil || !bytes.Equal(now, old) {
-		t.Errorf("encoded as\n%x, in production as\n%x", now, old)
+	if current, err := codec.Marshal(want); err != nil || !bytes.Equal(current, production) {
+		t.Errorf("encoded as\n%x, in production as\n%x", current, production)
 	}
 }
 
--- a/internal/peer/exchange.go
+++ b/internal/peer/exchange.go
@@ -11,24 +11,24 @@
 // exchange is a successful exchange of statuses with a peer. The peer made its status
 // at some moment between the two times. Both are zero before the first exchange.
 type exchange struct {
-	askedAt    time.Time
-	answeredAt time.Time
+	sentAt     time.Time
+	receivedAt time.Time
 	status     Status
 }
 
 // completed tells whether there was an exchange at all.
-func (e *exchange) completed() bool { return !e.askedAt.IsZero() }
+func (e *exchange) completed() bool { return !e.sentAt.IsZero() }
 
 // storeServedAt is when the key-value store last served the peer.
 func (e *exchange) storeServedAt() time.Time {
-	return e.answeredAt.Add(-milliseconds(e.status.SinceStoreServedMS))
+	return e.receivedAt.Add(-milliseconds(e.status.SinceStoreServedMS))
 }
 
 // acknowledgedCompleteSince is the moment since which the peer's list of acknowledged
 // cancellations is complete. The peer measured AcknowledgedCompleteMS before it answered, so the
 // result is too late rather than too early.
 func (e *exchange) acknowledgedCompleteSince() time.Time {
-	return e.answeredAt.Add(-milliseconds(e.status.AcknowledgedCompleteMS))
+	return e.receivedAt.Add(-milliseconds(e.status.AcknowledgedCompleteMS))
 }
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
@@ -36,17 +36,17 @@
 // redirectWindow holds a peer's counter of redirected heartbeats at the two latest
 // marks, which lie at least tuning.PeerWindow apart.
 type redirectWindow struct {
-	earlier  uint64
-	latest   uint64
-	markedAt time.Time
+	earlier   uint64
+	latest    uint64
+	sampledAt time.Time
 }
 
 // observe sets a new mark if the latest one is old enough.
 func (w *redirectWindow) observe(counter uint64, at time.Time) {
-	if at.Sub(w.markedAt) < tuning.PeerWindow {
+	if at.Sub(w.sampledAt) < tuning.PeerWindow {
 		return
 	}
-	w.earlier, w.latest, w.markedAt = w.latest, counter, at
+	w.earlier, w.latest, w.sampledAt = w.latest, counter, at
 }
 
 // count returns the heartbeats redirected since the earlier mark. A counter below the
@@ -82,7 +82,7 @@
 func (g *Group) exchangeStatus(ctx context.Context, link *peerLink, withSummary bool) (Status, bool) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerTimeout)
 	defer cancel()
-	current := exchange{askedAt: time.Now()}
+	current := exchange{sentAt: time.Now()}
 	request := &StatusRequest{
 		Leader:       g.local.Status(&StatusRequest{}).Leader,
 		Summary:      withSummary,
@@ -93,11 +93,11 @@
 		g.log.Debug("status exchange with a peer failed, its last status is kept", "peer", link.name, "err", err)
 		return Status{}, false
 	}
-	current.answeredAt = time.Now()
+	current.receivedAt = time.Now()
 	g.local.ObserveTerm(current.status.Leader)
 	g.mu.Lock()
 	link.last = current
-	link.redirected.observe(current.status.Redirected, current.answeredAt)
+	link.redirected.observe(current.status.Redirected, current.receivedAt)
 	g.mu.Unlock()
 	return current.status, true
 }
@@ -115,8 +115,8 @@
 			return time.Time{}, nil, false
 		}
 		jobIDs = append(jobIDs, link.last.status.Acknowledged...)
-		if asOf.IsZero() || link.last.askedAt.Before(asOf) {
-			asOf = link.last.askedAt
+		if asOf.IsZero() || link.last.sentAt.Before(asOf) {
+			asOf = link.last.sentAt
 		}
 	}
 	return asOf, jobIDs, true
@@ -129,7 +129,7 @@
 	defer g.mu.Unlock()
 	total := uint64(0)
 	for _, link := range g.links {
-		if time.Since(link.last.answeredAt) <= tuning.PeerStatusMaxAge {
+		if time.Since(link.last.receivedAt) <= tuning.PeerStatusMaxAge {
 			total += link.redirected.count(link.last.status.Redirected)
 		}
 	}
--- a/internal/peer/group.go
+++ b/internal/peer/group.go
@@ -57,11 +57,11 @@
 
 // Unreachable tells whether there are peers and none of them has answered for the
 // given time.
-func (g *Group) Unreachable(silence time.Duration) bool {
+func (g *Group) Unreachable(within time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, link := range g.links {
-		if time.Since(link.last.answeredAt) < silence {
+		if time.Since(link.last.receivedAt) < within {
 			return false
 		}
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -36,16 +36,16 @@
 		}
 		return time.Duration(p.rng.IntN(900)) * time.Millisecond
 	}
-	out, back := delay(), delay()
-	if out+back >= tuning.PeerTimeout {
+	requestDelay, replyDelay := delay(), delay()
+	if requestDelay+replyDelay >= tuning.PeerTimeout {
 		time.Sleep(tuning.PeerTimeout)
 		return errors.New("no answer")
 	}
-	time.Sleep(out)
+	time.Sleep(requestDelay)
 	p.mu.Lock()
 	*reply.(*Status) = Status{Acknowledged: slices.Clone(p.jobIDs), AcknowledgedCompleteMS: time.Since(p.since).Milliseconds()}
 	p.mu.Unlock()
-	time.Sleep(back)
+	time.Sleep(replyDelay)
 	return nil
 }
 
@@ -93,7 +93,7 @@
 			}
 			time.Sleep(time.Second)
 			group.Run(ctx)
-			var all []acknowledgment
+			var acknowledgments []acknowledgment
 			since := time.Now()
 			for n := range 300 {
 				time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
@@ -107,7 +107,7 @@
 				case 2, 3, 4:
 					jobID := protocol.JobID(fmt.Sprint("req-", n))
 					peer.jobIDs = append(peer.jobIDs, jobID)
-					all = append(all, acknowledgment{jobID, time.Now()})
+					acknowledgments = append(acknowledgments, acknowledgment{jobID, time.Now()})
 				}
 				peer.mu.Unlock()
 				asOf, jobIDs, ok := group.AcknowledgedCancellations(since)
@@ -116,7 +116,7 @@
 					continue
 				}
 				complete++
-				for _, a := range all {
+				for _, a := range acknowledgments {
 					if a.at.After(since) && a.at.Before(asOf) && !slices.Contains(jobIDs, a.jobID) {
 						t.Errorf("%s, acknowledged %v before the time of the list, is missing", a.jobID, asOf.Sub(a.at))
 					}
