--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -8,31 +8,32 @@
 	"marblehaven/internal/tuning"
 )
 
-// acknowledgedCancellations remembers the jobs whose cancellation this process has
-// acknowledged to users, the latest tuning.AcknowledgedJobs of them. A leader without the
-// key-value store that knows the lists of all controllers may go on answering heartbeats.
-// A job is added before the reply leaves, so the list is never shorter than it claims.
-// It is safe for concurrent use.
+// acknowledgedCancellations lists the jobs whose cancellation this process has acknowledged
+// to users, limited to the latest tuning.AcknowledgedJobs. A leader that cannot reach the
+// key-value store may continue to answer heartbeats if it has the lists of all controllers.
+// A job is added before the reply is sent, so the list contains every acknowledgment after
+// completeSince. It is safe for concurrent use.
 type acknowledgedCancellations struct {
 	mu              sync.Mutex
 	listed          map[protocol.JobID]bool
-	acknowledgments []acknowledgment // in the order of their acknowledgments
+	acknowledgments []acknowledgment // the oldest first
 	completeSince   time.Time        // no acknowledgment after this time is missing
 }
 
-// acknowledgment is the first reply that told a user of a job's cancellation.
+// acknowledgment records the first reply that reported a job to a user as cancelled.
 type acknowledgment struct {
 	jobID protocol.JobID
 	at    time.Time
 }
 
-// newAcknowledgedCancellations begins a list at the start of the process. An earlier
-// process of this controller may have acknowledged cancellations until just before.
+// newAcknowledgedCancellations returns an empty list that is complete since the start of
+// the process. An earlier process of this controller may have acknowledged cancellations
+// until just before that time.
 func newAcknowledgedCancellations(start time.Time) *acknowledgedCancellations {
 	return &acknowledgedCancellations{listed: map[protocol.JobID]bool{}, completeSince: start}
 }
 
-// add notes a job whose cancellation is about to be acknowledged.
+// add records a job whose cancellation is about to be acknowledged to a user.
 func (a *acknowledgedCancellations) add(jobID protocol.JobID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/api/acknowledged_test.go
+++ b/internal/api/acknowledged_test.go
@@ -30,12 +30,12 @@
 		}
 		jobIDs, since := acknowledged.list()
 		if len(jobIDs) > tuning.AcknowledgedJobs {
-			t.Errorf("%d jobs are remembered", len(jobIDs))
+			t.Errorf("the list holds %d jobs, more than the limit of %d", len(jobIDs), tuning.AcknowledgedJobs)
 		}
 		for jobID, at := range firstAt {
 			switch listed := slices.Contains(jobIDs, jobID); {
 			case !listed && at.After(since):
-				t.Errorf("%s, acknowledged %v after the list begins, is missing", jobID, at.Sub(since))
+				t.Errorf("%s, acknowledged %v after the time since which the list is complete, is missing", jobID, at.Sub(since))
 			case !listed:
 				dropped = true
 			}
--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -12,8 +12,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// cancellations cancels jobs by a mark in their open records. The leader sees the mark
-// and stops the tasks.
+// cancellations cancels jobs by setting Cancelled in their open records. The leader watches
+// these records and stops the tasks of cancelled jobs.
 type cancellations struct {
 	store        *kvstore.Client
 	limits       *config.State
@@ -23,8 +23,8 @@
 	retrier      *outcomeRetrier
 }
 
-// cancel answers a user's cancellation of a job. It is idempotent: a job that is
-// cancelled or has a final record keeps its status.
+// cancel answers a user's call to cancel a job. The call is idempotent: a job that is
+// already cancelled or has a final record keeps its status.
 func (c *cancellations) cancel(ctx context.Context, jobID protocol.JobID) userReply {
 	if !protocol.ValidJobID(jobID) {
 		return noSuchJobReply()
@@ -48,14 +48,16 @@
 	})
 }
 
-// markCancelled writes the cancellation into a job's open record, then acknowledges it. The
-// outcome is unknown if the record has changed since it was read.
+// markCancelled sets Cancelled in a job's open record and then records the acknowledgment.
+// If the record has changed since it was read, markCancelled returns ErrOutcomeUnknown, so
+// that the retrier reads the record again.
 func (c *cancellations) markCancelled(ctx context.Context, record *jobRecord) error {
 	jobID := record.status.ID
 	record.open.Cancelled = true
 	if checkRecordSize(record.open, c.limits) != nil {
-		// The job was accepted under larger limits. No task of it starts any more, so
-		// the fields that only restrict where and when it may start can be dropped.
+		// The job was accepted when the store's limits were larger. None of its tasks will
+		// start any more, so the fields that only restrict where and when a task may start
+		// can be dropped.
 		record.open.Job.MachineTypes, record.open.Job.DependsOn = nil, nil
 	}
 	_, err := c.store.Commit(ctx, protocol.Transaction{
--- a/internal/api/confirmedopen.go
+++ b/internal/api/confirmedopen.go
@@ -9,9 +9,9 @@
 	"marblehaven/internal/tuning"
 )
 
-// confirmedOpenJobs remembers when a job was last confirmed open: it was accepted, and
-// neither the job nor any of its dependencies, direct or indirect, was cancelled. When
-// the memory is full it is emptied. It is safe for concurrent use.
+// confirmedOpenJobs caches when each job was last confirmed open, which means that the job
+// was accepted and that neither the job nor any of its direct and indirect dependencies was
+// cancelled. A full cache is emptied. It is safe for concurrent use.
 type confirmedOpenJobs struct {
 	validFor time.Duration // how long a confirmation may be relied on
 
@@ -23,12 +23,13 @@
 	return &confirmedOpenJobs{validFor: validFor, confirmedAt: map[protocol.JobID]time.Time{}}
 }
 
-// dependencyValidity is how long a controller relies on what it read of dependencies.
+// dependencyValidity returns how long a controller relies on a read of a job's
+// dependencies.
 func dependencyValidity(cfg *config.Config) time.Duration {
 	return cfg.Deployment.Workers.CancellationShare(tuning.DependencyCheckShare)
 }
 
-// confirm remembers that a job was open at some time.
+// confirm records that a job was open at the given time.
 func (c *confirmedOpenJobs) confirm(jobID protocol.JobID, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,9 +39,10 @@
 	c.confirmedAt[jobID] = at
 }
 
-// lastConfirmation returns when a job was last confirmed open, if that may still be relied on. The
-// leader closes a job soon after a dependency is cancelled; the limit serves the case
-// that it cannot, when other controllers must find out in time for cancel_s.
+// lastConfirmation returns when a job was last confirmed open; ok is false if that is
+// validFor ago or longer. The leader closes a job soon after one of its dependencies is
+// cancelled. The limit covers the case that the leader cannot do so: the other controllers
+// must then detect the cancellation within cancel_s.
 func (c *confirmedOpenJobs) lastConfirmation(jobID protocol.JobID) (at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +50,7 @@
 	return at, time.Since(at) < c.validFor
 }
 
-// remove drops the confirmation of a job whose cancellation is about to be acknowledged.
+// remove deletes the confirmation of a job whose cancellation is about to be acknowledged.
 func (c *confirmedOpenJobs) remove(jobID protocol.JobID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/api/connections.go
+++ b/internal/api/connections.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// connectionTable bounds the connections of users, agents and health checks. A new
-// connection beyond the limit evicts the one that has been idle for the longest time; its
-// owner connects anew for its next request. To refuse new connections instead would keep
-// out those who have a request for as long as the others keep idle connections. It is
-// safe for concurrent use.
+// connectionTable limits the number of connections from users, agents and health checks. A
+// new connection beyond the limit evicts the connection that has been idle for the longest
+// time, and the client of that one opens another for its next request. Refusing new
+// connections instead would lock out clients that have a request for as long as other
+// clients keep idle connections open. It is safe for concurrent use.
 type connectionTable struct {
 	limit     int
 	mu        sync.Mutex             // guards idleSince
-	idleSince map[net.Conn]time.Time // when the connection became idle; zero: in use
+	idleSince map[net.Conn]time.Time // when each connection became idle; zero while it is in use
 }
 
 func newConnectionTable(limit int) *connectionTable {
 	return &connectionTable{limit: limit, idleSince: map[net.Conn]time.Time{}}
 }
 
-// track is the HTTP server's hook for state changes of its connections.
+// track is the ConnState hook of the HTTP server. It records the new state of a connection
+// and closes the connection that is evicted, if any.
 func (c *connectionTable) track(conn net.Conn, state http.ConnState) {
 	if evicted := c.record(conn, state, time.Now()); evicted != nil {
 		evicted.Close()
 	}
 }
 
-// record notes the state of a connection and returns the connection to close, if any.
+// record stores the new state of a connection and returns the connection to close, or nil.
 func (c *connectionTable) record(conn net.Conn, state http.ConnState, now time.Time) (evicted net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,7 +57,7 @@
 	return evicted
 }
 
-// longestIdle returns the connection that became idle first, nil if all are in use.
+// longestIdle returns the connection that became idle first, or nil if all are in use.
 func (c *connectionTable) longestIdle() (longest net.Conn) {
 	var since time.Time
 	for conn, idleSince := range c.idleSince {
--- a/internal/api/connections_test.go
+++ b/internal/api/connections_test.go
@@ -13,7 +13,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// listen opens a local port.
+// listen opens a listener on a free local port.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,7 +23,7 @@
 	return listener
 }
 
-// dial connects to a listener, with a time limit for all that follows.
+// dial connects to a listener and sets a time limit for all reads and writes that follow.
 func dial(t *testing.T, listener net.Listener, limit time.Duration) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", listener.Addr().String())
@@ -35,7 +35,7 @@
 	return conn
 }
 
-// served tells whether a request over the connection gets a reply.
+// served reports whether a request over the connection gets a reply.
 func served(conn net.Conn) bool {
 	io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	n, _ := io.ReadAtLeast(conn, make([]byte, 4096), 12)
@@ -52,29 +52,30 @@
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
 	go server.Serve(listener)
 	t.Cleanup(func() { server.Close() })
-	var held []net.Conn
+	var conns []net.Conn
 	for range 5 {
 		conn := dial(t, listener, 10*time.Second)
-		held = append(held, conn)
+		conns = append(conns, conn)
 		if !served(conn) {
 			t.Fatal("a new connection is not served while others are idle")
 		}
-		time.Sleep(5 * time.Millisecond) // the connection is idle by now, and later than the last
+		time.Sleep(5 * time.Millisecond) // lets the connection become idle, after the one before it
 	}
 	for i, want := range []bool{false, false, true, true, true} {
-		if got := served(held[i]); got != want {
-			t.Errorf("connection %d is served: %v", i, got)
+		if got := served(conns[i]); got != want {
+			t.Errorf("connection %d is served: %v instead of %v", i, got, want)
 		}
 	}
 	connections.mu.Lock()
 	tracked := len(connections.idleSince)
 	connections.mu.Unlock()
 	if tracked > 3 {
-		t.Errorf("%d connections are held of 3", tracked)
+		t.Errorf("%d connections are tracked, more than the limit of 3", tracked)
 	}
 }
 
-// Where all connections are in use a new one is closed, and no count is lost.
+// If all connections are in use, a new one is closed, and the number of tracked connections
+// stays right.
 func TestConnectionsInUseStay(t *testing.T) {
 	connections, now := newConnectionTable(1), time.Now()
 	first, second := net.Pipe()
@@ -86,14 +87,15 @@
 	if connections.record(second, http.StateNew, now) != first {
 		t.Error("the idle connection was not evicted")
 	}
-	connections.record(first, http.StateActive, now) // the HTTP server does not know of the eviction yet
+	connections.record(first, http.StateActive, now) // the HTTP server has not closed the evicted connection yet
 	connections.record(first, http.StateClosed, now)
 	if len(connections.idleSince) != 1 {
-		t.Errorf("%d connections are counted", len(connections.idleSince))
+		t.Errorf("%d connections are tracked instead of 1", len(connections.idleSince))
 	}
 }
 
-// A connection over which no request comes is closed long before idle ones are.
+// A connection that never carries a request is closed when the time limit for request
+// headers ends, long before the idle timeout.
 func TestSilentConnection(t *testing.T) {
 	listener := listen(t)
 	cfg := &config.Config{}
@@ -102,6 +104,6 @@
 	go NewServer(cfg, nil, nil, nil, log, httpclient.NewMalformedLog(log)).Serve(t.Context(), listener)
 	conn := dial(t, listener, 2*tuning.UserDeadline)
 	if _, err := io.ReadAll(conn); err != nil {
-		t.Errorf("the connection is still open: %v", err)
+		t.Errorf("the connection without a request was not closed: %v", err)
 	}
 }
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -11,27 +11,28 @@
 	"marblehaven/internal/tuning"
 )
 
-// dependencyState is what the dependencies of a job mean for it.
+// dependencyState is the combined state of a job's dependencies.
 type dependencyState int
 
 const (
 	dependencyOpen      dependencyState = iota // all were accepted, and none is cancelled
-	dependencyCancelled                        // one is cancelled, and the job with it
-	dependencyUnknown                          // one was never accepted
+	dependencyCancelled                        // at least one is cancelled, which cancels the job too
+	dependencyUnknown                          // at least one direct dependency was never accepted
 )
 
-// resolution is the state of a job's dependencies.
+// resolution is the state of a job's dependencies and the time for which it holds.
 type resolution struct {
 	state dependencyState
-	// asOf is the time for which an open state holds. It is zero if not all
-	// dependencies could be read: the rest is read for the next reply, and the leader
-	// knows all open jobs. That one is cancelled is never undone, so it holds for good.
+	// asOf is the time for which dependencyOpen holds. It is zero if the limit on reads
+	// left some dependencies out: these are read for the next reply, and the leader has all
+	// open jobs in memory. The other states need no time. In particular a cancellation is
+	// never undone.
 	asOf time.Time
 }
 
-// dependencyResolver resolves the dependencies of a job: the direct ones, and as far as
-// these are open, the indirect ones. Jobs that were recently confirmed open are not read
-// again. It is safe for concurrent use.
+// dependencyResolver determines the state of a job's dependencies: the direct ones and,
+// through those that are open, the indirect ones. Jobs that were recently confirmed open
+// are not read again. It is safe for concurrent use.
 type dependencyResolver struct {
 	reader    *jobReader
 	listings  *openJobListings
@@ -39,7 +40,8 @@
 	log       *slog.Logger
 }
 
-// resolve resolves the named direct dependencies of a job, level by level.
+// resolve returns the state of the dependencies of a job whose direct dependencies are
+// jobIDs. It looks them up level by level, the direct ones first.
 func (d *dependencyResolver) resolve(ctx context.Context, jobIDs []protocol.JobID) (resolution, error) {
 	walk := &dependencyWalk{dependencyResolver: d, asOf: time.Now(), seen: map[protocol.JobID]bool{}}
 	for direct := true; len(jobIDs) > 0; direct = false {
@@ -47,8 +49,9 @@
 		if err != nil {
 			return resolution{}, err
 		}
-		// An unknown dependency comes before a cancelled one: that one of them is
-		// cancelled does not tell whether the others were accepted.
+		// An unknown dependency takes precedence over a cancelled one: a cancelled
+		// dependency does not show that the others were accepted, and a submission that
+		// names a job that was never accepted must be rejected.
 		if direct && slices.ContainsFunc(jobs, lookupResult.neverAccepted) {
 			return resolution{state: dependencyUnknown}, nil
 		}
@@ -70,20 +73,20 @@
 	return resolution{state: dependencyOpen, asOf: walk.asOf}, nil
 }
 
-// dependencyWalk is one walk through the dependencies of a job, breadth first.
+// dependencyWalk is one breadth-first traversal of the dependencies of a job.
 type dependencyWalk struct {
 	*dependencyResolver
-	asOf        time.Time               // the time for which all results hold
-	seen        map[protocol.JobID]bool // the jobs visited or about to be
-	open        []protocol.JobID        // the open jobs among them
-	singleReads int                     // the jobs that were read one by one
-	incomplete  bool                    // some jobs were left out, see lookUpLevel
+	asOf        time.Time               // the time for which all results of the walk hold
+	seen        map[protocol.JobID]bool // the jobs that were visited or will be
+	open        []protocol.JobID        // the open jobs that were visited
+	singleReads int                     // the number of jobs that were read one by one
+	incomplete  bool                    // lookUpLevel left out jobs beyond its limit on reads
 }
 
-// lookUpLevel looks up the named jobs, except those that were seen before or are
-// confirmed open. A few are read one by one; for more, all open jobs are listed at once.
-// Jobs that the listing lacks are read one by one again, not more than
-// tuning.DependencyReads in a walk; their final statuses are cached.
+// lookUpLevel looks up jobs, except those that the walk has seen before or that are
+// confirmed open. A few jobs are read one by one; for more, all open jobs are listed at
+// once. Jobs that are not in the listing are read one by one, at most
+// tuning.DependencyReads in a walk, and their final statuses are cached.
 func (walk *dependencyWalk) lookUpLevel(ctx context.Context, jobIDs []protocol.JobID) ([]lookupResult, error) {
 	unseen := walk.markUnseen(jobIDs)
 	listing, valid := walk.listings.latestValid()
@@ -121,8 +124,9 @@
 	return unseen
 }
 
-// lookUpListed looks up jobs without a request, in the cached final statuses and in a
-// listing of the open jobs if that is valid. It returns the jobs that are in neither.
+// lookUpListed looks up jobs without a request to the key-value store: in the cached final
+// statuses and, if valid is set, in a listing of the open jobs. The jobs that are in
+// neither are returned as remaining.
 func (walk *dependencyWalk) lookUpListed(jobIDs []protocol.JobID, listing jobListing, valid bool) (results []lookupResult, remaining []protocol.JobID) {
 	for _, jobID := range jobIDs {
 		open, listed := listing.jobs[jobID]
@@ -139,15 +143,15 @@
 	return results, remaining
 }
 
-// limitAsOf notes that a result holds for the given time only.
+// limitAsOf sets the time of the walk to that of one of its results, if that is earlier.
 func (walk *dependencyWalk) limitAsOf(at time.Time) {
 	if at.Before(walk.asOf) {
 		walk.asOf = at
 	}
 }
 
-// visitLevel draws the conclusions from the jobs of a level and returns the dependencies
-// of those that are open, which are the next level.
+// visitLevel visits the jobs of a level. It returns whether one of them is cancelled and,
+// as the next level, the dependencies of the open ones.
 func (walk *dependencyWalk) visitLevel(jobs []lookupResult) (cancelled bool, next []protocol.JobID, err error) {
 	for _, result := range jobs {
 		cancelled, err := walk.visit(result)
@@ -161,8 +165,9 @@
 	return false, next, nil
 }
 
-// visit draws the conclusions from one job. A job without a readable record is neither
-// cancelled nor an error: the job that depends on it waits.
+// visit reports whether a job is cancelled, and collects the job if it is open. A job whose
+// record is missing or cannot be decoded is logged and counts as neither cancelled nor an
+// error: the job that depends on it waits.
 func (walk *dependencyWalk) visit(result lookupResult) (cancelled bool, err error) {
 	switch {
 	case errors.Is(result.err, errUnreadable):
--- a/internal/api/finalstatuses.go
+++ b/internal/api/finalstatuses.go
@@ -7,9 +7,9 @@
 	"marblehaven/internal/tuning"
 )
 
-// finalStatuses caches the statuses of jobs that have a final record. Such a status
-// never changes, so an entry holds for good. When the cache is full it is emptied. It
-// is safe for concurrent use.
+// finalStatuses caches the statuses of jobs that have a final record. Such a status never
+// changes, so entries do not expire. A full cache is emptied. It is safe for concurrent
+// use.
 type finalStatuses struct {
 	mu       sync.Mutex
 	statuses map[protocol.JobID]protocol.JobStatus
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -41,8 +41,9 @@
 	return heartbeat, nil
 }
 
-// answerHeartbeat replies with the local leader's answer. If the leader may not answer or
-// does not answer in time, the agent is asked to come back.
+// answerHeartbeat replies with the local leader's answer. If the leader may not answer, or
+// does not answer within tuning.HeartbeatDeadline, the reply is 503 with a Retry-After
+// header.
 func answerHeartbeat(w http.ResponseWriter, r *http.Request, local *leader.Leader, heartbeat *protocol.Heartbeat) {
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.HeartbeatDeadline)
 	defer cancel()
@@ -54,8 +55,8 @@
 	writeMessage(w, http.StatusOK, reply)
 }
 
-// redirectHeartbeat names the leader that the agent should send its heartbeats to, or
-// nobody if none is known.
+// redirectHeartbeat replies with the name of the leader that the agent must send its
+// heartbeats to. The name is empty if this controller has no record of another leader.
 func (s *Server) redirectHeartbeat(w http.ResponseWriter) {
 	var redirect protocol.Redirect
 	if current, ok := s.node.Leader(); ok && current.Node != s.name {
@@ -65,5 +66,5 @@
 	writeMessage(w, http.StatusMisdirectedRequest, redirect)
 }
 
-// Redirected counts the heartbeats that this controller redirected.
+// Redirected returns the number of heartbeats that this controller has redirected.
 func (s *Server) Redirected() uint64 { return s.redirected.Load() }
--- a/internal/api/jobreader.go
+++ b/internal/api/jobreader.go
@@ -15,7 +15,7 @@
 )
 
 // jobReader reads the records of jobs from the key-value store. Only final statuses are
-// answered from memory. It is safe for concurrent use.
+// cached. It is safe for concurrent use.
 type jobReader struct {
 	store         *kvstore.Client
 	shared        *sharedReads
@@ -24,9 +24,9 @@
 	log           *slog.Logger
 }
 
-// read returns a job; nil means that it was never accepted. The final record is read
-// after the open record, and closing replaces one by the other in one transaction, so a
-// job without either had neither when the open record was read.
+// read returns a job, or nil if the job was never accepted. The final record is read after
+// the open record, and a job is closed by one transaction that replaces the open record by
+// the final record. So if neither is found, neither existed when the open record was read.
 func (j *jobReader) read(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
 	if status, ok := j.finalStatuses.get(jobID); ok {
 		return &jobRecord{status: status}, nil
@@ -41,8 +41,8 @@
 	return j.readFinal(ctx, jobID)
 }
 
-// lookupResult is a job as it was read, nil if it was never accepted, or why it could
-// not be read.
+// lookupResult holds a job, which is nil if it was never accepted, or the error that
+// prevented the read.
 type lookupResult struct {
 	jobID protocol.JobID
 	job   *jobRecord
@@ -53,7 +53,7 @@
 
 func (r lookupResult) neverAccepted() bool { return r.err == nil && r.job == nil }
 
-// readAll reads some jobs at the same time.
+// readAll reads several jobs concurrently.
 func (j *jobReader) readAll(ctx context.Context, jobIDs []protocol.JobID) []lookupResult {
 	results := make([]lookupResult, len(jobIDs))
 	var wg sync.WaitGroup
@@ -65,14 +65,14 @@
 	return results
 }
 
-// openRecords returns the open record of a job and the segments of its run record; none
-// if the job is not open.
+// openRecords returns the open record of a job, followed by the segments of its run record
+// up to tuning.SegmentsReadMax, or nothing if the job is not open.
 func (j *jobReader) openRecords(ctx context.Context, jobID protocol.JobID) ([]protocol.KeyValue, error) {
 	if j.shared.enabled() {
 		return j.shared.records(ctx, jobID)
 	}
-	// One list call reads them all: the keys of the open record and of the segments of
-	// the run record are next to each other in the order of keys.
+	// One list call reads them all: in key order the segments of the run record follow the
+	// open record directly.
 	page, err := j.store.List(ctx, records.OpenKey(jobID), "", 1+tuning.SegmentsReadMax)
 	if errors.Is(err, kvstore.ErrThrottled) {
 		j.shared.recordThrottled()
@@ -87,13 +87,13 @@
 }
 
 // decodeOpen decodes the records of an open job. A cancelled job is added to the
-// acknowledged cancellations here, before any reply can name the cancellation.
+// acknowledged cancellations here, before any reply can report the cancellation.
 func (j *jobReader) decodeOpen(jobID protocol.JobID, entries []protocol.KeyValue) *jobRecord {
 	record := &jobRecord{version: entries[0].Version, status: protocol.JobStatus{ID: jobID, Phase: protocol.PhaseQueued}}
 	if err := codec.Unmarshal(entries[0].Value, &record.open); err != nil {
-		// An unreadable record still proves that the job was accepted. Without a reply
-		// the user would have to take the job for lost.
-		j.log.Error("open record cannot be decoded, its job counts as accepted all the same", "job", jobID, "err", err)
+		// A record that cannot be decoded still proves that the job was accepted. Without a
+		// reply the user would have to assume that the job was lost.
+		j.log.Error("open record cannot be decoded, its job is reported as accepted", "job", jobID, "err", err)
 		record.open = records.OpenJob{Cancelled: records.MarkedCancelled(entries[0].Value)}
 		record.unreadable = true
 	}
@@ -123,9 +123,9 @@
 	return records.JoinSegments(segments)
 }
 
-// readFinal reads the final record of a job; nil means that there is none. Nothing of a
-// job with a final record can run, so a reply that such a job is cancelled is no
-// acknowledgment that a leader would have to know of.
+// readFinal returns a job with the status in its final record, or nil if it has no final
+// record. No task of a job with a final record can run, so a reply that reports such a job
+// as cancelled need not be recorded as an acknowledgment for the leader.
 func (j *jobReader) readFinal(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
 	entry, err := j.store.Get(ctx, records.FinalKey(jobID))
 	if errors.Is(err, kvstore.ErrNotFound) {
--- a/internal/api/messages.go
+++ b/internal/api/messages.go
@@ -10,8 +10,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// readBody reads a request body up to the protocol's limit and no further. If that fails
-// it has answered the request.
+// readBody reads a request body of at most tuning.MaxBody bytes, the protocol's limit. If
+// it returns false, it has already replied to the request with an error status.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, tuning.MaxBody))
 	if err == nil {
@@ -41,8 +41,8 @@
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	if status == http.StatusServiceUnavailable {
 		header.Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
-		// A kept connection stays with this controller. Its user would ask here again
-		// and again while other controllers could answer.
+		// The user's retries would arrive at this controller again as long as the
+		// connection is kept open, although other controllers could answer them.
 		header.Set("Connection", "close")
 	}
 	w.WriteHeader(status)
--- a/internal/api/openjobs.go
+++ b/internal/api/openjobs.go
@@ -12,19 +12,19 @@
 	"marblehaven/internal/tuning"
 )
 
-// openJobListings lists all open jobs at once for the resolution of dependencies and keeps
-// the latest listing as long as a resolution may rely on it. Where many jobs have
-// dependencies, reading these one by one would take more requests than the key-value
-// store answers. It is safe for concurrent use.
+// openJobListings lists all open jobs at once to resolve dependencies, and caches the
+// latest listing for validFor. Where many jobs have dependencies, reading these one by one
+// would take more requests than the key-value store answers. It is safe for concurrent use.
 //
-// sharedReads cannot serve in its place: its reading begins after the call, is not kept,
-// and is paced by the store's request rate, while a listing here may be older than the
-// call, is read under the caller's deadline and without a pause, and holds decoded open
-// records only. To use one for both would change how often the store is read.
+// sharedReads cannot replace it. A shared read begins after the call, is not cached, and is
+// paced by the store's request rate. A listing may be older than the call, is read within
+// the caller's deadline and without a pause, and holds decoded open records only. One type
+// for both purposes would change how often the store is read.
 type openJobListings struct {
 	store    *kvstore.Client
 	validFor time.Duration // how long a listing may be relied on
-	// readLock is held by the caller that lists; other callers wait and use its listing.
+	// readLock is held by the caller that reads a listing. Other callers wait for the lock
+	// and then use that listing.
 	readLock chan struct{}
 
 	mu     sync.Mutex // guards the rest
@@ -35,7 +35,7 @@
 	countedSince time.Time
 }
 
-// jobListing holds the open records of all open jobs as of some time.
+// jobListing holds the open records of all open jobs at the time asOf.
 type jobListing struct {
 	asOf time.Time
 	jobs map[protocol.JobID]records.OpenJob
@@ -45,15 +45,15 @@
 	return &openJobListings{store: store, validFor: validFor, readLock: make(chan struct{}, 1)}
 }
 
-// latestValid returns the latest listing and whether it may still be relied on.
+// latestValid returns the latest listing and whether it is still valid.
 func (o *openJobListings) latestValid() (jobListing, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.latest, time.Since(o.latest.asOf) < o.validFor
 }
 
-// allowSingleReads tells whether some more jobs may be read one by one, and counts them if
-// so: not more than tuning.DependencyReads in the time for which a listing is valid.
+// allowSingleReads reports whether the given number of further jobs may be read one by one,
+// and counts them if so. At most tuning.DependencyReads may be read within validFor.
 func (o *openJobListings) allowSingleReads(jobs int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -67,7 +67,7 @@
 	return true
 }
 
-// read returns a listing that may be relied on, a new one if the latest is too old.
+// read returns the latest listing if it is valid, and reads a new one otherwise.
 func (o *openJobListings) read(ctx context.Context) (jobListing, error) {
 	select {
 	case o.readLock <- struct{}{}:
@@ -90,8 +90,8 @@
 	return listing, nil
 }
 
-// decodeOpenJobs decodes the open records and leaves out the segments of run records. Of
-// an open record that cannot be decoded only the mark of a cancellation is known.
+// decodeOpenJobs decodes the open records and leaves out the segments of run records. From
+// an open record that cannot be decoded it takes only whether the job is cancelled.
 func decodeOpenJobs(entries []protocol.KeyValue) map[protocol.JobID]records.OpenJob {
 	jobs := map[protocol.JobID]records.OpenJob{}
 	for _, entry := range entries {
--- a/internal/api/outcomeretry.go
+++ b/internal/api/outcomeretry.go
@@ -17,9 +17,9 @@
 	log    *slog.Logger
 }
 
-// retryUntilKnown repeats an attempt until it returns a reply. An attempt that the key-value
-// store throttles is repeated a few times within the retry budget. If the store refuses
-// to serve, that is the reply at once.
+// retryUntilKnown repeats an attempt until it returns a reply or the context ends. After a
+// throttled attempt it retries at most throttleRetries times and within the retry budget.
+// If the key-value store is unavailable, it returns storeRefusedReply without a retry.
 func (o *outcomeRetrier) retryUntilKnown(ctx context.Context, throttleRetries int, attempt func() (userReply, error)) userReply {
 	for throttled := 0; ; {
 		reply, err := attempt()
@@ -37,8 +37,9 @@
 			o.log.Error("key-value store refused a transaction as invalid or too large, the call is answered with 503", "err", err)
 			return unavailableReply
 		}
-		// The outcome of any other error is unknown. The next attempt reads before it
-		// writes, or the preconditions of its write find out.
+		// A throttled attempt was not executed. After any other error the outcome is
+		// unknown: the next attempt reads the record before it writes, or the preconditions
+		// of its write fail if the earlier write was executed.
 		if !clock.Sleep(ctx, tuning.UserRetryPause) {
 			return storeRefusedReply
 		}
--- a/internal/api/routing.go
+++ b/internal/api/routing.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// routeJob routes a request for one job, whose name may be anything. The parts that
-// answer the call check the name.
+// routeJob routes a request for one job. The name comes from the path unchecked; the code
+// that answers the call checks that it is a job ID.
 func (s *Server) routeJob(w http.ResponseWriter, r *http.Request, name string) {
 	method, call := http.MethodGet, &peer.UserCall{Operation: peer.OperationStatus, JobID: protocol.JobID(name)}
 	if cancelled, ok := strings.CutSuffix(name, suffixCancel); ok {
@@ -58,7 +58,8 @@
 	w.WriteHeader(http.StatusMethodNotAllowed)
 }
 
-// serveHealth tells health checks whether this controller can answer requests.
+// serveHealth answers health checks: 200 if this controller can take requests, 503
+// otherwise.
 func (s *Server) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	if s.node.Healthy() {
 		w.WriteHeader(http.StatusOK)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -16,23 +16,25 @@
 	"marblehaven/internal/tuning"
 )
 
-// Node is the controller of this process, as its HTTP server sees it.
+// Node is the part of this process's controller that its HTTP server uses.
 type Node interface {
-	// LocalLeader is the leader that runs in this process, nil if the controller does
-	// not lead.
+	// LocalLeader returns the leader that runs in this process, or nil if the controller
+	// does not lead.
 	LocalLeader() *leader.Leader
-	// Leader is the record of the current leader and term, as far as this controller
-	// knows; not ok if it knows none.
+	// Leader returns the newest record of a leader and its term that this controller has
+	// received, or false if it has received none.
 	Leader() (records.LeaderRecord, bool)
-	// Healthy is the answer to health checks: whether the controller can take requests.
+	// Healthy reports whether the controller can take requests. It is the answer to health
+	// checks.
 	Healthy() bool
-	// Summary fetches the leader's status, from this process or from a peer; not ok if
+	// Summary returns the leader's status, from this process or from a peer, or false if
 	// the leader does not answer.
 	Summary(ctx context.Context) (leader.Status, bool)
-	// StoreRefusesOnlyThisNode tells whether the key-value store refuses this controller while it
-	// serves some peer. Users' calls are then forwarded.
+	// StoreRefusesOnlyThisNode reports whether the key-value store serves some peer but not
+	// this controller, or whether this controller reaches neither the store nor any peer.
+	// Users' calls are then forwarded to a peer that the store serves, if there is one.
 	StoreRefusesOnlyThisNode() bool
-	// StoreReachable tells whether the key-value store serves this controller.
+	// StoreReachable reports whether the key-value store serves this controller.
 	StoreReachable() bool
 }
 
@@ -43,7 +45,7 @@
 	node        Node
 	peers       *peer.Group
 	log         *slog.Logger
-	inFlight    chan struct{} // holds a value for each user's call being answered
+	inFlight    chan struct{} // semaphore with one value for each user's call in progress
 	connections *connectionTable
 	idleTimeout time.Duration // how long an idle connection is kept
 	redirected  atomic.Uint64 // heartbeats that were redirected
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -15,27 +15,28 @@
 	"marblehaven/internal/tuning"
 )
 
-// sharedReads reads the records of all open jobs for many callers at once, each of which
-// asks for one job. Where users ask for more jobs than the key-value store answers
-// requests, one read for each call leaves some users without an answer for minutes. A
-// caller gets records that were read after its call, as with a read of its own. It is
-// safe for concurrent use.
+// sharedReads reads the records of all open jobs once for many concurrent callers, each of
+// which needs one job. When users ask for more jobs a second than the key-value store
+// answers requests, one read for each call would leave some users without a reply for
+// minutes. A caller receives records that were read after its call, as with a read of its
+// own. It is safe for concurrent use.
 //
-// See openJobListings for why the two are not one.
+// The comment on openJobListings says why the two types are separate.
 type sharedReads struct {
 	store *kvstore.Client
-	// rate is how many pages a second this controller may read in this way.
+	// rate limits the shared reads of this controller, in pages a second.
 	rate float64
-	// readLock is held by the reading in progress, so that there is one at a time.
+	// readLock is held by the shared read in progress, so that there is one at a time.
 	readLock chan struct{}
 
 	mu          sync.Mutex  // guards the rest
-	throttledAt time.Time   // when a request was throttled last
-	pending     *sharedRead // the reading that has not begun, nil if nobody waits for one
-	notBefore   time.Time   // when the next reading may begin
+	throttledAt time.Time   // when the store last throttled a read
+	pending     *sharedRead // the read that has not begun, nil if no caller waits for one
+	notBefore   time.Time   // the earliest start of the next read
 }
 
-// sharedRead is one reading for all callers that came before it began.
+// sharedRead is one read of all open jobs, shared by the callers that joined it before it
+// began.
 type sharedRead struct {
 	done    chan struct{} // closed when the other fields are set
 	entries []protocol.KeyValue
@@ -51,23 +52,23 @@
 	}
 }
 
-// recordThrottled notes that the key-value store has throttled a read.
+// recordThrottled records that the key-value store has throttled a read.
 func (s *sharedReads) recordThrottled() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.throttledAt = time.Now()
 }
 
-// enabled tells whether callers are to share their reads, since the store has throttled
-// one within tuning.SharedReadsDuration.
+// enabled reports whether callers must share their reads. They must for
+// tuning.SharedReadsDuration after the store throttled a read.
 func (s *sharedReads) enabled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.throttledAt.IsZero() && time.Since(s.throttledAt) < tuning.SharedReadsDuration
 }
 
-// records returns the records of an open job from a reading that begins after the call;
-// none if the job is not open.
+// records returns the records of an open job from a shared read that begins after the call,
+// or none if the job is not open.
 func (s *sharedReads) records(ctx context.Context, jobID protocol.JobID) ([]protocol.KeyValue, error) {
 	read := s.join()
 	select {
@@ -81,7 +82,7 @@
 	return recordsOf(read.entries, jobID), nil
 }
 
-// join returns the reading that begins next, and schedules one if there is none.
+// join returns the pending read, and schedules one if there is none.
 func (s *sharedReads) join() *sharedRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +93,8 @@
 	return s.pending
 }
 
-// run carries out a reading when its turn has come and the pause is over.
+// run executes a shared read once the previous one has ended and the pause after the start
+// of that one is over.
 func (s *sharedReads) run(read *sharedRead) {
 	s.readLock <- struct{}{}
 	defer func() { <-s.readLock }()
@@ -101,7 +103,7 @@
 	s.mu.Unlock()
 	time.Sleep(pause)
 	s.mu.Lock()
-	s.pending = nil // callers from now on wait for another reading
+	s.pending = nil // later callers wait for another read
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.UserDeadline)
 	defer cancel()
@@ -117,8 +119,9 @@
 	s.mu.Unlock()
 }
 
-// pause is the time from the beginning of a reading that returned some records to the
-// beginning of the next. It keeps the pages read within the rate.
+// pause returns the time from the start of a shared read that returned the given entries to
+// the start of the next one: long enough to keep the pages read within the rate, but at
+// most tuning.SharedReadsPause.
 func (s *sharedReads) pause(entries []protocol.KeyValue) time.Duration {
 	bytes := 0
 	for _, entry := range entries {
@@ -128,8 +131,8 @@
 	return min(tuning.SharedReadsPause, time.Duration(pages/s.rate*float64(time.Second)))
 }
 
-// recordsOf returns the records of a job among those of all open jobs, which are in the
-// order of their keys.
+// recordsOf returns the records of one job among those of all open jobs, which are sorted
+// by key.
 func recordsOf(entries []protocol.KeyValue, jobID protocol.JobID) []protocol.KeyValue {
 	key := records.OpenKey(jobID)
 	first, found := slices.BinarySearchFunc(entries, key, func(entry protocol.KeyValue, key string) int { return strings.Compare(entry.Key, key) })
--- a/internal/api/sharedreads_test.go
+++ b/internal/api/sharedreads_test.go
@@ -8,9 +8,9 @@
 	"marblehaven/internal/records"
 )
 
-// Each job gets its own records among those of all open jobs: its open record and the
-// segments of its run record, no record of a job whose name begins the same, and none at
-// all if the job is not open.
+// recordsOf must select the open record of a job and the segments of its run record, no
+// record of another job whose name begins with the job's name, and nothing if the job is
+// not open.
 func TestRecordsOf(t *testing.T) {
 	var entries []protocol.KeyValue
 	for _, key := range []string{
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -9,7 +9,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// statusQueries answers users' questions for the status of a job.
+// statusQueries answers users' calls for the status of a job.
 type statusQueries struct {
 	reader        *jobReader
 	resolver      *dependencyResolver
@@ -34,9 +34,10 @@
 	})
 }
 
-// readWithDependencies reads a job as jobReader.read does. If a dependency is cancelled, so is the
-// job, and its own open record is marked before the reply leaves: then no controller can
-// reply otherwise, whatever it knows of the dependencies.
+// readWithDependencies reads a job as jobReader.read does, and also checks the job's
+// dependencies. If one of them is cancelled, so is the job, and the job's own open record
+// is marked as cancelled before the reply is sent. From then on every controller reports
+// the job as cancelled, even one that has not read the cancelled dependency.
 func (s *statusQueries) readWithDependencies(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
 	start := time.Now()
 	record, err := s.reader.read(ctx, jobID)
--- a/internal/api/statuspage.go
+++ b/internal/api/statuspage.go
@@ -41,7 +41,7 @@
 </body></html>
 `))
 
-// statusPage is the data of the status page.
+// statusPage is the data that pageTemplate renders.
 type statusPage struct {
 	Name           string // this controller
 	Leader         string // empty if none is known
@@ -50,7 +50,7 @@
 	Summary        leader.Status
 }
 
-// serveStatusPage serves the page for people who watch the cluster.
+// serveStatusPage serves the HTML page on which operators see the state of the cluster.
 func (s *Server) serveStatusPage(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.PeerTimeout)
 	defer cancel()
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -16,7 +16,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// The reasons to reject a submission, as its user reads them.
+// The reasons to reject a submission, as they are sent to its user.
 var (
 	errUnknownTeam       = errors.New("unknown team")
 	errNoFittingType     = errors.New("a task fits no allowed machine type")
@@ -28,7 +28,7 @@
 type submissions struct {
 	config       *config.Config
 	store        *kvstore.Client
-	machineTypes atomic.Pointer[[]scheduler.MachineType] // nil until the cloud's types are known
+	machineTypes atomic.Pointer[[]scheduler.MachineType] // nil until setMachineTypes is called
 	resolver     *dependencyResolver
 	confirmed    *confirmedOpenJobs
 	statuses     *statusQueries
@@ -49,7 +49,7 @@
 
 func (s *submissions) hasMachineTypes() bool { return s.machineTypes.Load() != nil }
 
-// submit answers the submission of a job. It is idempotent: a job that was accepted
+// submit answers the submission of a job. The call is idempotent: a job that was accepted
 // before keeps its record, and the reply is its status.
 func (s *submissions) submit(ctx context.Context, body []byte) userReply {
 	job, err := protocol.DecodeJob(body)
@@ -71,8 +71,9 @@
 	return s.retrier.retryUntilKnown(ctx, tuning.UserThrottleRetries, func() (userReply, error) { return s.accept(ctx, open) })
 }
 
-// existingTypes returns the sorted names of the machine types that exist. A long list of
-// others must not make the record too large for the key-value store.
+// existingTypes returns those of the names that are names of machine types, sorted and
+// without duplicates. It drops the others so that a long list of unknown names does not
+// make the record too large for the key-value store.
 func existingTypes(names []string, types []scheduler.MachineType) []string {
 	names = slices.DeleteFunc(names, func(name string) bool {
 		return !slices.ContainsFunc(types, func(machineType scheduler.MachineType) bool { return machineType.Name == name })
@@ -134,20 +135,22 @@
 	return err
 }
 
-// existingJobReply replies with the status of a job whose record exists already.
+// existingJobReply returns the reply for a job that already has a record: its status.
 func (s *submissions) existingJobReply(ctx context.Context, jobID protocol.JobID) (userReply, error) {
 	record, err := s.statuses.readWithDependencies(ctx, jobID)
 	if err != nil {
 		return userReply{}, err
 	}
 	if record == nil {
-		// The preconditions failed, yet there is no record: the next attempt reads anew.
+		// The preconditions failed, yet no record was found. The retrier makes another
+		// attempt, which reads the records again.
 		return userReply{}, kvstore.ErrOutcomeUnknown
 	}
 	return jobReply(http.StatusOK, record.status), nil
 }
 
-// checkSchedulable returns why a job could never run, nil if it could.
+// checkSchedulable returns an error that says why a job could never run, or nil if it
+// could.
 func (s *submissions) checkSchedulable(job *protocol.Job, types []scheduler.MachineType) error {
 	team := s.config.Team(job.Team)
 	if team == nil {
@@ -156,7 +159,8 @@
 	if !fitsAnyType(job, types) {
 		return errNoFittingType
 	}
-	// The tasks of an array may run one after another, those of other kinds may not.
+	// The tasks of an array may run one after another. The other kinds, gangs and services,
+	// need all of their tasks at the same time.
 	concurrentTasks := float64(job.Tasks)
 	if job.Kind == protocol.KindArray {
 		concurrentTasks = 1
@@ -176,8 +180,10 @@
 	return false
 }
 
-// quotaTolerance absorbs the rounding of sums of decimal fractions.
+// quotaTolerance absorbs rounding errors in sums of decimal fractions. It is relative to
+// the limit.
 const quotaTolerance = 1e-9
 
-// exceeds compares a need with a quota limit; 0 means that there is none.
+// exceeds reports whether a need exceeds a quota limit. A limit of 0 means that there is
+// none.
 func exceeds(need, limit float64) bool { return limit > 0 && need > limit*(1+quotaTolerance) }
--- a/internal/api/usercalls.go
+++ b/internal/api/usercalls.go
@@ -12,8 +12,8 @@
 	}
 }
 
-// serveUserCall answers a user's call. Calls beyond the limit of those in flight are
-// refused at once, whatever they ask.
+// serveUserCall answers a user's call. A call beyond the limit of calls in flight is
+// refused with 503 without waiting, whatever its operation.
 func (s *Server) serveUserCall(w http.ResponseWriter, r *http.Request, call *peer.UserCall) {
 	select {
 	case s.inFlight <- struct{}{}:
@@ -27,8 +27,8 @@
 		reply = s.users.answer(r.Context(), call)
 	}
 	if reply.storeRefused {
-		// The key-value store may refuse this controller alone. Then a peer that the
-		// store serves can answer.
+		// The key-value store may be unavailable to this controller only. A peer that the
+		// store serves can then answer.
 		if forwarded, ok := s.peers.Forward(r.Context(), call); ok {
 			writeReply(w, forwarded.Status, forwarded.Body)
 			return
--- a/internal/api/userreply.go
+++ b/internal/api/userreply.go
@@ -11,16 +11,17 @@
 // userReply is the reply to a user's call.
 type userReply struct {
 	status int    // the HTTP status
-	body   []byte // encoded; nil where the status says all
+	body   []byte // encoded; nil if the reply consists of the status alone
 	// storeRefused marks the reply of a controller that the key-value store does not
 	// serve. A peer that the store serves may answer instead.
 	storeRefused bool
 }
 
 var (
-	// unavailableReply asks the user to come back later.
+	// unavailableReply is a 503, after which the user retries.
 	unavailableReply = userReply{status: http.StatusServiceUnavailable}
-	// storeRefusedReply is the reply if no peer can answer either.
+	// storeRefusedReply is the reply if the store does not serve this controller and no
+	// peer can answer either.
 	storeRefusedReply = userReply{status: http.StatusServiceUnavailable, storeRefused: true}
 )
 
@@ -29,12 +30,12 @@
 
 func noSuchJobReply() userReply { return errorReply(http.StatusNotFound, errNoSuchJob) }
 
-// errorReply tells the user why a call is refused for good.
+// errorReply returns the reply to a call that is refused permanently, with the reason.
 func errorReply(status int, reason error) userReply {
 	return encodedReply(status, protocol.ErrorReply{Error: reason.Error()})
 }
 
-// jobReply tells the user the status of a job.
+// jobReply returns a reply with the status of a job.
 func jobReply(status int, job protocol.JobStatus) userReply { return encodedReply(status, job) }
 
 func encodedReply(status int, message any) userReply {
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -1,14 +1,15 @@
 // Package api serves the HTTP interface of a controller: users' calls, agents'
 // heartbeats, health checks and the status page.
 //
-// A user's call is answered from the key-value store by whichever controller receives
-// it, leader or not: Users holds the parts that do this. What a reply says is durable
-// before the reply leaves. A heartbeat is answered by the local leader or redirected.
+// A user's call is answered from the key-value store by the controller that receives it,
+// leader or not: Users holds the parts that do this. Everything that a reply reports is
+// stored durably before the reply is sent. A heartbeat is answered by the local leader or
+// redirected.
 //
-// The package owns the connections made to this process, the caches of what users'
-// calls read, the retry budget and the list of cancellations that this process has
-// acknowledged. It must never start or stop a task, nor write a run record or a final
-// record: both are the leader's.
+// The package owns the connections made to this process, the caches of what users' calls
+// read, the retry budget and the list of cancellations that this process has acknowledged.
+// It must never start or stop a task, nor write a run record or a final record: only the
+// leader does so.
 package api
 
 import (
@@ -31,7 +32,7 @@
 	statuses      *statusQueries
 }
 
-// NewUsers creates the users' side of a controller.
+// NewUsers creates the part of a controller that answers users' calls.
 func NewUsers(cfg *config.Config, store *kvstore.Client, log *slog.Logger) *Users {
 	validFor := dependencyValidity(cfg)
 	acknowledged := newAcknowledgedCancellations(time.Now())
@@ -76,14 +77,15 @@
 	return &Users{acknowledged: acknowledged, submissions: submissions, cancellations: cancellations, statuses: statuses}
 }
 
-// SetMachineTypes sets the machine types of the cloud. No submission is accepted before.
+// SetMachineTypes sets the machine types of the cloud. Before the first call every valid
+// submission is answered with 503.
 func (u *Users) SetMachineTypes(types []protocol.MachineType) { u.submissions.setMachineTypes(types) }
 
-// HasMachineTypes tells whether the machine types are known.
+// HasMachineTypes reports whether the machine types have been set.
 func (u *Users) HasMachineTypes() bool { return u.submissions.hasMachineTypes() }
 
-// AcknowledgedCancellations lists the jobs whose cancellation was acknowledged to users, and the
-// time since which the list is complete.
+// AcknowledgedCancellations returns the jobs whose cancellation was acknowledged to users,
+// and the time since which the list is complete.
 func (u *Users) AcknowledgedCancellations() (jobIDs []protocol.JobID, since time.Time) {
 	return u.acknowledged.list()
 }
