--- a/internal/peer/compatible_test.go
+++ b/internal/peer/compatible_test.go
@@ -17,8 +17,8 @@
 
 // testdata/production.json holds records and peers' messages as the version in production
 // (deploy/service.toml) writes them, in hexadecimal. During an upgrade each version reads
-// the other's, so this version must decode them to the same values, and where no newer
-// field is set, encode them to the same bytes.
+// what the other writes, so this version must decode them to the same values and, where no
+// newer field is set, encode these values to the same bytes.
 func TestProductionFormats(t *testing.T) {
 	raw, err := os.ReadFile("testdata/production.json")
 	if err != nil {
@@ -53,33 +53,33 @@
 		delete(productionHex, name)
 	}
 	for name := range productionHex {
-		t.Errorf("%s is not compared", name)
+		t.Errorf("testdata/production.json holds %s, which no case of the test compares", name)
 	}
 }
 
-// compareWithProduction decodes a message of the version in production, compares it with
-// the wanted value, and encodes that value to the same bytes.
+// compareWithProduction decodes a message of the version in production and compares the
+// result with the wanted value, and checks that this value is encoded to the same bytes.
 func compareWithProduction(t *testing.T, encoded string, want any) {
 	t.Helper()
 	production, err := hex.DecodeString(encoded)
 	if err != nil || len(production) == 0 {
-		t.Fatalf("no production bytes: %v", err)
+		t.Fatalf("no bytes of the version in production: %v", err)
 	}
 	got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 	if err := codec.Unmarshal(production, got); err != nil {
 		t.Error(err)
 	}
 	if d := cmp.Diff(want, got); d != "" {
-		t.Errorf("decoded differently: %s", d)
+		t.Errorf("decoded to another value (-want +got):\n%s", d)
 	}
 	if current, err := codec.Marshal(want); err != nil || !bytes.Equal(current, production) {
 		t.Errorf("encoded as\n%x, in production as\n%x", current, production)
 	}
 }
 
-// The version in production ignores the fields that this version adds to records: the
-// names of a job's dependencies, and when a job was closed. The structures are those of
-// the version in production.
+// The version in production ignores the fields that this version adds to records: the IDs
+// of a job's dependencies, and the time when a job was closed. The structures in the test
+// are those of the version in production.
 func TestReadByProduction(t *testing.T) {
 	open, _ := codec.Marshal(records.OpenJob{Job: protocol.Job{ID: "req-000001", Tasks: 3, DependsOn: []protocol.JobID{"req-000002"}}, AcceptedMS: 7})
 	var job struct {
@@ -91,7 +91,7 @@
 		Cancelled bool  `msgpack:"c,omitempty"`
 	}
 	if err := codec.Unmarshal(open, &job); err != nil || job.Job.ID != "req-000001" || job.Job.Tasks != 3 || job.AtMS != 7 {
-		t.Errorf("open record read as %+v, %v", job, err)
+		t.Errorf("the structure in production reads the open record as %+v, %v", job, err)
 	}
 	closed, _ := codec.Marshal(records.FinalRecord{Phase: protocol.PhaseDone, TasksDone: 3, ClosedMS: 9})
 	var final struct {
@@ -99,6 +99,6 @@
 		Tasks int    `msgpack:"n"`
 	}
 	if err := codec.Unmarshal(closed, &final); err != nil || final.Phase != string(protocol.PhaseDone) || final.Tasks != 3 {
-		t.Errorf("final record read as %+v, %v", final, err)
+		t.Errorf("the structure in production reads the final record as %+v, %v", final, err)
 	}
 }
--- a/internal/peer/exchange.go
+++ b/internal/peer/exchange.go
@@ -8,40 +8,41 @@
 	"marblehaven/internal/tuning"
 )
 
-// exchange is a successful exchange of statuses with a peer. The peer made its status
-// at some moment between the two times. Both are zero before the first exchange.
+// exchange holds the result of a successful exchange of statuses with a peer. The peer
+// composed its status at some moment between the two times. Both are zero before the first
+// exchange.
 type exchange struct {
 	sentAt     time.Time
 	receivedAt time.Time
 	status     Status
 }
 
-// completed tells whether there was an exchange at all.
+// completed reports whether there has been an exchange.
 func (e *exchange) completed() bool { return !e.sentAt.IsZero() }
 
-// storeServedAt is when the key-value store last served the peer.
+// storeServedAt returns when the key-value store last served the peer.
 func (e *exchange) storeServedAt() time.Time {
 	return e.receivedAt.Add(-milliseconds(e.status.SinceStoreServedMS))
 }
 
-// acknowledgedCompleteSince is the moment since which the peer's list of acknowledged
-// cancellations is complete. The peer measured AcknowledgedCompleteMS before it answered, so the
-// result is too late rather than too early.
+// acknowledgedCompleteSince returns the time since which the peer's list of acknowledged
+// cancellations is complete. The peer measured AcknowledgedCompleteMS before its reply
+// arrived here, so the result may be too late but is never too early.
 func (e *exchange) acknowledgedCompleteSince() time.Time {
 	return e.receivedAt.Add(-milliseconds(e.status.AcknowledgedCompleteMS))
 }
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// redirectWindow holds a peer's counter of redirected heartbeats at the two latest
-// marks, which lie at least tuning.PeerWindow apart.
+// redirectWindow holds the two latest samples of a peer's counter of redirected heartbeats,
+// which were taken at least tuning.PeerWindow apart.
 type redirectWindow struct {
 	earlier   uint64
 	latest    uint64
 	sampledAt time.Time
 }
 
-// observe sets a new mark if the latest one is old enough.
+// observe takes a new sample if the latest one is at least tuning.PeerWindow old.
 func (w *redirectWindow) observe(counter uint64, at time.Time) {
 	if at.Sub(w.sampledAt) < tuning.PeerWindow {
 		return
@@ -49,8 +50,8 @@
 	w.earlier, w.latest, w.sampledAt = w.latest, counter, at
 }
 
-// count returns the heartbeats redirected since the earlier mark. A counter below the
-// mark is that of a restarted process.
+// count returns the number of heartbeats redirected since the earlier sample. A counter
+// below that sample is the counter of a restarted process, which began at 0.
 func (w *redirectWindow) count(counter uint64) uint64 {
 	if counter < w.earlier {
 		return counter
@@ -58,7 +59,8 @@
 	return counter - w.earlier
 }
 
-// Run exchanges statuses with all peers until the context ends.
+// Run starts to exchange statuses with all peers, until the context ends, and returns
+// without waiting.
 func (g *Group) Run(ctx context.Context) {
 	for _, link := range g.links {
 		go g.exchangePeriodically(ctx, link)
@@ -78,7 +80,8 @@
 	}
 }
 
-// exchangeStatus asks a peer for its status and names the leader known here.
+// exchangeStatus requests a peer's status and sends it the newest leader record of this
+// controller. It returns false if the peer does not reply within tuning.PeerTimeout.
 func (g *Group) exchangeStatus(ctx context.Context, link *peerLink, withSummary bool) (Status, bool) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerTimeout)
 	defer cancel()
@@ -102,11 +105,11 @@
 	return current.status, true
 }
 
-// AcknowledgedCancellations returns the jobs whose cancellation the peers have acknowledged to
-// users, and the time up to which the list is complete for acknowledgments after
-// since. The time is zero without peers. The result is not ok if some peer cannot
-// vouch for that: it has restarted after since, has acknowledged more cancellations
-// than it keeps, or has not been asked yet.
+// AcknowledgedCancellations returns the jobs whose cancellation the peers have acknowledged
+// to users. The list contains every acknowledgment after since and up to asOf, which is
+// zero if there are no peers. The result ok is false if the list of some peer is not
+// complete since then: the peer has restarted after since, has acknowledged more
+// cancellations than it keeps, or has not replied yet.
 func (g *Group) AcknowledgedCancellations(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -122,8 +125,8 @@
 	return asOf, jobIDs, true
 }
 
-// Redirected is how many heartbeats the peers that answer have redirected to other
-// controllers within the last one or two of tuning.PeerWindow.
+// Redirected returns how many heartbeats the reachable peers have redirected to other
+// controllers within the last one to two periods of tuning.PeerWindow.
 func (g *Group) Redirected() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -136,8 +139,8 @@
 	return int(total)
 }
 
-// Summary fetches the leader's status page data from the named controller; nil if
-// that controller is no peer or does not answer.
+// Summary requests the leader's status page data from the named controller. It returns nil
+// if that controller is no peer, does not reply or does not lead.
 func (g *Group) Summary(ctx context.Context, node string) []byte {
 	for _, link := range g.links {
 		if link.name == node {
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -7,14 +7,15 @@
 	"marblehaven/internal/tuning"
 )
 
-// StoreServedAfter tells whether the key-value store has served some peer after the
-// given time, and within tuning.PeerStatusMaxAge.
+// StoreServedAfter reports whether the key-value store has served some peer after the given
+// time and less than tuning.PeerStatusMaxAge ago.
 func (g *Group) StoreServedAfter(after time.Time) bool {
 	_, ok := g.linkServedAfter(after)
 	return ok
 }
 
-// linkServedAfter returns the first link to a peer that StoreServedAfter holds for.
+// linkServedAfter returns the first link to a peer that the key-value store has served
+// after the given time and less than tuning.PeerStatusMaxAge ago.
 func (g *Group) linkServedAfter(after time.Time) (*peerLink, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -27,7 +28,8 @@
 	return nil, false
 }
 
-// Forward passes a user's call to a peer that the key-value store serves.
+// Forward sends a user's call to a peer that the key-value store serves. It returns false
+// if there is no such peer or the call fails.
 func (g *Group) Forward(ctx context.Context, call *UserCall) (*UserAnswer, bool) {
 	link, ok := g.linkServedAfter(time.Time{})
 	if !ok {
--- a/internal/peer/group.go
+++ b/internal/peer/group.go
@@ -13,11 +13,12 @@
 	"marblehaven/internal/tuning"
 )
 
-// Group is a controller's view of its peers. It is safe for concurrent use.
+// Group holds a controller's connections to its peers and the results of the latest status
+// exchanges with them. It is safe for concurrent use.
 type Group struct {
 	local LocalNode
 	log   *slog.Logger
-	mu    sync.Mutex // guards what the links hold of the last exchanges
+	mu    sync.Mutex // guards last and redirected of each link
 	links []*peerLink
 }
 
@@ -29,7 +30,7 @@
 	redirected redirectWindow
 }
 
-// redialMultiplier is the factor from one pause between dials to the next.
+// redialMultiplier is the factor by which the pause between dials grows.
 const redialMultiplier = 1.5
 
 // Dial prepares a connection to a peer. The connection is established on first use.
@@ -42,7 +43,7 @@
 		grpc.WithNoProxy(), grpc.WithDisableServiceConfig())
 }
 
-// NewGroup creates the view of the peers over the connections that dial prepares.
+// NewGroup creates a Group with the connections that dial prepares.
 func NewGroup(peers []config.Peer, dial func(config.Peer) (grpc.ClientConnInterface, error), local LocalNode, log *slog.Logger) (*Group, error) {
 	group := &Group{local: local, log: log}
 	for _, p := range peers {
@@ -55,8 +56,8 @@
 	return group, nil
 }
 
-// Unreachable tells whether there are peers and none of them has answered for the
-// given time.
+// Unreachable reports whether there are peers and none of them has replied within the given
+// time.
 func (g *Group) Unreachable(within time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -20,13 +20,14 @@
 	"marblehaven/internal/tuning"
 )
 
-// fakePeer is a peer that acknowledges cancellations and restarts at random. It is the
-// connection to itself, on which each way takes up to a second.
+// fakePeer is a peer that acknowledges cancellations and restarts at random. It also
+// implements the connection to itself, on which a request and a reply each take up to a
+// second.
 type fakePeer struct {
-	rng    *rand.Rand // of the delays
+	rng    *rand.Rand // for the delays
 	mu     sync.Mutex
 	since  time.Time        // of the last restart
-	jobIDs []protocol.JobID // acknowledged since
+	jobIDs []protocol.JobID // acknowledged since the last restart
 }
 
 func (p *fakePeer) Invoke(_ context.Context, _ string, _, reply any, _ ...grpc.CallOption) error {
@@ -53,7 +54,8 @@
 	return nil, errors.New("no streams")
 }
 
-// leadingNode is a controller that leads, so it asks its peers for acknowledgments.
+// leadingNode is a LocalNode that leads, so its Group requests the acknowledged
+// cancellations of the peers.
 type leadingNode struct{}
 
 func (leadingNode) Status(*StatusRequest) Status                    { return Status{} }
@@ -67,9 +69,10 @@
 	at    time.Time
 }
 
-// AcknowledgedCancellations is compared with a record of all acknowledgments of the peers: none up to
-// its time may be missing, however late answers come, however often a peer restarts, and
-// whenever AcknowledgedCancellations is called in between.
+// The result of AcknowledgedCancellations is compared with a record of all acknowledgments
+// of the peers. None between since and the returned time may be missing, however late
+// replies arrive, however often a peer restarts, and whenever AcknowledgedCancellations is
+// called.
 func TestAcknowledgedVouchesForNoMore(t *testing.T) {
 	complete, refused := 0, 0
 	for seed := range uint64(30) {
@@ -77,7 +80,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer func() {
 				cancel()
-				time.Sleep(3 * time.Second) // the calls in flight end
+				time.Sleep(3 * time.Second) // until the calls in flight have ended
 			}()
 			rng := rand.New(rand.NewPCG(seed, 3))
 			peers := map[string]*fakePeer{}
@@ -118,13 +121,13 @@
 				complete++
 				for _, a := range acknowledgments {
 					if a.at.After(since) && a.at.Before(asOf) && !slices.Contains(jobIDs, a.jobID) {
-						t.Errorf("%s, acknowledged %v before the time of the list, is missing", a.jobID, asOf.Sub(a.at))
+						t.Errorf("%s, acknowledged %v before the returned time, is missing", a.jobID, asOf.Sub(a.at))
 					}
 				}
 			}
 		})
 	}
 	if complete == 0 || refused == 0 {
-		t.Errorf("%d lists were complete, %d refused: one case was not tested", complete, refused)
+		t.Errorf("%d lists were complete and %d incomplete: one of the two cases was not tested", complete, refused)
 	}
 }
--- a/internal/peer/protocol.go
+++ b/internal/peer/protocol.go
@@ -1,11 +1,11 @@
-// Package peer is the protocol between the controllers of a cluster, over gRPC: they
-// exchange who leads, whether the key-value store serves them and which
-// cancellations they have acknowledged, and they answer users' calls for a
-// controller that the store refuses to serve.
+// Package peer implements the protocol between the controllers of a cluster, over gRPC.
+// Controllers exchange who leads, whether the key-value store serves them and which
+// cancellations they have acknowledged, and they answer users' calls for a controller that
+// the store does not serve.
 //
-// The package owns the connections to the peers and each peer's last status. It
-// never decides who leads and never touches the key-value store: the controller
-// behind LocalNode does both.
+// The package owns the connections to the peers and each peer's last status. It never
+// decides who leads and never accesses the key-value store: the controller behind LocalNode
+// does both.
 //
 // Messages are MessagePack, as everywhere in the service, so no generated code is
 // needed. The names of the gRPC service and its methods, the tags and the values of
@@ -22,14 +22,15 @@
 	"marblehaven/internal/records"
 )
 
-// Status is the state of a controller as it describes itself to its peers.
+// Status is the status of a controller as sent to its peers.
 type Status struct {
 	Leader records.LeaderRecord `msgpack:"l"`
-	// SinceStoreServedMS is the time since the key-value store last served the controller.
+	// SinceStoreServedMS is the time in milliseconds since the key-value store last served
+	// the controller.
 	SinceStoreServedMS int64 `msgpack:"s"`
-	// Acknowledged lists the jobs whose cancellation the controller has acknowledged
-	// to users, if the request asks for them. AcknowledgedCompleteMS is the age of the moment
-	// since which the list is complete.
+	// Acknowledged lists the jobs whose cancellation the controller has acknowledged to
+	// users, if the request asks for them. The list is complete for the last
+	// AcknowledgedCompleteMS milliseconds.
 	Acknowledged           []protocol.JobID `msgpack:"k,omitempty"`
 	AcknowledgedCompleteMS int64            `msgpack:"c,omitempty"`
 	// Redirected counts the heartbeats that the controller redirected to others.
@@ -38,7 +39,8 @@
 	Summary []byte `msgpack:"y,omitempty"`
 }
 
-// StatusRequest asks for a controller's status and names the leader known to the sender.
+// StatusRequest requests a controller's status. Leader is the newest leader record of the
+// sender; Summary and Acknowledged request the fields of Status with these names.
 type StatusRequest struct {
 	Leader       records.LeaderRecord `msgpack:"l"`
 	Summary      bool                 `msgpack:"y,omitempty"`
@@ -48,7 +50,7 @@
 // Operation is the kind of a user's call.
 type Operation string
 
-// The operations of users; the values travel between controllers.
+// The operations of users. Their values are sent between controllers.
 const (
 	OperationSubmit Operation = "submit"
 	OperationStatus Operation = "poll"
@@ -68,16 +70,16 @@
 	Body   []byte `msgpack:"b"`
 }
 
-// LocalNode is the controller of this process, as its peers see it.
+// LocalNode is the controller of this process, which answers the calls of its peers.
 type LocalNode interface {
-	// Status describes the controller, with the parts that the request asks for.
+	// Status returns the controller's status, with the parts that the request asks for.
 	Status(r *StatusRequest) Status
-	// IsLeader tells whether the controller leads. A leader asks its peers which
+	// IsLeader reports whether the controller leads. A leader requests from its peers which
 	// cancellations they have acknowledged.
 	IsLeader() bool
-	// ObserveTerm takes note of the leader and the term that a peer has named.
+	// ObserveTerm processes the leader and the term that a peer has sent.
 	ObserveTerm(t records.LeaderRecord)
-	// UserCall answers a user's call for a peer that the key-value store refuses.
+	// UserCall answers a user's call for a peer that the key-value store does not serve.
 	UserCall(ctx context.Context, c *UserCall) *UserAnswer
 }
 
@@ -99,7 +101,7 @@
 	methodUserCall = "UserCall"
 )
 
-// methodPath is the path of a method as gRPC clients name it.
+// methodPath returns the full path of a method, as gRPC clients pass it to Invoke.
 func methodPath(method string) string { return "/" + serviceName + "/" + method }
 
 // Service describes the calls between peers.
