--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,8 +1,8 @@
 // Package codec encodes values as MessagePack and measures their size as JSON, the form in
 // which the protocol counts sizes.
 //
-// It owns how strictly a message is decoded. It must never accept a message of which a
-// part is left over, nor measure a value as smaller than the receiver does.
+// The package decides how strictly messages are decoded. It must never accept a message
+// with trailing bytes, nor compute a smaller size for a value than the receiver does.
 package codec
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Unmarshal decodes exactly one value; trailing bytes are an error. After an error the
-// value may have been changed.
+// Unmarshal decodes exactly one value; trailing bytes are an error. After an error, value
+// may have been changed in part.
 func Unmarshal(encoded []byte, value any) error {
 	decoder := msgpack.NewDecoder(bytes.NewReader(encoded))
 	if err := decoder.Decode(value); err != nil {
--- a/internal/codec/jsonsize.go
+++ b/internal/codec/jsonsize.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"strconv"
 	"unicode/utf8"
@@ -11,11 +12,11 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth is how deep values that are measured may be nested: measuring is recursive.
+// maxDepth limits how deep measured values may be nested, since jsonSize is recursive.
 const maxDepth = 32
 
-// EncodeSized encodes a value, unless it is encoded already, and returns its size in bytes
-// as JSONSize does.
+// EncodeSized encodes a value, unless it is a msgpack.RawMessage and so encoded already,
+// and returns the encoded value with its size in bytes as JSONSize computes it.
 func EncodeSized(value any) (raw msgpack.RawMessage, size int, err error) {
 	raw, encoded := value.(msgpack.RawMessage)
 	if !encoded {
@@ -27,8 +28,8 @@
 	return raw, size, err
 }
 
-// JSONSize returns how many bytes a MessagePack value takes as JSON, the form in
-// which the protocol measures sizes. Where JSON leaves a choice of forms it assumes the
+// JSONSize returns how many bytes a MessagePack value takes as JSON, the form in which the
+// protocol measures sizes. Where JSON allows several forms of a value, JSONSize assumes the
 // longest, so that the result is never too small.
 func JSONSize(raw []byte) (int, error) {
 	decoder := msgpack.NewDecoder(bytes.NewReader(raw))
@@ -42,10 +43,11 @@
 	return size, nil
 }
 
-// jsonSize measures the next value of a decoder, which is so deep inside others.
+// jsonSize returns the size as JSON of the next value of a decoder, which is nested in
+// depth other values.
 func jsonSize(decoder *msgpack.Decoder, depth int) (int, error) {
 	if depth > maxDepth {
-		return 0, errors.New("nested too deep")
+		return 0, fmt.Errorf("value is nested deeper than %d levels", maxDepth)
 	}
 	code, err := decoder.PeekCode()
 	if err != nil {
@@ -68,9 +70,9 @@
 	return jsonScalarSize(decoder, code)
 }
 
-// jsonScalarSize measures the next value of a decoder, which has the given code and is
-// neither a list nor a map. Codes that are not listed are those of integers; others fail
-// to decode as one.
+// jsonScalarSize returns the size as JSON of the next value of a decoder, which has the
+// given MessagePack code and is neither a list nor a map. A code without a case is taken
+// for an integer's; decoding fails if it is the code of another type.
 func jsonScalarSize(decoder *msgpack.Decoder, code byte) (int, error) {
 	switch {
 	case code == msgpcode.Nil:
@@ -95,11 +97,12 @@
 	return len(strconv.FormatInt(number, 10)), err
 }
 
-// base64Size is how many characters so many bytes take in padded base64.
+// base64Size returns how many characters length bytes take in padded base64.
 func base64Size(length int) int { return (length + 2) / 3 * 4 }
 
-// jsonElements measures the elements of a list, or the keys and values of a map:
-// each is followed by a comma, a colon or the closing bracket.
+// jsonElements returns the size as JSON of a list with count elements, or of a map whose
+// keys and values are count elements together. Each element is followed by a comma, a colon
+// or the closing bracket.
 func jsonElements(decoder *msgpack.Decoder, count, depth int) (int, error) {
 	size := len("[]")
 	for range count {
@@ -112,8 +115,8 @@
 	return size, nil
 }
 
-// jsonStringSize measures a string whose characters are escaped wherever an encoder may
-// escape them; those beyond ASCII may take a pair of escapes.
+// jsonStringSize returns the size as JSON of a string in which every character is escaped
+// that an encoder may escape. A character beyond ASCII may take a pair of escapes.
 func jsonStringSize(text string) int {
 	const escaped = len(`\u0000`)
 	size := len(`""`)
--- a/internal/codec/jsonsize_test.go
+++ b/internal/codec/jsonsize_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A measured size is never below what the JSON encoder of the standard library
-// makes of the value, and above it by no more than the choices that JSON leaves:
-// a value measured too small would be rejected by the key-value store.
+// JSONSize must be at least the size that the JSON encoder of the standard library
+// produces, since the key-value store would reject a value whose size was underestimated.
+// It may be larger by no more than the choice of forms that JSON allows.
 func TestJSONSize(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var value func(depth int) any
@@ -51,12 +51,12 @@
 		}
 		got, err := JSONSize(packed)
 		if err != nil || got < len(plain) || got > 3*len(plain)+8 {
-			t.Fatalf("%s: measured %d instead of %d, %v", plain, got, len(plain), err)
+			t.Fatalf("%s: JSONSize is %d for %d bytes, %v", plain, got, len(plain), err)
 		}
 	}
 	for _, raw := range [][]byte{nil, {0xdd, 0xff, 0xff, 0xff, 0xff}, {0xc0, 0xc0}, {0xdc, 0x10}} {
 		if n, err := JSONSize(raw); err == nil {
-			t.Errorf("%x measured as %d", raw, n)
+			t.Errorf("malformed value %x: JSONSize is %d instead of an error", raw, n)
 		}
 	}
 }
--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -1,7 +1,7 @@
 package protocol
 
 import (
-	"errors"
+	"fmt"
 
 	"marblehaven/internal/tuning"
 )
@@ -13,7 +13,7 @@
 const (
 	TaskFetching TaskState = "pulling"   // waits for its image
 	TaskWaiting  TaskState = "gathering" // waits for the other tasks of its gang
-	TaskRunning  TaskState = "running"   // runs, or runs on in a gang that is being stopped
+	TaskRunning  TaskState = "running"   // runs, also while its gang is being stopped
 	TaskSaving   TaskState = "saving"    // saves a checkpoint before it exits
 	TaskExited   TaskState = "ended"     // has exited; see ExitReason
 )
@@ -27,7 +27,7 @@
 	ExitStopped     ExitReason = "stopped" // stopped by a command
 	ExitError       ExitReason = "error"   // failed
 	ExitNoCapacity  ExitReason = "no_room" // start refused: the machine has too few free resources
-	ExitDuplicate   ExitReason = "in_use"  // start refused: another attempt of the task has not left the machine
+	ExitDuplicate   ExitReason = "in_use"  // start refused: another attempt of the task is still on the machine
 	ExitUnknownTask ExitReason = "no_such" // start refused: the agent found no such job or task
 )
 
@@ -40,9 +40,10 @@
 	Checkpointed bool       `msgpack:"stored"`
 }
 
-// Heartbeat is the status of an agent and of all tasks on its machine. Agents send it by
-// themselves, and in reply to commands. Of two heartbeats the one with the higher incarnation,
-// or with the same incarnation and the higher sequence number, is the newer one.
+// Heartbeat is the status of an agent and of all tasks on its machine. Agents send it at
+// intervals, and in reply to commands. Of two heartbeats the one with the higher
+// incarnation, or with the same incarnation and the higher sequence number, is the newer
+// one.
 type Heartbeat struct {
 	Machine           string       `msgpack:"host"`
 	Addr              string       `msgpack:"endpoint"`
@@ -59,12 +60,13 @@
 // Check returns an error for a heartbeat without a usable machine ID or incarnation.
 func (h *Heartbeat) Check() error {
 	if h.Machine == "" || len(h.Machine) > tuning.MaxName || h.Incarnation == 0 {
-		return errors.New("heartbeat without machine ID or incarnation")
+		return fmt.Errorf("heartbeat with a machine ID of %d bytes and incarnation %d; the ID must have 1 to %d bytes, the incarnation must not be 0", len(h.Machine), h.Incarnation, tuning.MaxName)
 	}
 	return nil
 }
 
-// HeartbeatReply answers a heartbeat that an agent sent by itself, and renews the agent's lease.
+// HeartbeatReply answers a heartbeat that is not the reply to a command, and renews the
+// agent's lease.
 type HeartbeatReply struct {
 	Token    FencingToken `msgpack:"baton"`
 	Commands []Command    `msgpack:"orders"`
@@ -75,7 +77,7 @@
 	Leader string `msgpack:"steward,omitempty"`
 }
 
-// Verb says what a command asks of an agent.
+// Verb is the action that a command requests from an agent.
 type Verb string
 
 // The verbs of commands.
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -19,8 +19,8 @@
 	Types []MachineType `msgpack:"flavors"`
 }
 
-// ProvisionRequest asks the cloud for machines. The cloud answers a repeated RequestID as the
-// first time and provisions no further machines.
+// ProvisionRequest asks the cloud for machines. A repeated RequestID gets the same answer
+// as the first time, and no further machines are provisioned.
 type ProvisionRequest struct {
 	RequestID string `msgpack:"claim"`
 	Type      string `msgpack:"flavor"`
--- a/internal/protocol/decode_job.go
+++ b/internal/protocol/decode_job.go
@@ -58,7 +58,8 @@
 	"awaits": optionalJobIDs,
 }
 
-// submissionReader holds the decoded fields of a submission, by their type and spelling.
+// submissionReader decodes a submission and holds its decoded fields: one map for each type
+// of value, with the field names of the protocol as keys.
 type submissionReader struct {
 	decoder *msgpack.Decoder
 	texts   map[string]string
@@ -200,7 +201,7 @@
 	return amount >= 0 && !math.IsInf(amount, 0), err // false for NaN as well
 }
 
-// readBool reads a truth value.
+// readBool reads a boolean.
 func (r *submissionReader) readBool(key string, code byte) (valid bool, err error) {
 	if code != msgpcode.True && code != msgpcode.False {
 		return false, nil
--- a/internal/protocol/decode_job_test.go
+++ b/internal/protocol/decode_job_test.go
@@ -36,13 +36,13 @@
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(want, got); d != "" {
-		t.Error(d)
+		t.Errorf("decoded to another job (-want +got):\n%s", d)
 	}
 	for _, key := range []string{"flavors", "quarry", "dueS"} {
 		m := validSubmission()
 		delete(m, key)
 		if _, err := DecodeJob(encode(t, m)); err != nil {
-			t.Errorf("without %s: %v", key, err)
+			t.Errorf("a submission without the optional field %s is refused: %v", key, err)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 			return
 		}
 		if !ValidJobID(job.ID) || job.Tasks < 1 || !(job.Cores >= 0) || !(job.MemGB >= 0) || !(job.EstimateS >= 0) || job.Team == "" {
-			t.Errorf("accepted %+v", job)
+			t.Errorf("a job out of range is accepted: %+v", job)
 		}
 	})
 }
--- a/internal/protocol/identifiers.go
+++ b/internal/protocol/identifiers.go
@@ -2,10 +2,10 @@
 
 import "marblehaven/internal/tuning"
 
-// JobID names a job, in the form that ValidJobID checks. Users choose the IDs of their jobs.
+// JobID identifies a job. ValidJobID checks its form. Users choose the IDs of their jobs.
 type JobID string
 
-// ValidJobID reports whether s has the form of a job ID: "req-" and 1 to 20 digits.
+// ValidJobID reports whether id has the form of a job ID: "req-" and 1 to 20 digits.
 func ValidJobID(id JobID) bool {
 	const prefix = "req-"
 	if len(id) <= len(prefix) || len(id) > len(prefix)+20 || id[:len(prefix)] != prefix {
@@ -22,10 +22,10 @@
 // Term numbers the leaders one after another: a newer leader has a higher term.
 type Term uint64
 
-// FencingToken proves to an agent which leader a command or a heartbeat reply comes from. An
-// agent drops whatever carries a lower token than the highest that it has seen. The high bits
-// are the leader's term; the low bits count the tokens that the leader has issued to one
-// machine.
+// FencingToken shows an agent which leader sent a command or a heartbeat reply. An agent
+// drops every command and reply with a lower token than the highest that it has received.
+// The high bits are the leader's term; the low bits count the tokens that the leader has
+// issued to one machine.
 type FencingToken uint64
 
 // FirstToken returns the lowest token of the term.
@@ -34,8 +34,9 @@
 // Term returns the term of the leader that issued the token.
 func (t FencingToken) Term() Term { return Term(t >> tuning.TermShift) }
 
-// Incarnation numbers the lives of an agent. A new one begins when the agent's lease expires;
-// all tasks of earlier incarnations are gone then.
+// Incarnation numbers the periods of an agent between two losses of its lease. A new
+// incarnation begins when the lease expires; no task of an earlier incarnation is on the
+// machine then.
 type Incarnation uint64
 
 // Revision counts all changes of the key-value store.
@@ -50,5 +51,5 @@
 // Revision returns the revision of the change that gave the key this version.
 func (v Version) Revision() Revision { return Revision(v) }
 
-// LeaseID names a lease of the key-value store.
+// LeaseID identifies a lease of the key-value store.
 type LeaseID uint64
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -30,14 +30,14 @@
 	DependsOn []JobID `msgpack:"awaits,omitempty"`
 }
 
-// JobKind says how the tasks of a job belong together.
+// JobKind says whether the tasks of a job must run together and whether they end.
 type JobKind string
 
 // The kinds of jobs.
 const (
-	KindArray   JobKind = "sweep"    // tasks that need not run together and end by themselves
+	KindArray   JobKind = "sweep"    // tasks that need not run together and exit when they are done
 	KindGang    JobKind = "group"    // tasks that run together or not at all
-	KindService JobKind = "standing" // replicas, which go on until their user cancels the job
+	KindService JobKind = "standing" // replicas, which run until their user cancels the job
 )
 
 // Priority is a job's priority as its user names it; Level orders priorities.
--- a/internal/protocol/store.go
+++ b/internal/protocol/store.go
@@ -16,7 +16,8 @@
 	Revision Revision   `msgpack:"epoch"`
 }
 
-// Precondition is a condition of a transaction: the key has this version.
+// Precondition is a condition of a transaction: the key has this version, or does not exist
+// if Version is 0.
 type Precondition struct {
 	Key     string  `msgpack:"path"`
 	Version Version `msgpack:"stamp"`
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -1,6 +1,6 @@
 package protocol
 
-// JobPhase is the state of a job that users are told.
+// JobPhase is the state of a job as reported to users.
 type JobPhase string
 
 // The phases of a job.
@@ -11,8 +11,8 @@
 	PhaseCancelled JobPhase = "cancelled"
 )
 
-// JobStatus answers a user's submission, question or cancellation. Done and Running count
-// tasks.
+// JobStatus answers a user's call to submit a job, to get its status or to cancel it. Done
+// and Running count tasks.
 type JobStatus struct {
 	ID      JobID    `msgpack:"ref"`
 	Phase   JobPhase `msgpack:"phase"`
