--- a/internal/peer/exchange.go
+++ b/internal/peer/exchange.go
@@ -81,7 +81,7 @@
 }
 
 // exchangeStatus requests a peer's status and sends it the newest leader record of this
-// controller. It returns false if the peer does not reply within tuning.PeerTimeout.
+// controller. It returns false if the call fails or takes longer than tuning.PeerTimeout.
 func (g *Group) exchangeStatus(ctx context.Context, link *peerLink, withSummary bool) (Status, bool) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerTimeout)
 	defer cancel()
