--- a/internal/api/acknowledged.go
+++ b/internal/api/acknowledged.go
@@ -8,52 +8,53 @@
 	"marblehaven/internal/tuning"
 )
 
-// acknowledgedCancellations remembers the jobs whose cancellation this process has
-// acknowledged to users, the latest tuning.AcknowledgedJobs of them. A leader without the
-// key-value store that knows the lists of all controllers may go on answering heartbeats.
-// A job is added before the reply leaves, so the list is never shorter than it claims.
-// It is safe for concurrent use.
+// acknowledgedCancellations lists the jobs whose cancellation this process has acknowledged
+// to users, limited to the latest tuning.AcknowledgedJobs. A leader that cannot reach the
+// key-value store may continue to answer heartbeats if it has the lists of all controllers.
+// A job is added before the reply is sent, so the list contains every acknowledgment after
+// completeSince. It is safe for concurrent use.
 type acknowledgedCancellations struct {
-	mu            sync.Mutex
-	known         map[protocol.JobID]bool
-	jobs          []acknowledgment // in the order of their acknowledgments
-	completeSince time.Time        // no acknowledgment after this time is missing
+	mu              sync.Mutex
+	listed          map[protocol.JobID]bool
+	acknowledgments []acknowledgment // the oldest first
+	completeSince   time.Time        // no acknowledgment after this time is missing
 }
 
-// acknowledgment is the first reply that told a user of a job's cancellation.
+// acknowledgment records the first reply that reported a job to a user as cancelled.
 type acknowledgment struct {
 	jobID protocol.JobID
 	at    time.Time
 }
 
-// newAcknowledgedCancellations begins a list at the start of the process. An earlier
-// process of this controller may have acknowledged cancellations until just before.
+// newAcknowledgedCancellations returns an empty list that is complete since the start of
+// the process. An earlier process of this controller may have acknowledged cancellations
+// until just before that time.
 func newAcknowledgedCancellations(start time.Time) *acknowledgedCancellations {
-	return &acknowledgedCancellations{known: map[protocol.JobID]bool{}, completeSince: start}
+	return &acknowledgedCancellations{listed: map[protocol.JobID]bool{}, completeSince: start}
 }
 
-// add notes a job whose cancellation is about to be acknowledged.
+// add records a job whose cancellation is about to be acknowledged to a user.
 func (a *acknowledgedCancellations) add(jobID protocol.JobID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.known[jobID] {
+	if a.listed[jobID] {
 		return // the time limit cancel_s counts from the first acknowledgment
 	}
-	if len(a.jobs) >= tuning.AcknowledgedJobs {
-		a.completeSince = a.jobs[0].at
-		delete(a.known, a.jobs[0].jobID)
-		a.jobs = a.jobs[1:]
+	if len(a.acknowledgments) >= tuning.AcknowledgedJobs {
+		a.completeSince = a.acknowledgments[0].at
+		delete(a.listed, a.acknowledgments[0].jobID)
+		a.acknowledgments = a.acknowledgments[1:]
 	}
-	a.known[jobID] = true
-	a.jobs = append(a.jobs, acknowledgment{jobID, time.Now()})
+	a.listed[jobID] = true
+	a.acknowledgments = append(a.acknowledgments, acknowledgment{jobID, time.Now()})
 }
 
 // list returns the jobs and the time since which the list is complete.
 func (a *acknowledgedCancellations) list() (jobIDs []protocol.JobID, since time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	jobIDs = make([]protocol.JobID, len(a.jobs))
-	for i, acknowledged := range a.jobs {
+	jobIDs = make([]protocol.JobID, len(a.acknowledgments))
+	for i, acknowledged := range a.acknowledgments {
 		jobIDs[i] = acknowledged.jobID
 	}
 	return jobIDs, a.completeSince
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -9,7 +9,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// statusQueries answers users' questions for the status of a job.
+// statusQueries answers users' calls for the status of a job.
 type statusQueries struct {
 	reader        *jobReader
 	resolver      *dependencyResolver
@@ -22,8 +22,8 @@
 	if !protocol.ValidJobID(jobID) {
 		return noSuchJobReply()
 	}
-	return s.retrier.untilKnown(ctx, tuning.StatusCallThrottleRetries, func() (userReply, error) {
-		record, err := s.current(ctx, jobID)
+	return s.retrier.retryUntilKnown(ctx, tuning.StatusCallThrottleRetries, func() (userReply, error) {
+		record, err := s.readWithDependencies(ctx, jobID)
 		if err != nil {
 			return userReply{}, err
 		}
@@ -34,10 +34,11 @@
 	})
 }
 
-// current reads a job as jobReader.read does. If a dependency is cancelled, so is the
-// job, and its own open record is marked before the reply leaves: then no controller can
-// reply otherwise, whatever it knows of the dependencies.
-func (s *statusQueries) current(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
+// readWithDependencies reads a job as jobReader.read does, and also checks the job's
+// dependencies. If one of them is cancelled, so is the job, and the job's own open record
+// is marked as cancelled before the reply is sent. From then on every controller reports
+// the job as cancelled, even one that has not read the cancelled dependency.
+func (s *statusQueries) readWithDependencies(ctx context.Context, jobID protocol.JobID) (*jobRecord, error) {
 	start := time.Now()
 	record, err := s.reader.read(ctx, jobID)
 	if err != nil || record == nil || !record.isOpen() || record.open.Cancelled {
@@ -47,7 +48,7 @@
 		s.confirmed.confirm(jobID, start)
 		return record, nil
 	}
-	if _, ok := s.confirmed.asOf(jobID); ok {
+	if _, ok := s.confirmed.lastConfirmation(jobID); ok {
 		return record, nil
 	}
 	resolved, err := s.resolver.resolve(ctx, record.open.Job.DependsOn)
@@ -55,7 +56,7 @@
 		return nil, err
 	}
 	if resolved.state == dependencyCancelled {
-		return record, s.cancellations.mark(ctx, record)
+		return record, s.cancellations.markCancelled(ctx, record)
 	}
 	s.confirmed.confirm(jobID, resolved.asOf)
 	return record, nil
