--- a/internal/leader/deprovisioning.go
+++ b/internal/leader/deprovisioning.go
@@ -74,6 +74,6 @@
 			ended = append(ended, cluster.EndedPlacement{Placement: placement})
 		}
 		l.endPlacements(ended, now)
-		l.forgetMachine(machine, now)
+		l.removeMachine(machine, now)
 	}
 }
--- a/internal/leader/deprovisioning_test.go
+++ b/internal/leader/deprovisioning_test.go
@@ -73,7 +73,7 @@
 	if leader.onHeartbeat(heartbeat, now); leader.machines.byID["m-000000"] != nil {
 		t.Error("a copy revived a machine just deprovisioned")
 	}
-	clear(leader.machines.removed)
+	clear(leader.machines.removedAt)
 	leader.onHeartbeat(heartbeat, now)
 	if machine := leader.machines.byID["m-000000"]; machine == nil || machine.Schedulable(now, time.Minute) {
 		t.Error("a copy made a machine schedulable that is gone")
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -92,11 +92,11 @@
 		if !request.resolved || request.obsolete {
 			continue
 		}
-		found := true
+		allFound := true
 		for _, id := range request.machineIDs {
 			machine := l.machines.byID[id]
-			found = found && (listed[id] || l.machines.wasRemoved(id) || (machine != nil && machine.Up))
+			allFound = allFound && (listed[id] || l.machines.wasRemoved(id) || (machine != nil && machine.Up))
 		}
-		request.obsolete = found
+		request.obsolete = allFound
 	}
 }
--- a/internal/leader/machine_list_test.go
+++ b/internal/leader/machine_list_test.go
@@ -31,7 +31,7 @@
 	leader, now := newLoadedLeader(0, 1)
 	leader.Config.Deployment.Cloud.ListLagS = 6
 	leader.provisioner.listInFlight, leader.catalog.nextRead = true, now.Add(2*time.Hour)
-	leader.machines.removed["m-000007"] = now
+	leader.machines.removedAt["m-000007"] = now
 	listed := []protocol.ListedMachine{{ID: "m-000007", Type: "big", State: protocol.MachineStarting}}
 	leader.onTick(now.Add(time.Hour))
 	leader.onMachineList(machineListResult{began: now.Add(time.Second), machines: listed}, now.Add(time.Hour))
@@ -39,7 +39,7 @@
 		t.Error("a list that began just after a machine was deprovisioned revived it")
 	}
 	leader.onMachineList(machineListResult{began: now.Add(time.Hour)}, now.Add(time.Hour))
-	if len(leader.machines.removed) > 0 {
+	if len(leader.machines.removedAt) > 0 {
 		t.Error("a machine is remembered that no list can name")
 	}
 }
--- a/internal/leader/machine_table.go
+++ b/internal/leader/machine_table.go
@@ -16,13 +16,13 @@
 	sorted []*cluster.Machine // the same, in the order of their names
 	// firstToken is the first token issued to a machine that becomes known.
 	firstToken protocol.FencingToken
-	// removed remembers when machines were deprovisioned, for as long as a machine
+	// removedAt remembers when machines were deprovisioned, for as long as a machine
 	// list or a late heartbeat may still name them (see pruneRemoved).
-	removed map[string]time.Time
+	removedAt map[string]time.Time
 }
 
 func newMachineTable(firstToken protocol.FencingToken) machineTable {
-	return machineTable{byID: map[string]*cluster.Machine{}, firstToken: firstToken, removed: map[string]time.Time{}}
+	return machineTable{byID: map[string]*cluster.Machine{}, firstToken: firstToken, removedAt: map[string]time.Time{}}
 }
 
 func (t *machineTable) add(machine *cluster.Machine) {
@@ -40,11 +40,11 @@
 	// must show a token that its agent cannot have seen, so that nothing is placed there.
 	t.firstToken = max(t.firstToken, machine.IssuedToken+1)
 	t.sorted = slices.DeleteFunc(t.sorted, func(m *cluster.Machine) bool { return m == machine })
-	t.removed[machine.ID] = now
+	t.removedAt[machine.ID] = now
 }
 
 func (t *machineTable) wasRemoved(id string) bool {
-	_, removed := t.removed[id]
+	_, removed := t.removedAt[id]
 	return removed
 }
 
@@ -53,9 +53,9 @@
 // came proves nothing: a list of thousands of machines has many pages, each of which
 // waits for its turn among the cloud's calls.
 func (t *machineTable) pruneRemoved(listBegan time.Time, lag time.Duration) {
-	for id, at := range t.removed {
+	for id, at := range t.removedAt {
 		if listBegan.Sub(at) > lag {
-			delete(t.removed, id)
+			delete(t.removedAt, id)
 		}
 	}
 }
@@ -75,8 +75,8 @@
 	return machine
 }
 
-// forgetMachine drops a machine that was deprovisioned.
-func (l *Leader) forgetMachine(machine *cluster.Machine, now time.Time) {
+// removeMachine drops a machine that was deprovisioned.
+func (l *Leader) removeMachine(machine *cluster.Machine, now time.Time) {
 	l.machines.remove(machine, now)
 	l.dispatcher.remove(machine)
 	l.cycle.request()
--- a/internal/leader/provisioner.go
+++ b/internal/leader/provisioner.go
@@ -37,12 +37,12 @@
 // provisioningState is a provisioning request and what has become of it.
 type provisioningState struct {
 	records.ProvisioningRequest
-	recorded   bool
-	calling    bool // a call is under way
-	resolved   bool // the outcome is known
-	machineIDs []string
-	nextCall   time.Time // no call before
-	obsolete   bool      // its record may go
+	recorded     bool
+	callInFlight bool // a call is under way
+	resolved     bool // the outcome is known
+	machineIDs   []string
+	nextCall     time.Time // no call before
+	obsolete     bool      // its record may go
 }
 
 func (p *provisioningState) pool() capacityPool { return capacityPool{p.Type, p.Zone, p.Spot} }
@@ -112,10 +112,10 @@
 // callProvisioning calls the cloud for recorded requests whose outcome is not known.
 func (l *Leader) callProvisioning(now time.Time) {
 	for _, request := range l.provisioner.requests {
-		if !request.recorded || request.calling || request.resolved || now.Before(request.nextCall) {
+		if !request.recorded || request.callInFlight || request.resolved || now.Before(request.nextCall) {
 			continue
 		}
-		request.calling = true
+		request.callInFlight = true
 		call := protocol.ProvisionRequest{RequestID: request.ID, Type: request.Type, Zone: request.Zone, Spot: request.Spot, Count: request.Count}
 		go func() {
 			machineIDs, err := l.Cloud.Provision(l.ctx, call)
@@ -125,7 +125,7 @@
 }
 
 func (r provisionResult) apply(leader *Leader, now time.Time) {
-	r.request.calling = false
+	r.request.callInFlight = false
 	leader.cycle.request()
 	switch {
 	case r.err == nil:
