--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -12,12 +12,12 @@
 
 // schedulingCycle knows when the next scheduling cycle is due.
 type schedulingCycle struct {
-	needed  bool // something that decisions depend on has changed
-	lastEnd time.Time
-	took    time.Duration
-	// runningEntries is how many entries the machines of the last snapshot had, for the
+	needed       bool // something that decisions depend on has changed
+	lastEnd      time.Time
+	lastDuration time.Duration
+	// runningLen is how many entries the machines of the last snapshot had, for the
 	// next one's size.
-	runningEntries int
+	runningLen int
 }
 
 // request asks for a cycle.
@@ -26,13 +26,13 @@
 // finish notes how long a cycle took.
 func (c *schedulingCycle) finish(start, end time.Time) {
 	c.lastEnd = end
-	c.took = end.Sub(start)
+	c.lastDuration = end.Sub(start)
 }
 
 // interval is the least time between two cycles. It grows with what a cycle takes, so
 // that decisions never starve the answers to agents.
 func (c *schedulingCycle) interval() time.Duration {
-	return min(max(tuning.CycleInterval, tuning.CyclePauseFactor*c.took), tuning.CycleIntervalMax)
+	return min(max(tuning.CycleInterval, tuning.CyclePauseFactor*c.lastDuration), tuning.CycleIntervalMax)
 }
 
 // untilNext is the time to the next cycle.
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -22,12 +22,12 @@
 	teams    map[string]int         // index of snapshot.Teams
 	machines []*cluster.Machine     // in the order of snapshot.Machines; nil: requested
 	running  []scheduler.RunningTasks
-	// machineCounts counts the machines that gangs gather on, with GPUs (true) and
+	// machinesByGPU counts the machines that gangs gather on, with GPUs (true) and
 	// without, and zones is in how many zones they are.
-	machineCounts map[bool]float64
+	machinesByGPU map[bool]float64
 	zones         int
-	// unresolved counts the machines that are up and may not be used yet.
-	unresolved int
+	// notSchedulable counts the machines that are up and may not be used yet.
+	notSchedulable int
 }
 
 // snapshot returns what the scheduler decides from, with the jobs and machines that
@@ -39,7 +39,7 @@
 		snapshot:      l.emptySnapshot(),
 		teams:         map[string]int{},
 		jobIndex:      map[protocol.JobID]int{},
-		machineCounts: map[bool]float64{},
+		machinesByGPU: map[bool]float64{},
 		zones:         1,
 	}
 	b.addTypes()
@@ -52,7 +52,7 @@
 	// After a failover nothing is scaled out or in before the machine list and the
 	// heartbeats have come: what runs already would be provisioned once more.
 	settled := now.Sub(l.tookOverAt) > l.heartbeatIntervals(2)
-	b.snapshot.MayScaleOut = l.provisioner.listed && (settled || b.unresolved == 0)
+	b.snapshot.MayScaleOut = l.provisioner.listed && (settled || b.notSchedulable == 0)
 	b.snapshot.MayScaleIn = l.provisioner.listed && settled
 	return b.snapshot, b.jobs, b.machines
 }
@@ -213,13 +213,13 @@
 	sorted := b.leader.machines.sorted
 	b.machines = make([]*cluster.Machine, 0, len(sorted))
 	b.snapshot.Machines = make([]scheduler.Machine, 0, len(sorted))
-	b.running = make([]scheduler.RunningTasks, 0, b.leader.cycle.runningEntries+len(sorted))
+	b.running = make([]scheduler.RunningTasks, 0, b.leader.cycle.runningLen+len(sorted))
 	for _, machine := range sorted {
 		if typeIndex, ok := b.leader.catalog.index[machine.Type]; ok {
 			b.addMachine(machine, typeIndex)
 		}
 	}
-	b.leader.cycle.runningEntries = len(b.running)
+	b.leader.cycle.runningLen = len(b.running)
 }
 
 func (b *snapshotBuilder) addMachine(machine *cluster.Machine, typeIndex int) {
@@ -238,10 +238,10 @@
 	bootLimit := seconds(tuning.BootExpectedFactor * machineType.BootS)
 	entry.Booting = !machine.Up && !machine.Deprovisioning && b.now.Sub(machine.ProvisionedAt) < bootLimit
 	if machine.Up && !entry.Schedulable && !machine.Deprovisioning && machine.PreemptionAt.IsZero() {
-		b.unresolved++
+		b.notSchedulable++
 	}
 	if !machine.Deprovisioning {
-		b.machineCounts[machineType.Capacity.GPUs > 0]++
+		b.machinesByGPU[machineType.Capacity.GPUs > 0]++
 		b.zones = max(b.zones, len(machineType.Zones))
 	}
 	b.addRunning(&entry, machine, machineType)
@@ -304,7 +304,7 @@
 		}
 		entry := &b.snapshot.Jobs[i]
 		waitedS := b.now.Sub(job.readyAt).Seconds()
-		machines := b.machineCounts[entry.Request.GPUs > 0]
+		machines := b.machinesByGPU[entry.Request.GPUs > 0]
 		entry.StarvedS = max(0, waitedS-starvationBoundS(job, entry.EstimateS, machines, b.zones))
 		entry.MaxWaitExceeded = waitedS > tuning.MaxStartWaitS
 	}
