--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -27,11 +27,11 @@
 // commandResult is the outcome of direct commands. Without an answer they may still be
 // executed, even minutes later.
 type commandResult struct {
-	machine   *cluster.Machine
-	status    *protocol.Heartbeat
-	starts    bool // starts were among the commands
-	handshake bool
-	err       error
+	machine     *cluster.Machine
+	status      *protocol.Heartbeat
+	hasStarts   bool // starts were among the commands
+	isHandshake bool
+	err         error
 }
 
 // dispatchAll sends what is pending to the machines that can be sent to.
@@ -92,7 +92,7 @@
 	return commands
 }
 
-func (l *Leader) sendCommands(machine *cluster.Machine, commands []protocol.Command, incarnation protocol.Incarnation, starts, handshake bool) {
+func (l *Leader) sendCommands(machine *cluster.Machine, commands []protocol.Command, incarnation protocol.Incarnation, hasStarts, isHandshake bool) {
 	machine.CommandInFlight = true
 	if commands == nil {
 		commands = []protocol.Command{}
@@ -101,7 +101,7 @@
 	address := machine.Addr
 	go func() {
 		status, err := l.Agents.SendCommands(l.ctx, address, request)
-		l.post(commandResult{machine, status, starts, handshake, err})
+		l.post(commandResult{machine, status, hasStarts, isHandshake, err})
 	}()
 }
 
@@ -109,18 +109,18 @@
 
 func (l *Leader) onCommandResult(result commandResult, now time.Time) {
 	machine := result.machine
-	machine.RecordCommandOutcome(result.starts, result.err == nil)
-	if result.handshake {
+	machine.RecordCommandOutcome(result.hasStarts, result.err == nil)
+	if result.isHandshake {
 		l.dispatcher.handshakesInFlight--
-		defer l.nextHandshakes(now)
+		defer l.startHandshakes(now)
 	}
 	l.dispatcher.add(machine)
 	if result.err != nil {
 		l.Log.Info("direct command unanswered, its outcome is unknown", "machine", machine.ID, "err", result.err)
 		return
 	}
-	if newer := result.status.Token.Term(); newer > l.leadership.Term {
-		l.OnNewerTerm(newer)
+	if newerTerm := result.status.Token.Term(); newerTerm > l.leadership.Term {
+		l.OnNewerTerm(newerTerm)
 		return
 	}
 	if result.status.Machine != machine.ID {
@@ -138,7 +138,7 @@
 	handshakeProduction = iota
 	handshakeOtherTasks
 	handshakeWithoutTasks
-	handshakeGroups // machines that were tried already come behind all others
+	handshakeGroupCount // machines that were tried already come behind all others
 )
 
 // planHandshakes lists the machines that are due for a handshake: those not tried yet
@@ -163,7 +163,7 @@
 			order = handshakeOtherTasks
 		}
 		if !machine.NextHandshake.IsZero() {
-			order += handshakeGroups
+			order += handshakeGroupCount
 		}
 		due = append(due, dueMachine{machine, order})
 	}
@@ -172,11 +172,11 @@
 	for _, d := range due {
 		l.dispatcher.handshakeQueue = append(l.dispatcher.handshakeQueue, d.machine)
 	}
-	l.nextHandshakes(now)
+	l.startHandshakes(now)
 }
 
-// nextHandshakes begins as many handshakes as may be in flight at once.
-func (l *Leader) nextHandshakes(now time.Time) {
+// startHandshakes begins as many handshakes as may be in flight at once.
+func (l *Leader) startHandshakes(now time.Time) {
 	for len(l.dispatcher.handshakeQueue) > 0 && l.dispatcher.handshakesInFlight < tuning.HandshakesInFlight {
 		machine := l.dispatcher.handshakeQueue[0]
 		l.dispatcher.handshakeQueue = l.dispatcher.handshakeQueue[1:]
@@ -191,8 +191,8 @@
 	if machine.CommandInFlight || machine.Deprovisioning || machine.Addr == "" || now.Before(machine.NextHandshake) {
 		return false
 	}
-	leaseOver := machine.Up && now.Sub(machine.LastContact) > l.Config.Deployment.Workers.LeaseDuration()
-	return machine.AcknowledgedToken < l.termToken() || leaseOver
+	silentForLease := machine.Up && now.Sub(machine.LastContact) > l.Config.Deployment.Workers.LeaseDuration()
+	return machine.AcknowledgedToken < l.termToken() || silentForLease
 }
 
 // handshake shows the term's token to an agent with a request without commands, so
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -44,9 +44,9 @@
 
 // onHeartbeat takes in a heartbeat and returns its answer, nil if there may be none.
 func (l *Leader) onHeartbeat(heartbeat *protocol.Heartbeat, now time.Time) *protocol.HeartbeatReply {
-	if newer := heartbeat.Token.Term(); newer > l.leadership.Term {
-		l.Log.Info("an agent has seen a newer term, leaving this one", "machine", heartbeat.Machine, "term", newer)
-		l.OnNewerTerm(newer)
+	if newerTerm := heartbeat.Token.Term(); newerTerm > l.leadership.Term {
+		l.Log.Info("an agent has seen a newer term, leaving this one", "machine", heartbeat.Machine, "term", newerTerm)
+		l.OnNewerTerm(newerTerm)
 		return nil
 	}
 	if !l.lease.mayAnswer(now) {
@@ -75,8 +75,8 @@
 // direct command.
 func (l *Leader) applyStatus(machine *cluster.Machine, status *protocol.Heartbeat, now time.Time) {
 	wasUp, unknownBefore := machine.Up, machine.UnknownTaskCount
-	ended, isNew := machine.ApplyStatus(status, parseTaskName, now, l.agentLeaseExpiry(now))
-	if !isNew {
+	ended, fresh := machine.ApplyStatus(status, parseTaskName, now, l.agentLeaseExpiry(now))
+	if !fresh {
 		return
 	}
 	if schedulable := machine.Schedulable(now, l.schedulableSilence()); schedulable != machine.WasSchedulable {
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -116,7 +116,7 @@
 		l.Log.Info("task ended without being done, it is started again", "task", taskName(placement.TaskKey),
 			"attempt", placement.Attempt, "machine", placement.Machine.ID, "reason", ended.ExitReason)
 	}
-	l.backOffAfter(job, ended, now)
+	l.backOffByExitReason(job, ended, now)
 	if !job.isGang() {
 		return
 	}
@@ -125,8 +125,8 @@
 	}
 }
 
-// backOffAfter keeps a job or a machine from new starts for a while after a failure.
-func (l *Leader) backOffAfter(job *jobState, ended *cluster.EndedPlacement, now time.Time) {
+// backOffByExitReason keeps a job or a machine from new starts for a while after a failure.
+func (l *Leader) backOffByExitReason(job *jobState, ended *cluster.EndedPlacement, now time.Time) {
 	machine := ended.Placement.Machine
 	switch ended.ExitReason {
 	case protocol.ExitError:
