--- a/internal/leader/failure_detection.go
+++ b/internal/leader/failure_detection.go
@@ -39,12 +39,12 @@
 
 // reachability is what is known at one moment of the machines' silence.
 type reachability struct {
-	unreachable map[*cluster.Machine]bool // whose tasks need not wait for the lease
-	silent      []*cluster.Machine        // with tasks, and silent for too long
-	partitioned []*cluster.Machine        // heard of, but nothing reaches them
-	connected   int                       // machines that have acknowledged the term's token
-	inZone      map[string]int
-	silentZone  map[string]int // of inZone, those silent for an interval
+	unreachable  map[*cluster.Machine]bool // whose tasks need not wait for the lease
+	silent       []*cluster.Machine        // with tasks, and silent for too long
+	partitioned  []*cluster.Machine        // heard of, but nothing reaches them
+	connected    int                       // machines that have acknowledged the term's token
+	inZone       map[string]int
+	silentInZone map[string]int // of inZone, those silent for an interval
 }
 
 // unreachableMachines picks machines whose tasks need not wait for the lease to
@@ -56,7 +56,7 @@
 func (l *Leader) unreachableMachines(now time.Time) map[*cluster.Machine]bool {
 	r := l.classifyReachability(now)
 	for _, machine := range r.silent {
-		if r.zoneIsCut(machine.Zone) {
+		if r.zoneDisconnected(machine.Zone) {
 			continue
 		}
 		l.checkSilentMachine(&r, machine, now)
@@ -70,7 +70,7 @@
 }
 
 func (l *Leader) classifyReachability(now time.Time) reachability {
-	r := reachability{unreachable: map[*cluster.Machine]bool{}, inZone: map[string]int{}, silentZone: map[string]int{}}
+	r := reachability{unreachable: map[*cluster.Machine]bool{}, inZone: map[string]int{}, silentInZone: map[string]int{}}
 	interval, unreachableAfter := l.heartbeatIntervals(1), l.unreachableAfter()
 	for _, machine := range l.machines.byID {
 		if !expectedToReport(machine) {
@@ -79,7 +79,7 @@
 		silence := l.silence(machine, now)
 		r.inZone[machine.Zone]++
 		if silence > interval {
-			r.silentZone[machine.Zone]++ // sooner, so that a cut shows before any machine counts as lost
+			r.silentInZone[machine.Zone]++ // sooner, so that a cut shows before any machine counts as lost
 		}
 		if silence > unreachableAfter && len(machine.Placements) > 0 {
 			r.silent = append(r.silent, machine)
@@ -99,21 +99,21 @@
 	return r
 }
 
-// zoneIsCut tells whether so much of a zone is silent that its link has failed.
-func (r *reachability) zoneIsCut(zone string) bool {
-	return float64(r.silentZone[zone]) > max(1, float64(r.inZone[zone])*tuning.ZoneOutageShare)
+// zoneDisconnected tells whether so much of a zone is silent that its link has failed.
+func (r *reachability) zoneDisconnected(zone string) bool {
+	return float64(r.silentInZone[zone]) > max(1, float64(r.inZone[zone])*tuning.ZoneOutageShare)
 }
 
 // checkSilentMachine decides whether a silent machine is unreachable. One that was not
 // called directly yet is called.
 func (l *Leader) checkSilentMachine(found *reachability, machine *cluster.Machine, now time.Time) {
 	limit := l.heartbeatIntervals(tuning.UnreachableHeartbeats)
-	silentForLong := now.Sub(machine.LastContact) > limit && now.Sub(l.tookOverAt) > limit
+	silentPastLimit := now.Sub(machine.LastContact) > limit && now.Sub(l.tookOverAt) > limit
 	switch {
 	case machine.UnansweredCommands >= tuning.UnreachableCommands:
-		found.unreachable[machine] = silentForLong || l.runsUrgentWork(machine)
+		found.unreachable[machine] = silentPastLimit || l.runsUrgentWork(machine)
 	case machine.Addr == "": // not in the machine list either, so there is nothing to call
-		found.unreachable[machine] = silentForLong && l.provisioner.listed
+		found.unreachable[machine] = silentPastLimit && l.provisioner.listed
 	case !machine.CommandInFlight:
 		l.sendCommands(machine, nil, lastIncarnation(machine), false, false)
 	}
@@ -150,23 +150,23 @@
 	if now.Sub(l.lease.lastConfirmation()) > tuning.StartConfirmationAge && now.After(l.lease.answeringSince) {
 		l.lease.answeringSince = now
 	}
-	span := l.unreachableAfter()
-	if now.Sub(l.lease.answeringSince) < span {
+	window := l.unreachableAfter()
+	if now.Sub(l.lease.answeringSince) < window {
 		return false
 	}
-	expected, heard := 0, 0
+	expected, reporting := 0, 0
 	for _, machine := range l.machines.byID {
 		if !expectedToReport(machine) {
 			continue
 		}
 		expected++
-		if machine.Up && !machine.OneWayPartitioned() && now.Sub(machine.LastHeartbeat) <= span {
-			heard++
+		if machine.Up && !machine.OneWayPartitioned() && now.Sub(machine.LastHeartbeat) <= window {
+			reporting++
 		}
 	}
-	if 2*heard > expected {
+	if 2*reporting > expected {
 		l.lease.majorityReported = true
 	}
-	hearsTooFew := expected >= tuning.IsolationMinMachines && float64(heard) < float64(expected)*tuning.IsolationShare
-	return hearsTooFew && (l.lease.majorityReported || l.RedirectedHeartbeats() > max(heard, tuning.IsolationMinMachines))
+	tooFewReporting := expected >= tuning.IsolationMinMachines && float64(reporting) < float64(expected)*tuning.IsolationShare
+	return tooFewReporting && (l.lease.majorityReported || l.RedirectedHeartbeats() > max(reporting, tuning.IsolationMinMachines))
 }
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -97,7 +97,7 @@
 
 func (l *Leader) onMachineUp(machine *cluster.Machine, now time.Time) {
 	machine.IdleSince, machine.GPUIdleSince = now, now
-	l.adoptImages(machine)
+	l.restoreImages(machine)
 	l.Log.Info("machine up", "machine", machine.ID, "type", machine.Type, "zone", machine.Zone, "spot", machine.Spot)
 }
 
--- a/internal/leader/image_inventory.go
+++ b/internal/leader/image_inventory.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// adoptImages notes which images a machine has when it is first heard of: those of the
+// restoreImages notes which images a machine has when it is first heard of: those of the
 // inherited inventory, and those of the tasks that run there.
-func (l *Leader) adoptImages(machine *cluster.Machine) {
+func (l *Leader) restoreImages(machine *cluster.Machine) {
 	typeIndex, known := l.catalog.index[machine.Type]
 	if !known {
 		return
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -222,7 +222,7 @@
 		status.UnknownTasks += machine.UnknownTaskCount
 		for _, reported := range machine.UnknownTasks() {
 			if len(status.Unknown) < tuning.UnknownTasksShown {
-				status.Unknown = append(status.Unknown, l.describeUnknown(machine, &reported))
+				status.Unknown = append(status.Unknown, l.describeUnknownTask(machine, &reported))
 			}
 		}
 	}
@@ -232,13 +232,13 @@
 // with the answer to the next heartbeat.
 func (l *Leader) logUnknownTasks(machine *cluster.Machine) {
 	for _, reported := range machine.UnknownTasks() {
-		unknown := l.describeUnknown(machine, &reported)
+		unknown := l.describeUnknownTask(machine, &reported)
 		l.Log.Error("unknown task", "task", unknown.Task, "attempt", unknown.Attempt, "state", unknown.State,
 			"machine", unknown.Machine, "incarnation", machine.Incarnation, "job", unknown.Job)
 	}
 }
 
-func (l *Leader) describeUnknown(machine *cluster.Machine, reported *cluster.ReportedTask) UnknownTask {
+func (l *Leader) describeUnknownTask(machine *cluster.Machine, reported *cluster.ReportedTask) UnknownTask {
 	unknown := UnknownTask{Task: reported.Task, Attempt: reported.Attempt, State: reported.State, Machine: machine.ID, Job: "not open"}
 	job := l.jobs.open[reported.Key.Job]
 	switch {
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -44,7 +44,7 @@
 		case l.neverCameUp(machine, now):
 			neverUp = append(neverUp, machine)
 		}
-		l.drain(machine, now)
+		l.checkpointBeforePreemption(machine, now)
 		if len(machine.Outbox) > 0 {
 			l.dispatcher.add(machine)
 		}
@@ -82,16 +82,16 @@
 		now.Sub(machine.ProvisionedAt) > seconds(tuning.BootTimeoutFactor*l.bootTimeS(machine))
 }
 
-// drain saves in time what can be saved on a machine that the cloud takes away.
-func (l *Leader) drain(machine *cluster.Machine, now time.Time) {
+// checkpointBeforePreemption saves in time what can be saved on a machine that the cloud takes away.
+func (l *Leader) checkpointBeforePreemption(machine *cluster.Machine, now time.Time) {
 	if machine.PreemptionAt.IsZero() || machine.AcknowledgedToken < l.termToken() {
 		return // a copy of a heartbeat from before this term proves no notice
 	}
-	leftS := machine.PreemptionAt.Sub(now).Seconds()
+	remainingS := machine.PreemptionAt.Sub(now).Seconds()
 	for _, placement := range machine.Placements {
 		job := l.jobs.open[placement.Job]
 		if job == nil || placement.Stopping || placement.State != protocol.TaskRunning || job.spec.CheckpointIntervalS <= 0 ||
-			leftS > job.spec.CheckpointSaveS+tuning.NoticeMarginS {
+			remainingS > job.spec.CheckpointSaveS+tuning.NoticeMarginS {
 			continue
 		}
 		gracePeriodS := job.spec.CheckpointSaveS + tuning.SaveMarginS
