--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -16,12 +16,12 @@
 	raw, _ := codec.Marshal(fullHeartbeat(leader, 0, 2))
 	b.ReportAllocs()
 	for i := range b.N {
-		var r protocol.Heartbeat
-		if err := codec.Unmarshal(raw, &r); err != nil {
+		var heartbeat protocol.Heartbeat
+		if err := codec.Unmarshal(raw, &heartbeat); err != nil {
 			b.Fatal(err)
 		}
-		r.Sequence = uint64(2 + i)
-		codec.Marshal(leader.onHeartbeat(&r, now))
+		heartbeat.Sequence = uint64(2 + i)
+		codec.Marshal(leader.onHeartbeat(&heartbeat, now))
 	}
 }
 
--- a/internal/leader/deprovisioning_test.go
+++ b/internal/leader/deprovisioning_test.go
@@ -18,13 +18,13 @@
 func TestDeprovisioningTakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(350, 30)
-		w := &recordingTransport{answer: make(chan struct{})}
-		leader.Cloud = cloud.New("cloud:1", w, httpclient.NewMalformedLog(leader.Log), 1000)
+		transport := &recordingTransport{answer: make(chan struct{})}
+		leader.Cloud = cloud.New("cloud:1", transport, httpclient.NewMalformedLog(leader.Log), 1000)
 		for i := 0; i < 350; i += 10 {
 			leader.deprovision(leader.machines.sorted[i:i+10], "test", now)
 		}
 		synctest.Wait()
-		if n := len(w.seen()); n != 1 {
+		if n := len(transport.requestedHosts()); n != 1 {
 			t.Fatalf("%d calls at once", n)
 		}
 		var idle []*cluster.Machine
@@ -34,29 +34,29 @@
 				idle = append(idle, machine)
 			}
 		}
-		w.answer <- struct{}{}
+		transport.answer <- struct{}{}
 		leader.handle(<-leader.inbox) // failed: they are tried again after a while, with the rest
 		if len(leader.provisioner.deprovisionInFlight) > 0 {
 			t.Error("called again at once")
 		}
 		time.Sleep(tuning.MachineBackoff)
 		leader.deprovisionNext(time.Now())
-		var order []*cluster.Machine
+		var deprovisioned []*cluster.Machine
 		for len(leader.machines.byID) > 0 {
 			synctest.Wait()
-			order = append(order, leader.provisioner.deprovisionInFlight...)
+			deprovisioned = append(deprovisioned, leader.provisioner.deprovisionInFlight...)
 			if n := len(leader.provisioner.deprovisionInFlight); n == 0 || n > tuning.DeprovisionMax {
 				t.Fatalf("%d in a call", n)
 			}
 			leader.onDeprovisionResult(deprovisionResult{}, time.Now())
 		}
-		if slices.ContainsFunc(order[:350-len(idle)], func(machine *cluster.Machine) bool { return slices.Contains(idle, machine) }) {
+		if slices.ContainsFunc(deprovisioned[:350-len(idle)], func(machine *cluster.Machine) bool { return slices.Contains(idle, machine) }) {
 			t.Error("idle machines went before machines with tasks")
 		}
-		if len(order) != 350 {
-			t.Errorf("%d deprovisioned", len(order))
+		if len(deprovisioned) != 350 {
+			t.Errorf("%d deprovisioned", len(deprovisioned))
 		}
-		close(w.answer)
+		close(transport.answer)
 	})
 }
 
@@ -78,9 +78,9 @@
 	if machine := leader.machines.byID["m-000000"]; machine == nil || machine.Schedulable(now, time.Minute) {
 		t.Error("a copy made a machine schedulable that is gone")
 	}
-	r2 := fullHeartbeat(leader, 0, 8)
-	r2.Token, r2.Tasks = leader.machines.byID["m-000000"].IssuedToken, nil
-	leader.onHeartbeat(r2, now)
+	acknowledging := fullHeartbeat(leader, 0, 8)
+	acknowledging.Token, acknowledging.Tasks = leader.machines.byID["m-000000"].IssuedToken, nil
+	leader.onHeartbeat(acknowledging, now)
 	if !leader.machines.byID["m-000000"].Schedulable(now, time.Minute) {
 		t.Error("a machine that is there, and shows it, is not schedulable")
 	}
--- a/internal/leader/dispatch_test.go
+++ b/internal/leader/dispatch_test.go
@@ -17,9 +17,9 @@
 func TestHandshakesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(2100, 1000)
-		w := &recordingTransport{answer: make(chan struct{})}
-		defer close(w.answer)
-		leader.Agents = agent.New(w, httpclient.NewMalformedLog(leader.Log), 5000)
+		transport := &recordingTransport{answer: make(chan struct{})}
+		defer close(transport.answer)
+		leader.Agents = agent.New(transport, httpclient.NewMalformedLog(leader.Log), 5000)
 		leader.leadership.Term++ // a leader that has seen none of them yet
 		production := map[string]bool{}
 		for i, machine := range leader.machines.sorted {
@@ -38,7 +38,7 @@
 		}
 		leader.planHandshakes(now)
 		synctest.Wait()
-		first := w.seen()
+		first := transport.requestedHosts()
 		if len(first) != tuning.HandshakesInFlight {
 			t.Fatalf("%d handshakes at once", len(first))
 		}
@@ -51,7 +51,7 @@
 		for len(leader.dispatcher.handshakeQueue) > 0 || leader.dispatcher.handshakesInFlight > 0 {
 			leader.handle(<-leader.inbox)
 		}
-		if n := len(w.seen()); n < 2100 {
+		if n := len(transport.requestedHosts()); n < 2100 {
 			t.Errorf("handshakes with %d of 2100", n)
 		}
 		leader.planHandshakes(time.Now())
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -23,12 +23,12 @@
 	machine.ApplyStatus(&protocol.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, Token: leader.termToken(), Tasks: []protocol.TaskStatus{
 		{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}}}, parseTaskName, now, now)
 	job.unrecordedDone[0] = true
-	if o := leader.reconcileCommands(machine); len(o) > 0 {
-		t.Errorf("commanded %v before the completion was recorded", o)
+	if commands := leader.reconcileCommands(machine); len(commands) > 0 {
+		t.Errorf("commanded %v before the completion was recorded", commands)
 	}
 	delete(job.unrecordedDone, 0)
-	if o := leader.reconcileCommands(machine); len(o) != 1 || o[0].Verb != protocol.VerbRelease {
-		t.Errorf("commanded %v after it", o)
+	if commands := leader.reconcileCommands(machine); len(commands) != 1 || commands[0].Verb != protocol.VerbRelease {
+		t.Errorf("commanded %v after it", commands)
 	}
 }
 
@@ -36,21 +36,21 @@
 func TestUnknownTask(t *testing.T) {
 	leader, now := newLoadedLeader(2, 1)
 	heartbeat := fullHeartbeat(leader, 0, 2)
-	stray := protocol.TaskStatus{Task: "req-000000/59", Attempt: 9, State: protocol.TaskRunning}
-	heartbeat.Tasks = append(heartbeat.Tasks, stray, protocol.TaskStatus{Task: "req-999999/0", Attempt: 1, State: protocol.TaskExited},
+	unknown := protocol.TaskStatus{Task: "req-000000/59", Attempt: 9, State: protocol.TaskRunning}
+	heartbeat.Tasks = append(heartbeat.Tasks, unknown, protocol.TaskStatus{Task: "req-999999/0", Attempt: 1, State: protocol.TaskExited},
 		protocol.TaskStatus{Task: "nonsense", Attempt: 1, State: protocol.TaskFetching})
 	var stopped []string
-	for _, order := range leader.onHeartbeat(heartbeat, now).Commands {
-		if order.Verb == protocol.VerbStop {
-			stopped = append(stopped, order.Task)
+	for _, command := range leader.onHeartbeat(heartbeat, now).Commands {
+		if command.Verb == protocol.VerbStop {
+			stopped = append(stopped, command.Task)
 		}
 	}
-	if d := cmp.Diff([]string{stray.Task, "nonsense"}, stopped); d != "" {
+	if d := cmp.Diff([]string{unknown.Task, "nonsense"}, stopped); d != "" {
 		t.Error("stopped", d)
 	}
 	leader.schedule(now)
 	want := []UnknownTask{
-		{Task: stray.Task, Attempt: 9, State: protocol.TaskRunning, Machine: "m-000000", Job: "the task waits"},
+		{Task: unknown.Task, Attempt: 9, State: protocol.TaskRunning, Machine: "m-000000", Job: "the task waits"},
 		{Task: "nonsense", Attempt: 1, State: protocol.TaskFetching, Machine: "m-000000", Job: "not open"},
 	}
 	if d := cmp.Diff(want, leader.status.current.Unknown); d != "" || leader.status.current.UnknownTasks != 2 {
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func (c *recordingTransport) seen() []string {
+func (c *recordingTransport) requestedHosts() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.hosts)
@@ -90,19 +90,19 @@
 	leader.setMachineTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
 	leader.catalog.loaded = true
 	for i := range jobs {
-		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: protocol.JobID(fmt.Sprintf("req-%06d", i)), Class: "c", Team: fmt.Sprint("t", i%10),
+		open := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: protocol.JobID(fmt.Sprintf("req-%06d", i)), Class: "c", Team: fmt.Sprint("t", i%10),
 			Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
-		raw, _ := codec.Marshal(o)
-		leader.applyOpenRecord(records.OpenKey(o.Job.ID), raw, 1, now)
+		raw, _ := codec.Marshal(open)
+		leader.applyOpenRecord(records.OpenKey(open.Job.ID), raw, 1, now)
 	}
 	for i := range machines {
 		machine := leader.machineByID(fmt.Sprintf("m-%06d", i), now)
 		heartbeat := fullHeartbeat(leader, i, 1)
 		for _, t := range heartbeat.Tasks {
-			k, _ := parseTaskName(t.Task)
-			placement := &cluster.Placement{TaskKey: k, Attempt: 1, Incarnation: 1, Machine: machine, Recorded: true, Sent: true, Since: now}
-			machine.Placements[k] = placement
-			leader.jobs.open[k.Job].placements[k.Task] = placement
+			key, _ := parseTaskName(t.Task)
+			placement := &cluster.Placement{TaskKey: key, Attempt: 1, Incarnation: 1, Machine: machine, Recorded: true, Sent: true, Since: now}
+			machine.Placements[key] = placement
+			leader.jobs.open[key.Job].placements[key.Task] = placement
 		}
 		leader.onHeartbeat(heartbeat, now)
 	}
--- a/internal/leader/image_inventory_test.go
+++ b/internal/leader/image_inventory_test.go
@@ -20,11 +20,11 @@
 	inventory, _ := newImageInventory(leader.machines.sorted, 32<<10)
 	raw, _ := codec.Marshal(inventory)
 	next, _ := newLoadedLeader(0, 1)
-	var h records.ImageInventory
-	if err := codec.Unmarshal(raw, &h); err != nil {
+	var inherited records.ImageInventory
+	if err := codec.Unmarshal(raw, &inherited); err != nil {
 		t.Fatal(err)
 	}
-	next.images.inherited["m-000001"] = &h
+	next.images.inherited["m-000001"] = &inherited
 	next.onHeartbeat(&protocol.Heartbeat{Machine: "m-000001", Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: 9}, now)
 	if d := cmp.Diff(machine.Images(), next.machines.byID["m-000001"].Images()); d != "" {
 		t.Error(d)
--- a/internal/leader/machine_list_test.go
+++ b/internal/leader/machine_list_test.go
@@ -11,16 +11,16 @@
 // releases no task, and removes no machine.
 func TestOlderListProvesNothing(t *testing.T) {
 	leader, now := newLoadedLeader(2100, 200)
-	live := 0
+	missing := 0
 	for _, machine := range leader.machines.byID {
-		live += len(machine.Placements)
+		missing += len(machine.Placements)
 	}
 	leader.onMachineList(machineListResult{machines: []protocol.ListedMachine{{ID: "m-000007", State: protocol.MachineStarting}}}, now)
 	for _, machine := range leader.machines.byID {
-		live -= len(machine.Placements)
+		missing -= len(machine.Placements)
 	}
-	if len(leader.machines.byID) != 2100 || live != 0 || len(leader.provisioner.deprovisionQueue) > 0 || len(leader.provisioner.deprovisionInFlight) > 0 {
-		t.Errorf("%d machines are left, %d tasks less, %d to be deprovisioned", len(leader.machines.byID), live, len(leader.provisioner.deprovisionQueue))
+	if len(leader.machines.byID) != 2100 || missing != 0 || len(leader.provisioner.deprovisionQueue) > 0 || len(leader.provisioner.deprovisionInFlight) > 0 {
+		t.Errorf("%d machines are left, %d tasks less, %d to be deprovisioned", len(leader.machines.byID), missing, len(leader.provisioner.deprovisionQueue))
 	}
 }
 
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -16,9 +16,9 @@
 	until := now.Add(time.Hour)
 	job.recordUnreadable = true
 	job.backOff(until)
-	for _, cause := range []protocol.ExitReason{protocol.ExitError, protocol.ExitUnknownTask} {
+	for _, reason := range []protocol.ExitReason{protocol.ExitError, protocol.ExitUnknownTask} {
 		for _, placement := range machine.Placements {
-			leader.endPlacements([]cluster.EndedPlacement{{Placement: placement, ExitReason: cause}}, now)
+			leader.endPlacements([]cluster.EndedPlacement{{Placement: placement, ExitReason: reason}}, now)
 			break
 		}
 	}
--- a/internal/leader/provisioner_test.go
+++ b/internal/leader/provisioner_test.go
@@ -34,7 +34,7 @@
 		leader.requestMachines(capacityPool{machineType: "big", zone: "a"}, 3, now)
 		leader.callProvisioning(now)
 		synctest.Wait()
-		if n := len(calls.seen()); n != 0 {
+		if n := len(calls.requestedHosts()); n != 0 {
 			t.Fatalf("%d calls before the request was recorded", n)
 		}
 		for _, request := range leader.provisioner.requests {
@@ -43,19 +43,19 @@
 		leader.callProvisioning(now)
 		leader.callProvisioning(now) // one call is in flight
 		synctest.Wait()
-		if n := len(calls.seen()); n != 1 {
+		if n := len(calls.requestedHosts()); n != 1 {
 			t.Fatalf("%d calls once it was recorded", n)
 		}
 		close(calls.answer)
 		leader.handle(<-leader.inbox)
 		leader.callProvisioning(time.Now())
-		if n := len(calls.seen()); n != 1 {
+		if n := len(calls.requestedHosts()); n != 1 {
 			t.Fatalf("repeated at once: %d calls", n)
 		}
 		time.Sleep(tuning.MachineBackoff)
 		leader.callProvisioning(time.Now())
 		synctest.Wait()
-		if n := len(calls.seen()); n != 2 {
+		if n := len(calls.requestedHosts()); n != 2 {
 			t.Errorf("%d calls after the back-off", n)
 		}
 		if len(leader.provisioner.requests) != 1 {
