--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -10,35 +10,36 @@
 	"marblehaven/internal/tuning"
 )
 
-// schedulingCycle knows when the next scheduling cycle is due.
+// schedulingCycle determines when the next scheduling cycle runs.
 type schedulingCycle struct {
 	needed       bool // something that decisions depend on has changed
 	lastEnd      time.Time
 	lastDuration time.Duration
-	// runningLen is how many entries the machines of the last snapshot had, for the
-	// next one's size.
+	// runningLen is the length of snapshotBuilder.running in the last cycle, by which
+	// the next snapshot allocates its slice.
 	runningLen int
 }
 
 // request asks for a cycle.
 func (c *schedulingCycle) request() { c.needed = true }
 
-// finish notes how long a cycle took.
+// finish records when a cycle ended and how long it took.
 func (c *schedulingCycle) finish(start, end time.Time) {
 	c.lastEnd = end
 	c.lastDuration = end.Sub(start)
 }
 
-// interval is the least time between two cycles. It grows with what a cycle takes, so
-// that decisions never starve the answers to agents.
+// interval is the shortest pause between two cycles. It grows with the duration of the
+// last cycle, so that scheduling leaves processor time for the replies to agents.
 func (c *schedulingCycle) interval() time.Duration {
 	return min(max(tuning.CycleInterval, tuning.CyclePauseFactor*c.lastDuration), tuning.CycleIntervalMax)
 }
 
-// untilNext is the time to the next cycle.
+// untilNext is the time until the next cycle may start.
 func (c *schedulingCycle) untilNext() time.Duration { return c.interval() - time.Since(c.lastEnd) }
 
-// runCycle decides, writes and sends.
+// runCycle plans placements, commits the pending records, sends the recorded starts and
+// calls the cloud for the recorded provisioning requests.
 func (l *Leader) runCycle(now time.Time) {
 	if l.catalog.loaded && l.lease.mayStart(now) {
 		l.schedule(now)
@@ -49,7 +50,7 @@
 	l.callProvisioning(now)
 }
 
-// schedule makes a plan from all that is known and carries it out.
+// schedule computes a plan from a snapshot of the leader's state and carries it out.
 func (l *Leader) schedule(now time.Time) {
 	snapshot, jobs, machines := l.snapshot(now)
 	plan := scheduler.Decide(snapshot)
@@ -57,7 +58,8 @@
 		l.placeTasks(jobs[start.Job], machines[start.Machine], start.Count, now)
 	}
 	for i, job := range jobs {
-		// All tasks of a gang share an attempt number; its next start gets the next.
+		// All tasks of a gang share an attempt number. A gang that was started in this
+		// cycle has used its number.
 		if job.isGang() && snapshot.Jobs[i].Waiting > 0 && len(job.placements) > 0 {
 			job.nextAttempt++
 		}
@@ -76,8 +78,8 @@
 	}
 }
 
-// placeTasks places tasks of a job on a machine. They are started once that is
-// recorded.
+// placeTasks places tasks of a job on a machine. Their starts are sent once the
+// placements are recorded.
 func (l *Leader) placeTasks(job *jobState, machine *cluster.Machine, count int, now time.Time) {
 	for range count {
 		l.startPlacement(job, machine, now)
@@ -88,9 +90,10 @@
 	l.Log.Debug("placing tasks", "job", job.id, "machine", machine.ID, "count", count)
 }
 
-// preemptTasks stops tasks of a job on a machine for other work, the last started
-// first: the least work is lost. There is no grace period, since the other work does
-// not wait for a save: no more is lost than the time since the last checkpoint.
+// preemptTasks stops tasks of a job on a machine to free capacity for other work. The
+// tasks that started last are stopped first, since they lose the least work. There is no
+// grace period, because the other work does not wait for a checkpoint to be saved: a
+// task loses at most the work since its last checkpoint.
 func (l *Leader) preemptTasks(job *jobState, machine *cluster.Machine, count int, now time.Time) {
 	l.Log.Info("preempting tasks", "job", job.id, "machine", machine.ID, "count", count)
 	var running []*cluster.Placement
@@ -107,10 +110,10 @@
 	}
 }
 
-// scaleOut requests the machines of a plan, with one request at a time for a capacity
-// pool: what is asked for meanwhile goes into the next together. A request for each
-// small need would queue at the cloud for half a minute and take the writes from the
-// starts.
+// scaleOut requests the machines of a plan, with one unresolved request at a time for
+// each capacity pool. Machines that are needed meanwhile go into the pool's next request
+// together: a request for each small need would wait in the cloud's queue for half a
+// minute, and the writes to record it would be taken from those that starts wait for.
 func (l *Leader) scaleOut(snapshot *scheduler.Snapshot, scaleOuts []scheduler.ScaleOut, now time.Time) {
 	requested := map[capacityPool]bool{}
 	for _, request := range l.provisioner.requests {
--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -10,8 +10,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// dispatcher knows to which machines something is to be sent directly, without waiting
-// for their next heartbeat.
+// dispatcher tracks the machines that direct commands are due for, which are sent without
+// waiting for the machine's next heartbeat.
 type dispatcher struct {
 	pending            map[*cluster.Machine]bool
 	handshakeQueue     []*cluster.Machine // see planHandshakes
@@ -24,17 +24,17 @@
 
 func (d *dispatcher) remove(machine *cluster.Machine) { delete(d.pending, machine) }
 
-// commandResult is the outcome of direct commands. Without an answer they may still be
-// executed, even minutes later.
+// commandResult is the outcome of a request with direct commands. Commands without an
+// answer may still be executed, even minutes later.
 type commandResult struct {
 	machine     *cluster.Machine
 	status      *protocol.Heartbeat
-	hasStarts   bool // starts were among the commands
+	hasStarts   bool // the commands included starts
 	isHandshake bool
 	err         error
 }
 
-// dispatchAll sends what is pending to the machines that can be sent to.
+// dispatchAll sends the pending commands to the machines that have no command in flight.
 func (l *Leader) dispatchAll(now time.Time) {
 	for machine := range l.dispatcher.pending {
 		if !machine.CommandInFlight {
@@ -44,7 +44,8 @@
 	}
 }
 
-// dispatch sends what is pending to a machine.
+// dispatch sends the pending stops and starts to a machine, unless a command to it is in
+// flight or its agent cannot take commands: not up, no address, or incarnation expired.
 func (l *Leader) dispatch(machine *cluster.Machine, now time.Time) {
 	if machine.CommandInFlight || !machine.Up || machine.Addr == "" || machine.Incarnation <= machine.ExpiredIncarnation {
 		return
@@ -57,8 +58,9 @@
 	}
 }
 
-// stopCommands are the stops that were ordered and not sent yet. The answers to
-// heartbeats repeat them.
+// stopCommands returns the stops that were ordered within the last tick interval and not
+// sent yet. It sets StopOrderedAt back, so that each is sent directly only once. The
+// replies to heartbeats repeat them.
 func stopCommands(machine *cluster.Machine, now time.Time) (commands []protocol.Command) {
 	for _, placement := range machine.Placements {
 		if placement.Stopping && placement.Sent && now.Sub(placement.StopOrderedAt) < tuning.TickInterval {
@@ -70,10 +72,12 @@
 	return commands
 }
 
-// startCommands are the starts that are recorded and may be sent. What may no longer
-// be sent is withdrawn.
+// startCommands returns the recorded starts that may be sent, and withdraws the
+// placements whose starts may no longer be sent.
 func (l *Leader) startCommands(machine *cluster.Machine, now time.Time) (commands []protocol.Command) {
-	// Before an outage or a standstill the job of a start may have been cancelled.
+	// During an outage of the store or a pause of this process the job of a start may
+	// have been cancelled. Starts then wait until the store has confirmed the term and
+	// the known cancellations again.
 	mayStart := l.lease.mayStart(now)
 	waiting := machine.Outbox[:0]
 	for _, placement := range machine.Outbox {
@@ -128,23 +132,23 @@
 	}
 	l.applyStatus(machine, result.status, now)
 	if machine.AcknowledgedToken < l.termToken() {
-		machine.NextHandshake = now // refused for its incarnation, which is known now
+		machine.NextHandshake = now // refused for a wrong incarnation; the answer names the right one
 		l.handshake(machine, now)
 	}
 }
 
-// Machines are handshaken with in this order.
+// Handshakes with machines are made in this order.
 const (
 	handshakeProduction = iota
 	handshakeOtherTasks
 	handshakeWithoutTasks
-	handshakeGroupCount // machines that were tried already come behind all others
+	handshakeGroupCount // added for machines that were tried already, which come last
 )
 
-// planHandshakes lists the machines that are due for a handshake: those not tried yet
-// before the others, and of these the ones with production work first. After a
-// failover that is every machine, and one after another takes the processor's time
-// from the answers that renew leases.
+// planHandshakes queues the machines that are due for a handshake: those not tried yet
+// before the others, and within both groups those with production tasks first. After a
+// failover every machine is due, and each handshake takes processor time from the
+// replies that renew leases.
 func (l *Leader) planHandshakes(now time.Time) {
 	type dueMachine struct {
 		machine *cluster.Machine
@@ -175,7 +179,7 @@
 	l.startHandshakes(now)
 }
 
-// startHandshakes begins as many handshakes as may be in flight at once.
+// startHandshakes makes queued handshakes until the limit in flight is reached.
 func (l *Leader) startHandshakes(now time.Time) {
 	for len(l.dispatcher.handshakeQueue) > 0 && l.dispatcher.handshakesInFlight < tuning.HandshakesInFlight {
 		machine := l.dispatcher.handshakeQueue[0]
@@ -184,9 +188,9 @@
 	}
 }
 
-// needsHandshake tells whether a machine is running and has not acknowledged the
-// term's token, or has been silent for the length of a lease, after which what ran
-// there is gone.
+// needsHandshake reports whether a handshake with a machine is due: the machine has not
+// acknowledged a token of this term, or has been silent for the length of a lease, after
+// which its agent has ended all tasks.
 func (l *Leader) needsHandshake(machine *cluster.Machine, now time.Time) bool {
 	if machine.CommandInFlight || machine.Deprovisioning || machine.Addr == "" || now.Before(machine.NextHandshake) {
 		return false
@@ -195,11 +199,11 @@
 	return machine.AcknowledgedToken < l.termToken() || silentForLease
 }
 
-// handshake shows the term's token to an agent with a request without commands, so
-// that a new leader need not wait for its next heartbeat. A first request with a wrong
-// incarnation is refused, and the refusal names the right one. A silent agent that
-// answers after its lease has begun a new incarnation: no heartbeat of it arrives, but
-// it is there.
+// handshake sends the term's token to an agent in a request without commands, so that a
+// new leader need not wait for the agent's next heartbeat. An agent refuses a request
+// with a wrong incarnation, and the refusal names the right one. A silent agent that
+// answers after its lease has expired has begun a new incarnation: the agent runs,
+// although none of its heartbeats arrive.
 func (l *Leader) handshake(machine *cluster.Machine, now time.Time) {
 	if !l.needsHandshake(machine, now) {
 		return
@@ -209,8 +213,8 @@
 	l.sendCommands(machine, nil, lastIncarnation(machine), false, true)
 }
 
-// lastIncarnation is the latest incarnation that is known of a machine's agent, from
-// its status or from the run records.
+// lastIncarnation is the latest known incarnation of a machine's agent, from the agent's
+// status or from the run records.
 func lastIncarnation(machine *cluster.Machine) protocol.Incarnation {
 	incarnation := max(machine.Incarnation, 1)
 	for _, placement := range machine.Placements {
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -9,21 +9,21 @@
 	"marblehaven/internal/protocol"
 )
 
-// heartbeatRequest asks for the answer to a heartbeat; the reply is nil if the leader
-// may not answer.
+// heartbeatRequest asks the leader's actor to answer a heartbeat. The actor sends nil on
+// reply if the leader may not answer.
 type heartbeatRequest struct {
 	heartbeat *protocol.Heartbeat
 	reply     chan *protocol.HeartbeatReply
 }
 
-// Heartbeat answers an agent's heartbeat. It fails with ErrMayNotAnswer, or with the
-// context's error.
+// Heartbeat returns the reply to an agent's heartbeat. The error is ErrMayNotAnswer or the
+// error of ctx.
 func (l *Leader) Heartbeat(ctx context.Context, heartbeat *protocol.Heartbeat) (*protocol.HeartbeatReply, error) {
 	reply := make(chan *protocol.HeartbeatReply, 1)
 	select {
 	case l.inbox <- heartbeatRequest{heartbeat, reply}:
 	default:
-		return nil, ErrMayNotAnswer // overloaded: the agent tries again
+		return nil, ErrMayNotAnswer // the inbox is full; the agent retries
 	}
 	select {
 	case answer := <-reply:
@@ -42,10 +42,10 @@
 	r.reply <- leader.onHeartbeat(r.heartbeat, now)
 }
 
-// onHeartbeat takes in a heartbeat and returns its answer, nil if there may be none.
+// onHeartbeat applies a heartbeat and returns the reply, or nil if the leader may not answer.
 func (l *Leader) onHeartbeat(heartbeat *protocol.Heartbeat, now time.Time) *protocol.HeartbeatReply {
 	if newerTerm := heartbeat.Token.Term(); newerTerm > l.leadership.Term {
-		l.Log.Info("an agent has seen a newer term, leaving this one", "machine", heartbeat.Machine, "term", newerTerm)
+		l.Log.Info("heartbeat carries the token of a newer term, leaving this term", "machine", heartbeat.Machine, "term", newerTerm)
 		l.OnNewerTerm(newerTerm)
 		return nil
 	}
@@ -57,9 +57,10 @@
 	}
 	machine := l.machineByID(heartbeat.Machine, now)
 	if !machine.AcceptHeartbeat(heartbeat) && !machine.DetectRestart(heartbeat) {
-		// This is a late copy: nobody takes its answer, so the answer renews no lease,
-		// and what the copy says is out of date. Or the agent has begun anew, which
-		// shows once it has seen the token of this answer.
+		// The heartbeat is a late copy, or the agent has restarted. A copy is out of
+		// date, and nobody receives the reply to it, so the reply renews no lease. A
+		// restarted agent proves the restart with the token of this reply in its next
+		// heartbeat.
 		return &protocol.HeartbeatReply{Token: machine.IssuedToken, Commands: []protocol.Command{}}
 	}
 	machine.LastHeartbeat = now
@@ -71,8 +72,8 @@
 	return &protocol.HeartbeatReply{Token: machine.IssuedToken, Commands: l.reconcileCommands(machine)}
 }
 
-// applyStatus takes in an agent's status, from a heartbeat or from the answer to a
-// direct command.
+// applyStatus applies an agent's status, from a heartbeat or from the answer to a direct
+// command, and acts on what has changed.
 func (l *Leader) applyStatus(machine *cluster.Machine, status *protocol.Heartbeat, now time.Time) {
 	wasUp, unknownBefore := machine.Up, machine.UnknownTaskCount
 	ended, fresh := machine.ApplyStatus(status, parseTaskName, now, l.agentLeaseExpiry(now))
@@ -111,9 +112,9 @@
 	}
 }
 
-// reconcileCommands compares the tasks that an agent reports with what is to be there,
-// and returns the commands that make up the difference: what the agent is to stop and
-// which attempts it may forget. Both may be repeated.
+// reconcileCommands compares the tasks that an agent reports with the placements on its
+// machine, and returns the commands that remove the difference: stops, and releases of
+// exited attempts that the agent may forget. Both may be repeated.
 func (l *Leader) reconcileCommands(machine *cluster.Machine) []protocol.Command {
 	commands := []protocol.Command{}
 	for i := range machine.ReportedTasks {
@@ -143,9 +144,9 @@
 	return command, false
 }
 
-// mayRelease tells whether an agent may forget an exited attempt. Forgotten earlier,
-// the agent could run it again: a start may still arrive, or the completion is not
-// recorded yet.
+// mayRelease reports whether an agent may forget an exited attempt. If the agent forgot
+// the attempt too early, the task could run again: because a late start of the attempt
+// still arrives, or because the completion is not recorded yet.
 func (l *Leader) mayRelease(machine *cluster.Machine, reported *cluster.ReportedTask) bool {
 	job := l.jobs.open[reported.Key.Job]
 	awaitsRecord := job != nil && job.unrecordedDone[reported.Key.Task]
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -8,7 +8,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// startPlacement places a task on a machine. Its start is sent once it is recorded.
+// startPlacement places a task on a machine. The start is sent once the placement is
+// recorded.
 func (l *Leader) startPlacement(job *jobState, machine *cluster.Machine, now time.Time) {
 	task := job.takeTask()
 	placement := &cluster.Placement{
@@ -40,7 +41,8 @@
 	l.cycle.request()
 }
 
-// withdrawPlacement takes back a placement whose start was never sent.
+// withdrawPlacement removes a placement whose start was never sent. Its task waits to be
+// started again.
 func (l *Leader) withdrawPlacement(placement *cluster.Placement, now time.Time) {
 	l.cycle.request()
 	placement.Machine.RemovePlacement(placement, now)
@@ -67,8 +69,8 @@
 	l.cancelDependents(job.id)
 }
 
-// endPlacements acts on placements that have ended. Each is the result of a proof (see
-// cluster.Machine): its task may be started again.
+// endPlacements removes placements that have ended, and completes or requeues their
+// tasks. Each end is proven (see package cluster), so the task may be started again.
 func (l *Leader) endPlacements(endings []cluster.EndedPlacement, now time.Time) {
 	for i := range endings {
 		ended := &endings[i]
@@ -91,8 +93,8 @@
 	}
 }
 
-// completeTask notes that a task is done. Its agent may forget the attempt once the
-// completion is recorded.
+// completeTask marks a task as done. The agent may forget the attempt once the completion
+// is recorded.
 func (l *Leader) completeTask(job *jobState, placement *cluster.Placement, now time.Time) {
 	if placement.State == protocol.TaskRunning {
 		l.estimator.observe(&job.spec, now.Sub(placement.Since).Seconds())
@@ -104,28 +106,31 @@
 	l.markDirty(job, placement.Task, false, now)
 }
 
-// retryTask lets a task that has ended without being done start again.
+// retryTask requeues a task that ended without completing. The other tasks of its gang
+// are stopped.
 func (l *Leader) retryTask(job *jobState, ended *cluster.EndedPlacement, now time.Time) {
 	placement := ended.Placement
 	job.requeueTask(placement.Task)
 	if placement.Recorded {
-		// Still recorded, the next leader would wait for proof of its end once more.
+		// As long as the placement is recorded, a new leader would wait again for
+		// proof of its end.
 		l.markDirty(job, placement.Task, false, now)
 	}
 	if ended.ExitReason != protocol.ExitStopped && !job.cancelled {
-		l.Log.Info("task ended without being done, it is started again", "task", taskName(placement.TaskKey),
+		l.Log.Info("task ended without completing, it is queued to start again", "task", taskName(placement.TaskKey),
 			"attempt", placement.Attempt, "machine", placement.Machine.ID, "reason", ended.ExitReason)
 	}
 	l.backOffByExitReason(job, ended, now)
 	if !job.isGang() {
 		return
 	}
-	for _, member := range job.placements { // without all of its tasks a gang cannot go on
+	for _, member := range job.placements { // a gang makes no progress without all of its tasks
 		l.stopPlacement(member, 0, now)
 	}
 }
 
-// backOffByExitReason keeps a job or a machine from new starts for a while after a failure.
+// backOffByExitReason delays further starts of a job, or on a machine, if the exit reason of
+// an ended task shows a failure of either.
 func (l *Leader) backOffByExitReason(job *jobState, ended *cluster.EndedPlacement, now time.Time) {
 	machine := ended.Placement.Machine
 	switch ended.ExitReason {
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -20,18 +20,20 @@
 	jobs     []*jobState            // in the order of snapshot.Jobs
 	jobIndex map[protocol.JobID]int // of snapshot.Jobs
 	teams    map[string]int         // index of snapshot.Teams
-	machines []*cluster.Machine     // in the order of snapshot.Machines; nil: requested
+	machines []*cluster.Machine     // in the order of snapshot.Machines; nil: requested, not provisioned yet
 	running  []scheduler.RunningTasks
-	// machinesByGPU counts the machines that gangs gather on, with GPUs (true) and
-	// without, and zones is in how many zones they are.
+	// machinesByGPU counts the machines that gangs can be placed on, with GPUs (true)
+	// and without (false). zones is the number of zones that the most widely offered of
+	// their types is in.
 	machinesByGPU map[bool]float64
 	zones         int
-	// notSchedulable counts the machines that are up and may not be used yet.
+	// notSchedulable counts the machines that are up but not schedulable, except those being
+	// deprovisioned or under a preemption notice.
 	notSchedulable int
 }
 
-// snapshot returns what the scheduler decides from, with the jobs and machines that
-// its indices stand for.
+// snapshot returns the scheduler's input, with the jobs and machines that its indices
+// refer to.
 func (l *Leader) snapshot(now time.Time) (*scheduler.Snapshot, []*jobState, []*cluster.Machine) {
 	b := &snapshotBuilder{
 		leader:        l,
@@ -49,8 +51,9 @@
 	b.markStarved()
 	b.addProvisioning()
 	b.addCapacityBackoffs()
-	// After a failover nothing is scaled out or in before the machine list and the
-	// heartbeats have come: what runs already would be provisioned once more.
+	// After a failover the leader neither scales out nor scales in before it has read
+	// the machine list and has had time to receive a heartbeat from every machine:
+	// otherwise it would provision capacity again that already exists.
 	settled := now.Sub(l.tookOverAt) > l.heartbeatIntervals(2)
 	b.snapshot.MayScaleOut = l.provisioner.listed && (settled || b.notSchedulable == 0)
 	b.snapshot.MayScaleIn = l.provisioner.listed && settled
@@ -112,8 +115,8 @@
 	}
 }
 
-// chainedJobs describes the jobs with those that they wait for, after priorities and
-// deadlines have been propagated along the chains.
+// chainedJobs returns the jobs with their pending dependencies. Priorities and deadlines
+// are already propagated from dependents to dependencies.
 func (b *snapshotBuilder) chainedJobs() []scheduler.ChainedJob {
 	chained := make([]scheduler.ChainedJob, len(b.jobs))
 	hasChains := false
@@ -138,14 +141,14 @@
 	return chained
 }
 
-// addJob adds a job. demand is what the jobs before it take of each team, and is
-// added to.
+// addJob adds a job to the snapshot. demand holds, by team, what the jobs that were added
+// before request; addJob adds the request of this job's unfinished tasks.
 func (b *snapshotBuilder) addJob(job *jobState, chained *scheduler.ChainedJob, demand []scheduler.Resources) {
 	team := b.teams[job.spec.Team]
 	request := job.request()
 	unfinished := job.spec.Tasks - job.doneCount
 	guaranteed := false
-	// A job that waits for others holds no part of its team's guaranteed quota.
+	// A job that waits for dependencies uses no part of its team's guaranteed quota.
 	if !job.cancelled && len(job.pendingDependencies) == 0 {
 		demand[team] = demand[team].Minus(request, -unfinished)
 		guaranteed = withinGuarantee(request, demand[team], b.guaranteedQuota(team))
@@ -176,14 +179,14 @@
 	}
 	inUse := len(job.placements)
 	if job.recordUnreadable && b.now.Before(job.backoffUntil) {
-		inUse = unfinished // any of them may run
+		inUse = unfinished // the unreadable segment may name any of them
 	}
 	b.snapshot.Teams[team].Used = b.snapshot.Teams[team].Used.Minus(request, -inUse)
 	b.snapshot.Jobs = append(b.snapshot.Jobs, entry)
 }
 
-// waitingTasks is how many tasks of a job may be started, as far as its run record
-// holds them. A gang starts whole.
+// waitingTasks is how many tasks of a job may be started now, limited to those whose
+// placements fit in the job's run record. A gang starts with all of its tasks or none.
 func (b *snapshotBuilder) waitingTasks(job *jobState) int {
 	waiting := job.waitingTasks()
 	room := b.leader.maxPlacements() - len(job.placements)
@@ -201,8 +204,8 @@
 	return scheduler.Resources{Cores: t.Cores, GPUs: t.GPUs}
 }
 
-// withinGuarantee tells whether a demand is within a guaranteed quota in what a task
-// requests.
+// withinGuarantee reports whether a demand is within a guaranteed quota. Only the
+// resources that a task requests are compared.
 func withinGuarantee(request, demand, guaranteed scheduler.Resources) bool {
 	const tolerance = 1e-9
 	return (request.Cores <= 0 || demand.Cores <= guaranteed.Cores+tolerance) &&
@@ -250,7 +253,8 @@
 	b.machines = append(b.machines, machine)
 }
 
-// addRunning takes what is on a machine off its free capacity, and sums it up by jobs.
+// addRunning subtracts the placements on a machine from its free capacity, and adds them
+// up by job.
 func (b *snapshotBuilder) addRunning(entry *scheduler.Machine, machine *cluster.Machine, machineType *scheduler.MachineType) {
 	first := len(b.running)
 	var fetching []string
@@ -310,8 +314,8 @@
 	}
 }
 
-// addProvisioning adds the machines that were requested without an answer yet: their
-// capacity counts as booting.
+// addProvisioning adds the machines of provisioning requests that are not resolved yet.
+// Their capacity counts as booting.
 func (b *snapshotBuilder) addProvisioning() {
 	for _, request := range b.leader.provisioner.requests {
 		typeIndex, ok := b.leader.catalog.index[request.Type]
