--- a/internal/leader/deprovisioning.go
+++ b/internal/leader/deprovisioning.go
@@ -9,12 +9,12 @@
 	"marblehaven/internal/tuning"
 )
 
-// deprovisionResult is the outcome of the call under way. Without an answer it may
-// have been executed.
+// deprovisionResult is the outcome of the deprovisioning call in flight. A call without an
+// answer may have been executed.
 type deprovisionResult struct{ err error }
 
-// deprovision gives machines back. The cloud's answer proves that everything on them
-// is gone.
+// deprovision queues machines to be returned to the cloud. The cloud's answer proves that
+// all tasks on them have ended.
 func (l *Leader) deprovision(machines []*cluster.Machine, reason string, now time.Time) {
 	if len(machines) == 0 {
 		return
@@ -22,7 +22,7 @@
 	for _, machine := range machines {
 		machine.Deprovisioning = true
 	}
-	l.Log.Info("scaling in, machines are deprovisioned", "reason", reason, "machines", machineIDs(machines))
+	l.Log.Info("deprovisioning machines", "reason", reason, "machines", machineIDs(machines))
 	l.provisioner.deprovisionQueue = append(l.provisioner.deprovisionQueue, machines...)
 	l.deprovisionNext(now)
 }
@@ -36,9 +36,9 @@
 }
 
 // deprovisionNext calls the cloud for machines in the queue. One call is in flight at a
-// time, and what comes meanwhile goes into the next: hundreds of machines, each
-// returned and retried by itself, took the calls from provisioning. Machines with tasks
-// go first, since these start elsewhere only after the answer.
+// time, and machines queued meanwhile go into the next: with a call and its retries for
+// each of hundreds of machines, no calls were left for provisioning. Machines with tasks
+// go first, since these tasks start elsewhere only after the answer.
 func (l *Leader) deprovisionNext(now time.Time) {
 	p := &l.provisioner
 	if len(p.deprovisionInFlight) > 0 || len(p.deprovisionQueue) == 0 || now.Before(p.nextDeprovision) {
@@ -62,8 +62,9 @@
 	p.deprovisionInFlight = nil
 	defer l.deprovisionNext(now)
 	if result.err != nil {
-		// It may have been executed; a repeated call ignores machines that are gone.
-		l.Log.Info("deprovisioning call failed, it is repeated", "machines", len(machines), "err", result.err)
+		// The call may have been executed. A repeated call ignores machines that no
+		// longer exist.
+		l.Log.Info("deprovisioning call failed, its machines are queued again", "machines", len(machines), "err", result.err)
 		p.deprovisionQueue = append(p.deprovisionQueue, machines...)
 		p.nextDeprovision = now.Add(tuning.MachineBackoff)
 		return
--- a/internal/leader/failure_detection.go
+++ b/internal/leader/failure_detection.go
@@ -7,7 +7,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// heartbeatIntervals returns the length of some heartbeat intervals.
+// heartbeatIntervals returns the duration of n heartbeat intervals.
 func (l *Leader) heartbeatIntervals(n float64) time.Duration {
 	return seconds(l.Config.Deployment.Workers.ReportS * n)
 }
@@ -17,42 +17,48 @@
 	return l.heartbeatIntervals(tuning.SchedulableHeartbeats)
 }
 
-// unreachableAfter is how long a machine may be silent before it is called directly,
-// or counts as not heard of.
+// unreachableAfter is how long a machine may be silent before the leader sends a direct
+// command to its agent, and before isolated counts the machine as not reporting.
 func (l *Leader) unreachableAfter() time.Duration {
 	return l.heartbeatIntervals(tuning.MissedHeartbeats)
 }
 
-// expectedToReport tells whether heartbeats of a machine are expected: it was up, or
-// tasks may be there.
+// expectedToReport reports whether heartbeats of a machine are expected: a status of its
+// agent was applied in this term, or tasks may be on the machine.
 func expectedToReport(machine *cluster.Machine) bool {
 	return !machine.Deprovisioning && (machine.Up || len(machine.Placements) > 0)
 }
 
-// silence is how long nothing was heard of a machine.
+// silence is the time since a status of a machine's agent was last applied or, if none
+// was in this term, since the leader took over.
 func (l *Leader) silence(machine *cluster.Machine, now time.Time) time.Duration {
 	if !machine.Up {
-		return now.Sub(l.tookOverAt) // an earlier leader heard of it at best
+		return now.Sub(l.tookOverAt) // only an earlier leader can have received a status
 	}
 	return now.Sub(machine.LastContact)
 }
 
-// reachability is what is known at one moment of the machines' silence.
+// reachability groups the machines by how long and in which way they are silent.
 type reachability struct {
-	unreachable  map[*cluster.Machine]bool // whose tasks need not wait for the lease
-	silent       []*cluster.Machine        // with tasks, and silent for too long
-	partitioned  []*cluster.Machine        // heard of, but nothing reaches them
+	unreachable  map[*cluster.Machine]bool // to be deprovisioned before their leases expire
+	silent       []*cluster.Machine        // with tasks, and silent for more than unreachableAfter
+	partitioned  []*cluster.Machine        // their heartbeats arrive, but no reply reaches them
 	connected    int                       // machines that have acknowledged the term's token
-	inZone       map[string]int
-	silentInZone map[string]int // of inZone, those silent for an interval
+	inZone       map[string]int            // machines expected to report, by zone
+	silentInZone map[string]int            // of inZone, those silent for more than one interval
 }
 
-// unreachableMachines picks machines whose tasks need not wait for the lease to
-// expire: to deprovision such a machine proves that they are gone. They are machines
-// whose preemption notice is over, machines that answer no direct command either
-// (sooner if production or a gang waits for them), and machines behind a one-way
-// partition. Where many fail in the same way it is the network that failed, and the
-// work goes on behind it.
+// unreachableMachines returns the machines to be deprovisioned before their leases expire.
+// The cloud's answer proves that their tasks have ended, so that the tasks start elsewhere
+// sooner. They are
+//
+//   - silent machines whose preemption notice has run out,
+//   - silent machines that answer no direct commands either; these count as unreachable
+//     sooner if production or a gang waits for them,
+//   - machines behind a one-way partition.
+//
+// Where many machines fail in one of the last two ways, the network has failed and not
+// the machines. None of these is returned, since their tasks keep running.
 func (l *Leader) unreachableMachines(now time.Time) map[*cluster.Machine]bool {
 	r := l.classifyReachability(now)
 	for _, machine := range r.silent {
@@ -79,7 +85,7 @@
 		silence := l.silence(machine, now)
 		r.inZone[machine.Zone]++
 		if silence > interval {
-			r.silentInZone[machine.Zone]++ // sooner, so that a cut shows before any machine counts as lost
+			r.silentInZone[machine.Zone]++ // after one interval, so that a failed link shows before any machine counts as unreachable
 		}
 		if silence > unreachableAfter && len(machine.Placements) > 0 {
 			r.silent = append(r.silent, machine)
@@ -99,29 +105,30 @@
 	return r
 }
 
-// zoneDisconnected tells whether so much of a zone is silent that its link has failed.
+// zoneDisconnected reports whether so many machines of a zone are silent that the network
+// link to the zone must have failed.
 func (r *reachability) zoneDisconnected(zone string) bool {
 	return float64(r.silentInZone[zone]) > max(1, float64(r.inZone[zone])*tuning.ZoneOutageShare)
 }
 
-// checkSilentMachine decides whether a silent machine is unreachable. One that was not
-// called directly yet is called.
+// checkSilentMachine decides whether a silent machine is unreachable. It sends a direct
+// command to a machine that has not left enough of them unanswered yet.
 func (l *Leader) checkSilentMachine(found *reachability, machine *cluster.Machine, now time.Time) {
 	limit := l.heartbeatIntervals(tuning.UnreachableHeartbeats)
 	silentPastLimit := now.Sub(machine.LastContact) > limit && now.Sub(l.tookOverAt) > limit
 	switch {
 	case machine.UnansweredCommands >= tuning.UnreachableCommands:
 		found.unreachable[machine] = silentPastLimit || l.runsUrgentWork(machine)
-	case machine.Addr == "": // not in the machine list either, so there is nothing to call
+	case machine.Addr == "": // no heartbeat or machine list has given an address to send commands to
 		found.unreachable[machine] = silentPastLimit && l.provisioner.listed
 	case !machine.CommandInFlight:
 		l.sendCommands(machine, nil, lastIncarnation(machine), false, false)
 	}
 }
 
-// runsUrgentWork tells whether a machine has what should not wait for its lease: a
-// player-facing service, or a task of a gang, whose other tasks can do nothing
-// meanwhile and whose machines stand idle.
+// runsUrgentWork reports whether a machine has tasks that should not wait for its lease to
+// expire: a player-facing service, or a task of a gang, whose other tasks make no
+// progress meanwhile and whose machines stand idle.
 func (l *Leader) runsUrgentWork(machine *cluster.Machine) bool {
 	for key := range machine.Placements {
 		if job := l.jobs.open[key.Job]; job != nil && job.isGang() && job.spec.Tasks > 1 {
@@ -131,7 +138,7 @@
 	return l.runsProduction(machine)
 }
 
-// runsProduction tells whether a machine has player-facing services.
+// runsProduction reports whether a machine has tasks of player-facing services.
 func (l *Leader) runsProduction(machine *cluster.Machine) bool {
 	for key := range machine.Placements {
 		if job := l.jobs.open[key.Job]; job != nil && job.isProduction() {
@@ -141,11 +148,14 @@
 	return false
 }
 
-// isolated tells whether this leader hears of next to none of the machines although
-// the store confirms its term. Their leases expire all together, while another
-// controller may well hear of them. This leader must have heard of them before, or the
-// other controllers must hear of more of them: where the machines themselves are gone,
-// one leader after another would leave its term, and none would ever learn of it.
+// isolated reports whether this leader receives heartbeats from almost none of the
+// machines although the store confirms its term. The leases of the machines would expire
+// all together, while another controller may well receive their heartbeats.
+//
+// The leader must have received heartbeats from most machines before, or the other
+// controllers must receive more heartbeats than this leader. Otherwise the machines
+// themselves may have failed: then one leader after another would resign, and none would
+// lead for long enough to detect the failure.
 func (l *Leader) isolated(now time.Time) bool {
 	if now.Sub(l.lease.lastConfirmation()) > tuning.StartConfirmationAge && now.After(l.lease.answeringSince) {
 		l.lease.answeringSince = now
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -8,8 +8,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// machineListResult is the cloud's list of machines. It lags: new machines may be
-// missing, and machines that are gone may be named.
+// machineListResult is the cloud's list of machines. The list lags: it may lack new
+// machines and name machines that no longer exist.
 type machineListResult struct {
 	began    time.Time
 	machines []protocol.ListedMachine
@@ -29,8 +29,9 @@
 	}()
 }
 
-// listInterval is the pause to the next list, of which each page is a call: at most a
-// part of the calls that may be made goes into lists.
+// listInterval is the pause between two reads of the machine list. Each page takes a call,
+// so the pause grows with the number of machines: reads take at most tuning.ListShare of
+// the call budget.
 func (l *Leader) listInterval() time.Duration {
 	pages := float64(len(l.machines.byID)/tuning.ListMax + 1)
 	callsPerSecond := l.Config.Deployment.Cloud.RPS * l.Config.Operator.CloudCallShare
@@ -43,7 +44,7 @@
 	l.provisioner.listInFlight = false
 	l.provisioner.cloudAvailable = result.err == nil
 	if result.err != nil {
-		l.Log.Debug("reading the machine list failed, it is read again", "err", result.err)
+		l.Log.Debug("reading the machine list failed, it is retried after the list interval", "err", result.err)
 		return
 	}
 	if !l.provisioner.listed {
@@ -70,8 +71,9 @@
 	l.markObsoleteRequests(listed)
 }
 
-// applyListedMachine takes in an entry of the list. It proves nothing of a machine
-// that is known already.
+// applyListedMachine applies an entry of the list and returns the machine. An entry
+// proves nothing about a machine that the leader already has: only missing properties
+// are filled in.
 func (l *Leader) applyListedMachine(entry *protocol.ListedMachine, now time.Time) *cluster.Machine {
 	isNew := l.machines.byID[entry.ID] == nil
 	machine := l.machineByID(entry.ID, now)
@@ -85,8 +87,8 @@
 	return machine
 }
 
-// markObsoleteRequests marks the requests whose machines a new leader would find
-// without their records: in the list, or by their heartbeats.
+// markObsoleteRequests marks the provisioning requests whose records may be deleted: a new
+// leader would find all their machines in the list or by their heartbeats.
 func (l *Leader) markObsoleteRequests(listed map[string]bool) {
 	for _, request := range l.provisioner.requests {
 		if !request.resolved || request.obsolete {
--- a/internal/leader/machine_table.go
+++ b/internal/leader/machine_table.go
@@ -10,14 +10,16 @@
 	"marblehaven/internal/protocol"
 )
 
-// machineTable holds the machines that are known.
+// machineTable holds the machines that a record, a heartbeat, the cloud's answer to a
+// provisioning request or the machine list has named.
 type machineTable struct {
 	byID   map[string]*cluster.Machine
-	sorted []*cluster.Machine // the same, in the order of their names
-	// firstToken is the first token issued to a machine that becomes known.
+	sorted []*cluster.Machine // the same machines, in the order of their IDs
+	// firstToken is the first token issued to a machine that is added.
 	firstToken protocol.FencingToken
-	// removedAt remembers when machines were deprovisioned, for as long as a machine
-	// list or a late heartbeat may still name them (see pruneRemoved).
+	// removedAt holds when machines were deprovisioned, by ID. An entry stays as long as a
+	// machine list may still name the machine (see pruneRemoved), and keeps late
+	// heartbeats from adding the machine again.
 	removedAt map[string]time.Time
 }
 
@@ -33,11 +35,12 @@
 	t.sorted = slices.Insert(t.sorted, position, machine)
 }
 
-// remove drops a machine that was deprovisioned.
+// remove removes a machine that was deprovisioned.
 func (t *machineTable) remove(machine *cluster.Machine, now time.Time) {
 	delete(t.byID, machine.ID)
-	// Should a late heartbeat of it come when it is no longer remembered, the machine
-	// must show a token that its agent cannot have seen, so that nothing is placed there.
+	// A late heartbeat may add the machine again after its entry in removedAt was pruned.
+	// The machine is then issued a token that its agent cannot have received, and
+	// nothing is placed there unless the agent acknowledges that token.
 	t.firstToken = max(t.firstToken, machine.IssuedToken+1)
 	t.sorted = slices.DeleteFunc(t.sorted, func(m *cluster.Machine) bool { return m == machine })
 	t.removedAt[machine.ID] = now
@@ -48,10 +51,10 @@
 	return removed
 }
 
-// pruneRemoved forgets the machines that were deprovisioned so long before a machine
-// list was begun that neither it nor a later list names them. When the list's answer
-// came proves nothing: a list of thousands of machines has many pages, each of which
-// waits for its turn among the cloud's calls.
+// pruneRemoved deletes the entries of machines that were deprovisioned more than lag
+// before the read of a machine list began: neither that list nor a later one names them.
+// The time at which a list is complete proves nothing, since a list of thousands of
+// machines has many pages, and each page waits for its turn among the cloud's calls.
 func (t *machineTable) pruneRemoved(listBegan time.Time, lag time.Duration) {
 	for id, at := range t.removedAt {
 		if listBegan.Sub(at) > lag {
@@ -60,14 +63,15 @@
 	}
 }
 
-// machineByID returns a machine, which is made known if it is not yet.
+// machineByID returns the machine with an ID, and adds the machine if it is not in the
+// table yet.
 func (l *Leader) machineByID(id string, now time.Time) *cluster.Machine {
 	if machine := l.machines.byID[id]; machine != nil {
 		return machine
 	}
-	// An earlier leader may go on answering the machine's heartbeats for the whole of
-	// its leader lease, and only then does the agent's lease begin to run out. Until
-	// that has expired the tasks recorded there may run.
+	// An earlier leader may answer the machine's heartbeats until its leader lease ends,
+	// and each answer renews the agent's lease. The tasks recorded on the machine may run
+	// until an agent's lease that was renewed at that time has expired.
 	expiry := l.agentLeaseExpiry(l.tookOverAt.Add(l.lease.duration))
 	machine := cluster.NewMachine(id, l.machines.firstToken, now, expiry)
 	l.machines.add(machine)
@@ -75,15 +79,15 @@
 	return machine
 }
 
-// removeMachine drops a machine that was deprovisioned.
+// removeMachine removes a machine that was deprovisioned, and the commands due for it.
 func (l *Leader) removeMachine(machine *cluster.Machine, now time.Time) {
 	l.machines.remove(machine, now)
 	l.dispatcher.remove(machine)
 	l.cycle.request()
 }
 
-// bootTimeS is the usual boot time of a machine in seconds; of an unknown type, the
-// longest of all types.
+// bootTimeS is the usual boot time of a machine in seconds; for a machine of an unknown
+// type, the longest of all types.
 func (l *Leader) bootTimeS(machine *cluster.Machine) float64 {
 	if i, ok := l.catalog.index[machine.Type]; ok {
 		return l.catalog.types[i].BootS
--- a/internal/leader/provisioner.go
+++ b/internal/leader/provisioner.go
@@ -12,21 +12,21 @@
 	"marblehaven/internal/tuning"
 )
 
-// provisioner asks the cloud for machines and gives them back, within the budget of
-// calls. Requests are recorded before the call, so that a new leader repeats them:
-// repeated, a request provisions at most once.
+// provisioner requests machines from the cloud and deprovisions them, within the call
+// budget. A request is recorded before the call, so that a new leader can repeat the
+// call: a request with the same ID provisions at most once.
 type provisioner struct {
 	requests map[string]*provisioningState // by ID
-	sequence int                           // of the latest request of this term
+	sequence int                           // number of the latest request of this term
 	backoffs map[capacityPool]*capacityBackoff
 
 	deprovisionQueue    []*cluster.Machine
-	deprovisionInFlight []*cluster.Machine // in the call under way
-	nextDeprovision     time.Time          // no call before
+	deprovisionInFlight []*cluster.Machine // in the call in flight
+	nextDeprovision     time.Time          // the earliest time of the next call
 
 	listed         bool // a machine list was read in this term
 	listInFlight   bool
-	nextList       time.Time // no list before
+	nextList       time.Time // the earliest time of the next read
 	cloudAvailable bool      // the cloud answered the latest call
 }
 
@@ -34,27 +34,27 @@
 	return provisioner{requests: map[string]*provisioningState{}, backoffs: map[capacityPool]*capacityBackoff{}}
 }
 
-// provisioningState is a provisioning request and what has become of it.
+// provisioningState is a provisioning request and the state of its call.
 type provisioningState struct {
 	records.ProvisioningRequest
 	recorded     bool
-	callInFlight bool // a call is under way
+	callInFlight bool // a call is in flight
 	resolved     bool // the outcome is known
 	machineIDs   []string
-	nextCall     time.Time // no call before
-	obsolete     bool      // its record may go
+	nextCall     time.Time // the earliest time of the next call
+	obsolete     bool      // its record may be deleted
 }
 
 func (p *provisioningState) pool() capacityPool { return capacityPool{p.Type, p.Zone, p.Spot} }
 
-// capacityPool is what capacity is asked for in: a machine type in a zone, as spot
-// machines or ordinary ones.
+// capacityPool is what the cloud provisions machines from: a machine type in a zone, as
+// spot instances or not.
 type capacityPool struct {
 	machineType, zone string
 	spot              bool
 }
 
-// capacityBackoff rests a pool that has no capacity.
+// capacityBackoff delays further requests to a pool that has no capacity.
 type capacityBackoff struct {
 	until time.Time
 	delay time.Duration
@@ -70,7 +70,8 @@
 	return count
 }
 
-// backOff rests a pool after the cloud has refused it, for longer each time.
+// backOff delays further requests to a pool after the cloud has refused one. The delay
+// doubles with each refusal in a row, up to tuning.NoCapacityBackoffMax.
 func (p *provisioner) backOff(pool capacityPool, now time.Time) {
 	backoff := p.backoffs[pool]
 	if backoff == nil {
@@ -82,14 +83,14 @@
 	backoff.until = now.Add(backoff.delay)
 }
 
-// requestMachines makes a request for machines, as many as a call may ask for. It is
-// sent once it is recorded. The rest is asked for after the answer: of a dozen calls
-// made together most were refused for the reason of the first, and a hundred writes a
-// minute went into requests that provisioned nothing.
+// requestMachines creates a request for machines, at most as many as one call may request.
+// The request is sent once it is recorded. The rest is requested after the answer: when a
+// dozen calls were made together, most were refused for the same reason as the first, and
+// a hundred writes a minute were spent on requests that provisioned nothing.
 func (l *Leader) requestMachines(pool capacityPool, count int, now time.Time) {
 	l.provisioner.sequence++
 	request := &provisioningState{ProvisioningRequest: records.ProvisioningRequest{
-		// With the term the ID is unique over all leaders, for ever.
+		// The term makes the ID unique among the requests of all leaders.
 		ID:          fmt.Sprintf("r-%d-%d", l.leadership.Term, l.provisioner.sequence),
 		Type:        pool.machineType,
 		Zone:        pool.zone,
@@ -102,7 +103,8 @@
 		"type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count)
 }
 
-// provisionResult is the cloud's answer to a request, or that there is none.
+// provisionResult is the outcome of a provisioning call: the IDs of the machines, or the
+// error if the cloud refused the request or gave no usable answer.
 type provisionResult struct {
 	request    *provisioningState
 	machineIDs []string
@@ -133,20 +135,21 @@
 	case errors.Is(r.err, cloud.ErrNoCapacity):
 		leader.provisioner.cloudAvailable = true
 		leader.rejectRequest(r.request, now)
-		leader.Log.Info("no capacity, the pool rests", "type", r.request.Type, "zone", r.request.Zone, "spot", r.request.Spot)
+		leader.Log.Info("no capacity, requests to the pool back off", "type", r.request.Type, "zone", r.request.Zone, "spot", r.request.Spot)
 	default:
-		// The outcome is not known or the cloud is down: the same request is sent
-		// again, which provisions at most once.
+		// The outcome is unknown or the cloud is unavailable. The same request is sent
+		// again, since its ID provisions at most once.
 		r.request.nextCall = now.Add(tuning.MachineBackoff)
 		leader.provisioner.cloudAvailable = false
-		leader.Log.Info("provisioning call failed, it is repeated", "request", r.request.ID, "err", r.err)
+		leader.Log.Info("provisioning call failed, it is repeated unless the request was rejected", "request", r.request.ID, "err", r.err)
 		if errors.Is(r.err, cloud.ErrInvalidRequest) {
 			leader.rejectRequest(r.request, now)
 		}
 	}
 }
 
-// rejectRequest ends a request that has provisioned nothing and never will.
+// rejectRequest resolves a request that has provisioned nothing and never will, and delays
+// further requests to its pool.
 func (l *Leader) rejectRequest(request *provisioningState, now time.Time) {
 	request.resolved, request.obsolete = true, true
 	l.provisioner.backOff(request.pool(), now)
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -8,11 +8,11 @@
 	"marblehaven/internal/tuning"
 )
 
-// onTick does what depends on time alone.
+// onTick does the work that becomes due by time alone.
 func (l *Leader) onTick(now time.Time) {
 	l.confirmByPeers(now)
 	if len(l.Config.Peers) > 0 && l.isolated(now) {
-		l.Log.Error("hearing of next to none of the machines, leaving the term to another controller")
+		l.Log.Error("almost no machines report to this leader, resigning so that another controller can lead")
 		l.Resign()
 		return
 	}
@@ -21,7 +21,7 @@
 	l.dispatchAll(now)
 	l.planHandshakes(now)
 	l.deprovisionNext(now)
-	l.cycle.request() // slack is spent and idle machines age by time alone
+	l.cycle.request() // slack shrinks and machines exceed their idle time without any message
 	l.deprovision(unreachable, "unreachable, preempted or quarantined", now)
 	l.deprovision(neverUp, "never came up", now)
 	l.refreshMachineList(now)
@@ -31,8 +31,9 @@
 	l.saveImageInventory(now)
 }
 
-// reviewMachines ends what expired leases held, and picks the machines to be given
-// back: those that are lost, and those that never came up.
+// reviewMachines ends the placements under expired leases, and returns the machines to be
+// deprovisioned: those that are lost (unreachable, silent for too long, or quarantined and
+// empty), and those that never came up.
 func (l *Leader) reviewMachines(now time.Time) (lost, neverUp []*cluster.Machine) {
 	unreachable := l.unreachableMachines(now)
 	for _, machine := range l.machines.byID {
@@ -61,12 +62,13 @@
 	if len(ended) == 0 {
 		return
 	}
-	l.Log.Info("lease expired, its tasks are started again", "machine", machine.ID, "tasks", len(ended))
+	l.Log.Info("agent lease expired, its tasks are queued to start again", "machine", machine.ID, "tasks", len(ended))
 	l.endPlacements(ended, now)
 }
 
-// silentForTooLong tells whether a machine that was up has said nothing for long after
-// its lease, or answers commands and sends no heartbeats.
+// silentForTooLong reports whether a machine that was up stayed silent for
+// tuning.UnreachableGrace after its lease expired, or answers commands but has sent no
+// heartbeat for tuning.NoHeartbeatLimit.
 func silentForTooLong(machine *cluster.Machine, now time.Time) bool {
 	longAfterLease := now.After(machine.LeaseExpiry.Add(tuning.UnreachableGrace))
 	withoutHeartbeats := now.Sub(machine.LastHeartbeat) > tuning.NoHeartbeatLimit
@@ -82,10 +84,11 @@
 		now.Sub(machine.ProvisionedAt) > seconds(tuning.BootTimeoutFactor*l.bootTimeS(machine))
 }
 
-// checkpointBeforePreemption saves in time what can be saved on a machine that the cloud takes away.
+// checkpointBeforePreemption stops the running tasks that can save a checkpoint on a machine
+// under a preemption notice, as late as still leaves them the time to save.
 func (l *Leader) checkpointBeforePreemption(machine *cluster.Machine, now time.Time) {
 	if machine.PreemptionAt.IsZero() || machine.AcknowledgedToken < l.termToken() {
-		return // a copy of a heartbeat from before this term proves no notice
+		return // the notice may be from a late copy of a heartbeat sent before this term
 	}
 	remainingS := machine.PreemptionAt.Sub(now).Seconds()
 	for _, placement := range machine.Placements {
@@ -99,7 +102,7 @@
 		if !job.isGang() {
 			continue
 		}
-		for _, member := range job.placements { // a gang saves together
+		for _, member := range job.placements { // the tasks of a gang save together
 			l.stopPlacement(member, gracePeriodS, now)
 		}
 	}
