--- a/internal/leader/image_inventory.go
+++ b/internal/leader/image_inventory.go
@@ -13,14 +13,14 @@
 	"marblehaven/internal/tuning"
 )
 
-// imageInventory passes on which images are cached on which machines to the next
-// leader. A new leader that knew nothing of it would start services where their image
-// has to be fetched first. Nothing else depends on it, so losing a write does no harm.
+// imageInventory records which images are cached on which machines, for the next leader.
+// Without these records a new leader would start services on machines that have to fetch
+// the image first. Nothing else depends on the records, so losing a write does no harm.
 type imageInventory struct {
-	inherited   map[string]*records.ImageInventory // of an earlier leader, by machine
-	nextSave    time.Time                          // no write before
+	inherited   map[string]*records.ImageInventory // from an earlier leader, by machine
+	nextSave    time.Time                          // the earliest time of the next write
 	nextPart    int                                // number of the next part
-	nextMachine int                                // the first of the sorted machines in it
+	nextMachine int                                // index of its first machine among the sorted ones
 }
 
 func newImageInventoryKeeper() imageInventory {
@@ -44,14 +44,14 @@
 	l.images.nextPart++
 	go func() {
 		if err := l.putRecord(l.ctx, key, inventory); err != nil {
-			l.Log.Debug("saving the image inventory failed, it is left", "err", err)
+			l.Log.Debug("saving a part of the image inventory failed, it is not retried", "err", err)
 		}
 	}()
 }
 
-// newImageInventory describes the images on the first of the machines, as many as
-// surely fit in a value of so many bytes as JSON, and returns how many machines these
-// are.
+// newImageInventory returns a part of the inventory with the first of the machines, and
+// how many machines the part describes: as many as fit in a value of maxBytes bytes as
+// JSON by an upper estimate, but at least one.
 func newImageInventory(machines []*cluster.Machine, maxBytes int) (inventory records.ImageInventory, count int) {
 	inventory.Machines = map[string][]int{}
 	bytes := tuning.ImageInventoryEntryBytes
@@ -86,11 +86,12 @@
 	})
 }
 
-// loadImageInventory reads what an earlier leader knew. Without it all goes on.
+// loadImageInventory reads the inventory that an earlier leader wrote. The leader works
+// without it if the read fails.
 func (l *Leader) loadImageInventory(ctx context.Context) {
 	page, err := l.Store.ListAll(ctx, records.PrefixImageInventory)
 	if err != nil {
-		l.Log.Debug("reading the image inventory failed, going on without", "err", err)
+		l.Log.Debug("reading the image inventory failed, continuing without it", "err", err)
 		return
 	}
 	for _, entry := range page.Entries {
@@ -104,8 +105,8 @@
 	}
 }
 
-// restoreImages notes which images a machine has when it is first heard of: those of the
-// inherited inventory, and those of the tasks that run there.
+// restoreImages records the images of a machine when its first status of this term is
+// applied: those in the inherited inventory, and those of the tasks that run there.
 func (l *Leader) restoreImages(machine *cluster.Machine) {
 	typeIndex, known := l.catalog.index[machine.Type]
 	if !known {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -13,7 +13,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// Status is the leader's summary for the status page. It travels between controllers
+// Status is the leader's summary for the status page. Controllers send it to each other
 // under the short names of its tags.
 type Status struct {
 	Term     protocol.Term  `msgpack:"t"`
@@ -21,8 +21,8 @@
 	Classes  []ClassStatus  `msgpack:"k"`
 	Machines []MachineCount `msgpack:"m"`
 	Overdue  []OverdueJob   `msgpack:"b"`
-	// Format is the version of the formats of records that the whole cluster uses, and
-	// Versions lists what each controller reads.
+	// Format is the version of the record formats that the whole cluster uses, and
+	// Versions lists the newest version that each controller reads.
 	Format   int           `msgpack:"f,omitempty"`
 	Versions []NodeVersion `msgpack:"v,omitempty"`
 	// UnknownTasks counts the tasks on machines that no record names, and Unknown
@@ -31,18 +31,19 @@
 	Unknown      []UnknownTask `msgpack:"x,omitempty"`
 }
 
-// UnknownTask is a task that an agent reports and that no record names. The agent is
-// told to stop it.
+// UnknownTask is a task that an agent reports and that no record names. The leader orders
+// the agent to stop it.
 type UnknownTask struct {
 	Task    string             `msgpack:"t"`
 	Attempt uint64             `msgpack:"a"`
 	State   protocol.TaskState `msgpack:"s"`
 	Machine string             `msgpack:"m"`
-	// Job says, for people, what is known of the task's job.
+	// Job describes the state of the task's job, for the readers of the status page.
 	Job string `msgpack:"j"`
 }
 
-// NodeVersion is the version of the formats that a controller has recorded.
+// NodeVersion is the newest format version that a controller reads, as the controller has
+// recorded it.
 type NodeVersion struct {
 	Node   string `msgpack:"n"`
 	Format int    `msgpack:"f"`
@@ -65,12 +66,12 @@
 	Other int    `msgpack:"o"` // starting or silent
 }
 
-// OverdueJob is a production job whose replicas wait longer than they should.
+// OverdueJob is a production job with replicas that have waited too long to be placed.
 type OverdueJob struct {
 	Job     protocol.JobID `msgpack:"j"`
 	Class   string         `msgpack:"c"`
 	Missing int            `msgpack:"m"` // replicas that are on no machine
-	SinceS  float64        `msgpack:"s"` // seconds since the job could begin
+	SinceS  float64        `msgpack:"s"` // seconds since the job was ready to start
 }
 
 // statusReporter makes the summary for the status page.
@@ -80,7 +81,7 @@
 	overdueLoggedAt time.Time
 }
 
-// due tells whether the summary is to be made anew, and notes that it is.
+// due reports whether a new summary is due, and if so records now as its time.
 func (r *statusReporter) due(now time.Time) bool {
 	if now.Sub(r.summarizedAt) < tuning.StatusInterval {
 		return false
@@ -94,7 +95,7 @@
 
 func (r statusRequest) apply(leader *Leader, _ time.Time) { r.reply <- leader.status.current }
 
-// Status returns the latest summary; ok is false if the term or ctx ends before.
+// Status returns the latest summary; ok is false if the term or ctx ends first.
 func (l *Leader) Status(ctx context.Context) (status Status, ok bool) {
 	reply := make(chan Status, 1)
 	select {
@@ -113,7 +114,8 @@
 	return Status{}, false
 }
 
-// summarize makes the summary, and tells the liaison of overdue player-facing work.
+// summarize replaces the summary, and logs overdue player-facing work for the liaison at
+// most once in tuning.OverdueLogInterval.
 func (l *Leader) summarize(snapshot *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan, now time.Time) {
 	status := Status{
 		Term:     l.leadership.Term,
@@ -213,7 +215,8 @@
 	return counts
 }
 
-// addUnknownTasks counts and names the tasks that no record names.
+// addUnknownTasks counts the tasks that no record names, and describes the first
+// tuning.UnknownTasksShown of them.
 func (l *Leader) addUnknownTasks(status *Status) {
 	for _, machine := range l.machines.sorted {
 		if machine.UnknownTaskCount == 0 {
@@ -228,8 +231,8 @@
 	}
 }
 
-// logUnknownTasks logs the tasks of a machine that no record names. They are stopped
-// with the answer to the next heartbeat.
+// logUnknownTasks logs the tasks of a machine that no record names. The next reply to a
+// heartbeat of the machine orders the agent to stop them.
 func (l *Leader) logUnknownTasks(machine *cluster.Machine) {
 	for _, reported := range machine.UnknownTasks() {
 		unknown := l.describeUnknownTask(machine, &reported)
@@ -255,8 +258,8 @@
 	return unknown
 }
 
-// controllerVersions lists the controllers of the settings with what they have
-// recorded.
+// controllerVersions lists the controllers named in the settings, with the format version
+// that each has recorded.
 func (l *Leader) controllerVersions() []NodeVersion {
 	names := []string{l.Config.Node}
 	for _, peer := range l.Config.Peers {
