--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -10,7 +10,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// A heartbeat without news, at the size of a thousand machines.
+// A heartbeat that reports nothing new, to a leader with a thousand machines.
 func BenchmarkHeartbeat(b *testing.B) {
 	leader, now := newLoadedLeader(1000, 300)
 	raw, _ := codec.Marshal(fullHeartbeat(leader, 0, 2))
--- a/internal/leader/deprovisioning_test.go
+++ b/internal/leader/deprovisioning_test.go
@@ -12,9 +12,9 @@
 	"marblehaven/internal/tuning"
 )
 
-// Hundreds of machines to be deprovisioned, some at a time, take one call at a time,
-// with what came meanwhile in the next, and machines with tasks first: each by itself,
-// retried by itself, would take all calls from provisioning.
+// Hundreds of machines that are queued in small groups are deprovisioned with one call at a
+// time. Machines queued meanwhile go into the next call, those with tasks first. A call
+// and its retries for each machine would leave no calls for provisioning.
 func TestDeprovisioningTakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(350, 30)
@@ -25,7 +25,7 @@
 		}
 		synctest.Wait()
 		if n := len(transport.requestedHosts()); n != 1 {
-			t.Fatalf("%d calls at once", n)
+			t.Fatalf("%d calls in flight at once", n)
 		}
 		var idle []*cluster.Machine
 		for i, machine := range leader.machines.sorted[200:] {
@@ -35,9 +35,9 @@
 			}
 		}
 		transport.answer <- struct{}{}
-		leader.handle(<-leader.inbox) // failed: they are tried again after a while, with the rest
+		leader.handle(<-leader.inbox) // the call failed: its machines are queued again, with the rest
 		if len(leader.provisioner.deprovisionInFlight) > 0 {
-			t.Error("called again at once")
+			t.Error("the failed call was repeated before the backoff ended")
 		}
 		time.Sleep(tuning.MachineBackoff)
 		leader.deprovisionNext(time.Now())
@@ -46,7 +46,7 @@
 			synctest.Wait()
 			deprovisioned = append(deprovisioned, leader.provisioner.deprovisionInFlight...)
 			if n := len(leader.provisioner.deprovisionInFlight); n == 0 || n > tuning.DeprovisionMax {
-				t.Fatalf("%d in a call", n)
+				t.Fatalf("%d machines in one call", n)
 			}
 			leader.onDeprovisionResult(deprovisionResult{}, time.Now())
 		}
@@ -54,14 +54,14 @@
 			t.Error("idle machines went before machines with tasks")
 		}
 		if len(deprovisioned) != 350 {
-			t.Errorf("%d deprovisioned", len(deprovisioned))
+			t.Errorf("%d of 350 machines were deprovisioned", len(deprovisioned))
 		}
 		close(transport.answer)
 	})
 }
 
-// A late heartbeat of a machine that was deprovisioned, long after that was forgotten,
-// does not make the machine one to place work on.
+// A late heartbeat of a deprovisioned machine does not make the machine schedulable, even
+// if the heartbeat arrives after the entry of the removed machine was pruned.
 func TestRemovedMachineStaysRemoved(t *testing.T) {
 	leader, now := newLoadedLeader(2, 1)
 	machine := leader.machines.byID["m-000000"]
@@ -71,17 +71,17 @@
 	leader.provisioner.deprovisionInFlight = []*cluster.Machine{machine}
 	leader.onDeprovisionResult(deprovisionResult{}, now)
 	if leader.onHeartbeat(heartbeat, now); leader.machines.byID["m-000000"] != nil {
-		t.Error("a copy revived a machine just deprovisioned")
+		t.Error("a late heartbeat added a machine that was just deprovisioned")
 	}
 	clear(leader.machines.removedAt)
 	leader.onHeartbeat(heartbeat, now)
 	if machine := leader.machines.byID["m-000000"]; machine == nil || machine.Schedulable(now, time.Minute) {
-		t.Error("a copy made a machine schedulable that is gone")
+		t.Error("a late heartbeat made a deprovisioned machine schedulable")
 	}
 	acknowledging := fullHeartbeat(leader, 0, 8)
 	acknowledging.Token, acknowledging.Tasks = leader.machines.byID["m-000000"].IssuedToken, nil
 	leader.onHeartbeat(acknowledging, now)
 	if !leader.machines.byID["m-000000"].Schedulable(now, time.Minute) {
-		t.Error("a machine that is there, and shows it, is not schedulable")
+		t.Error("a machine whose agent acknowledged the new token is not schedulable")
 	}
 }
--- a/internal/leader/dispatch_test.go
+++ b/internal/leader/dispatch_test.go
@@ -11,16 +11,16 @@
 	"marblehaven/internal/tuning"
 )
 
-// A new leader makes handshakes with thousands of machines: not all at once, which would
-// take the processor's time from the answers that renew leases, and with machines that
-// run production first.
+// A new leader makes handshakes with thousands of machines. The number in flight is
+// limited, since all at once would take processor time from the replies that renew leases,
+// and machines with production tasks come first.
 func TestHandshakesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(2100, 1000)
 		transport := &recordingTransport{answer: make(chan struct{})}
 		defer close(transport.answer)
 		leader.Agents = agent.New(transport, httpclient.NewMalformedLog(leader.Log), 5000)
-		leader.leadership.Term++ // a leader that has seen none of them yet
+		leader.leadership.Term++ // a new term, in which no machine has acknowledged a token
 		production := map[string]bool{}
 		for i, machine := range leader.machines.sorted {
 			machine.Addr = machine.ID + ":1"
@@ -31,7 +31,7 @@
 				}
 			}
 		}
-		for _, machine := range leader.machines.sorted { // a job is on several machines
+		for _, machine := range leader.machines.sorted { // the tasks of a job are on several machines
 			for k := range machine.Placements {
 				production[machine.ID] = production[machine.ID] || leader.jobs.open[k.Job].priority() == 0
 			}
@@ -40,24 +40,24 @@
 		synctest.Wait()
 		first := transport.requestedHosts()
 		if len(first) != tuning.HandshakesInFlight {
-			t.Fatalf("%d handshakes at once", len(first))
+			t.Fatalf("%d handshakes in flight at once, not the limit", len(first))
 		}
 		for _, id := range first {
 			if !production[id] {
-				t.Fatalf("%s came before production's machines", id)
+				t.Fatalf("handshake with %s before those with machines that run production tasks", id)
 			}
 		}
-		// The first hang, and hold nothing up for longer than a command may take.
+		// The first handshakes hang. They delay the others by tuning.CommandTimeout at most.
 		for len(leader.dispatcher.handshakeQueue) > 0 || leader.dispatcher.handshakesInFlight > 0 {
 			leader.handle(<-leader.inbox)
 		}
 		if n := len(transport.requestedHosts()); n < 2100 {
-			t.Errorf("handshakes with %d of 2100", n)
+			t.Errorf("handshakes with %d of 2100 machines", n)
 		}
 		leader.planHandshakes(time.Now())
 		synctest.Wait()
 		if leader.dispatcher.handshakesInFlight != tuning.HandshakesInFlight {
-			t.Errorf("%d handshakes again", leader.dispatcher.handshakesInFlight)
+			t.Errorf("%d handshakes in flight after planning again, not the limit", leader.dispatcher.handshakesInFlight)
 		}
 	})
 }
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -12,8 +12,8 @@
 	"marblehaven/internal/records"
 )
 
-// A completion is recorded before the agent may forget the attempt: a leader that ends
-// in between would leave nothing that shows the completion.
+// A completion is recorded before the agent may forget the attempt: if the leader failed
+// in between, neither the store nor the agent would have the completion.
 func TestCompletionIsRecordedBeforeRelease(t *testing.T) {
 	now := time.Now()
 	leader := &Leader{jobs: jobTable{open: map[protocol.JobID]*jobState{}}, leadership: election.Leadership{Term: 1}}
@@ -24,11 +24,11 @@
 		{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}}}, parseTaskName, now, now)
 	job.unrecordedDone[0] = true
 	if commands := leader.reconcileCommands(machine); len(commands) > 0 {
-		t.Errorf("commanded %v before the completion was recorded", commands)
+		t.Errorf("commands %v before the completion was recorded", commands)
 	}
 	delete(job.unrecordedDone, 0)
 	if commands := leader.reconcileCommands(machine); len(commands) != 1 || commands[0].Verb != protocol.VerbRelease {
-		t.Errorf("commanded %v after it", commands)
+		t.Errorf("commands %v after the completion was recorded, want one release", commands)
 	}
 }
 
@@ -46,7 +46,7 @@
 		}
 	}
 	if d := cmp.Diff([]string{unknown.Task, "nonsense"}, stopped); d != "" {
-		t.Error("stopped", d)
+		t.Error("wrong tasks were stopped (-want +got):", d)
 	}
 	leader.schedule(now)
 	want := []UnknownTask{
@@ -54,7 +54,7 @@
 		{Task: "nonsense", Attempt: 1, State: protocol.TaskFetching, Machine: "m-000000", Job: "not open"},
 	}
 	if d := cmp.Diff(want, leader.status.current.Unknown); d != "" || leader.status.current.UnknownTasks != 2 {
-		t.Errorf("%d unknown tasks, %s", leader.status.current.UnknownTasks, d)
+		t.Errorf("%d unknown tasks, descriptions differ (-want +got): %s", leader.status.current.UnknownTasks, d)
 	}
 	leader.onHeartbeat(fullHeartbeat(leader, 0, 3), now)
 	leader.status.summarizedAt = time.Time{}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -22,7 +22,9 @@
 	"marblehaven/internal/records"
 )
 
-// recordingTransport records the calls that come, and answers them when told to.
+// recordingTransport is an HTTP transport that records the host of each request. A request
+// waits for a value on answer, or for answer to be closed, and then gets status 503. With a
+// nil answer it waits until its context ends.
 type recordingTransport struct {
 	mu     sync.Mutex
 	hosts  []string
@@ -48,7 +50,7 @@
 }
 
 // withUnresponsiveStore gives a leader a key-value store that never answers, so that a commit
-// stays in flight. The returned function ends its calls.
+// stays in flight. The returned function ends the calls to the store.
 func withUnresponsiveStore(t *testing.T, leader *Leader) (end func()) {
 	t.Helper()
 	leader.Store = kvstore.New("state:1", &recordingTransport{}, httpclient.NewMalformedLog(leader.Log), leader.Config.Deployment.State)
@@ -70,7 +72,8 @@
 	}
 }
 
-// newLoadedLeader returns a leader with many machines, all full, and many jobs that wait.
+// newLoadedLeader returns a leader with a number of machines, each full with 4 tasks, and a
+// number of jobs of 60 tasks, of which those without a machine wait.
 func newLoadedLeader(machines, jobs int) (*Leader, time.Time) {
 	cfg := &config.Config{Operator: config.DefaultOperator()}
 	d := &cfg.Deployment
--- a/internal/leader/image_inventory_test.go
+++ b/internal/leader/image_inventory_test.go
@@ -10,7 +10,8 @@
 	"marblehaven/internal/records"
 )
 
-// A new leader knows from the inventory of the last one which images a machine has.
+// A new leader takes the images that a machine has cached from the inventory that the
+// leader before wrote.
 func TestImageInventoryIsInherited(t *testing.T) {
 	leader, now := newLoadedLeader(2, 1)
 	machine := leader.machines.byID["m-000001"]
@@ -27,6 +28,6 @@
 	next.images.inherited["m-000001"] = &inherited
 	next.onHeartbeat(&protocol.Heartbeat{Machine: "m-000001", Addr: "x:1", MachineType: "big", Zone: "a", Incarnation: 1, Sequence: 9}, now)
 	if d := cmp.Diff(machine.Images(), next.machines.byID["m-000001"].Images()); d != "" {
-		t.Error(d)
+		t.Error("cached images differ (-want +got):", d)
 	}
 }
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -8,8 +8,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// A job with an unreadable segment of its run record backs off until what the segment may
-// have named has surely ended, whatever becomes of the tasks that other segments name.
+// A job with an unreadable segment of its run record backs off until all tasks that the
+// segment may name have ended. Failures of tasks that other segments name must not shorten
+// this backoff.
 func TestBackoffIsNotShortened(t *testing.T) {
 	leader, now := newLoadedLeader(1, 1)
 	job, machine := leader.jobs.open["req-000000"], leader.machines.byID["m-000000"]
@@ -23,6 +24,6 @@
 		}
 	}
 	if !job.backoffUntil.Equal(until) {
-		t.Errorf("a back-off of an hour became one of %v", job.backoffUntil.Sub(now))
+		t.Errorf("a backoff of an hour became one of %v", job.backoffUntil.Sub(now))
 	}
 }
--- a/internal/leader/provisioner_test.go
+++ b/internal/leader/provisioner_test.go
@@ -10,7 +10,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// A pool that is refused again and again rests for longer each time, up to a limit.
+// The backoff of a capacity pool doubles with each refusal in a row, up to a limit.
 func TestCapacityBackoffGrows(t *testing.T) {
 	provisioner, now := newProvisioner(), time.Now()
 	pool := capacityPool{machineType: "big", zone: "a"}
@@ -18,14 +18,15 @@
 	for range 10 {
 		provisioner.backOff(pool, now)
 		if got := provisioner.backoffs[pool].until.Sub(now); got != want {
-			t.Fatalf("rests for %v instead of %v", got, want)
+			t.Fatalf("backs off for %v instead of %v", got, want)
 		}
 		want = min(2*want, tuning.NoCapacityBackoffMax)
 	}
 }
 
-// A request is sent only once it is recorded: a leader that ends in between would leave
-// machines that no record names. Without an answer it is sent again, unchanged.
+// A provisioning request is sent only once it is recorded: if the leader failed in between,
+// there would be machines that no record names. A request without a usable answer is sent
+// again unchanged.
 func TestRequestIsRecordedBeforeItIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(1, 1)
@@ -44,22 +45,22 @@
 		leader.callProvisioning(now) // one call is in flight
 		synctest.Wait()
 		if n := len(calls.requestedHosts()); n != 1 {
-			t.Fatalf("%d calls once it was recorded", n)
+			t.Fatalf("%d calls after the request was recorded, want one in flight", n)
 		}
 		close(calls.answer)
 		leader.handle(<-leader.inbox)
 		leader.callProvisioning(time.Now())
 		if n := len(calls.requestedHosts()); n != 1 {
-			t.Fatalf("repeated at once: %d calls", n)
+			t.Fatalf("%d calls right after the failed one, want no retry before the backoff ends", n)
 		}
 		time.Sleep(tuning.MachineBackoff)
 		leader.callProvisioning(time.Now())
 		synctest.Wait()
 		if n := len(calls.requestedHosts()); n != 2 {
-			t.Errorf("%d calls after the back-off", n)
+			t.Errorf("%d calls after the backoff, want one retry", n)
 		}
 		if len(leader.provisioner.requests) != 1 {
-			t.Errorf("%d requests", len(leader.provisioner.requests))
+			t.Errorf("%d requests, want the same one repeated", len(leader.provisioner.requests))
 		}
 	})
 }
