--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -10,18 +10,18 @@
 	"marblehaven/internal/tuning"
 )
 
-// A heartbeat without news, at the size of a thousand machines.
+// A heartbeat that reports nothing new, to a leader with a thousand machines.
 func BenchmarkHeartbeat(b *testing.B) {
 	leader, now := newLoadedLeader(1000, 300)
 	raw, _ := codec.Marshal(fullHeartbeat(leader, 0, 2))
 	b.ReportAllocs()
 	for i := range b.N {
-		var r protocol.Heartbeat
-		if err := codec.Unmarshal(raw, &r); err != nil {
+		var heartbeat protocol.Heartbeat
+		if err := codec.Unmarshal(raw, &heartbeat); err != nil {
 			b.Fatal(err)
 		}
-		r.Sequence = uint64(2 + i)
-		codec.Marshal(leader.onHeartbeat(&r, now))
+		heartbeat.Sequence = uint64(2 + i)
+		codec.Marshal(leader.onHeartbeat(&heartbeat, now))
 	}
 }
 
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -22,7 +22,9 @@
 	"marblehaven/internal/records"
 )
 
-// recordingTransport records the calls that come, and answers them when told to.
+// recordingTransport is an HTTP transport that records the host of each request. A request
+// waits for a value on answer, or for answer to be closed, and then gets status 503. With a
+// nil answer it waits until its context ends.
 type recordingTransport struct {
 	mu     sync.Mutex
 	hosts  []string
@@ -41,14 +43,14 @@
 	}
 }
 
-func (c *recordingTransport) seen() []string {
+func (c *recordingTransport) requestedHosts() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.hosts)
 }
 
 // withUnresponsiveStore gives a leader a key-value store that never answers, so that a commit
-// stays in flight. The returned function ends its calls.
+// stays in flight. The returned function ends the calls to the store.
 func withUnresponsiveStore(t *testing.T, leader *Leader) (end func()) {
 	t.Helper()
 	leader.Store = kvstore.New("state:1", &recordingTransport{}, httpclient.NewMalformedLog(leader.Log), leader.Config.Deployment.State)
@@ -70,7 +72,8 @@
 	}
 }
 
-// newLoadedLeader returns a leader with many machines, all full, and many jobs that wait.
+// newLoadedLeader returns a leader with a number of machines, each full with 4 tasks, and a
+// number of jobs of 60 tasks, of which those without a machine wait.
 func newLoadedLeader(machines, jobs int) (*Leader, time.Time) {
 	cfg := &config.Config{Operator: config.DefaultOperator()}
 	d := &cfg.Deployment
@@ -90,19 +93,19 @@
 	leader.setMachineTypes([]protocol.MachineType{{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}}})
 	leader.catalog.loaded = true
 	for i := range jobs {
-		o := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: protocol.JobID(fmt.Sprintf("req-%06d", i)), Class: "c", Team: fmt.Sprint("t", i%10),
+		open := records.OpenJob{AcceptedMS: now.UnixMilli(), Job: protocol.Job{ID: protocol.JobID(fmt.Sprintf("req-%06d", i)), Class: "c", Team: fmt.Sprint("t", i%10),
 			Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: 60, Cores: 4, MemGB: 12, Image: fmt.Sprint("img", i%8), ImageGB: 2, Spot: true, EstimateS: 40}}
-		raw, _ := codec.Marshal(o)
-		leader.applyOpenRecord(records.OpenKey(o.Job.ID), raw, 1, now)
+		raw, _ := codec.Marshal(open)
+		leader.applyOpenRecord(records.OpenKey(open.Job.ID), raw, 1, now)
 	}
 	for i := range machines {
 		machine := leader.machineByID(fmt.Sprintf("m-%06d", i), now)
 		heartbeat := fullHeartbeat(leader, i, 1)
 		for _, t := range heartbeat.Tasks {
-			k, _ := parseTaskName(t.Task)
-			placement := &cluster.Placement{TaskKey: k, Attempt: 1, Incarnation: 1, Machine: machine, Recorded: true, Sent: true, Since: now}
-			machine.Placements[k] = placement
-			leader.jobs.open[k.Job].placements[k.Task] = placement
+			key, _ := parseTaskName(t.Task)
+			placement := &cluster.Placement{TaskKey: key, Attempt: 1, Incarnation: 1, Machine: machine, Recorded: true, Sent: true, Since: now}
+			machine.Placements[key] = placement
+			leader.jobs.open[key.Job].placements[key.Task] = placement
 		}
 		leader.onHeartbeat(heartbeat, now)
 	}
