--- a/internal/cluster/agent_lease.go
+++ b/internal/cluster/agent_lease.go
@@ -6,28 +6,28 @@
 	"marblehaven/internal/protocol"
 )
 
-// AgentLease follows the incarnations of an agent. An agent lives in one incarnation
-// as long as its lease is renewed by replies to its heartbeats. When the lease expires
-// the agent ends all its tasks and begins the next incarnation.
+// AgentLease tracks the incarnations of an agent. An incarnation lasts as long as replies
+// to heartbeats renew the agent's lease. When the lease expires, the agent ends all its
+// tasks and starts the next incarnation.
 //
-// LeaseExpiry is the latest time at which the agent can still hold its lease, clock
-// drift included, as counted by the leader. Only after that time is silence a proof.
+// LeaseExpiry is the latest time, as counted by the leader and with clock drift included,
+// at which the agent can still hold its lease. Only after that time do missing heartbeats
+// prove that the agent's tasks have ended.
 type AgentLease struct {
-	// Incarnation and Sequence are those of the newest applied status; an
-	// incarnation of 0 means that no status was applied yet.
+	// Incarnation and Sequence are those of the newest applied status. An incarnation of
+	// 0 means that no status has been applied yet.
 	Incarnation protocol.Incarnation
 	Sequence    uint64
-	// LeaseExpiry is when everything that runs in the incarnation is gone, unless
-	// the lease is renewed before. The leader sets it when it replies to a
-	// heartbeat.
+	// LeaseExpiry is the time by which all tasks of the incarnation have ended, unless
+	// the lease is renewed before. The leader sets it when it replies to a heartbeat.
 	LeaseExpiry time.Time
-	// ExpiredIncarnation is the highest incarnation that has surely ended. A status
-	// of such an incarnation is out of date and is not applied.
+	// ExpiredIncarnation is the highest incarnation that has provably ended. A status of
+	// that incarnation or of an earlier one is out of date and is not applied.
 	ExpiredIncarnation protocol.Incarnation
 }
 
-// isNewer tells whether a status is newer than the applied ones and of an incarnation
-// that may last.
+// isNewer reports whether a status is newer than the applied ones and belongs to an
+// incarnation that has not provably ended.
 func (l *AgentLease) isNewer(status *protocol.Heartbeat) bool {
 	if status.Incarnation <= l.ExpiredIncarnation {
 		return false
@@ -47,23 +47,25 @@
 	}
 }
 
-// incarnationMayLast tells whether the newest known incarnation is not known to be over.
+// incarnationMayLast reports whether the newest known incarnation has not provably ended.
 func (l *AgentLease) incarnationMayLast() bool {
 	return l.Incarnation > l.ExpiredIncarnation
 }
 
-// markExpired records that an incarnation has surely ended.
+// markExpired records that an incarnation has provably ended.
 func (l *AgentLease) markExpired(incarnation protocol.Incarnation) {
 	l.ExpiredIncarnation = max(l.ExpiredIncarnation, incarnation)
 }
 
-// forgetIncarnations lets an agent that has restarted count its incarnations anew.
+// forgetIncarnations resets the incarnations and the sequence number for an agent that
+// has restarted and counts from the beginning again.
 func (l *AgentLease) forgetIncarnations() {
 	l.Incarnation, l.Sequence, l.ExpiredIncarnation = 0, 0, 0
 }
 
-// ExpireLease ends every placement on the machine once the agent's lease has surely
-// expired, and returns the placements. Before that time it does nothing.
+// ExpireLease returns every placement on the machine as ended once the agent's lease has
+// provably expired, and marks their incarnations as expired. Before that time ExpireLease
+// returns nil and changes nothing.
 func (m *Machine) ExpireLease(now time.Time) (ended []EndedPlacement) {
 	if !now.After(m.LeaseExpiry) {
 		return nil
--- a/internal/cluster/agent_lease_test.go
+++ b/internal/cluster/agent_lease_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The lease of an incarnation counts from the beginning of the incarnation, not from the
-// last reply to a heartbeat of the one before.
+// The lease of an incarnation counts from the start of the incarnation, not from the last
+// reply to a heartbeat of the previous one.
 func TestLeaseOfNewIncarnationCountsFromItsBeginning(t *testing.T) {
 	machine, _, now := machineWithStart(t)
 	machine.LeaseExpiry = now.Add(time.Second)
@@ -15,10 +15,10 @@
 	placement := &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 2, Incarnation: 2, Machine: machine, Recorded: true}
 	machine.Placements[placement.TaskKey] = placement
 	if ended := machine.ExpireLease(now.Add(2 * time.Second)); len(ended) > 0 {
-		t.Error("an incarnation ended before its lease expired")
+		t.Error("a placement of a new incarnation ended before its lease expired")
 	}
 	if ended := machine.ExpireLease(now.Add(leaseDuration + time.Second)); len(ended) == 0 {
-		t.Error("an incarnation without replies lasts beyond its lease")
+		t.Error("a placement of an incarnation without replies did not end after its lease expired")
 	}
 }
 
@@ -41,19 +41,19 @@
 	}
 }
 
-// A new incarnation never shortens the lease: a reply that is still on the way may renew it.
+// A new incarnation never shortens the lease: a reply that is still in flight may renew it.
 func TestNewIncarnationDoesNotShortenLease(t *testing.T) {
 	machine, _, now := machineWithStart(t)
 	expiry := now.Add(time.Hour)
 	machine.LeaseExpiry = expiry
 	machine.ApplyStatus(newHeartbeat(2, 2, firstToken), parseTask, now, now.Add(leaseDuration))
 	if !machine.LeaseExpiry.Equal(expiry) {
-		t.Errorf("the expiry of the lease moved by %v", machine.LeaseExpiry.Sub(expiry))
+		t.Errorf("a new incarnation moved the expiry of the lease by %v", machine.LeaseExpiry.Sub(expiry))
 	}
 }
 
-// Once the lease has expired the incarnation counts as ended, so that its statuses are not
-// applied, but those of the next incarnation are.
+// Once the lease has expired, the incarnation counts as ended: its statuses are not
+// applied, while those of the next incarnation are.
 func TestNextIncarnationIsAppliedAfterLeaseExpired(t *testing.T) {
 	machine, placement, now := machineWithStart(t)
 	machine.RemovePlacement(placement, now)
@@ -67,8 +67,8 @@
 	}
 }
 
-// A recorded placement names the incarnation that it belongs to, also on a machine whose agent
-// has sent this leader nothing: after the lease that incarnation has ended.
+// A recorded placement names its incarnation, even on a machine whose agent has sent this
+// leader no status. Once the lease has expired, that incarnation counts as ended.
 func TestExpiredLeaseEndsIncarnationOfInheritedPlacement(t *testing.T) {
 	now := time.Now()
 	machine := NewMachine("m-1", firstToken, now, now.Add(leaseDuration))
@@ -76,7 +76,7 @@
 	machine.Placements[placement.TaskKey] = placement
 	after := now.Add(leaseDuration + time.Millisecond)
 	if ended := machine.ExpireLease(after); len(ended) != 1 {
-		t.Errorf("the expired lease ended %v", ended)
+		t.Errorf("the expired lease ended %v instead of one placement", ended)
 	}
 	if _, fresh := machine.ApplyStatus(newHeartbeat(3, 9, firstToken), parseTask, after, after.Add(leaseDuration)); fresh {
 		t.Error("a status of the expired incarnation was applied")
--- a/internal/cluster/failure_detector.go
+++ b/internal/cluster/failure_detector.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// FailureDetector keeps what the leader knows of the contact with an agent. Silence
-// alone never ends a placement; the detector only keeps new work away and lets the
-// leader call the agent or give the machine back.
+// FailureDetector records the leader's contact with an agent. A lack of contact alone
+// never ends a placement. The detector only stops new work from being placed on the
+// machine, and lets the leader send the agent a direct command or deprovision the
+// machine.
 type FailureDetector struct {
-	// Up tells that a status of the agent was applied in this term.
+	// Up is true once a status of the agent has been applied in this term.
 	Up bool
 	// LastContact is when a status was last applied, whether it came in a heartbeat
 	// or in the answer to a direct command.
 	LastContact time.Time
-	// LastHeartbeat is when a heartbeat was last accepted, or when the machine
-	// became known. Only heartbeats renew the lease, so an agent that answers
-	// commands and sends no heartbeats loses its tasks all the same.
+	// LastHeartbeat is when a heartbeat was last accepted, or when the machine became
+	// known. Only heartbeats renew the lease, so an agent that answers commands but sends
+	// no heartbeats loses its tasks when the lease expires.
 	LastHeartbeat time.Time
-	// UnansweredCommands counts the direct commands in a row that were not answered,
-	// with no status applied since.
+	// UnansweredCommands counts consecutive direct commands without an answer. An answer
+	// or an applied status resets the count.
 	UnansweredCommands int
-	// NextHandshake is the earliest time of the next handshake; zero: none was tried.
+	// NextHandshake is the earliest time of the next handshake. Zero means that no
+	// handshake has been tried.
 	NextHandshake time.Time
 
 	oneWayPartition
@@ -38,8 +40,8 @@
 	}
 }
 
-// inContact tells whether both the last contact and the last heartbeat are recent enough,
-// and replies reach the agent.
+// inContact reports whether both the last contact and the last heartbeat are at most
+// maxSilence old, and replies reach the agent.
 func (d *FailureDetector) inContact(now time.Time, maxSilence time.Duration) bool {
 	return !d.OneWayPartitioned() && now.Sub(d.LastContact) <= maxSilence && now.Sub(d.LastHeartbeat) <= maxSilence
 }
--- a/internal/cluster/fencing.go
+++ b/internal/cluster/fencing.go
@@ -2,12 +2,12 @@
 
 import "marblehaven/internal/protocol"
 
-// Fencing keeps the fencing tokens that the leader and one agent exchange. An agent
-// refuses every command with a lower token than the highest one it has seen, so a
-// higher token that the agent has acknowledged proves that no earlier command can
-// be executed any more, neither a late one nor a copy.
+// Fencing holds the fencing tokens that the leader and one agent exchange. An agent
+// refuses every command with a lower token than the highest one it has received, so a
+// higher token that the agent has acknowledged proves that no earlier command can still
+// be executed, neither a late one nor a copy.
 //
-// IssuedToken never falls, and neither does AcknowledgedToken.
+// IssuedToken and AcknowledgedToken never decrease.
 type Fencing struct {
 	// IssuedToken is the token of the commands and replies that go to the agent now.
 	IssuedToken protocol.FencingToken
@@ -16,23 +16,23 @@
 	// RequiredToken is the token that the agent must have acknowledged before it is
 	// given new work.
 	RequiredToken protocol.FencingToken
-	// CommandInFlight tells that a direct command is under way. There is one at a
-	// time to each machine.
+	// CommandInFlight is true while a direct command is in flight. Each machine has at
+	// most one in flight at a time.
 	CommandInFlight bool
-	// startTokens holds the token that the start of an attempt was sent with, for
-	// the attempts that are placed here or listed in the newest status.
+	// startTokens holds the token that the start of an attempt was sent with, for the
+	// attempts that are placed on the machine or listed in the newest status.
 	startTokens map[attemptKey]protocol.FencingToken
 }
 
-// attemptKey names one attempt of a task.
+// attemptKey identifies one attempt of a task.
 type attemptKey struct {
 	TaskKey
 	attempt uint64
 }
 
-// newFencing begins with the first token of the leader's term, which the agent must
-// acknowledge before it is given work: until then the commands of an earlier leader
-// may be executed.
+// newFencing returns a Fencing that starts with the first token of the leader's term. The
+// agent must acknowledge that token before it is given work: until then it may execute
+// commands of an earlier leader.
 func newFencing(firstToken protocol.FencingToken) Fencing {
 	return Fencing{IssuedToken: firstToken, RequiredToken: firstToken, startTokens: map[attemptKey]protocol.FencingToken{}}
 }
@@ -48,46 +48,49 @@
 	return f.IssuedToken
 }
 
-// requireIssuedToken gives the agent no new work before it has acknowledged the token
-// that is issued now.
+// requireIssuedToken holds back new work from the agent until the agent has acknowledged
+// the token that is issued now.
 func (f *Fencing) requireIssuedToken() {
 	f.RequiredToken = f.IssuedToken
 }
 
-// tokenRequirementMet tells whether no command is under way and every earlier one whose
-// outcome is unknown is refused by now.
+// tokenRequirementMet reports whether no command is in flight and the agent refuses every
+// earlier command whose outcome is unknown.
 func (f *Fencing) tokenRequirementMet() bool {
 	return !f.CommandInFlight && f.AcknowledgedToken >= f.RequiredToken
 }
 
-// refusesStart tells whether the agent refuses a start with the token, should it arrive
-// late or as a copy. A command that is under way may carry any token.
+// refusesStart reports whether the agent refuses a start with the token, should the start
+// arrive late or as a copy. The result is false while a command is in flight, because
+// that command may carry any token.
 func (f *Fencing) refusesStart(token protocol.FencingToken) bool {
 	return !f.CommandInFlight && f.AcknowledgedToken > token
 }
 
-// recordStartToken keeps the issued token as the one that an attempt is started with.
+// recordStartToken records the issued token as the one that the start of an attempt is
+// sent with.
 func (f *Fencing) recordStartToken(key TaskKey, attempt uint64) {
 	f.startTokens[attemptKey{key, attempt}] = f.IssuedToken
 }
 
-// MayRelease tells whether the agent may forget an exited attempt: not while a start of
-// the attempt could still arrive, late or as a copy, since an agent that has forgotten
-// the attempt would run it again. A start by an earlier leader is not in startTokens;
-// the first token of the present term makes the agent refuse those.
+// MayRelease reports whether the agent may forget an exited attempt. It may not while a
+// start of the attempt can still arrive, late or as a copy, because an agent that has
+// forgotten the attempt would run it again. Starts by an earlier leader are not in
+// startTokens; the agent refuses them once it has acknowledged the first token of the
+// current term.
 func (f *Fencing) MayRelease(key TaskKey, attempt uint64) bool {
 	return f.AcknowledgedToken >= f.firstTokenOfTerm() && f.refusesStart(f.startTokens[attemptKey{key, attempt}])
 }
 
-// firstTokenOfTerm is the first token of the present term.
+// firstTokenOfTerm returns the first token of the current term.
 func (f *Fencing) firstTokenOfTerm() protocol.FencingToken {
 	return f.IssuedToken.Term().FirstToken()
 }
 
-// finishCommand records that the direct command under way has ended. After a start, or
-// after an unknown outcome, a higher token is issued: once acknowledged, the agent
-// refuses late copies of that command. An unknown outcome also holds back new work
-// until then.
+// finishCommand records that the direct command in flight has ended. After a start, or
+// after an unknown outcome, finishCommand issues a higher token: an agent that has
+// acknowledged the new token refuses late copies of the command. After an unknown
+// outcome, new work is held back until then.
 func (f *Fencing) finishCommand(hadStarts, outcomeKnown bool) {
 	f.CommandInFlight = false
 	if hadStarts || !outcomeKnown {
@@ -98,7 +101,7 @@
 	}
 }
 
-// pruneStartTokens forgets the tokens of the attempts that need none any more.
+// pruneStartTokens deletes the tokens of the attempts that no longer need one.
 func (f *Fencing) pruneStartTokens(needed func(attemptKey) bool) {
 	for start := range f.startTokens {
 		if !needed(start) {
--- a/internal/cluster/fencing_test.go
+++ b/internal/cluster/fencing_test.go
@@ -15,7 +15,7 @@
 	done := protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}
 	ended, _ := machine.ApplyStatus(newHeartbeat(1, 2, firstToken, done), parseTask, now, now.Add(leaseDuration))
 	if len(ended) != 1 || ended[0].ExitReason != protocol.ExitDone {
-		t.Fatalf("ended %v", ended)
+		t.Fatalf("the status ended %v instead of the exited placement", ended)
 	}
 	machine.RemovePlacement(placement, now)
 	if machine.MayRelease(placement.TaskKey, 1) {
@@ -42,7 +42,7 @@
 }
 
 // An attempt that an earlier leader started has no known start token. The first token of
-// the present term makes the agent refuse the starts of all earlier terms.
+// the current term makes the agent refuse the starts of all earlier terms.
 func TestAttemptOfEarlierLeaderIsReleasedAfterFirstTokenOfTerm(t *testing.T) {
 	now := time.Now()
 	machine := NewMachine("m-1", firstToken, now, now.Add(time.Hour))
@@ -57,7 +57,8 @@
 	}
 }
 
-// What is issued and required after a command depends on what may still arrive of it.
+// Which tokens are issued and required after a command depends on whether the command
+// carried starts and whether it was answered.
 func TestTokensAfterCommand(t *testing.T) {
 	for _, test := range []struct {
 		name             string
@@ -77,20 +78,20 @@
 	}
 }
 
-// The token of a start is kept as long as the attempt is placed or listed, and no longer.
+// The token of a start is kept exactly as long as the attempt is placed or listed.
 func TestStartTokenIsKeptWhileAttemptIsPlacedOrListed(t *testing.T) {
 	machine, placement, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
 	machine.ApplyStatus(newHeartbeat(1, 2, firstToken), parseTask, now, now.Add(leaseDuration))
 	if len(machine.startTokens) != 1 {
-		t.Error("the start token of a placement was forgotten")
+		t.Error("the start token of a placement was deleted")
 	}
 	exited := protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskExited, ExitReason: protocol.ExitDone}
 	machine.ApplyStatus(newHeartbeat(1, 3, firstToken, exited), parseTask, now, now.Add(leaseDuration))
 	machine.RemovePlacement(placement, now)
 	machine.ApplyStatus(newHeartbeat(1, 4, firstToken, exited), parseTask, now, now.Add(leaseDuration))
 	if len(machine.startTokens) != 1 {
-		t.Error("the start token of a listed attempt was forgotten")
+		t.Error("the start token of a listed attempt was deleted")
 	}
 	machine.ApplyStatus(newHeartbeat(1, 5, firstToken), parseTask, now, now.Add(leaseDuration))
 	if len(machine.startTokens) != 0 {
--- a/internal/cluster/heartbeat_order.go
+++ b/internal/cluster/heartbeat_order.go
@@ -2,24 +2,26 @@
 
 import "marblehaven/internal/protocol"
 
-// heartbeatOrder tells the newest heartbeat of an agent from late copies of earlier
-// ones, and both from the heartbeats of an agent that has restarted and counts from
-// the beginning again.
+// heartbeatOrder distinguishes the newest heartbeat of an agent from late copies of
+// earlier ones, and both from the heartbeats of an agent that has restarted and counts
+// from the beginning again.
 //
-// An agent sends its heartbeats one after another, so a heartbeat that is not newer
-// than the last accepted one has no third explanation. Statuses in the answers to
-// direct commands are not heartbeats and are not ordered here.
+// An agent sends its heartbeats one after another, so a heartbeat that is not newer than
+// the last accepted one is either a late copy or sent after a restart; there is no third
+// case. Statuses in the answers to direct commands are not heartbeats and are not ordered
+// here.
 type heartbeatOrder struct {
-	lastAccepted heartbeatID // the newest accepted heartbeat
-	// probeToken is a token that no earlier message to the agent carried. It goes
-	// out in the reply to a heartbeat that looks old; 0 means that none is out.
+	lastAccepted heartbeatID // of the newest accepted heartbeat
+	// probeToken is a token that no earlier message to the agent carried. The leader
+	// sends it in the reply to a heartbeat that is not newer than the accepted ones. 0
+	// means that no probe is outstanding.
 	probeToken protocol.FencingToken
-	// restarted tells that the agent has proved a restart and that the next status
-	// to be applied is the first one since.
+	// restarted is true from the proof that the agent has restarted until the first
+	// status after the restart is applied.
 	restarted bool
 }
 
-// heartbeatID orders the heartbeats of one life of an agent.
+// heartbeatID orders the heartbeats that an agent sends between two restarts.
 type heartbeatID struct {
 	incarnation protocol.Incarnation
 	sequence    uint64
@@ -33,7 +35,8 @@
 	return id.incarnation < other.incarnation || (id.incarnation == other.incarnation && id.sequence < other.sequence)
 }
 
-// accept tells whether the heartbeat is newer than all before, and if so records it.
+// accept reports whether the heartbeat is newer than all accepted ones, and if so records
+// it.
 func (o *heartbeatOrder) accept(heartbeat *protocol.Heartbeat) bool {
 	id := heartbeatIDOf(heartbeat)
 	if !o.lastAccepted.before(id) {
@@ -44,9 +47,9 @@
 	return true
 }
 
-// withdrawProbe takes the probe back when a status in the known order carries it: the
-// agent that is known has received the token, so that late copies of its heartbeats
-// carry it too and the token proves no restart any more.
+// withdrawProbe discards the probe when a status in the known order carries its token.
+// The token then proves no restart any more: the agent that has not restarted has
+// received it, so late copies of that agent's heartbeats carry it too.
 func (o *heartbeatOrder) withdrawProbe(token protocol.FencingToken) {
 	if token >= o.probeToken {
 		o.probeToken = 0
@@ -60,9 +63,9 @@
 	o.restarted = true
 }
 
-// AcceptHeartbeat tells whether a heartbeat is newer than all before. A heartbeat that
-// is not newer must not be applied, must not renew the lease and does not count as
-// contact; it goes to DetectRestart.
+// AcceptHeartbeat reports whether a heartbeat is newer than all accepted ones. A
+// heartbeat that is not newer must not be applied, must not renew the lease and does not
+// count as contact; the caller passes it to DetectRestart.
 func (m *Machine) AcceptHeartbeat(heartbeat *protocol.Heartbeat) bool {
 	if !m.heartbeatOrder.accept(heartbeat) {
 		return false
@@ -71,14 +74,14 @@
 	return true
 }
 
-// DetectRestart takes a heartbeat that AcceptHeartbeat has refused, and tells whether it
-// proves that the agent has restarted. The first such heartbeat proves nothing, but the
-// reply to it carries a probe token. A late copy was sent before the probe token was
-// issued; only an agent that is there now, and counts from the beginning, can carry
-// that token in a heartbeat that looks old.
+// DetectRestart takes a heartbeat that AcceptHeartbeat has refused, and reports whether
+// it proves that the agent has restarted. The first such heartbeat proves nothing, but
+// the reply to it carries a probe token. A late copy was sent before the probe token was
+// issued. Only a running agent that counts from the beginning again can carry the probe
+// token in a heartbeat that is not newer than the accepted ones.
 //
-// After a proved restart the incarnation and the sequence count anew, and the next
-// status ends what ran in the former life.
+// A proved restart resets the incarnation and the sequence number, and the next applied
+// status ends the placements from before the restart.
 func (m *Machine) DetectRestart(heartbeat *protocol.Heartbeat) bool {
 	if m.probeToken == 0 {
 		m.probeToken = m.issueNextToken()
--- a/internal/cluster/heartbeat_order_test.go
+++ b/internal/cluster/heartbeat_order_test.go
@@ -9,7 +9,8 @@
 
 // A late copy of a heartbeat proves nothing, however old it is: it does not count as
 // contact and does not make the agent's newest heartbeat look old. Only an agent that has
-// restarted can carry a token that was sent in reply to a heartbeat that looks old.
+// restarted can carry the token from the reply to a heartbeat that is not newer than the
+// accepted ones.
 func TestLateCopyOfHeartbeatProvesNothing(t *testing.T) {
 	machine, placement, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
@@ -54,15 +55,16 @@
 		t.Fatal("a restarted agent was not detected")
 	}
 	if ended, _ := machine.ApplyStatus(heartbeat, parseTask, now, now.Add(leaseDuration)); len(ended) != 1 {
-		t.Error("the placements of the former life did not end")
+		t.Error("the placements from before the restart did not end")
 	}
 	if machine.Schedulable(now, time.Minute) {
-		t.Error("schedulable before the agent refuses the commands of its former life")
+		t.Error("schedulable before the agent refuses the commands sent before its restart")
 	}
 }
 
-// A probe proves nothing once the known agent has acknowledged it, be it in the answer to a
-// direct command: later copies of its heartbeats carry the probe token as well.
+// A probe proves nothing once the agent that has not restarted has acknowledged it, even in
+// the answer to a direct command: later copies of its heartbeats carry the probe token as
+// well.
 func TestStatusInKnownOrderWithdrawsProbe(t *testing.T) {
 	machine, _, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
@@ -80,8 +82,8 @@
 	}
 }
 
-// A proved restart ends the placements of higher incarnations too, and the cached images are
-// forgotten; a new incarnation alone leaves the images.
+// A proved restart ends the placements of higher incarnations too and removes the cached
+// images. A new incarnation without a restart keeps the images.
 func TestRestartEndsHigherIncarnationsAndForgetsImages(t *testing.T) {
 	machine, placement, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
@@ -89,7 +91,7 @@
 	machine.AcceptHeartbeat(newHeartbeat(5, 2, firstToken+1))
 	machine.ApplyStatus(newHeartbeat(5, 2, firstToken+1), parseTask, now, now.Add(leaseDuration))
 	if len(machine.Images()) != 1 {
-		t.Error("a new incarnation forgot the images")
+		t.Error("a new incarnation removed the cached images")
 	}
 	machine.RemovePlacement(placement, now)
 	placement = &Placement{TaskKey: TaskKey{"req-1", 0}, Attempt: 2, Incarnation: 5, Machine: machine, Recorded: true, Sent: true, StartToken: machine.IssuedToken}
@@ -101,10 +103,10 @@
 	}
 	ended, fresh := machine.ApplyStatus(restarted, parseTask, now, now.Add(leaseDuration))
 	if !fresh || len(ended) != 1 || ended[0].Placement != placement {
-		t.Errorf("the restart ended %v", ended)
+		t.Errorf("the restart ended %v instead of the placement of incarnation 5", ended)
 	}
 	if len(machine.Images()) != 0 {
-		t.Error("the images of the former life are still believed to be cached")
+		t.Error("the images from before the restart are still assumed to be cached")
 	}
 	if machine.RequiredToken != machine.IssuedToken || machine.AcknowledgedToken >= machine.RequiredToken {
 		t.Error("no new token is required after the restart")
--- a/internal/cluster/image_cache.go
+++ b/internal/cluster/image_cache.go
@@ -1,23 +1,22 @@
 package cluster
 
-// ImageCache is the leader's belief about the images that a machine has cached. The
-// agent reports no images, so the leader models the machine's cache: the least
-// recently used image is evicted first. A wrong belief costs a fetch and nothing
-// else.
+// ImageCache is the leader's estimate of the images that a machine has cached. The agent
+// reports no images, so the leader models the machine's cache: the least recently used
+// image is evicted first. A wrong estimate costs an image fetch and nothing else.
 type ImageCache struct {
 	images     []cachedImage // the most recently used first
 	imageNames []string      // the names of images, in the same order
 }
 
-// cachedImage is an image that is believed to be cached.
+// cachedImage is an image that is assumed to be cached.
 type cachedImage struct {
 	name   string
 	sizeGB float64
 }
 
-// RecordImageUse records that an image is on the machine and was used last, and evicts the
-// least recently used images that exceed the size of the cache. The image itself stays
-// even if it alone is larger.
+// RecordImageUse records that an image is on the machine and was used last, and evicts
+// the least recently used images that exceed the size of the cache. The recorded image
+// stays even if it alone is larger than the cache.
 func (c *ImageCache) RecordImageUse(name string, sizeGB, cacheGB float64) {
 	if len(c.images) > 0 && c.images[0].name == name {
 		return
@@ -37,7 +36,7 @@
 	}
 }
 
-// EachImage calls visit for every image that is believed to be cached, the most recently
+// EachImage calls visit for every image that is assumed to be cached, the most recently
 // used first.
 func (c *ImageCache) EachImage(visit func(name string, sizeGB float64)) {
 	for _, image := range c.images {
@@ -45,11 +44,11 @@
 	}
 }
 
-// Images returns the names of the images that are believed to be cached, the most recently
+// Images returns the names of the images that are assumed to be cached, the most recently
 // used first. The returned slice is never changed afterwards, so callers may keep it.
 func (c *ImageCache) Images() []string { return c.imageNames }
 
-// forgetImages drops the belief about all images.
+// forgetImages removes all images from the estimate.
 func (c *ImageCache) forgetImages() {
 	c.images, c.imageNames = nil, nil
 }
--- a/internal/cluster/image_cache_test.go
+++ b/internal/cluster/image_cache_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The least recently used images are evicted first, and a returned list of names stays as it
-// was returned.
+// The least recently used images are evicted first, and a returned list of names does not
+// change afterwards.
 func TestImageCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	var cache ImageCache
 	for _, name := range []string{"a", "b", "a", "c"} {
--- a/internal/cluster/machine_health.go
+++ b/internal/cluster/machine_health.go
@@ -7,9 +7,9 @@
 	"marblehaven/internal/tuning"
 )
 
-// MachineHealth keeps work away from a machine on which tasks fail.
+// MachineHealth stops new work from being placed on a machine on which tasks fail.
 type MachineHealth struct {
-	// Quarantined tells that the machine itself is taken for faulty.
+	// Quarantined is true once the machine itself is considered faulty.
 	Quarantined bool
 	// BackoffUntil is when the machine may be given work again after it has refused
 	// a start.
@@ -22,14 +22,14 @@
 	return MachineHealth{failedJobs: map[protocol.JobID]bool{}}
 }
 
-// RecordTaskFailure records that a task of a job failed on the machine. One failing job
-// may be at fault itself; when different jobs fail, the machine is quarantined.
+// RecordTaskFailure records that a task of a job failed on the machine. A single failing
+// job may itself be at fault; when different jobs fail, the machine is quarantined.
 func (h *MachineHealth) RecordTaskFailure(jobID protocol.JobID) {
 	h.failedJobs[jobID] = true
 	h.Quarantined = len(h.failedJobs) >= tuning.QuarantineJobs
 }
 
-// acceptsWork tells whether the machine is neither quarantined nor backing off.
+// acceptsWork reports whether the machine is neither quarantined nor backing off.
 func (h *MachineHealth) acceptsWork(now time.Time) bool {
 	return !h.Quarantined && now.After(h.BackoffUntil)
 }
--- a/internal/cluster/machine_health_test.go
+++ b/internal/cluster/machine_health_test.go
@@ -17,7 +17,7 @@
 		machine.RecordTaskFailure("req-1")
 	}
 	if machine.Quarantined || !machine.Schedulable(now, time.Minute) {
-		t.Error("quarantined for one job alone")
+		t.Error("quarantined although only one job failed")
 	}
 	for job := range tuning.QuarantineJobs {
 		machine.RecordTaskFailure(protocol.JobID(fmt.Sprint("req-", job+1)))
--- a/internal/cluster/one_way_partition.go
+++ b/internal/cluster/one_way_partition.go
@@ -6,18 +6,20 @@
 )
 
 // oneWayPartition detects that an agent's heartbeats arrive while the replies to them do
-// not reach the agent. Then a reply proves nothing: the agent renews no lease from it.
+// not reach the agent. A reply that was sent then proves nothing: the agent does not
+// renew its lease.
 //
-// An agent that receives replies carries a higher token soon after a reply with one.
+// An agent that receives replies sends a higher token in its heartbeats soon after a
+// reply has carried one.
 type oneWayPartition struct {
 	repliedToken   protocol.FencingToken // in the newest reply to a heartbeat
 	heartbeatToken protocol.FencingToken // in the newest accepted heartbeat
-	// unacknowledged counts the accepted heartbeats in a row whose token stayed
-	// below the one of the reply before.
+	// unacknowledged counts consecutive accepted heartbeats whose token stayed below the
+	// token of the previous reply.
 	unacknowledged int
 }
 
-// observeHeartbeat takes in the token of an accepted heartbeat.
+// observeHeartbeat updates the count with the token of an accepted heartbeat.
 func (p *oneWayPartition) observeHeartbeat(token protocol.FencingToken) {
 	if p.repliedToken > token && p.heartbeatToken == token {
 		p.unacknowledged++
@@ -27,10 +29,12 @@
 	p.heartbeatToken = token
 }
 
-// OneWayPartitioned tells whether replies have not reached the agent for some heartbeats.
+// OneWayPartitioned reports whether replies have not reached the agent for
+// tuning.OneWayPartitionHeartbeats heartbeats.
 func (p *oneWayPartition) OneWayPartitioned() bool {
 	return p.unacknowledged >= tuning.OneWayPartitionHeartbeats
 }
 
-// RecordHeartbeatReply records that a heartbeat is replied to with the token that is issued now.
+// RecordHeartbeatReply records that the reply to a heartbeat carries the token that is
+// issued now.
 func (m *Machine) RecordHeartbeatReply() { m.repliedToken = m.IssuedToken }
--- a/internal/cluster/one_way_partition_test.go
+++ b/internal/cluster/one_way_partition_test.go
@@ -9,7 +9,7 @@
 
 // Arriving heartbeats do not show that replies reach the agent. An agent whose heartbeats
 // never carry the token of a reply is in a one-way partition; an agent that acknowledges
-// one now and then is not.
+// the token of some reply is not.
 func TestOneWayPartition(t *testing.T) {
 	machine, _, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
@@ -31,7 +31,8 @@
 	if machine.OneWayPartitioned() {
 		t.Error("one-way partition although the token was acknowledged")
 	}
-	// A lease that expired although heartbeats were replied to is the same sign.
+	// A lease that expired although heartbeats were replied to also shows that replies do
+	// not reach the agent.
 	machine.ApplyStatus(newHeartbeat(2, 11, machine.IssuedToken), parseTask, now, now.Add(leaseDuration))
 	if machine.Schedulable(now, time.Minute) {
 		t.Error("schedulable before the new token was acknowledged")
--- a/internal/cluster/placement.go
+++ b/internal/cluster/placement.go
@@ -6,26 +6,26 @@
 	"marblehaven/internal/protocol"
 )
 
-// TaskKey names a task of a job.
+// TaskKey identifies a task of a job.
 type TaskKey struct {
 	Job  protocol.JobID
 	Task int
 }
 
-// Placement is one attempt of a task that runs on a machine, is to be started there, or may
-// run there because nothing has proved otherwise.
+// Placement is one attempt of a task that runs on a machine, is to be started there, or
+// may still run there because no proof of its end has arrived.
 //
-// The order of effects is: the placement is recorded in the store, its start is sent, a
-// proof of its end arrives, and only then may the task be placed again.
+// The steps follow in this order: the placement is recorded in the store, its start is
+// sent, a proof of its end arrives, and only then may the task be placed again.
 type Placement struct {
 	TaskKey
 	Attempt     uint64
 	Incarnation protocol.Incarnation // of the agent that the attempt is placed with
 	Machine     *Machine
-	// Recorded tells that the placement is in the stored run record. Its start must
-	// not be sent before, or the next leader would not know of the task.
+	// Recorded is true once the placement is in the stored run record. Its start must not
+	// be sent before, because the next leader would then have no record of the task.
 	Recorded bool
-	// Sent tells that this leader or an earlier one may have sent the start.
+	// Sent is true if this leader or an earlier one may have sent the start.
 	Sent bool
 	// StartToken is the token that the start was sent with. Copies of the start may
 	// arrive at any time until the agent has acknowledged a higher token.
@@ -49,17 +49,18 @@
 // time.
 type PlacementTable map[TaskKey]*Placement
 
-// include tells whether a task of a status belongs to a placement: the same attempt, in the
-// incarnation that the status is of.
+// include reports whether a task of a status belongs to a placement: the same attempt, in
+// the incarnation that sent the status.
 func (t PlacementTable) include(task *ReportedTask, incarnation protocol.Incarnation) bool {
 	placement := t[task.Key]
 	return task.Parsed && placement != nil && placement.Attempt == task.Attempt && placement.Incarnation == incarnation
 }
 
-// endedByIncarnation returns the placements that the beginning of an incarnation proves to
-// be gone: those of earlier incarnations and, if the agent has restarted and counts
-// anew, those of higher ones too. A restarted agent's first status decides on
-// placements of the same number as on any other of its incarnation.
+// endedByIncarnation returns the placements that the start of an incarnation proves to
+// have ended: those of earlier incarnations and, if the agent has restarted and counts
+// from the beginning again, those of higher ones too. Placements with the same
+// incarnation number are compared with the listed tasks, as for any other status of the
+// incarnation.
 func (t PlacementTable) endedByIncarnation(incarnation protocol.Incarnation, restarted bool) (ended []EndedPlacement) {
 	for _, placement := range t {
 		if placement.Incarnation < incarnation || (restarted && placement.Incarnation > incarnation) {
@@ -74,8 +75,8 @@
 	p.Sent, p.StartToken = true, token
 }
 
-// applyState takes in the state that a status lists. A listed task was started, even if
-// an earlier leader sent the start.
+// applyState records the state that a status lists. A listed task was started, possibly
+// by an earlier leader.
 func (p *Placement) applyState(state protocol.TaskState, now time.Time) {
 	p.Sent = true
 	if p.State != state {
--- a/internal/cluster/status_test.go
+++ b/internal/cluster/status_test.go
@@ -7,7 +7,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// A placement ends on proof only: every status but the last one lacks the proof.
+// A placement ends on proof only: every status but the last one in this test lacks the
+// proof.
 func TestPlacementIsReleasedOnProofOnly(t *testing.T) {
 	machine, placement, now := machineWithStart(t)
 	expect := func(situation string, status *protocol.Heartbeat, over bool) {
@@ -17,12 +18,12 @@
 			t.Errorf("%s: ended %v", situation, ended)
 		}
 	}
-	expect("absent while the command is under way", newHeartbeat(1, 2, firstToken), false)
+	expect("absent while the command is in flight", newHeartbeat(1, 2, firstToken), false)
 	machine.RecordCommandOutcome(true, false)
 	if machine.Schedulable(now, time.Minute) {
 		t.Error("schedulable while the outcome of a command is unknown")
 	}
-	expect("absent, but the start may run late", newHeartbeat(1, 3, firstToken), false)
+	expect("absent, but the start may arrive late", newHeartbeat(1, 3, firstToken), false)
 	expect("an older status", newHeartbeat(1, 2, firstToken+1), false)
 	expect("running", newHeartbeat(1, 4, firstToken, protocol.TaskStatus{Task: "req-1/0", Attempt: 1, State: protocol.TaskRunning}), false)
 	if placement.State != protocol.TaskRunning {
@@ -50,7 +51,7 @@
 }
 
 // A start by an earlier leader may arrive until the agent has acknowledged the first token
-// of the present term; until then the absence of the task proves nothing.
+// of the current term; until then the absence of the task proves nothing.
 func TestAbsenceEndsInheritedPlacementAfterFirstTokenOfTerm(t *testing.T) {
 	now := time.Now()
 	machine := NewMachine("m-1", firstToken, now, now.Add(time.Hour))
--- a/internal/cluster/task_statuses.go
+++ b/internal/cluster/task_statuses.go
@@ -10,12 +10,12 @@
 type TaskStatuses struct {
 	ReportedTasks []ReportedTask
 	// UnknownTaskCount is how many of the tasks had not exited and belonged to no
-	// placement when the status was applied. New work stays away until they are
-	// stopped, because nobody has counted the capacity that they use.
+	// placement when the status was applied. The machine gets no new work until they are
+	// stopped, because the capacity that they use is not accounted for.
 	UnknownTaskCount int
-	// statusMatches tells that the status lists exactly what is placed in its
-	// incarnation and that no placement has changed since, so that an equal
-	// status ends nothing and can be skipped.
+	// statusMatches is true if the status lists exactly what is placed in its incarnation
+	// and no placement has changed since, so that an equal status ends nothing and can be
+	// skipped.
 	statusMatches bool
 }
 
@@ -23,10 +23,10 @@
 type ReportedTask struct {
 	protocol.TaskStatus
 	Key    TaskKey
-	Parsed bool // Key could be read from the task's name
+	Parsed bool // whether Key could be parsed from the task's name
 }
 
-// ParseTaskName reads the key of a task from the name that agents know the task by.
+// ParseTaskName parses the key of a task from the task's name in statuses and commands.
 type ParseTaskName func(name string) (key TaskKey, parsed bool)
 
 // index replaces the listed tasks by those of a new status, counts the unknown ones, and
@@ -47,33 +47,34 @@
 	return listed
 }
 
-// saysNothingNew tells whether a status with these tasks can end no placement, because the
-// one before was equal and matched all placements.
+// saysNothingNew reports whether a status with these tasks can end no placement, because
+// the previous status was equal and matched all placements.
 func (s *TaskStatuses) saysNothingNew(tasks []protocol.TaskStatus) bool {
 	return s.statusMatches && slices.EqualFunc(s.ReportedTasks, tasks, func(known ReportedTask, task protocol.TaskStatus) bool {
 		return known.TaskStatus == task
 	})
 }
 
-// placementsChanged makes the next status be compared with the placements in full.
+// placementsChanged forces a full comparison of the next status with the placements.
 func (s *TaskStatuses) placementsChanged() {
 	s.statusMatches = false
 }
 
-// lists tells whether the newest applied status lists the attempt.
+// lists reports whether the newest applied status lists the attempt.
 func (s *TaskStatuses) lists(attempt attemptKey) bool {
 	return slices.ContainsFunc(s.ReportedTasks, func(task ReportedTask) bool {
 		return task.Parsed && task.Key == attempt.TaskKey && task.Attempt == attempt.attempt
 	})
 }
 
-// isPlaced tells whether a listed task belongs to a placement of the present incarnation.
+// isPlaced reports whether a listed task belongs to a placement of the current
+// incarnation.
 func (m *Machine) isPlaced(task *ReportedTask) bool {
 	return m.Placements.include(task, m.Incarnation)
 }
 
-// UnknownTasks lists the tasks in the newest applied status that have not exited and
-// belong to no placement now.
+// UnknownTasks returns the tasks in the newest applied status that have not exited and
+// now belong to no placement.
 func (m *Machine) UnknownTasks() (unknown []ReportedTask) {
 	for i := range m.ReportedTasks {
 		if task := &m.ReportedTasks[i]; task.State != protocol.TaskExited && !m.isPlaced(task) {
