--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -1,13 +1,15 @@
-// Package election elects a leader among the nodes by two keys of the key-value store.
+// Package election elects a leader among the nodes with two keys of the key-value store.
 //
-// The term key counts the terms and outlives every leader. The leader key names who leads
-// now; it is attached to the leader's lease, so that it goes when the leader no longer
-// keeps the lease alive. A candidate watches the leader key, campaigns when the key is
-// gone, and holds the term that it wins until it loses or resigns it.
+// The term key counts the terms and outlives every leader. The leader key names the
+// current leader. It is attached to the leader's lease, so the store deletes the key when
+// the leader no longer keeps the lease alive. A candidate watches the leader key,
+// campaigns when the key does not exist, and holds the term that it wins until it loses
+// or resigns the term.
 //
-// The package owns both keys: nothing else writes them. It must never be what safety rests
-// on. A leader that was replaced may go on for a while before it learns of it, so every
-// write of a leader has the version of its term key as a precondition, and fails then.
+// The package owns both keys: nothing else writes them. Safety must never depend on the
+// election alone. A replaced leader may continue for a while before it detects the newer
+// term, so every write of a leader has the version of its term key as a precondition, and
+// fails after the replacement.
 package election
 
 import (
@@ -24,8 +26,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// LeadFunc leads for a term. Its context ends with the term; if it returns before, the
-// term is over as well.
+// LeadFunc runs the leader for one term. Its context ends with the term. If the function
+// returns earlier, the term ends as well.
 type LeadFunc = func(context.Context, Leadership)
 
 // Candidate takes part in elections for one node. It is safe for concurrent use.
@@ -34,17 +36,18 @@
 	node  string
 	log   *slog.Logger
 
-	leader   atomic.Pointer[records.LeaderRecord] // of the highest term known; nil: none
+	leader   atomic.Pointer[records.LeaderRecord] // of the highest observed term; nil: none
 	current  atomic.Pointer[heldTerm]             // nil: this node does not lead
-	resigned atomic.Bool                          // whether the term that ends was resigned
+	resigned atomic.Bool                          // whether the node resigned the term that is ending
 }
 
-// New makes a candidate for a node.
+// New returns a candidate for a node.
 func New(store *kvstore.Client, node string, log *slog.Logger) *Candidate {
 	return &Candidate{store: store, node: node, log: log}
 }
 
-// Leader is who led last, as far as this node knows.
+// Leader returns the leader of the highest term that this node has observed, and whether
+// there is one.
 func (c *Candidate) Leader() (records.LeaderRecord, bool) {
 	if leader := c.leader.Load(); leader != nil {
 		return *leader, true
@@ -52,8 +55,8 @@
 	return records.LeaderRecord{}, false
 }
 
-// ObserveTerm takes in a term that a peer, an agent or the store has told of. A higher one
-// than this node's own ends its leadership at once.
+// ObserveTerm records a term reported by a peer, an agent or the store. A term higher
+// than the one that this node holds ends its leadership at once.
 func (c *Candidate) ObserveTerm(observed records.LeaderRecord) {
 	if !c.raiseLeader(observed) {
 		return
@@ -63,7 +66,8 @@
 	}
 }
 
-// raiseLeader notes the leader of a term, and returns false if as high a term is known.
+// raiseLeader records the leader of a term, and returns false if that term or a higher
+// one is recorded already.
 func (c *Candidate) raiseLeader(observed records.LeaderRecord) bool {
 	for {
 		known := c.leader.Load()
@@ -79,19 +83,19 @@
 // Resign ends this node's term, if it holds one, so that another node takes over at once.
 func (c *Candidate) Resign() {
 	if current := c.current.Load(); current != nil {
-		c.resigned.Store(true) // before the term ends, for Run to see
+		c.resigned.Store(true) // set before the term ends, so that leadTerm reads it afterwards
 		current.end()
 	}
 }
 
 // Run takes part in elections until ctx ends. It calls lead for each term that this node
-// holds, and waits for lead to return before it goes on.
+// holds, and waits for lead to return before it campaigns again.
 func (c *Candidate) Run(ctx context.Context, lead LeadFunc) {
 	for ctx.Err() == nil {
 		result, err := c.campaign(ctx)
 		switch {
 		case err != nil:
-			c.log.Debug("campaign failed, it is tried again", "err", err)
+			c.log.Debug("campaign for the next term failed, it is retried after a pause", "err", err)
 			clock.Sleep(ctx, tuning.ElectionRetry)
 		case result.won:
 			c.leadTerm(ctx, result, lead)
@@ -101,7 +105,7 @@
 	}
 }
 
-// leadTerm holds the term that a campaign has won, and steps down after it if this node
+// leadTerm holds the term that a campaign has won, and afterwards steps down if this node
 // has resigned.
 func (c *Candidate) leadTerm(ctx context.Context, result campaignResult, lead LeadFunc) {
 	term := result.leadership.Term
@@ -114,7 +118,7 @@
 	}
 }
 
-// campaignResult is what became of a campaign that did not fail.
+// campaignResult is the outcome of a campaign that did not fail.
 type campaignResult struct {
 	won        bool
 	leadership Leadership       // if won
@@ -133,8 +137,9 @@
 		c.ObserveTerm(leader)
 		return campaignResult{leaderRevision: leaderVersion.Revision()}, nil
 	}
-	// A record that names this node, which does not lead, is of an earlier process, which
-	// is gone, or of a lost term. Its lease need not be waited out.
+	// A record that names this node while the node does not lead stems from an earlier
+	// process that has exited, or from a term that was lost. The campaign need not wait
+	// for the lease of that record to expire.
 	last, termVersion, err := c.readRecord(ctx, records.KeyTerm)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return campaignResult{}, err
@@ -161,15 +166,16 @@
 		},
 	})
 	if err != nil {
-		// If it was executed after all, the next campaign finds this node's own name.
+		// If the transaction was executed in spite of the error, the next campaign reads
+		// this node's own name under the leader key.
 		return campaignResult{}, err
 	}
 	leadership := Leadership{Term: term, TermVersion: reply.Revision.Version()}
 	return campaignResult{won: true, leadership: leadership, lease: lease}, nil
 }
 
-// readRecord reads the record under a key, and the key's version: 0 if the key does not
-// exist.
+// readRecord reads the record under a key and the key's version, which is 0 if the key
+// does not exist.
 func (c *Candidate) readRecord(ctx context.Context, key string) (record records.LeaderRecord, version protocol.Version, err error) {
 	entry, err := c.store.Get(ctx, key)
 	if err == nil {
@@ -196,8 +202,8 @@
 	}
 }
 
-// mayCampaignAfter takes in a change of the leader key, and tells whether no other node
-// leads after it.
+// mayCampaignAfter applies a change of the leader key, and reports whether no other node
+// leads after the change.
 func (c *Candidate) mayCampaignAfter(event protocol.WatchEvent) bool {
 	if event.Delete == records.KeyLeader {
 		return true
--- a/internal/election/cluster_test.go
+++ b/internal/election/cluster_test.go
@@ -19,17 +19,17 @@
 	"marblehaven/internal/tuning"
 )
 
-// cluster is some candidates of one election against a fake store, with the plain model
-// that they are compared with: the terms are 1, 2, 3, ..., each is led by one node at
-// most, and the store takes writes from the newest term only.
+// cluster runs candidates of one election against a fake store and compares them with a
+// model: the terms are 1, 2, 3, ..., each is led by at most one node, and the store
+// executes writes of the newest term only.
 type cluster struct {
 	t       *testing.T
 	store   *fake.Store
 	network *fake.Network
 
 	mu     sync.Mutex
-	newest protocol.Term            // by the writes of the term key that the store has executed
-	ledBy  map[protocol.Term]string // the node that was told that it leads a term
+	newest protocol.Term            // counts the writes of the term key that the store has executed
+	ledBy  map[protocol.Term]string // the node whose lead was called for a term
 	writes map[protocol.Term]int    // writes executed for the leader of a term
 }
 
@@ -38,8 +38,8 @@
 		ledBy: map[protocol.Term]string{}, writes: map[protocol.Term]int{}}
 	c.network.Listen("store", "store:1", c.store)
 	c.store.SetOnCommit(c.onCommit)
-	// Runs after the nodes have stopped: their leases expire, and what the store still
-	// holds open ends.
+	// Runs after the nodes have stopped, and waits until their leases have expired and the
+	// watches that the store still holds open have ended.
 	t.Cleanup(func() { time.Sleep(tuning.LeadershipTTL + 2*tuning.LeaderWatchHold) })
 	return c
 }
@@ -81,15 +81,15 @@
 	name      string
 	store     *kvstore.Client
 	candidate *election.Candidate
-	stop      func() // ends the node and waits for it
-	// obeysFencing makes the node's leader give up its term after a conflict; without,
+	stop      func() // stops the node and waits until it has stopped
+	// obeysFencing makes the node's leader give up its term after a conflict. Without it,
 	// only the candidate can end the term.
 	obeysFencing bool
 
 	mu      sync.Mutex
-	leads   protocol.Term // 0: none
+	leads   protocol.Term // the term it leads; 0: none
 	last    protocol.Term // the last term it led
-	endedAt time.Time     // when that ended
+	endedAt time.Time     // when the last term ended
 }
 
 // start starts a node, which stops when the test ends.
@@ -111,10 +111,10 @@
 	return n
 }
 
-// lead writes as a leader does until its term ends. Like the real one it gives up the
-// term when the precondition on the term key fails: a candidate whose new lease is alive,
-// while the transaction that sets the leader key again was lost, does not see by itself
-// that another node has taken the term.
+// lead writes as a leader does until its term ends. With obeysFencing it gives up the term,
+// like the real leader, when the precondition on the term key fails. A candidate whose new
+// lease is alive, but whose transaction that sets the leader key again was lost, does not
+// detect that another node has taken the term.
 func (n *node) lead(ctx context.Context, leadership election.Leadership) {
 	n.begin(leadership.Term)
 	for ctx.Err() == nil {
@@ -141,14 +141,14 @@
 		n.cluster.t.Errorf("term %d is led by %s and by %s", term, other, n.name)
 	}
 	if term > n.cluster.newest {
-		n.cluster.t.Errorf("%s leads term %d, which the store does not know", n.name, term)
+		n.cluster.t.Errorf("%s leads term %d, which is not in the store", n.name, term)
 	}
 	n.cluster.ledBy[term] = n.name
 	n.cluster.mu.Unlock()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.leads != 0 || term <= n.last {
-		n.cluster.t.Errorf("%s leads term %d after term %d, and %d still", n.name, term, n.last, n.leads)
+		n.cluster.t.Errorf("%s began to lead term %d; its last term was %d and the term it still leads is %d (0: none)", n.name, term, n.last, n.leads)
 	}
 	n.leads, n.last = term, term
 }
@@ -165,7 +165,7 @@
 	return n.endedAt
 }
 
-// split returns the one node that leads the newest term, and the others.
+// split returns the only node that leads the newest term, and the others.
 func (c *cluster) split(nodes []*node) (leader *node, others []*node) {
 	c.t.Helper()
 	for _, n := range nodes {
@@ -176,13 +176,13 @@
 		}
 	}
 	if leader == nil || len(others) != len(nodes)-1 {
-		c.t.Fatalf("%d of %d nodes do not lead term %d", len(others), len(nodes), c.newestTerm())
+		c.t.Fatalf("%d of %d nodes do not lead term %d, want all but one", len(others), len(nodes), c.newestTerm())
 	}
 	return leader, others
 }
 
-// checkSettled checks that one node leads, that nobody else believes to, and that all
-// know who it is.
+// checkSettled checks that one node leads, that no other node acts as a leader, that all
+// nodes report the same leader, and that the leader's writes are executed.
 func (c *cluster) checkSettled(nodes []*node) {
 	c.t.Helper()
 	leader, others := c.split(nodes)
@@ -194,7 +194,7 @@
 	for _, n := range nodes {
 		want := records.LeaderRecord{Term: c.newestTerm(), Node: leader.name}
 		if got, known := n.candidate.Leader(); !known || got != want {
-			c.t.Errorf("%s knows %v as the leader instead of %v", n.name, got, want)
+			c.t.Errorf("%s reports %v as the leader instead of %v", n.name, got, want)
 		}
 	}
 	before := c.writesOf(c.newestTerm())
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -13,7 +13,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// keepAlivePath is in the paths of keep-alives, and of no other request.
+// keepAlivePath is the last part of the paths of keep-alives, and of no other request.
 const keepAlivePath = "/touch"
 
 func TestOneOfTwoLeads(t *testing.T) {
@@ -35,7 +35,7 @@
 		time.Sleep(time.Second)
 		old, others := c.split(nodes)
 		mend := c.network.BlockOutbound(old.name)
-		time.Sleep(tuning.LeadershipTTL / 3) // the lease has been kept alive since
+		time.Sleep(tuning.LeadershipTTL / 3) // shorter than what remains of the lease after the last keep-alive
 		if others[0].leading() != 0 {
 			t.Error("the other node leads before the lease has expired")
 		}
@@ -49,8 +49,8 @@
 	})
 }
 
-// A leader whose lease expires while nobody takes over keeps its term: a new one would
-// make all agents and peers shake hands anew.
+// A leader whose lease expires while no other node takes over keeps its term. A new term
+// would make all agents and peers repeat the handshake.
 func TestLeaseExpiryWithoutRivalKeepsTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -70,7 +70,8 @@
 		if c.store.Value(records.KeyLeader) == nil {
 			t.Error("the second lease is not kept alive")
 		}
-		// The fake store numbers leases from 1: the third is this one.
+		// The fake store numbers leases from 1. The leader was granted two, so the third is
+		// this probe.
 		if probe, err := only.store.GrantLease(t.Context(), time.Second); err != nil || probe != 3 {
 			t.Errorf("%d leases granted for one expiry, %v", probe-1, err)
 		}
@@ -80,7 +81,7 @@
 	})
 }
 
-// A keep-alive that hangs does not hold up the next one, so that it does not cost the lease.
+// A keep-alive that hangs does not delay the next one, so the lease does not expire.
 func TestHangingKeepAlivesKeepTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
@@ -94,7 +95,7 @@
 		nodes := []*node{c.start("a"), c.start("b")}
 		time.Sleep(20 * tuning.LeadershipTTL)
 		if c.checkSettled(nodes); c.newestTerm() != 1 {
-			t.Errorf("%d terms", c.newestTerm())
+			t.Errorf("%d terms although half of the keep-alives succeed, want 1", c.newestTerm())
 		}
 	})
 }
@@ -113,10 +114,10 @@
 		now := time.Now()
 		synctest.Wait()
 		if only.leading() != 0 || !only.ended().Equal(now) {
-			t.Error("leadership goes on after a higher term was observed")
+			t.Error("leadership continues after a higher term was observed")
 		}
 		if leader, known := only.candidate.Leader(); !known || leader.Node != "b" {
-			t.Errorf("knows %v as the leader", leader)
+			t.Errorf("the candidate reports %v as the leader instead of b", leader)
 		}
 	})
 }
@@ -135,16 +136,16 @@
 		old.candidate.Resign()
 		synctest.Wait()
 		if old.leading() != 0 {
-			t.Error("leadership goes on after the leader has resigned")
+			t.Error("leadership continues after the leader has resigned")
 		}
-		time.Sleep(tuning.LeadershipTTL / 4) // no lease is waited out
+		time.Sleep(tuning.LeadershipTTL / 4) // the next leader does not wait for a lease to expire
 		if others[0].leading() != 2 {
 			t.Errorf("the other node leads term %d", others[0].leading())
 		}
 		time.Sleep(2 * tuning.StepDownPause)
 		c.checkSettled(nodes)
 		if others[0].leading() != 2 {
-			t.Error("the term has not stayed with the other node")
+			t.Error("the other node no longer leads term 2")
 		}
 	})
 }
@@ -158,7 +159,7 @@
 		only.candidate.Resign()
 		time.Sleep(tuning.StepDownPause / 2)
 		if only.leading() != 0 {
-			t.Error("leads again at once")
+			t.Error("the node leads again before the pause after its resignation has ended")
 		}
 		time.Sleep(tuning.StepDownPause)
 		if c.checkSettled([]*node{only}); only.leading() != 2 {
@@ -172,8 +173,8 @@
 	})
 }
 
-// A node that starts again finds itself named as the leader. It takes a new term without
-// waiting for the lease of its earlier process.
+// A restarted node finds its own name under the leader key. It takes a new term without
+// waiting for the lease of its earlier process to expire.
 func TestRestartedLeaderTakesNewTermAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 8)
@@ -189,15 +190,15 @@
 	})
 }
 
-// Whatever fails, the invariants of the model hold, and once nothing fails any more one
-// node leads and all know it.
+// The invariants of the model hold under random faults. Once the faults have ended, one
+// node leads and all nodes report it as the leader.
 func TestInvariantsUnderFaults(t *testing.T) {
 	terms := protocol.Term(0)
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, seed)
-				f := newFaults(c, seed) // before the nodes start: they read the store's hooks
+				f := newFaults(c, seed) // set before the nodes start, because they use the store's hooks
 				var nodes []*node
 				for _, name := range []string{"a", "b", "c"} {
 					nodes = append(nodes, c.startNode(&node{cluster: c, name: name, obeysFencing: true}))
@@ -210,6 +211,6 @@
 		})
 	}
 	if terms < 100 {
-		t.Errorf("only %d terms: the faults are too few", terms)
+		t.Errorf("only %d terms in all runs, the faults cause too few elections", terms)
 	}
 }
--- a/internal/election/faults_test.go
+++ b/internal/election/faults_test.go
@@ -12,12 +12,12 @@
 type faults struct {
 	cluster *cluster
 
-	mu     sync.Mutex // the store asks from several goroutines
+	mu     sync.Mutex // the store calls the hooks from several goroutines
 	rng    *rand.Rand
 	active bool // whether the store fails
 }
 
-// newFaults makes the store of a cluster fail while run runs.
+// newFaults installs hooks that make the store of a cluster fail while run is in progress.
 func newFaults(c *cluster, seed uint64) *faults {
 	f := &faults{cluster: c, rng: rand.New(rand.NewPCG(seed, 9))}
 	c.store.SetLoseReply(func() bool { return f.storeFails(10) })
@@ -42,7 +42,8 @@
 	return f.rng.IntN(n)
 }
 
-// storeFails picks one in so many requests while faults are active.
+// storeFails reports whether a request is to fail: one in oneIn at random while faults are
+// active.
 func (f *faults) storeFails(oneIn int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,7 +56,7 @@
 	f.active = active
 }
 
-// run makes faults for so long, and leaves none behind.
+// run injects faults for the given time, and has ended all of them when it returns.
 func (f *faults) run(nodes []*node, total time.Duration) {
 	f.setActive(true)
 	defer f.setActive(false)
@@ -65,13 +66,13 @@
 	}
 }
 
-// one makes one fault at a node and ends it.
+// one injects one fault at a node and ends it.
 func (f *faults) one(n *node, nodes []*node) {
 	lasts := time.Duration(f.intN(4000)) * time.Millisecond
 	switch f.intN(5) {
 	case 0:
 		n.candidate.Resign()
-	case 1: // a peer tells who led last
+	case 1: // a peer reports the last leader that it observed
 		if leader, known := nodes[f.intN(len(nodes))].candidate.Leader(); known {
 			n.candidate.ObserveTerm(leader)
 		}
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// holdTerm leads until the term is lost or resigned, and returns the lease held last. It
-// waits for lead to return.
+// holdTerm runs lead until the term is lost or resigned, waits for lead to return, and
+// returns the newest lease of the term.
 func (c *Candidate) holdTerm(ctx context.Context, leadership Leadership, lease protocol.LeaseID, lead LeadFunc) protocol.LeaseID {
 	ctx, end := context.WithCancel(ctx)
 	defer end()
@@ -52,11 +52,11 @@
 	return keepAlive.lease
 }
 
-// stepDown frees the leader key and leaves the next term to the other nodes, unless none
-// of them takes it within tuning.StepDownPause.
+// stepDown revokes the lease, which deletes the leader key, and leaves the next term to
+// the other nodes unless none of them takes it within tuning.StepDownPause.
 func (c *Candidate) stepDown(ctx context.Context, lease protocol.LeaseID) {
 	if err := c.store.RevokeLease(ctx, lease); err != nil {
-		c.log.Debug("revoking the lease failed, it expires by itself", "err", err)
+		c.log.Debug("revoking the leadership lease failed, the leader key remains until the lease expires", "err", err)
 	}
 	start := time.Now()
 	for time.Since(start) < tuning.StepDownPause && clock.Sleep(ctx, tuning.ElectionRetry) {
@@ -74,8 +74,8 @@
 	node       string
 	leadership Leadership
 
-	lease    protocol.LeaseID     // the newest
-	results  chan keepAliveResult // has room for all that are in flight, so that none blocks
+	lease    protocol.LeaseID     // the newest lease
+	results  chan keepAliveResult // has room for all keep-alives in flight, so that no send blocks
 	inFlight int
 }
 
@@ -113,11 +113,12 @@
 	}
 }
 
-// send sends a keep-alive without waiting for those before: where one in twenty took a
-// second and a half, and held up the next, the term changed every few seconds.
+// send sends a keep-alive without waiting for those before. When each one waited for the
+// previous one, and one in twenty took a second and a half, the term changed every few
+// seconds.
 //
-// Nobody waits for the goroutine when the term ends: its call ends with ctx, its result
-// always has room in the channel, and a late keep-alive does no harm.
+// The goroutine is not awaited when the term ends: its call ends with ctx, the channel
+// always has room for its result, and a late keep-alive does no harm.
 func (k *keepAliveLoop) send(ctx context.Context) {
 	if k.inFlight == tuning.KeepAlivesInFlight {
 		return
@@ -127,20 +128,21 @@
 	go func() { k.results <- keepAliveResult{lease, k.store.KeepAlive(ctx, lease)} }()
 }
 
-// hasExpired tells whether a keep-alive shows that the newest lease has expired. Results
-// of an earlier lease, which are still in flight after a renewal, say nothing of it.
+// hasExpired reports whether a keep-alive shows that the newest lease has expired.
+// Results for an earlier lease, which may still be in flight after a renewal, are
+// ignored.
 func (k *keepAliveLoop) hasExpired(result keepAliveResult) bool {
 	return result.lease == k.lease && errors.Is(result.err, kvstore.ErrLeaseExpired)
 }
 
-// renewLease grants a new lease and sets the leader key again, on condition that the term
-// is still this leader's. A lease expires without a newer term for instance while this
-// process is held up.
+// renewLease grants a new lease and sets the leader key again, provided that the term is
+// still this leader's. A lease can expire without a newer term, for instance while this
+// process is stalled.
 //
-// If no lease is granted, the next keep-alive that finds the old one expired leads here
-// again. If the transaction fails otherwise than by a conflict, nothing sets the leader
-// key again while the new lease lives: another node may take the next term, which this
-// leader then notices by the term key.
+// If no lease is granted, the next keep-alive that finds the old lease expired calls
+// renewLease again. If the transaction fails for a reason other than a conflict, the
+// leader key is not set again while the new lease is alive. Another node may then take
+// the next term, which this leader detects by the term key.
 func (k *keepAliveLoop) renewLease(ctx context.Context, endTerm func()) {
 	lease, err := k.store.GrantLease(ctx, tuning.LeadershipTTL)
 	if err != nil {
