--- a/internal/records/image_inventory.go
+++ b/internal/records/image_inventory.go
@@ -1,8 +1,8 @@
 package records
 
-// ImageInventory is a part of the image cache inventory: which images a leader knows on some
-// machines, for the next leader. It only decides on which machines tasks start soonest, so a
-// part that is lost or old does no harm.
+// ImageInventory is one part of the image cache inventory, in which a leader records for the
+// next leader which images are assumed to be cached on some of the machines. The inventory only
+// affects on which machines tasks start soonest, so a lost or outdated part does no harm.
 type ImageInventory struct {
 	Images   []string         `msgpack:"i"`
 	SizesGB  []float64        `msgpack:"g"`
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -14,8 +14,8 @@
 	Cancelled  bool         `msgpack:"c,omitempty"`
 }
 
-// MarkedCancelled reports whether an encoded OpenJob says that the job is cancelled. It is for
-// records that cannot be decoded as a whole: a cancellation must be respected in these, too.
+// MarkedCancelled reports whether an encoded OpenJob is marked as cancelled. It serves records
+// that cannot be decoded as a whole, because a cancellation must be respected in these, too.
 func MarkedCancelled(value []byte) bool {
 	var fields map[string]msgpack.RawMessage
 	if codec.Unmarshal(value, &fields) != nil {
@@ -29,7 +29,7 @@
 type FinalRecord struct {
 	Phase     protocol.JobPhase `msgpack:"p"`
 	TasksDone int               `msgpack:"n"`
-	// ClosedMS is when the job was finished, in Unix milliseconds; the waiting times of jobs
-	// that depend on it count from then. It is 0 in records of earlier versions.
+	// ClosedMS is when the job was finished, in Unix milliseconds. The waiting times of jobs
+	// that depend on it count from that time. ClosedMS is 0 in records of earlier versions.
 	ClosedMS int64 `msgpack:"a,omitempty"`
 }
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -7,13 +7,13 @@
 	"marblehaven/internal/protocol"
 )
 
-// Keys of single records and prefixes of the others.
+// Keys of single records, and prefixes of the keys of all others.
 const (
 	// KeyTerm holds the LeaderRecord of the newest term, and outlives its leader.
 	KeyTerm = "term"
-	// KeyLeader holds the same record as long as the leader renews its lease of the store.
+	// KeyLeader holds the same record as long as the leader renews its lease in the store.
 	KeyLeader = "leader"
-	// KeyCatalog holds the cloud's machine types, for controllers that cannot ask the cloud.
+	// KeyCatalog holds the cloud's machine types, for controllers that cannot call the cloud.
 	KeyCatalog = "catalog"
 	// KeyClusterVersion holds the FormatVersion that the whole cluster uses.
 	KeyClusterVersion = "version"
--- a/internal/records/placement.go
+++ b/internal/records/placement.go
@@ -6,19 +6,20 @@
 	"marblehaven/internal/protocol"
 )
 
-// Placement is a task that may be on a machine, in the given incarnation of its agent.
+// Placement is a task that may run on a machine, in the given incarnation of the machine's
+// agent.
 type Placement struct {
 	Task        int
 	Attempt     uint64
 	Machine     string
 	Incarnation protocol.Incarnation
-	// Zone is set for jobs with constraints on zones: a new leader may not know the zone
-	// of the machine yet, and must count the task there.
+	// Zone is set for jobs with constraints on zones: a new leader may not have received the
+	// zone of the machine yet, and must count the task in its zone.
 	Zone string
 }
 
-// placementFields is the number of fields of a placement. It is stored as a list without the
-// names of fields, since a run record holds hundreds of placements.
+// placementFields is the number of fields of a placement. A placement is stored as a list
+// without the names of fields, since a run record holds hundreds of placements.
 const placementFields = 5
 
 // EncodeMsgpack writes the fields as a list, in the order in which they are declared.
--- a/internal/records/segments.go
+++ b/internal/records/segments.go
@@ -4,14 +4,16 @@
 
 // SegmentOf returns the number of the run record's segment that a task belongs to. Segment 0
 // also holds the tasks of every segment that has not been written yet, so a run record in
-// FormatWhole is a segment 0 without others.
+// FormatWhole consists of segment 0 alone.
 func SegmentOf(task int) int { return task / tuning.SegmentTasks }
 
-// SegmentCount returns how many segments the run record of a job with so many tasks has.
+// SegmentCount returns the number of segments in the run record of a job with the given number
+// of tasks.
 func SegmentCount(tasks int) int { return (tasks + tuning.SegmentTasks - 1) / tuning.SegmentTasks }
 
 // JoinSegments joins the segments of a job's run record, given by their numbers. Where segment
-// 0 still names tasks of a segment that has been written since, only the latter counts.
+// 0 still holds tasks of a segment that has been written since, only the later written segment
+// counts for these tasks.
 func JoinSegments(segments map[int]RunRecord) RunRecord {
 	var whole RunRecord
 	for number, segment := range segments {
--- a/internal/records/task_ranges.go
+++ b/internal/records/task_ranges.go
@@ -7,7 +7,7 @@
 type TaskRanges [][2]int
 
 // find returns the index of the range that holds the task, or else the index of the first range
-// behind it.
+// after the task.
 func (r TaskRanges) find(task int) (index int, found bool) {
 	return slices.BinarySearchFunc(r, task, func(taskRange [2]int, task int) int {
 		switch {
@@ -58,7 +58,7 @@
 	return count
 }
 
-// Append adds the range from first to last, which must lie behind all members of the set.
+// Append adds the range from first to last. Both must be greater than all members of the set.
 func (r *TaskRanges) Append(first, last int) {
 	if n := len(*r); n > 0 && (*r)[n-1][1] == first-1 {
 		(*r)[n-1][1] = last
--- a/internal/records/task_ranges_test.go
+++ b/internal/records/task_ranges_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Ranges are compared with a plain set.
+// TaskRanges holds the same members as a plain set, and its ranges never touch.
 func TestRanges(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 50 {
@@ -19,11 +19,11 @@
 		}
 		for n := range size {
 			if r.Has(n) != plain[n] {
-				t.Fatalf("Has(%d) is %v in %v", n, r.Has(n), r)
+				t.Fatalf("Has(%d) is %v in %v, the plain set differs", n, r.Has(n), r)
 			}
 		}
 		if r.Count() != len(plain) {
-			t.Fatalf("Count() is %d of %d", r.Count(), len(plain))
+			t.Fatalf("Count() is %d, want %d", r.Count(), len(plain))
 		}
 		for i := 1; i < len(r); i++ {
 			if r[i][0] <= r[i-1][1]+1 {
