--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -4,8 +4,8 @@
 
 // Constants of the calls between controllers.
 const (
-	// PeerExchangeInterval is the pause between exchanges of status with a peer: the same
-	// as that of the leader's confirmations from the store.
+	// PeerExchangeInterval is the pause between exchanges of status with a peer. It equals
+	// the interval of the leader's confirmations from the store.
 	PeerExchangeInterval = 1 * time.Second
 
 	// PeerWindow is the window in which heartbeats that peers have redirected are counted;
@@ -13,30 +13,33 @@
 	// peer within this time.
 	PeerWindow = 5 * time.Second
 
-	// PeerRedial is the first pause before the connection to a lost peer is dialled again.
+	// PeerRedial is the first pause before a lost connection to a peer is dialled again.
 	PeerRedial = 200 * time.Millisecond
 
-	// PeerTimeout ends a call to a peer, which answers from memory.
+	// PeerTimeout ends a call to a peer. A peer answers from memory.
 	PeerTimeout = 1 * time.Second
 
 	// ForwardTimeout ends a user's call that was forwarded to a peer. A user waits 2 s for
 	// a job's status.
 	ForwardTimeout = 1500 * time.Millisecond
 
-	// StoreServedAge is how long ago the store may have served a controller for which it
-	// counts as reachable. The controller's watch on the leader key returns every second.
+	// StoreServedAge is the largest time since the store last served a controller with which
+	// the store counts as reachable. The controller's watch on the leader key returns every
+	// second.
 	StoreServedAge = 2500 * time.Millisecond
 
-	// StoreRefusesOnlyThisNodeLag is how much later than a controller its peers must have been served
-	// by the store for that controller to count as refused alone. It is more than the
-	// controllers differ at the start of an outage of the store.
+	// StoreRefusesOnlyThisNodeLag is how much later than a controller its peers must have
+	// been served by the store for the store to count as refusing that controller alone. At
+	// the start of a store outage, the times at which the store last served the controllers
+	// differ by less.
 	StoreRefusesOnlyThisNodeLag = 2500 * time.Millisecond
 
 	// IsolatedAfter is how long neither the store nor a peer may have answered before a
-	// controller takes itself for isolated: several calls to either.
+	// controller considers itself isolated. The time covers several calls to either.
 	IsolatedAfter = 5 * time.Second
 
-	// PeerStatusMaxAge is how old a peer's last service by the store, or its last answer, may be to
-	// count as present: a second for the watch, one for the exchange, and their delays.
+	// PeerStatusMaxAge is the largest age of a peer's last service by the store, or of its
+	// last answer, with which either counts as current: a second for the watch, one for the
+	// exchange, and their delays.
 	PeerStatusMaxAge = 3 * time.Second
 )
--- a/internal/tuning/process.go
+++ b/internal/tuning/process.go
@@ -3,7 +3,7 @@
 // Constants of a process's memory.
 const (
 	// MemoryShare is the share of the memory limit that is given to the Go runtime as its
-	// soft limit. The rest covers what the runtime does not count.
+	// soft limit. The rest covers memory that the runtime does not count.
 	MemoryShare = 0.75
 
 	// MemoryMinMB is the least memory limit, in MB, with which the settings are accepted.
--- a/internal/tuning/sockets.go
+++ b/internal/tuning/sockets.go
@@ -8,15 +8,15 @@
 	// cloud. It is longer than the pauses between calls to them.
 	IdleTimeout = 120 * time.Second
 
-	// IdleHeartbeats times report_s is how long a connection made to this process is kept
-	// idle. An agent that is gone, or sends its heartbeats to another controller, must not
+	// IdleHeartbeats times report_s is how long an idle connection made to this process is
+	// kept. An agent that has exited, or sends its heartbeats to another controller, must not
 	// hold a socket for long.
 	IdleHeartbeats = 5
 	// IncomingIdleTimeoutMin is the least time that such a connection is kept idle, since users ask about a
 	// job every 5 s. Idle connections to agents are kept as long.
 	IncomingIdleTimeoutMin = 20 * time.Second
 
-	// DialTimeout ends an attempt to connect: a host that is cut off does not answer.
+	// DialTimeout ends an attempt to connect: a partitioned host does not answer.
 	DialTimeout = 1 * time.Second
 
 	// StoreIdleConns is how many idle connections to the store are kept: for two watches, a
@@ -25,30 +25,31 @@
 	// CloudIdleConns is the same for the cloud, which gets a few calls a second.
 	CloudIdleConns = 2
 
-	// SocketsReserved is how many sockets a process keeps for itself, beside those for users'
-	// calls to the store, peers and agents: listeners, the leader's calls to the store and
-	// the cloud, and those that the runtime opens.
+	// SocketsReserved is the number of sockets that a process reserves, in addition to those
+	// for users' calls to the store, peers and agents: listeners, the leader's calls to the
+	// store and the cloud, and those that the runtime opens.
 	SocketsReserved = 48
 
-	// SocketsCommandShare is the share of the sockets left after these, and after two for each
-	// peer, that commands to agents may take, idle connections included. The rest is for
-	// connections made to this process: an agent holds one of these all the time, and one
-	// for a command only for milliseconds.
+	// SocketsCommandShare is the share that commands to agents may take, idle connections
+	// included, of the sockets left after SocketsReserved, users' calls and two for each
+	// peer. The rest is for connections made to this process: an agent holds one of these
+	// permanently, and one for a command only for milliseconds.
 	SocketsCommandShare = 0.2
 
 	// SocketsCommandsMax is the largest number of sockets for commands, half of which may be
-	// in use. With CommandTimeout for each machine that hangs, a tenth of 4,000 machines is
-	// asked within 4 s. More would take sockets from agents' own connections.
+	// in use. With CommandTimeout for each machine that hangs, commands to a tenth of 4,000
+	// machines end within 4 s. More would take sockets from agents' own connections.
 	SocketsCommandsMax = 512
 
 	// SocketsMin is the least number of sockets for connections made to this process with
 	// which the settings are accepted.
 	SocketsMin = 32
 
-	// MaxInflight is the largest number of users' requests that one controller works on at
+	// MaxInflight is the largest number of users' requests that one controller handles at
 	// once.
 	MaxInflight = 256
-	// SocketsUserDivisor divides the limit of sockets into another bound of that number, since
-	// each request may take a socket to the store: at most a sixth goes there.
+	// SocketsUserDivisor divides the limit of sockets. The quotient is another upper bound on
+	// the number of users' requests, since each request may take a socket to the store: at
+	// most a sixth of the sockets serves these requests.
 	SocketsUserDivisor = 6
 )
--- a/internal/tuning/status.go
+++ b/internal/tuning/status.go
@@ -9,14 +9,14 @@
 	ErrorLogInterval = 5 * time.Second
 
 	// OverdueLogInterval is the least pause between two log lines about overdue production
-	// jobs: a person reads them.
+	// jobs. The lines are written for human readers.
 	OverdueLogInterval = 10 * time.Second
 
 	// StatusInterval is the pause between two summaries for the status page, which the
-	// browser loads again every 10 s.
+	// browser reloads every 10 s.
 	StatusInterval = 1 * time.Second
 
-	// UnknownTasksShown is how many tasks that no record names the status page shows, so
-	// that the page stays short.
+	// UnknownTasksShown is the largest number of tasks without a record that the status page
+	// shows, so that the page stays short.
 	UnknownTasksShown = 20
 )
