--- a/internal/cluster/agent_lease.go
+++ b/internal/cluster/agent_lease.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// incarnationMayLast reports whether the newest known incarnation has not provably ended.
-func (l *AgentLease) incarnationMayLast() bool {
+// hasUnexpiredIncarnation reports whether the newest known incarnation has not provably
+// ended.
+func (l *AgentLease) hasUnexpiredIncarnation() bool {
 	return l.Incarnation > l.ExpiredIncarnation
 }
 
@@ -57,9 +58,9 @@
 	l.ExpiredIncarnation = max(l.ExpiredIncarnation, incarnation)
 }
 
-// forgetIncarnations resets the incarnations and the sequence number for an agent that
+// resetIncarnations resets the incarnations and the sequence number for an agent that
 // has restarted and counts from the beginning again.
-func (l *AgentLease) forgetIncarnations() {
+func (l *AgentLease) resetIncarnations() {
 	l.Incarnation, l.Sequence, l.ExpiredIncarnation = 0, 0, 0
 }
 
--- a/internal/cluster/heartbeat_order.go
+++ b/internal/cluster/heartbeat_order.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// restartAt makes the heartbeat of a restarted agent the first of a new order.
-func (o *heartbeatOrder) restartAt(heartbeat *protocol.Heartbeat) {
+// recordRestart makes the heartbeat of a restarted agent the first of a new order.
+func (o *heartbeatOrder) recordRestart(heartbeat *protocol.Heartbeat) {
 	o.lastAccepted = heartbeatIDOf(heartbeat)
 	o.probeToken = 0
 	o.restarted = true
@@ -90,7 +90,7 @@
 	if heartbeat.Token < m.probeToken {
 		return false
 	}
-	m.restartAt(heartbeat)
-	m.forgetIncarnations()
+	m.recordRestart(heartbeat)
+	m.resetIncarnations()
 	return true
 }
--- a/internal/cluster/image_cache.go
+++ b/internal/cluster/image_cache.go
@@ -48,7 +48,7 @@
 // used first. The returned slice is never changed afterwards, so callers may keep it.
 func (c *ImageCache) Images() []string { return c.imageNames }
 
-// forgetImages removes all images from the estimate.
-func (c *ImageCache) forgetImages() {
+// clearImages removes all images from the estimate.
+func (c *ImageCache) clearImages() {
 	c.images, c.imageNames = nil, nil
 }
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -76,7 +76,7 @@
 // are required in addition to recent contact: an agent that answers commands but sends no
 // heartbeats gets no replies, so its lease expires and ends every task that was started.
 func (m *Machine) Schedulable(now time.Time, maxSilence time.Duration) bool {
-	return m.CommandsResolved() && m.incarnationMayLast() && m.inContact(now, maxSilence) && m.acceptsWork(now) &&
+	return m.CommandsResolved() && m.hasUnexpiredIncarnation() && m.inContact(now, maxSilence) && m.acceptsWork(now) &&
 		!m.Deprovisioning && m.PreemptionAt.IsZero() && m.UnknownTaskCount == 0
 }
 
--- a/internal/cluster/placement.go
+++ b/internal/cluster/placement.go
@@ -49,9 +49,9 @@
 // time.
 type PlacementTable map[TaskKey]*Placement
 
-// include reports whether a task of a status belongs to a placement: the same attempt, in
+// contains reports whether a task of a status belongs to a placement: the same attempt, in
 // the incarnation that sent the status.
-func (t PlacementTable) include(task *ReportedTask, incarnation protocol.Incarnation) bool {
+func (t PlacementTable) contains(task *ReportedTask, incarnation protocol.Incarnation) bool {
 	placement := t[task.Key]
 	return task.Parsed && placement != nil && placement.Attempt == task.Attempt && placement.Incarnation == incarnation
 }
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -27,7 +27,7 @@
 	newIncarnation := status.Incarnation > m.Incarnation
 	hadIncarnation := m.Incarnation > 0
 	m.withdrawProbe(status.Token)
-	unchanged := !newIncarnation && status.Token == m.AcknowledgedToken && m.saysNothingNew(status.Tasks)
+	unchanged := !newIncarnation && status.Token == m.AcknowledgedToken && m.tasksUnchanged(status.Tasks)
 	m.applyHeader(status, now)
 	if unchanged {
 		return nil, true // the usual case; a large site sends hundreds of statuses a second
@@ -35,7 +35,7 @@
 	if newIncarnation {
 		ended = m.beginIncarnation(status.Incarnation, hadIncarnation, leaseEnd)
 	}
-	listed := m.index(status.Tasks, parse, m.isPlaced)
+	listed := m.setReportedTasks(status.Tasks, parse, m.isPlaced)
 	ended = append(ended, m.endedPlacements(listed, now)...)
 	m.pruneStartTokens(func(start attemptKey) bool { return m.Placements[start.TaskKey] != nil || m.lists(start) })
 	return ended, true
@@ -66,7 +66,7 @@
 	// Cached images survive the end of a lease. After a restart the machine may have
 	// none.
 	if m.restarted {
-		m.forgetImages()
+		m.clearImages()
 	}
 	// The agent has restarted, or lost its lease although its heartbeats were replied to,
 	// which means that replies do not reach the agent. It gets no new work before it has
--- a/internal/cluster/status_test.go
+++ b/internal/cluster/status_test.go
@@ -11,10 +11,10 @@
 // proof.
 func TestPlacementIsReleasedOnProofOnly(t *testing.T) {
 	machine, placement, now := machineWithStart(t)
-	expect := func(situation string, status *protocol.Heartbeat, over bool) {
+	expect := func(situation string, status *protocol.Heartbeat, wantEnded bool) {
 		t.Helper()
 		ended, _ := machine.ApplyStatus(status, parseTask, now, now.Add(leaseDuration))
-		if (len(ended) == 1) != over {
+		if (len(ended) == 1) != wantEnded {
 			t.Errorf("%s: ended %v", situation, ended)
 		}
 	}
--- a/internal/cluster/task_statuses.go
+++ b/internal/cluster/task_statuses.go
@@ -29,9 +29,9 @@
 // ParseTaskName parses the key of a task from the task's name in statuses and commands.
 type ParseTaskName func(name string) (key TaskKey, parsed bool)
 
-// index replaces the listed tasks by those of a new status, counts the unknown ones, and
-// returns the statuses of those that belong to a placement.
-func (s *TaskStatuses) index(tasks []protocol.TaskStatus, parse ParseTaskName, isPlaced func(*ReportedTask) bool) map[TaskKey]*protocol.TaskStatus {
+// setReportedTasks replaces the listed tasks by those of a new status, counts the unknown
+// ones, and returns the statuses of those that belong to a placement.
+func (s *TaskStatuses) setReportedTasks(tasks []protocol.TaskStatus, parse ParseTaskName, isPlaced func(*ReportedTask) bool) map[TaskKey]*protocol.TaskStatus {
 	s.ReportedTasks = make([]ReportedTask, len(tasks))
 	s.UnknownTaskCount = 0
 	listed := make(map[TaskKey]*protocol.TaskStatus, len(tasks))
@@ -47,11 +47,11 @@
 	return listed
 }
 
-// saysNothingNew reports whether a status with these tasks can end no placement, because
+// tasksUnchanged reports whether a status with these tasks can end no placement, because
 // the previous status was equal and matched all placements.
-func (s *TaskStatuses) saysNothingNew(tasks []protocol.TaskStatus) bool {
-	return s.statusMatches && slices.EqualFunc(s.ReportedTasks, tasks, func(known ReportedTask, task protocol.TaskStatus) bool {
-		return known.TaskStatus == task
+func (s *TaskStatuses) tasksUnchanged(tasks []protocol.TaskStatus) bool {
+	return s.statusMatches && slices.EqualFunc(s.ReportedTasks, tasks, func(applied ReportedTask, task protocol.TaskStatus) bool {
+		return applied.TaskStatus == task
 	})
 }
 
@@ -70,7 +70,7 @@
 // isPlaced reports whether a listed task belongs to a placement of the current
 // incarnation.
 func (m *Machine) isPlaced(task *ReportedTask) bool {
-	return m.Placements.include(task, m.Incarnation)
+	return m.Placements.contains(task, m.Incarnation)
 }
 
 // UnknownTasks returns the tasks in the newest applied status that have not exited and
