--- a/internal/records/segments.go
+++ b/internal/records/segments.go
@@ -18,22 +18,22 @@
 	var whole RunRecord
 	for number, segment := range segments {
 		whole.NextAttempt = max(whole.NextAttempt, segment.NextAttempt)
-		counts := func(task int) bool {
-			own := SegmentOf(task)
+		isAuthoritative := func(task int) bool {
+			ownSegment := SegmentOf(task)
 			if number != 0 {
-				return own == number
+				return ownSegment == number
 			}
-			_, written := segments[own]
-			return own == 0 || !written
+			_, written := segments[ownSegment]
+			return ownSegment == 0 || !written
 		}
 		for _, placement := range segment.Placements {
-			if counts(placement.Task) {
+			if isAuthoritative(placement.Task) {
 				whole.Placements = append(whole.Placements, placement)
 			}
 		}
 		for _, taskRange := range segment.Done.Within(0, tuning.MaxTasks-1) {
 			for task := taskRange[0]; task <= taskRange[1]; task++ {
-				if counts(task) {
+				if isAuthoritative(task) {
 					whole.Done.Add(task)
 				}
 			}
