--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -58,7 +58,7 @@
 // ObserveTerm records a term reported by a peer, an agent or the store. A term higher
 // than the one that this node holds ends its leadership at once.
 func (c *Candidate) ObserveTerm(observed records.LeaderRecord) {
-	if !c.raiseLeader(observed) {
+	if !c.recordNewerLeader(observed) {
 		return
 	}
 	if current := c.current.Load(); current != nil {
@@ -66,9 +66,9 @@
 	}
 }
 
-// raiseLeader records the leader of a term, and returns false if that term or a higher
-// one is recorded already.
-func (c *Candidate) raiseLeader(observed records.LeaderRecord) bool {
+// recordNewerLeader records the leader of a term, and returns false if that term or a
+// higher one is recorded already.
+func (c *Candidate) recordNewerLeader(observed records.LeaderRecord) bool {
 	for {
 		known := c.leader.Load()
 		if known != nil && known.Term >= observed.Term {
--- a/internal/election/cluster_test.go
+++ b/internal/election/cluster_test.go
@@ -82,14 +82,14 @@
 	store     *kvstore.Client
 	candidate *election.Candidate
 	stop      func() // stops the node and waits until it has stopped
-	// obeysFencing makes the node's leader give up its term after a conflict. Without it,
-	// only the candidate can end the term.
-	obeysFencing bool
-
-	mu      sync.Mutex
-	leads   protocol.Term // the term it leads; 0: none
-	last    protocol.Term // the last term it led
-	endedAt time.Time     // when the last term ended
+	// endsTermOnConflict makes the node's leader give up its term after a conflict. Without
+	// it, only the candidate can end the term.
+	endsTermOnConflict bool
+
+	mu        sync.Mutex
+	leadsTerm protocol.Term // the term it leads; 0: none
+	lastTerm  protocol.Term // the last term it led
+	endedAt   time.Time     // when the last term ended
 }
 
 // start starts a node, which stops when the test ends.
@@ -111,18 +111,18 @@
 	return n
 }
 
-// lead writes as a leader does until its term ends. With obeysFencing it gives up the term,
-// like the real leader, when the precondition on the term key fails. A candidate whose new
-// lease is alive, but whose transaction that sets the leader key again was lost, does not
+// lead writes as a leader does until its term ends. With endsTermOnConflict it gives up the
+// term, like the real leader, when the precondition on the term key fails. A candidate whose
+// new lease is alive, but whose transaction that sets the leader key again was lost, does not
 // detect that another node has taken the term.
 func (n *node) lead(ctx context.Context, leadership election.Leadership) {
-	n.begin(leadership.Term)
+	n.beginTerm(leadership.Term)
 	for ctx.Err() == nil {
 		_, err := n.store.Commit(ctx, protocol.Transaction{
 			Preconditions: []protocol.Precondition{{Key: records.KeyTerm, Version: leadership.TermVersion}},
 			Mutations:     []protocol.Mutation{{Set: fmt.Sprint(workPrefix, leadership.Term), Value: 1}},
 		})
-		if n.obeysFencing && errors.Is(err, kvstore.ErrConflict) {
+		if n.endsTermOnConflict && errors.Is(err, kvstore.ErrConflict) {
 			break
 		}
 		select {
@@ -132,10 +132,10 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.leads, n.endedAt = 0, time.Now()
+	n.leadsTerm, n.endedAt = 0, time.Now()
 }
 
-func (n *node) begin(term protocol.Term) {
+func (n *node) beginTerm(term protocol.Term) {
 	n.cluster.mu.Lock()
 	if other := n.cluster.ledBy[term]; other != "" {
 		n.cluster.t.Errorf("term %d is led by %s and by %s", term, other, n.name)
@@ -147,16 +147,16 @@
 	n.cluster.mu.Unlock()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.leads != 0 || term <= n.last {
-		n.cluster.t.Errorf("%s began to lead term %d; its last term was %d and the term it still leads is %d (0: none)", n.name, term, n.last, n.leads)
+	if n.leadsTerm != 0 || term <= n.lastTerm {
+		n.cluster.t.Errorf("%s began to lead term %d; its last term was %d and the term it still leads is %d (0: none)", n.name, term, n.lastTerm, n.leadsTerm)
 	}
-	n.leads, n.last = term, term
+	n.leadsTerm, n.lastTerm = term, term
 }
 
 func (n *node) leading() protocol.Term {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.leads
+	return n.leadsTerm
 }
 
 func (n *node) ended() time.Time {
@@ -165,8 +165,8 @@
 	return n.endedAt
 }
 
-// split returns the only node that leads the newest term, and the others.
-func (c *cluster) split(nodes []*node) (leader *node, others []*node) {
+// leaderAndOthers returns the only node that leads the newest term, and the others.
+func (c *cluster) leaderAndOthers(nodes []*node) (leader *node, others []*node) {
 	c.t.Helper()
 	for _, n := range nodes {
 		if n.leading() == c.newestTerm() {
@@ -185,7 +185,7 @@
 // nodes report the same leader, and that the leader's writes are executed.
 func (c *cluster) checkSettled(nodes []*node) {
 	c.t.Helper()
-	leader, others := c.split(nodes)
+	leader, others := c.leaderAndOthers(nodes)
 	for _, n := range others {
 		if n.leading() != 0 {
 			c.t.Errorf("%s still leads term %d in term %d of %s", n.name, n.leading(), c.newestTerm(), leader.name)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -33,8 +33,8 @@
 		c := newCluster(t, 2)
 		nodes := []*node{c.start("a"), c.start("b")}
 		time.Sleep(time.Second)
-		old, others := c.split(nodes)
-		mend := c.network.BlockOutbound(old.name)
+		old, others := c.leaderAndOthers(nodes)
+		heal := c.network.BlockOutbound(old.name)
 		time.Sleep(tuning.LeadershipTTL / 3) // shorter than what remains of the lease after the last keep-alive
 		if others[0].leading() != 0 {
 			t.Error("the other node leads before the lease has expired")
@@ -43,7 +43,7 @@
 		if others[0].leading() != 2 {
 			t.Errorf("the other node leads term %d after the lease has expired", others[0].leading())
 		}
-		mend()
+		heal()
 		time.Sleep(2 * tuning.KeepAliveInterval)
 		c.checkSettled(nodes)
 	})
@@ -56,12 +56,12 @@
 		c := newCluster(t, 3)
 		only := c.start("a")
 		time.Sleep(time.Second)
-		mend := c.network.BlockOutbound(only.name)
+		heal := c.network.BlockOutbound(only.name)
 		time.Sleep(3 * tuning.LeadershipTTL)
 		if c.store.Value(records.KeyLeader) != nil {
 			t.Fatal("the lease has not expired")
 		}
-		mend()
+		heal()
 		time.Sleep(2 * tuning.KeepAliveInterval)
 		if c.store.Value(records.KeyLeader) == nil {
 			t.Error("the leader key is not set again")
@@ -127,7 +127,7 @@
 		c := newCluster(t, 6)
 		nodes := []*node{c.start("a"), c.start("b")}
 		time.Sleep(time.Second)
-		old, others := c.split(nodes)
+		old, others := c.leaderAndOthers(nodes)
 		others[0].candidate.Resign() // it does not lead, so this does nothing
 		synctest.Wait()
 		if old.leading() != 1 {
@@ -201,7 +201,7 @@
 				f := newFaults(c, seed) // set before the nodes start, because they use the store's hooks
 				var nodes []*node
 				for _, name := range []string{"a", "b", "c"} {
-					nodes = append(nodes, c.startNode(&node{cluster: c, name: name, obeysFencing: true}))
+					nodes = append(nodes, c.startNode(&node{cluster: c, name: name, endsTermOnConflict: true}))
 				}
 				f.run(nodes, time.Minute)
 				time.Sleep(3*tuning.LeadershipTTL + tuning.StepDownPause)
--- a/internal/election/faults_test.go
+++ b/internal/election/faults_test.go
@@ -57,18 +57,18 @@
 }
 
 // run injects faults for the given time, and has ended all of them when it returns.
-func (f *faults) run(nodes []*node, total time.Duration) {
+func (f *faults) run(nodes []*node, duration time.Duration) {
 	f.setActive(true)
 	defer f.setActive(false)
-	for start := time.Now(); time.Since(start) < total; {
-		f.one(nodes[f.intN(len(nodes))], nodes)
+	for start := time.Now(); time.Since(start) < duration; {
+		f.injectOne(nodes[f.intN(len(nodes))], nodes)
 		time.Sleep(time.Duration(f.intN(1500)) * time.Millisecond)
 	}
 }
 
-// one injects one fault at a node and ends it.
-func (f *faults) one(n *node, nodes []*node) {
-	lasts := time.Duration(f.intN(4000)) * time.Millisecond
+// injectOne injects one fault at a node and ends it.
+func (f *faults) injectOne(n *node, nodes []*node) {
+	duration := time.Duration(f.intN(4000)) * time.Millisecond
 	switch f.intN(5) {
 	case 0:
 		n.candidate.Resign()
@@ -77,16 +77,16 @@
 			n.candidate.ObserveTerm(leader)
 		}
 	case 2:
-		mend := f.cluster.network.BlockOutbound(n.name)
-		time.Sleep(lasts)
-		mend()
+		heal := f.cluster.network.BlockOutbound(n.name)
+		time.Sleep(duration)
+		heal()
 	case 3:
-		mend := f.cluster.network.Cut(n.name, "store", fake.Hold)
-		time.Sleep(lasts)
-		mend()
+		heal := f.cluster.network.Cut(n.name, "store", fake.Hold)
+		time.Sleep(duration)
+		heal()
 	case 4:
-		mend := f.cluster.network.Cut(n.name, "store", fake.Reset)
-		time.Sleep(lasts)
-		mend()
+		heal := f.cluster.network.Cut(n.name, "store", fake.Reset)
+		time.Sleep(duration)
+		heal()
 	}
 }
