--- a/internal/election/faults_test.go
+++ b/internal/election/faults_test.go
@@ -12,12 +12,12 @@
 type faults struct {
 	cluster *cluster
 
-	mu     sync.Mutex // the store asks from several goroutines
+	mu     sync.Mutex // the store calls the hooks from several goroutines
 	rng    *rand.Rand
 	active bool // whether the store fails
 }
 
-// newFaults makes the store of a cluster fail while run runs.
+// newFaults installs hooks that make the store of a cluster fail while run is in progress.
 func newFaults(c *cluster, seed uint64) *faults {
 	f := &faults{cluster: c, rng: rand.New(rand.NewPCG(seed, 9))}
 	c.store.SetLoseReply(func() bool { return f.storeFails(10) })
@@ -42,7 +42,8 @@
 	return f.rng.IntN(n)
 }
 
-// storeFails picks one in so many requests while faults are active.
+// storeFails reports whether a request is to fail: one in oneIn at random while faults are
+// active.
 func (f *faults) storeFails(oneIn int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,37 +56,37 @@
 	f.active = active
 }
 
-// run makes faults for so long, and leaves none behind.
-func (f *faults) run(nodes []*node, total time.Duration) {
+// run injects faults for the given time, and has ended all of them when it returns.
+func (f *faults) run(nodes []*node, duration time.Duration) {
 	f.setActive(true)
 	defer f.setActive(false)
-	for start := time.Now(); time.Since(start) < total; {
-		f.one(nodes[f.intN(len(nodes))], nodes)
+	for start := time.Now(); time.Since(start) < duration; {
+		f.injectOne(nodes[f.intN(len(nodes))], nodes)
 		time.Sleep(time.Duration(f.intN(1500)) * time.Millisecond)
 	}
 }
 
-// one makes one fault at a node and ends it.
-func (f *faults) one(n *node, nodes []*node) {
-	lasts := time.Duration(f.intN(4000)) * time.Millisecond
+// injectOne injects one fault at a node and ends it.
+func (f *faults) injectOne(n *node, nodes []*node) {
+	duration := time.Duration(f.intN(4000)) * time.Millisecond
 	switch f.intN(5) {
 	case 0:
 		n.candidate.Resign()
-	case 1: // a peer tells who led last
+	case 1: // a peer reports the last leader that it observed
 		if leader, known := nodes[f.intN(len(nodes))].candidate.Leader(); known {
 			n.candidate.ObserveTerm(leader)
 		}
 	case 2:
-		mend := f.cluster.network.BlockOutbound(n.name)
-		time.Sleep(lasts)
-		mend()
+		heal := f.cluster.network.BlockOutbound(n.name)
+		time.Sleep(duration)
+		heal()
 	case 3:
-		mend := f.cluster.network.Cut(n.name, "store", fake.Hold)
-		time.Sleep(lasts)
-		mend()
+		heal := f.cluster.network.Cut(n.name, "store", fake.Hold)
+		time.Sleep(duration)
+		heal()
 	case 4:
-		mend := f.cluster.network.Cut(n.name, "store", fake.Reset)
-		time.Sleep(lasts)
-		mend()
+		heal := f.cluster.network.Cut(n.name, "store", fake.Reset)
+		time.Sleep(duration)
+		heal()
 	}
 }
