--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if len(usable) == 0 {
-		return nil, request.fault("empty catalog")
+		return nil, request.protocolError("empty catalog")
 	}
 	return usable, nil
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -47,21 +47,21 @@
 	responses map[int]any
 }
 
-// fail makes the error of the call.
-func (r *call) fail(err error) error {
+// operationError makes the error of the call.
+func (r *call) operationError(err error) error {
 	return &OperationError{Operation: r.operation, Target: r.target, Err: err}
 }
 
-// fault is the error of a call whose answer makes no sense.
-func (r *call) fault(problem string) error {
-	return r.fail(fmt.Errorf("%w: %s", ErrUnavailable, problem))
+// protocolError is the error of a call whose answer makes no sense.
+func (r *call) protocolError(problem string) error {
+	return r.operationError(fmt.Errorf("%w: %s", ErrUnavailable, problem))
 }
 
 // do sends the request of a call once, as soon as the budget allows, and returns nil after
 // an answer 200.
 func (c *Client) do(ctx context.Context, request call) error {
 	if err := c.budget.Wait(ctx); err != nil {
-		return request.fail(fmt.Errorf("%w: %v", ErrUnavailable, err))
+		return request.operationError(fmt.Errorf("%w: %v", ErrUnavailable, err))
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
 	defer cancel()
@@ -75,7 +75,7 @@
 	case err == nil:
 		return nil
 	case httpclient.HasStatus(err, http.StatusBadRequest):
-		return request.fail(ErrInvalidRequest)
+		return request.operationError(ErrInvalidRequest)
 	}
-	return request.fail(fmt.Errorf("%w: %v", ErrUnavailable, err))
+	return request.operationError(fmt.Errorf("%w: %v", ErrUnavailable, err))
 }
--- a/internal/cloud/machines.go
+++ b/internal/cloud/machines.go
@@ -32,7 +32,7 @@
 	}
 	err := c.do(ctx, provision)
 	if err != nil && rejection.Error == reasonNoCapacity {
-		return nil, provision.fail(ErrNoCapacity)
+		return nil, provision.operationError(ErrNoCapacity)
 	}
 	return machines.IDs, err
 }
@@ -41,15 +41,15 @@
 func (c *Client) Deprovision(ctx context.Context, machineIDs []string) error {
 	return c.do(ctx, call{
 		operation: OperationDeprovision,
-		target:    firstOf(machineIDs),
+		target:    summarizeMachineIDs(machineIDs),
 		method:    http.MethodPost,
 		path:      "/rentals/return",
 		body:      protocol.MachineIDs{IDs: machineIDs},
 	})
 }
 
-// firstOf names the first of some machines, and how many more there are.
-func firstOf(machineIDs []string) string {
+// summarizeMachineIDs names the first of some machines, and how many more there are.
+func summarizeMachineIDs(machineIDs []string) string {
 	switch others := len(machineIDs) - 1; {
 	case others < 0:
 		return "no machine"
@@ -64,8 +64,8 @@
 // the whole.
 func (c *Client) ListMachines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
-	for last := ""; ; {
-		page, err := c.listPage(ctx, last)
+	for lastID := ""; ; {
+		page, err := c.listPage(ctx, lastID)
 		if err != nil {
 			return nil, err
 		}
@@ -73,7 +73,7 @@
 		if !page.More {
 			return all, nil
 		}
-		last = page.Machines[len(page.Machines)-1].ID
+		lastID = page.Machines[len(page.Machines)-1].ID
 	}
 }
 
@@ -97,9 +97,9 @@
 	}
 	switch count := len(page.Machines); {
 	case count == 0:
-		return page, request.fault("empty page with more to come")
+		return page, request.protocolError("empty page with more to come")
 	case page.Machines[count-1].ID == after:
-		return page, request.fault("the same page again")
+		return page, request.protocolError("the same page again")
 	}
 	return page, nil
 }
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -45,7 +45,7 @@
 		if c.Malformed != nil && errors.Is(err, ErrMalformed) {
 			c.Malformed.Record(request.URL, err)
 		}
-		return &NoAnswerError{Method: request.Method, URL: request.URL, Err: err}
+		return &NoResponseError{Method: request.Method, URL: request.URL, Err: err}
 	}
 	if status != http.StatusOK {
 		return &StatusError{Method: request.Method, URL: request.URL, Status: status}
@@ -56,28 +56,28 @@
 // exchange sends the request and reads the whole answer. An error says that there is no
 // usable answer.
 func exchange(ctx context.Context, httpClient *http.Client, request Request) (status int, err error) {
-	httpRequest, err := encode(ctx, request)
+	httpRequest, err := newHTTPRequest(ctx, request)
 	if err != nil {
 		return 0, err
 	}
-	answer, err := httpClient.Do(httpRequest)
+	response, err := httpClient.Do(httpRequest)
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err
 	}
-	if value := request.Responses[answer.StatusCode]; value != nil {
+	if value := request.Responses[response.StatusCode]; value != nil {
 		if err := codec.Unmarshal(body, value); err != nil {
-			return 0, fmt.Errorf("%w (status %d): %v", ErrMalformed, answer.StatusCode, err)
+			return 0, fmt.Errorf("%w (status %d): %v", ErrMalformed, response.StatusCode, err)
 		}
 	}
-	return answer.StatusCode, nil
+	return response.StatusCode, nil
 }
 
-func encode(ctx context.Context, request Request) (*http.Request, error) {
+func newHTTPRequest(ctx context.Context, request Request) (*http.Request, error) {
 	if request.Body == nil {
 		return http.NewRequestWithContext(ctx, request.Method, request.URL, nil)
 	}
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -82,7 +82,7 @@
 func checkError(t *testing.T, err error, status int, url string) {
 	t.Helper()
 	var answered *httpclient.StatusError
-	var unanswered *httpclient.NoAnswerError
+	var unanswered *httpclient.NoResponseError
 	isAnswered, isUnanswered := errors.As(err, &answered), errors.As(err, &unanswered)
 	switch {
 	case status == http.StatusOK && err != nil:
--- a/internal/httpclient/errors.go
+++ b/internal/httpclient/errors.go
@@ -22,9 +22,9 @@
 	return fmt.Sprintf("%s %s: status %d", e.Method, e.URL, e.Status)
 }
 
-// NoAnswerError is a request without a usable answer: it may have been executed, may be
+// NoResponseError is a request without a usable answer: it may have been executed, may be
 // executed later, or may never have left.
-type NoAnswerError struct {
+type NoResponseError struct {
 	Method string
 	URL    string
 	// Err is the cause: of the transport, of the context, or ErrMalformed.
@@ -32,15 +32,15 @@
 }
 
 // Error names the request and the cause.
-func (e *NoAnswerError) Error() string {
+func (e *NoResponseError) Error() string {
 	return fmt.Sprintf("%s %s: no usable answer: %v", e.Method, e.URL, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *NoAnswerError) Unwrap() error { return e.Err }
+func (e *NoResponseError) Unwrap() error { return e.Err }
 
 // HasStatus tells whether an error of Do is an answer with the given status.
 func HasStatus(err error, status int) bool {
-	var answered *StatusError
-	return errors.As(err, &answered) && answered.Status == status
+	var statusErr *StatusError
+	return errors.As(err, &statusErr) && statusErr.Status == status
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -44,11 +44,11 @@
 func (c *Client) MaxValueBytes() int { return c.limits.valueBytes() }
 
 // MaxMutations is how many mutations a transaction may have.
-func (c *Client) MaxMutations() int { return c.limits.smaller.TxnOps }
+func (c *Client) MaxMutations() int { return c.limits.stricter.TxnOps }
 
 // UseAnnouncedLimits holds values to the smaller of the present and the announced limit
 // from now on.
-func (c *Client) UseAnnouncedLimits() { c.limits.announced.Store(true) }
+func (c *Client) UseAnnouncedLimits() { c.limits.useAnnounced.Store(true) }
 
 // SinceServed is the time since the store last gave a usable answer other than 503.
 func (c *Client) SinceServed() time.Duration {
@@ -70,14 +70,14 @@
 	statusErrors map[int]error
 }
 
-// fail makes the error of the call.
-func (r *call) fail(err error) error {
+// operationError makes the error of the call.
+func (r *call) operationError(err error) error {
 	return &OperationError{Operation: r.operation, Target: r.target, Err: err}
 }
 
-// fault is the error of a call whose answer breaks the store's protocol.
-func (r *call) fault(problem string) error {
-	return r.fail(fmt.Errorf("%w: %s", ErrOutcomeUnknown, problem))
+// protocolError is the error of a call whose answer breaks the store's protocol.
+func (r *call) protocolError(problem string) error {
+	return r.operationError(fmt.Errorf("%w: %s", ErrOutcomeUnknown, problem))
 }
 
 // do sends the request of a call once, and returns nil after an answer 200.
@@ -94,32 +94,32 @@
 	if err == nil {
 		return nil
 	}
-	return request.fail(outcome(err, request.statusErrors))
+	return request.operationError(classifyError(err, request.statusErrors))
 }
 
 // recordServed notes when the store gave an answer that shows that it serves this node:
 // any but 503. An answer that cannot be decoded is none.
 func (c *Client) recordServed(err error) {
-	var unanswered *httpclient.NoAnswerError
-	if errors.As(err, &unanswered) || httpclient.HasStatus(err, http.StatusServiceUnavailable) {
+	var noResponse *httpclient.NoResponseError
+	if errors.As(err, &noResponse) || httpclient.HasStatus(err, http.StatusServiceUnavailable) {
 		return
 	}
 	c.lastServed.Store(int64(time.Since(c.start)))
 }
 
-// outcome translates an error of the HTTP client to what it says of an operation.
-func outcome(err error, statusErrors map[int]error) error {
-	var answered *httpclient.StatusError
-	if !errors.As(err, &answered) {
+// classifyError translates an error of the HTTP client to what it says of an operation.
+func classifyError(err error, statusErrors map[int]error) error {
+	var statusErr *httpclient.StatusError
+	if !errors.As(err, &statusErr) {
 		return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 	}
-	switch answered.Status {
+	switch statusErr.Status {
 	case http.StatusServiceUnavailable:
 		return ErrUnavailable
 	case http.StatusTooManyRequests:
 		return ErrThrottled
 	}
-	if known := statusErrors[answered.Status]; known != nil {
+	if known := statusErrors[statusErr.Status]; known != nil {
 		return known
 	}
 	return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
--- a/internal/kvstore/commit.go
+++ b/internal/kvstore/commit.go
@@ -25,13 +25,13 @@
 // or delete any key that the transaction mutates under a precondition, or to set any key
 // that it sets, and must have one transaction under way at a time.
 func (c *Client) CommitUntilKnown(ctx context.Context, txn protocol.Transaction, termKey string) (protocol.TransactionReply, error) {
-	unanswered := false // whether an earlier attempt may have been executed
+	maybeExecuted := false // whether an earlier attempt may have been executed
 	for ctx.Err() == nil {
 		reply, err := c.Commit(ctx, txn)
 		switch {
 		case errors.Is(err, ErrOutcomeUnknown):
-			unanswered = true
-		case !unanswered, err == nil:
+			maybeExecuted = true
+		case !maybeExecuted, err == nil:
 			return reply, err
 		case errors.Is(err, ErrConflict) && slices.Contains(reply.FailedKeys, termKey):
 			return reply, err
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -25,7 +25,7 @@
 	}
 	err := c.do(ctx, request)
 	if err == nil && lease.ID == 0 {
-		err = request.fault("answer without a lease")
+		err = request.protocolError("answer without a lease")
 	}
 	return lease.ID, err
 }
--- a/internal/kvstore/limits.go
+++ b/internal/kvstore/limits.go
@@ -15,18 +15,18 @@
 // so that the previous version of this software can read them, and respect the announced
 // limit from the moment when announced is set, which is never undone.
 type limits struct {
-	present   config.StateLimits
-	smaller   config.StateLimits // of the present and the announced limits
-	announced atomic.Bool
+	present      config.StateLimits
+	stricter     config.StateLimits // of the present and the announced limits
+	useAnnounced atomic.Bool
 }
 
 func newLimits(state config.State) *limits {
-	return &limits{present: state.StateLimits, smaller: state.Smaller()}
+	return &limits{present: state.StateLimits, stricter: state.Smaller()}
 }
 
 func (l *limits) valueBytes() int {
-	if l.announced.Load() {
-		return l.smaller.ValueBytes()
+	if l.useAnnounced.Load() {
+		return l.stricter.ValueBytes()
 	}
 	return l.present.ValueBytes()
 }
@@ -34,10 +34,10 @@
 // check encodes the values of a transaction in place, and fails with ErrTooLarge if the
 // store would reject the transaction for its size.
 func (l *limits) check(txn *protocol.Transaction) error {
-	if n := len(txn.Mutations); n > l.smaller.TxnOps {
+	if n := len(txn.Mutations); n > l.stricter.TxnOps {
 		return fmt.Errorf("%w: %d mutations", ErrTooLarge, n)
 	}
-	if n := len(txn.Preconditions); n > tuning.TransactionPreconditions*l.smaller.TxnOps {
+	if n := len(txn.Preconditions); n > tuning.TransactionPreconditions*l.stricter.TxnOps {
 		return fmt.Errorf("%w: %d preconditions", ErrTooLarge, n)
 	}
 	total := (len(txn.Preconditions) + len(txn.Mutations)) * tuning.TransactionEntryBytes
--- a/internal/kvstore/read.go
+++ b/internal/kvstore/read.go
@@ -24,7 +24,7 @@
 	}
 	err := c.do(ctx, request)
 	if err == nil && entry.Version == 0 {
-		err = request.fault("answer without a version")
+		err = request.protocolError("answer without a version")
 	}
 	return entry, err
 }
@@ -54,34 +54,34 @@
 // a record that does not exist.
 func (c *Client) ListAll(ctx context.Context, prefix string) (protocol.KeyValuePage, error) {
 	var all protocol.KeyValuePage
-	for last := ""; ; {
-		page, err := c.List(ctx, prefix, last, tuning.StorePageKeys)
+	for lastKey := ""; ; {
+		page, err := c.List(ctx, prefix, lastKey, tuning.StorePageKeys)
 		if err != nil {
 			return protocol.KeyValuePage{}, err
 		}
-		if problem := pageFault(page, last); problem != "" {
+		if problem := pageProblem(page, lastKey); problem != "" {
 			request := call{operation: OperationList, target: prefix}
-			return protocol.KeyValuePage{}, request.fault(problem)
+			return protocol.KeyValuePage{}, request.protocolError(problem)
 		}
-		if last == "" {
+		if lastKey == "" {
 			all.Revision = page.Revision
 		}
 		all.Entries = append(all.Entries, page.Entries...)
 		if !page.More {
 			return all, nil
 		}
-		last = page.Entries[len(page.Entries)-1].Key
+		lastKey = page.Entries[len(page.Entries)-1].Key
 	}
 }
 
-// pageFault tells why a page does not continue a list whose last key so far is given, and
+// pageProblem tells why a page does not continue a list whose last key so far is given, and
 // returns "" for one that does.
-func pageFault(page protocol.KeyValuePage, last string) string {
+func pageProblem(page protocol.KeyValuePage, lastKey string) string {
 	for _, entry := range page.Entries {
-		if entry.Key <= last {
-			return fmt.Sprintf("key %q listed after %q", entry.Key, last)
+		if entry.Key <= lastKey {
+			return fmt.Sprintf("key %q listed after %q", entry.Key, lastKey)
 		}
-		last = entry.Key
+		lastKey = entry.Key
 	}
 	if page.More && len(page.Entries) == 0 {
 		return "empty page with more to come"
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -17,7 +17,7 @@
 	var reply protocol.TransactionReply
 	request := call{
 		operation: OperationCommit,
-		target:    mutatedKeys(&txn),
+		target:    summarizeMutatedKeys(&txn),
 		timeout:   tuning.StoreTimeout,
 		method:    http.MethodPost,
 		path:      "/commit",
@@ -32,21 +32,21 @@
 		},
 	}
 	if err := c.limits.check(&txn); err != nil {
-		return reply, request.fail(err)
+		return reply, request.operationError(err)
 	}
 	request.body = txn // encoded by the check
 	err := c.do(ctx, request)
 	switch {
 	case errors.Is(err, ErrInvalidRequest):
-		return reply, request.fail(c.rejected(reply.Error))
+		return reply, request.operationError(c.rejectionError(reply.Error))
 	case err == nil && reply.Revision == 0:
-		return reply, request.fault("answer without a revision")
+		return reply, request.protocolError("answer without a revision")
 	}
 	return reply, err
 }
 
-// rejected is the error of a transaction that the store rejected for a reason.
-func (c *Client) rejected(reason string) error {
+// rejectionError is the error of a transaction that the store rejectionError for a reason.
+func (c *Client) rejectionError(reason string) error {
 	if reason == protocol.ReasonNoLease {
 		return ErrLeaseExpired
 	}
@@ -55,8 +55,8 @@
 	return fmt.Errorf("%w: %s", ErrInvalidRequest, reason)
 }
 
-// mutatedKeys names the first key that a transaction mutates, and how many more there are.
-func mutatedKeys(txn *protocol.Transaction) string {
+// summarizeMutatedKeys names the first key that a transaction mutates, and how many more there are.
+func summarizeMutatedKeys(txn *protocol.Transaction) string {
 	if len(txn.Mutations) == 0 {
 		return "no key"
 	}
