--- a/cmd/marblehaven/main.go
+++ b/cmd/marblehaven/main.go
@@ -15,11 +15,11 @@
 	"marblehaven"
 )
 
-// usageError is the exit code for bad settings or flags.
-const usageError = 2
+// errorExitCode is the exit code for bad settings or flags.
+const errorExitCode = 2
 
-// files are the settings files that a subcommand reads.
-type files struct {
+// settingsFiles are the paths of the settings files that a subcommand reads.
+type settingsFiles struct {
 	Config   string `help:"Platform's settings file (JSON)." required:"" type:"path" placeholder:"FILE"`
 	Settings string `help:"Operators' settings file (TOML)." type:"path" placeholder:"FILE"`
 }
@@ -32,10 +32,10 @@
 }
 
 // serveCmd runs a controller.
-type serveCmd struct{ files }
+type serveCmd struct{ settingsFiles }
 
 // checkCmd checks the settings files.
-type checkCmd struct{ files }
+type checkCmd struct{ settingsFiles }
 
 // versionCmd prints the version of the program.
 type versionCmd struct{}
@@ -45,18 +45,18 @@
 	parser := kong.Must(&commands, kong.Name("marblehaven"), kong.Description("A cluster scheduler."))
 	selected, err := parser.Parse(os.Args[1:])
 	if err != nil {
-		fail(err)
+		exitWithError(err)
 	}
 	if err := selected.Run(); err != nil {
-		fail(err)
+		exitWithError(err)
 	}
 }
 
-// fail ends the program with one line on standard error, as the operators expect of
+// exitWithError ends the program with one line on standard error, as the operators expect of
 // bad settings.
-func fail(err error) {
+func exitWithError(err error) {
 	fmt.Fprintf(os.Stderr, "marblehaven: %v\n", err)
-	os.Exit(usageError)
+	os.Exit(errorExitCode)
 }
 
 // Run runs a controller until the process gets an interrupt or a termination signal.
--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -15,12 +15,12 @@
 	"marblehaven/internal/tuning"
 )
 
-type silent struct{ now, most atomic.Int32 }
+type hangingTransport struct{ inFlight, maxInFlight atomic.Int32 }
 
-func (s *silent) RoundTrip(r *http.Request) (*http.Response, error) {
-	s.most.Store(max(s.most.Load(), s.now.Add(1)))
+func (h *hangingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	h.maxInFlight.Store(max(h.maxInFlight.Load(), h.inFlight.Add(1)))
 	<-r.Context().Done()
-	s.now.Add(-1)
+	h.inFlight.Add(-1)
 	return nil, r.Context().Err()
 }
 
@@ -29,13 +29,13 @@
 // one command may take.
 func TestCommandsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &silent{}
-		c := New(s, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 20)
+		transport := &hangingTransport{}
+		client := New(transport, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 20)
 		start := time.Now()
 		done := make(chan error)
 		for range 100 {
 			go func() {
-				_, err := c.SendCommands(t.Context(), "m:1", protocol.CommandRequest{})
+				_, err := client.SendCommands(t.Context(), "m:1", protocol.CommandRequest{})
 				done <- err
 			}()
 		}
@@ -44,8 +44,8 @@
 				t.Errorf("unexpected outcome: %v", err)
 			}
 		}
-		if s.most.Load() > 20 {
-			t.Errorf("%d commands at once", s.most.Load())
+		if transport.maxInFlight.Load() > 20 {
+			t.Errorf("%d commands at once", transport.maxInFlight.Load())
 		}
 		if took := time.Since(start); took > 5*tuning.CommandTimeout+time.Second {
 			t.Errorf("took %v", took)
--- a/internal/agent/outcomes_test.go
+++ b/internal/agent/outcomes_test.go
@@ -14,13 +14,13 @@
 	"marblehaven/internal/protocol"
 )
 
-// fixedAnswer is a transport that gives one answer to all requests.
-type fixedAnswer struct {
+// fixedResponse is a transport that gives one answer to all requests.
+type fixedResponse struct {
 	status int // 0: the connection fails
 	body   []byte
 }
 
-func (f fixedAnswer) RoundTrip(*http.Request) (*http.Response, error) {
+func (f fixedResponse) RoundTrip(*http.Request) (*http.Response, error) {
 	if f.status == 0 {
 		return nil, errors.New("connection refused")
 	}
@@ -30,33 +30,33 @@
 // TestOutcomes pins which answers are heartbeats. Whatever is none leaves open whether the
 // commands will be executed.
 func TestOutcomes(t *testing.T) {
-	whole, err := codec.Marshal(protocol.Heartbeat{Machine: "m-1", Incarnation: 1})
+	validHeartbeat, err := codec.Marshal(protocol.Heartbeat{Machine: "m-1", Incarnation: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	empty, err := codec.Marshal(protocol.Heartbeat{})
+	invalidHeartbeat, err := codec.Marshal(protocol.Heartbeat{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		name   string
-		status int
-		body   []byte
-		known  bool
+		name          string
+		status        int
+		body          []byte
+		wantHeartbeat bool
 	}{
-		{"executed", 200, whole, true},
-		{"rejected, with a heartbeat", 409, whole, true},
+		{"executed", 200, validHeartbeat, true},
+		{"rejected, with a heartbeat", 409, validHeartbeat, true},
 		{"executed, without a heartbeat", 200, nil, false},
 		{"rejected, without a heartbeat", 409, nil, false},
-		{"a heartbeat that makes no sense", 200, empty, false},
-		{"a rejection that makes no sense", 409, empty, false},
-		{"another status with a heartbeat", 500, whole, false},
+		{"a heartbeat that makes no sense", 200, invalidHeartbeat, false},
+		{"a rejection that makes no sense", 409, invalidHeartbeat, false},
+		{"another status with a heartbeat", 500, validHeartbeat, false},
 		{"no connection", 0, nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			client := New(fixedAnswer{c.status, c.body}, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 1)
+			client := New(fixedResponse{c.status, c.body}, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 1)
 			heartbeat, err := client.SendCommands(t.Context(), "m-1:80", protocol.CommandRequest{})
-			if c.known {
+			if c.wantHeartbeat {
 				if err != nil || heartbeat.Machine != "m-1" {
 					t.Errorf("got %v, %v", heartbeat, err)
 				}
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -15,13 +15,13 @@
 	"marblehaven/internal/protocol"
 )
 
-// fixedAnswer is a transport that gives one answer to all requests.
-type fixedAnswer struct {
+// fixedResponse is a transport that gives one answer to all requests.
+type fixedResponse struct {
 	status int // 0: the connection fails
 	body   []byte
 }
 
-func (f fixedAnswer) RoundTrip(*http.Request) (*http.Response, error) {
+func (f fixedResponse) RoundTrip(*http.Request) (*http.Response, error) {
 	if f.status == 0 {
 		return nil, errors.New("connection refused")
 	}
@@ -45,15 +45,15 @@
 		return err
 	}
 	usable := protocol.MachineType{Name: "small", Cores: 4, Price: 1, Zones: []string{"north"}}
-	free := usable
-	free.Price = 0
+	unpriced := usable
+	unpriced.Price = 0
 	for _, c := range []struct {
 		name      string
 		operation func(context.Context, *Client) error
 		status    int
 		body      any // nil: an empty body
 		want      error
-		names     string // what the error must name
+		wantText  string // what the error must name
 	}{
 		{"provision: machines", provision, 200, protocol.MachineIDs{IDs: []string{"m-1"}}, nil, ""},
 		{"provision: no capacity", provision, 503, protocol.ErrorReply{Error: "no capacity"}, ErrNoCapacity, "claim-1"},
@@ -66,20 +66,20 @@
 		{"deprovision: done", deprovision, 200, nil, nil, ""},
 		{"deprovision: unexpected status", deprovision, 404, nil, ErrUnavailable, "m-1 and 1 more"},
 		{"deprovision: rejected", deprovision, 400, nil, ErrInvalidRequest, "m-1 and 1 more"},
-		{"catalog: types", catalog, 200, protocol.Catalog{Types: []protocol.MachineType{free, usable}}, nil, ""},
-		{"catalog: no usable type", catalog, 200, protocol.Catalog{Types: []protocol.MachineType{free}}, ErrUnavailable, "empty catalog"},
+		{"catalog: types", catalog, 200, protocol.Catalog{Types: []protocol.MachineType{unpriced, usable}}, nil, ""},
+		{"catalog: no usable type", catalog, 200, protocol.Catalog{Types: []protocol.MachineType{unpriced}}, ErrUnavailable, "empty catalog"},
 		{"catalog: unavailable", catalog, 503, protocol.ErrorReply{Error: "no capacity"}, ErrUnavailable, "503"},
 		{"list: unreadable", list, 200, nil, ErrUnavailable, "list machines"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			client := New("cloud:1", fixedAnswer{c.status, encodedBody(t, c.body)}, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000)
-			checkOutcome(t, c.operation(t.Context(), client), c.want, c.names)
+			client := New("cloud:1", fixedResponse{c.status, encodeBody(t, c.body)}, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000)
+			checkOutcome(t, c.operation(t.Context(), client), c.want, c.wantText)
 		})
 	}
 }
 
-// encodedBody is the body of an answer; nil has none.
-func encodedBody(t *testing.T, value any) []byte {
+// encodeBody is the body of an answer; nil has none.
+func encodeBody(t *testing.T, value any) []byte {
 	t.Helper()
 	if value == nil {
 		return nil
@@ -93,7 +93,7 @@
 
 // checkOutcome checks that an error is the one wanted and no other, and that it says what
 // was tried and on what.
-func checkOutcome(t *testing.T, err, want error, names string) {
+func checkOutcome(t *testing.T, err, want error, wantText string) {
 	t.Helper()
 	if want == nil {
 		if err != nil {
@@ -107,7 +107,7 @@
 		}
 	}
 	var failed *OperationError
-	if !errors.As(err, &failed) || !strings.Contains(err.Error(), names) {
-		t.Errorf("%q does not say what was tried, or does not name %q", err, names)
+	if !errors.As(err, &failed) || !strings.Contains(err.Error(), wantText) {
+		t.Errorf("%q does not say what was tried, or does not name %q", err, wantText)
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -116,13 +116,13 @@
 // checkTimings refuses times with which machines would lose their leases without any
 // failure.
 func (w Workers) checkTimings() error {
-	least := w.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
-	if w.CancelS < least {
-		return fmt.Errorf("field deployment.workers.cancel_s: %v is below %v, lease_s and what a leader needs to answer reports", w.CancelS, least)
+	minCancelS := w.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
+	if w.CancelS < minCancelS {
+		return fmt.Errorf("field deployment.workers.cancel_s: %v is below %v, lease_s and what a leader needs to answer reports", w.CancelS, minCancelS)
 	}
-	longestPause := tuning.HeartbeatJitter * w.ReportS
-	if w.LeaseS <= longestPause {
-		return fmt.Errorf("field deployment.workers.lease_s: %v is not above %v, the longest pause between two reports", w.LeaseS, longestPause)
+	maxHeartbeatPauseS := tuning.HeartbeatJitter * w.ReportS
+	if w.LeaseS <= maxHeartbeatPauseS {
+		return fmt.Errorf("field deployment.workers.lease_s: %v is not above %v, the longest pause between two reports", w.LeaseS, maxHeartbeatPauseS)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"marblehaven/internal/tuning"
 )
 
-const good = `{"node":"n-0","domain":"a","api_addr":"10.0.0.1:80","peer_bind":"10.0.0.1:81","unheard_of":1,
+const validSettings = `{"node":"n-0","domain":"a","api_addr":"10.0.0.1:80","peer_bind":"10.0.0.1:81","unheard_of":1,
 "peers":[{"node":"n-1","domain":"a","address":"10.0.0.2:81"}],"services":{"cloud":"10.2.0.2:1","state":"10.2.0.1:2"},
 "deployment":{"count":2,"zones":["a"],"teams":[{"name":"t","cpus":1}],
 "workers":{"report_s":3,"lease_s":12,"gang_wait_s":35,"gang_peer_s":4,"cancel_s":37},
@@ -28,7 +28,7 @@
 
 func TestLoad(t *testing.T) {
 	dir := t.TempDir() // not of a subtest: its path must not contain what errors must name
-	c, err := Load(writeFile(t, dir, "good.json", good), writeFile(t, dir, "op.toml", "rho = 1.5\nestimator = \"user\"\n"))
+	c, err := Load(writeFile(t, dir, "good.json", validSettings), writeFile(t, dir, "op.toml", "rho = 1.5\nestimator = \"user\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	}
 	// Settings that the service cannot work with are refused by one line that names the
 	// file or the field.
-	replaced := func(old, replacement string) string { return strings.Replace(good, old, replacement, 1) }
+	replaced := func(old, replacement string) string { return strings.Replace(validSettings, old, replacement, 1) }
 	for _, test := range []struct {
 		name     string
 		json     string
@@ -61,11 +61,11 @@
 		{"announced request rate is 0", replaced(`"txn_ops":20`, `"txn_ops":20,"next":{"rps":0}`), "", "state.next.rps"},
 		{"announced request rate is not a number", replaced(`"txn_ops":20`, `"txn_ops":20,"next":{"rps":"x"}`), "", "state.next.rps"},
 		{"value limit is too low for a record", replaced(`"value_kb":32`, `"value_kb":1.5`), "", "state.value_kb"},
-		{"operator factor is negative", good, "rho = -1", "rho"},
-		{"operator estimator is unknown", good, "estimator = \"guess\"", "estimator"},
-		{"operator share is above 1", good, "cloud_call_share = 2.0", "cloud_call_share"},
-		{"operator field is unknown", good, "unheard_of = 1", "unheard_of"},
-		{"operator file is not TOML", good, "rho = ", "bad.toml"},
+		{"operator factor is negative", validSettings, "rho = -1", "rho"},
+		{"operator estimator is unknown", validSettings, "estimator = \"guess\"", "estimator"},
+		{"operator share is above 1", validSettings, "cloud_call_share = 2.0", "cloud_call_share"},
+		{"operator field is unknown", validSettings, "unheard_of = 1", "unheard_of"},
+		{"operator file is not TOML", validSettings, "rho = ", "bad.toml"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			operatorPath := ""
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -18,7 +18,7 @@
 // of users' calls come off first.
 func (d *Deployment) Sockets(peers int) Sockets {
 	users := min(tuning.MaxInflight, d.Limits.Sockets/tuning.SocketsUserDivisor)
-	left := d.Limits.Sockets - tuning.SocketsReserved - 2*peers - users
-	commands := min(tuning.SocketsCommandsMax, int(float64(left)*tuning.SocketsCommandShare))
-	return Sockets{Users: users, Incoming: left - commands, Commands: commands}
+	remaining := d.Limits.Sockets - tuning.SocketsReserved - 2*peers - users
+	commands := min(tuning.SocketsCommandsMax, int(float64(remaining)*tuning.SocketsCommandShare))
+	return Sockets{Users: users, Incoming: remaining - commands, Commands: commands}
 }
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -20,7 +20,7 @@
 	Text string `msgpack:"text"`
 }
 
-func encoded(t *testing.T, value any) []byte {
+func encode(t *testing.T, value any) []byte {
 	t.Helper()
 	body, err := codec.Marshal(value)
 	if err != nil {
@@ -31,7 +31,7 @@
 
 // TestAnswers pins which error an answer becomes, and whether its body is decoded.
 func TestAnswers(t *testing.T) {
-	whole := encoded(t, payload{"decoded"})
+	validBody := encode(t, payload{"decoded"})
 	for _, c := range []struct {
 		name       string
 		status     int
@@ -40,16 +40,16 @@
 		malformed  bool // with ErrMalformed in the chain
 		wantText   string
 	}{
-		{name: "200 with a body", status: 200, body: whole, wantStatus: 200, wantText: "decoded"},
+		{name: "200 with a body", status: 200, body: validBody, wantStatus: 200, wantText: "decoded"},
 		{name: "200 with an empty body", status: 200, malformed: true},
-		{name: "200 with half a body", status: 200, body: whole[:len(whole)-2], malformed: true},
-		{name: "200 with trailing bytes", status: 200, body: append(bytes.Clone(whole), 0xc0), malformed: true, wantText: "decoded"},
-		{name: "409 with a body that is asked for", status: 409, body: whole, wantStatus: 409, wantText: "decoded"},
+		{name: "200 with half a body", status: 200, body: validBody[:len(validBody)-2], malformed: true},
+		{name: "200 with trailing bytes", status: 200, body: append(bytes.Clone(validBody), 0xc0), malformed: true, wantText: "decoded"},
+		{name: "409 with a body that is asked for", status: 409, body: validBody, wantStatus: 409, wantText: "decoded"},
 		{name: "409 with a body that cannot be decoded", status: 409, body: []byte("conflict"), malformed: true},
 		{name: "400 with an empty body that is asked for", status: 400, malformed: true},
 		{name: "404 whose body nobody asks for", status: 404, body: []byte("not found"), wantStatus: 404},
-		{name: "201 whose body nobody asks for", status: 201, body: whole, wantStatus: 201},
-		{name: "202 asked for with a nil value", status: 202, body: whole, wantStatus: 202},
+		{name: "201 whose body nobody asks for", status: 201, body: validBody, wantStatus: 201},
+		{name: "202 asked for with a nil value", status: 202, body: validBody, wantStatus: 202},
 		{name: "503 without a body", status: 503, wantStatus: 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -81,16 +81,16 @@
 // answer.
 func checkError(t *testing.T, err error, status int, url string) {
 	t.Helper()
-	var answered *httpclient.StatusError
-	var unanswered *httpclient.NoResponseError
-	isAnswered, isUnanswered := errors.As(err, &answered), errors.As(err, &unanswered)
+	var statusErr *httpclient.StatusError
+	var noResponse *httpclient.NoResponseError
+	isStatusError, isNoResponse := errors.As(err, &statusErr), errors.As(err, &noResponse)
 	switch {
 	case status == http.StatusOK && err != nil:
 		t.Errorf("got %v", err)
 	case status == http.StatusOK:
-	case status == 0 && (!isUnanswered || isAnswered || unanswered.Method != http.MethodGet || unanswered.URL != url):
+	case status == 0 && (!isNoResponse || isStatusError || noResponse.Method != http.MethodGet || noResponse.URL != url):
 		t.Errorf("got %v instead of no usable answer", err)
-	case status > 0 && (!isAnswered || isUnanswered || *answered != httpclient.StatusError{Method: http.MethodGet, URL: url, Status: status}):
+	case status > 0 && (!isStatusError || isNoResponse || *statusErr != httpclient.StatusError{Method: http.MethodGet, URL: url, Status: status}):
 		t.Errorf("got %v instead of status %d", err, status)
 	case status > 0 && (!httpclient.HasStatus(err, status) || httpclient.HasStatus(err, status+1)):
 		t.Errorf("HasStatus misreads %v", err)
@@ -101,7 +101,7 @@
 // unknown, with the cause in the chain, and is not logged as malformed.
 func TestNoAnswer(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	breakOff := func(w http.ResponseWriter, _ *http.Request) {
+	truncate := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		w.Write([]byte("the start"))
 	}
@@ -113,8 +113,8 @@
 		cause   error // nil: any
 	}{
 		{name: "timeout", handler: hang, timeout: 20 * time.Millisecond, cause: context.DeadlineExceeded},
-		{name: "answer that breaks off", handler: breakOff, timeout: time.Minute, cause: io.ErrUnexpectedEOF},
-		{name: "body that cannot be encoded", handler: breakOff, timeout: time.Minute, body: func() {}},
+		{name: "answer that breaks off", handler: truncate, timeout: time.Minute, cause: io.ErrUnexpectedEOF},
+		{name: "body that cannot be encoded", handler: truncate, timeout: time.Minute, body: func() {}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server := httptest.NewServer(c.handler)
@@ -159,7 +159,7 @@
 			}
 			var want []byte
 			if c.body != nil {
-				want = encoded(t, c.body)
+				want = encode(t, c.body)
 			}
 			if method != c.method || contentType != c.wantType || !bytes.Equal(body, want) {
 				t.Errorf("sent %s %q %x", method, contentType, body)
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -19,13 +19,13 @@
 	"marblehaven/internal/protocol"
 )
 
-// fixedAnswer is a transport that gives one answer to all requests.
-type fixedAnswer struct {
+// fixedResponse is a transport that gives one answer to all requests.
+type fixedResponse struct {
 	status int // 0: the connection fails
 	body   []byte
 }
 
-func (f fixedAnswer) RoundTrip(*http.Request) (*http.Response, error) {
+func (f fixedResponse) RoundTrip(*http.Request) (*http.Response, error) {
 	if f.status == 0 {
 		return nil, errors.New("connection refused")
 	}
@@ -39,8 +39,8 @@
 // operation is a call of the client.
 type operation = func(context.Context, *kvstore.Client) error
 
-// unreadable is a body that cannot be decoded.
-var unreadable = []byte("unreadable")
+// undecodableBody is a body that cannot be decoded.
+var undecodableBody = []byte("unreadable")
 
 // The operations on some key, some prefix or a lease.
 var (
@@ -70,20 +70,20 @@
 
 // outcomeCase is what an operation makes of an answer.
 type outcomeCase struct {
-	name      string
-	operation operation
-	status    int
-	body      any // encoded unless it is bytes
-	want      error
-	served    bool
-	names     string // what the error must name
+	name       string
+	operation  operation
+	status     int
+	body       any // encoded unless it is bytes
+	want       error
+	wantServed bool
+	wantText   string // what the error must name
 }
 
 var outcomeCases = []outcomeCase{
 	{"get: found", get, 200, protocol.KeyValue{Key: "some/key", Version: 3}, nil, true, ""},
 	{"get: no version", get, 200, protocol.KeyValue{Key: "some/key"}, kvstore.ErrOutcomeUnknown, true, "some/key"},
 	{"get: no such key", get, 404, nil, kvstore.ErrNotFound, true, "some/key"},
-	{"get: unreadable", get, 200, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
+	{"get: unreadable", get, 200, undecodableBody, kvstore.ErrOutcomeUnknown, false, "some/key"},
 	{"get: no connection", get, 0, nil, kvstore.ErrOutcomeUnknown, false, "connection refused"},
 	{"get: unavailable", get, 503, nil, kvstore.ErrUnavailable, false, "some/key"},
 	{"get: throttled", get, 429, nil, kvstore.ErrThrottled, true, "some/key"},
@@ -93,9 +93,9 @@
 	{"commit: executed", commit, 200, protocol.TransactionReply{Revision: 4}, nil, true, ""},
 	{"commit: no revision", commit, 200, protocol.TransactionReply{}, kvstore.ErrOutcomeUnknown, true, "some/key"},
 	{"commit: conflict", commit, 409, protocol.TransactionReply{FailedKeys: []string{"term"}}, kvstore.ErrConflict, true, "some/key"},
-	{"commit: unreadable conflict", commit, 409, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
+	{"commit: unreadable conflict", commit, 409, undecodableBody, kvstore.ErrOutcomeUnknown, false, "some/key"},
 	{"commit: rejected", commit, 400, protocol.ErrorReply{Error: "too many rows"}, kvstore.ErrInvalidRequest, true, "too many rows"},
-	{"commit: unreadable rejection", commit, 400, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
+	{"commit: unreadable rejection", commit, 400, undecodableBody, kvstore.ErrOutcomeUnknown, false, "some/key"},
 	{"commit: no such lease", commit, 400, protocol.ErrorReply{Error: protocol.ReasonNoLease}, kvstore.ErrLeaseExpired, true, "some/key"},
 	{"commit: unavailable", commit, 503, nil, kvstore.ErrUnavailable, false, "some/key"},
 	{"commit: throttled", commit, 429, nil, kvstore.ErrThrottled, true, "some/key"},
@@ -128,14 +128,14 @@
 					}
 				}
 				limits := config.State{StateLimits: config.StateLimits{ValueKB: 32, TxnOps: 20}}
-				client := kvstore.New("state:1", fixedAnswer{c.status, body}, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), limits)
+				client := kvstore.New("state:1", fixedResponse{c.status, body}, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), limits)
 				time.Sleep(time.Second)
 				err := c.operation(t.Context(), client)
 				checkOutcome(t, err, c.want)
-				if err != nil && !strings.Contains(err.Error(), c.names) {
-					t.Errorf("%q does not name %q", err, c.names)
+				if err != nil && !strings.Contains(err.Error(), c.wantText) {
+					t.Errorf("%q does not name %q", err, c.wantText)
 				}
-				if served := client.SinceServed() == 0; served != c.served {
+				if served := client.SinceServed() == 0; served != c.wantServed {
 					t.Errorf("served is %v after %v", served, err)
 				}
 			})
--- a/internal/kvstore/commit_test.go
+++ b/internal/kvstore/commit_test.go
@@ -23,30 +23,30 @@
 // writer is a leader that writes records under preconditions on the versions that it
 // believes them to have. A user changes an open record from time to time.
 type writer struct {
-	t        *testing.T
-	rng      *rand.Rand
-	state    *fake.Store
-	client   *kvstore.Client
-	versions map[string]protocol.Version // as the writer believes
-	outcome  map[int]error               // what the writer was told of each transaction
-	mu       sync.Mutex
-	executed map[int]int // how often each was executed, by number; protected by mu
-	number   int         // of the transaction under way
+	t          *testing.T
+	rng        *rand.Rand
+	store      *fake.Store
+	client     *kvstore.Client
+	versions   map[string]protocol.Version // as the writer believes
+	outcomes   map[int]error               // what the writer was told of each transaction
+	mu         sync.Mutex
+	executions map[int]int // how often each was executed, by number; protected by mu
+	lastNumber int         // of the transaction under way
 }
 
 func newWriter(t *testing.T, seed uint64) *writer {
-	w := &writer{t: t, rng: rand.New(rand.NewPCG(seed, 3)), state: fake.NewStore(),
-		versions: map[string]protocol.Version{}, executed: map[int]int{}, outcome: map[int]error{}}
+	w := &writer{t: t, rng: rand.New(rand.NewPCG(seed, 3)), store: fake.NewStore(),
+		versions: map[string]protocol.Version{}, executions: map[int]int{}, outcomes: map[int]error{}}
 	network := fake.NewNetwork(seed)
-	network.Listen("state", "state:1", w.state)
+	network.Listen("state", "state:1", w.store)
 	limits := config.State{StateLimits: config.StateLimits{ValueKB: 32, TxnOps: 20}}
 	w.client = kvstore.New("state:1", network.From(t.Context(), "leader"), httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), limits)
-	w.state.SetOnCommit(func(txn *protocol.Transaction) {
+	w.store.SetOnCommit(func(txn *protocol.Transaction) {
 		for _, precondition := range txn.Preconditions {
 			var number int
 			if _, err := fmt.Sscanf(precondition.Key, "number/%d", &number); err == nil {
 				w.mu.Lock()
-				w.executed[number]++
+				w.executions[number]++
 				w.mu.Unlock()
 			}
 		}
@@ -55,66 +55,66 @@
 	return w
 }
 
-// times is how often a transaction was executed.
-func (w *writer) times(number int) int {
+// timesExecuted is how often a transaction was executed.
+func (w *writer) timesExecuted(number int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.executed[number]
+	return w.executions[number]
 }
 
 // newTerm makes all earlier transactions fail that may still be executed, and reads the
 // versions.
 func (w *writer) newTerm() {
-	w.state.Put(termKey, w.number)
+	w.store.Put(termKey, w.lastNumber)
 	w.versions = map[string]protocol.Version{}
 	page, err := w.client.ListAll(w.t.Context(), "")
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	for _, item := range page.Entries {
-		w.versions[item.Key] = item.Version
+	for _, entry := range page.Entries {
+		w.versions[entry.Key] = entry.Version
 	}
 }
 
-// readOpen reads the version of the record that the user changes too.
-func (w *writer) readOpen() {
-	item, err := w.client.Get(w.t.Context(), "open")
+// readOpenVersion reads the version of the record that the user changes too.
+func (w *writer) readOpenVersion() {
+	entry, err := w.client.Get(w.t.Context(), "open")
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		w.t.Fatal(err)
 	}
-	w.versions["open"] = item.Version
+	w.versions["open"] = entry.Version
 }
 
 // transaction rewrites some records, closes a job whose open record the user changes as
 // well, or does both.
 func (w *writer) transaction() protocol.Transaction {
-	w.number++
-	txn := protocol.Transaction{Preconditions: []protocol.Precondition{{Key: termKey, Version: w.versions[termKey]}, {Key: fmt.Sprint("number/", w.number)}}}
+	w.lastNumber++
+	txn := protocol.Transaction{Preconditions: []protocol.Precondition{{Key: termKey, Version: w.versions[termKey]}, {Key: fmt.Sprint("number/", w.lastNumber)}}}
 	addPrecondition := func(key string) {
 		txn.Preconditions = append(txn.Preconditions, protocol.Precondition{Key: key, Version: w.versions[key]})
 	}
 	for i := range 3 {
 		if key := fmt.Sprint("run/", i); w.rng.IntN(2) == 0 {
 			addPrecondition(key)
-			txn.Mutations = append(txn.Mutations, protocol.Mutation{Set: key, Value: w.number})
+			txn.Mutations = append(txn.Mutations, protocol.Mutation{Set: key, Value: w.lastNumber})
 		}
 	}
 	if w.versions["open"] > 0 && w.rng.IntN(2) == 0 {
 		final := fmt.Sprint("final/", w.versions["open"])
 		addPrecondition("open")
 		addPrecondition(final)
-		txn.Mutations = append(txn.Mutations, protocol.Mutation{Delete: "open"}, protocol.Mutation{Set: final, Value: w.number})
+		txn.Mutations = append(txn.Mutations, protocol.Mutation{Delete: "open"}, protocol.Mutation{Set: final, Value: w.lastNumber})
 	}
 	return txn
 }
 
-// learn takes in that a transaction was executed.
-func (w *writer) learn(txn *protocol.Transaction, revision protocol.Revision) {
-	for _, change := range txn.Mutations {
-		if change.Delete != "" {
-			delete(w.versions, change.Delete)
+// recordVersions takes in that a transaction was executed.
+func (w *writer) recordVersions(txn *protocol.Transaction, revision protocol.Revision) {
+	for _, mutation := range txn.Mutations {
+		if mutation.Delete != "" {
+			delete(w.versions, mutation.Delete)
 		} else {
-			w.versions[change.Set] = revision.Version()
+			w.versions[mutation.Set] = revision.Version()
 		}
 	}
 }
@@ -122,7 +122,7 @@
 // step writes one transaction and goes on by what the client says of its outcome.
 func (w *writer) step() {
 	if w.versions["open"] == 0 {
-		w.state.Put("open", "a job")
+		w.store.Put("open", "a job")
 		w.newTerm()
 	}
 	txn := w.transaction()
@@ -133,8 +133,8 @@
 		pause := time.Duration(w.rng.IntN(400)) * time.Millisecond
 		go func() {
 			time.Sleep(pause)
-			if w.state.Value("open") != nil {
-				w.state.Put("open", "cancelled")
+			if w.store.Value("open") != nil {
+				w.store.Put("open", "cancelled")
 			}
 		}()
 	}
@@ -142,21 +142,21 @@
 	defer cancel()
 	reply, err := w.client.CommitUntilKnown(ctx, txn, termKey)
 	time.Sleep(time.Second)
-	w.outcome[w.number] = err
+	w.outcomes[w.lastNumber] = err
 	switch {
 	case err == nil:
-		if n := w.times(w.number); n != 1 {
-			w.t.Errorf("transaction %d is said to be executed, and was %d times", w.number, n)
+		if n := w.timesExecuted(w.lastNumber); n != 1 {
+			w.t.Errorf("transaction %d is said to be executed, and was %d times", w.lastNumber, n)
 		}
-		w.learn(&txn, reply.Revision)
+		w.recordVersions(&txn, reply.Revision)
 	case errors.Is(err, kvstore.ErrConflict):
-		w.readOpen() // as a watch event would tell; all other versions are as believed
+		w.readOpenVersion() // as a watch event would tell; all other versions are as believed
 	case errors.Is(err, kvstore.ErrInDoubt):
 		w.newTerm()
 	}
 	for key, version := range w.versions {
-		if item, err := w.client.Get(w.t.Context(), key); key != "open" && (err != nil || item.Version != version) {
-			w.t.Fatalf("%s has version %d and not %d after transaction %d, %v", key, item.Version, version, w.number, w.outcome[w.number])
+		if entry, err := w.client.Get(w.t.Context(), key); key != "open" && (err != nil || entry.Version != version) {
+			w.t.Fatalf("%s has version %d and not %d after transaction %d, %v", key, entry.Version, version, w.lastNumber, w.outcomes[w.lastNumber])
 		}
 	}
 }
@@ -171,11 +171,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newWriter(t, seed)
 			faults := rand.New(rand.NewPCG(seed, 4)) // the store asks for one fault at a time
-			w.state.SetFault(func(*protocol.Transaction) fake.Fault {
+			w.store.SetFault(func(*protocol.Transaction) fake.Fault {
 				return []fake.Fault{fake.None, fake.None, fake.None, fake.AnswerLost,
 					fake.NotExecuted, fake.OverLimit, fake.Throttled}[faults.IntN(7)]
 			})
-			w.state.SetLate(func() time.Duration {
+			w.store.SetLate(func() time.Duration {
 				if faults.IntN(6) > 0 {
 					return 0
 				}
@@ -185,7 +185,7 @@
 				w.step()
 			}
 			time.Sleep(time.Minute) // transactions that are late have been executed
-			for number, err := range w.outcome {
+			for number, err := range w.outcomes {
 				switch {
 				case errors.Is(err, kvstore.ErrInDoubt):
 					inDoubt++
@@ -194,7 +194,7 @@
 					conflicts++
 					fallthrough
 				default:
-					if w.times(number) > 0 {
+					if w.timesExecuted(number) > 0 {
 						t.Errorf("transaction %d was executed, and its writer told %v", number, err)
 					}
 				}
