--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,9 +1,10 @@
 // Package kvstore is the client of the key-value store.
 //
-// It owns the store's wire protocol, the limits that transactions are held to, and what
-// an answer says of an operation's outcome. All accesses to the store come through here.
-// It must never conclude that an operation was executed, or was not, without an answer
-// that proves it: callers decide what an unknown outcome means to them.
+// The package implements the store's wire protocol, checks transactions against the limits
+// in the settings, and maps each response to what is known of the operation's outcome. All
+// access to the store goes through it. It must never report an operation as executed, or as
+// not executed, without a response that proves it: callers decide how to handle an unknown
+// outcome.
 package kvstore
 
 import (
@@ -24,13 +25,14 @@
 	http    httpclient.Client
 	limits  *limits
 	start   time.Time
-	// lastServed is when the store last answered with a status other than 503, in
-	// nanoseconds after start: durations since start are steady, wall-clock times are not.
+	// lastServed is the time of the store's last usable response with a status other than
+	// 503, in nanoseconds after start. A duration since start is measured by the monotonic
+	// clock, while wall-clock times can jump.
 	lastServed atomic.Int64
 }
 
-// New makes a client for the store at address host:port over the given transport. Its
-// transactions keep to the limits that the settings give.
+// New returns a client for the store at address (host:port) that sends its requests over the
+// given transport and limits transactions as state says.
 func New(address string, transport http.RoundTripper, malformed *httpclient.MalformedLog, state config.State) *Client {
 	return &Client{
 		baseURL: "http://" + address,
@@ -40,17 +42,18 @@
 	}
 }
 
-// MaxValueBytes is the size in bytes as JSON of the largest value that may be written now.
+// MaxValueBytes returns the present size limit of a value, in bytes as JSON.
 func (c *Client) MaxValueBytes() int { return c.limits.valueBytes() }
 
-// MaxMutations is how many mutations a transaction may have.
+// MaxMutations returns the largest number of mutations in a transaction.
 func (c *Client) MaxMutations() int { return c.limits.stricter.TxnOps }
 
-// UseAnnouncedLimits holds values to the smaller of the present and the announced limit
-// from now on.
+// UseAnnouncedLimits limits the size of values to the smaller of the present and the
+// announced limit from now on.
 func (c *Client) UseAnnouncedLimits() { c.limits.useAnnounced.Store(true) }
 
-// SinceServed is the time since the store last gave a usable answer other than 503.
+// SinceServed returns the time since the store's last usable response with a status other
+// than 503, or since New if there was none.
 func (c *Client) SinceServed() time.Duration {
 	return time.Since(c.start) - time.Duration(c.lastServed.Load())
 }
@@ -65,22 +68,22 @@
 	path      string // with the query
 	body      any
 	responses map[int]any
-	// statusErrors is what the statuses other than 200, 429 and 503 mean to the
-	// operation. Any that is not in it leaves the outcome unknown.
+	// statusErrors maps statuses other than 200, 429 and 503 to what they mean for the
+	// operation. Any other status that is not in it leaves the outcome unknown.
 	statusErrors map[int]error
 }
 
-// operationError makes the error of the call.
+// operationError adds the operation and its target to an error of the call.
 func (r *call) operationError(err error) error {
 	return &OperationError{Operation: r.operation, Target: r.target, Err: err}
 }
 
-// protocolError is the error of a call whose answer breaks the store's protocol.
+// protocolError returns the error of a call whose response breaks the store's protocol.
 func (r *call) protocolError(problem string) error {
 	return r.operationError(fmt.Errorf("%w: %s", ErrOutcomeUnknown, problem))
 }
 
-// do sends the request of a call once, and returns nil after an answer 200.
+// do sends the request of a call once, and returns nil if the response has status 200.
 func (c *Client) do(ctx context.Context, request call) error {
 	ctx, cancel := context.WithTimeout(ctx, request.timeout)
 	defer cancel()
@@ -97,8 +100,8 @@
 	return request.operationError(classifyError(err, request.statusErrors))
 }
 
-// recordServed notes when the store gave an answer that shows that it serves this node:
-// any but 503. An answer that cannot be decoded is none.
+// recordServed records the time of a response that shows that the store serves this node:
+// one with any status but 503. A response that cannot be decoded does not count.
 func (c *Client) recordServed(err error) {
 	var noResponse *httpclient.NoResponseError
 	if errors.As(err, &noResponse) || httpclient.HasStatus(err, http.StatusServiceUnavailable) {
@@ -107,7 +110,8 @@
 	c.lastServed.Store(int64(time.Since(c.start)))
 }
 
-// classifyError translates an error of the HTTP client to what it says of an operation.
+// classifyError translates an error of the HTTP client to the error that says what is known
+// of the operation's outcome.
 func classifyError(err error, statusErrors map[int]error) error {
 	var statusErr *httpclient.StatusError
 	if !errors.As(err, &statusErr) {
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -19,7 +19,7 @@
 	"marblehaven/internal/protocol"
 )
 
-// fixedResponse is a transport that gives one answer to all requests.
+// fixedResponse is a transport that answers every request with the same response.
 type fixedResponse struct {
 	status int // 0: the connection fails
 	body   []byte
@@ -32,17 +32,17 @@
 	return &http.Response{StatusCode: f.status, Body: io.NopCloser(bytes.NewReader(f.body))}, nil
 }
 
-// sentinels are all errors that say what is known of an outcome.
+// sentinels are all errors of the package that say what is known of an outcome.
 var sentinels = []error{kvstore.ErrOutcomeUnknown, kvstore.ErrUnavailable, kvstore.ErrThrottled, kvstore.ErrConflict, kvstore.ErrNotFound,
 	kvstore.ErrLeaseExpired, kvstore.ErrInvalidRequest, kvstore.ErrTooLarge, kvstore.ErrCompacted, kvstore.ErrInDoubt}
 
-// operation is a call of the client.
+// operation calls one method of the client.
 type operation = func(context.Context, *kvstore.Client) error
 
 // undecodableBody is a body that cannot be decoded.
 var undecodableBody = []byte("unreadable")
 
-// The operations on some key, some prefix or a lease.
+// The operations on the key or prefix some/key, or on lease 7.
 var (
 	get operation = func(ctx context.Context, c *kvstore.Client) error {
 		_, err := c.Get(ctx, "some/key")
@@ -68,15 +68,15 @@
 	}
 )
 
-// outcomeCase is what an operation makes of an answer.
+// outcomeCase is the error that an operation is expected to return for a response.
 type outcomeCase struct {
 	name       string
 	operation  operation
 	status     int
-	body       any // encoded unless it is bytes
+	body       any // sent as it is if it is a []byte, otherwise encoded
 	want       error
 	wantServed bool
-	wantText   string // what the error must name
+	wantText   string // what the error must contain
 }
 
 var outcomeCases = []outcomeCase{
@@ -113,9 +113,9 @@
 	{"watch: no connection", watch, 0, nil, kvstore.ErrOutcomeUnknown, false, "connection refused"},
 }
 
-// TestOutcomes pins what each operation makes of each answer, and which answers show that
-// the store serves this node. An unknown outcome taken for a known one would lose or
-// repeat a write.
+// TestOutcomes checks which error each operation returns for each response, and which
+// responses show that the store serves this node. An unknown outcome that is taken for a
+// known one would lose or repeat a write.
 func TestOutcomes(t *testing.T) {
 	for _, c := range outcomeCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,33 +133,33 @@
 				err := c.operation(t.Context(), client)
 				checkOutcome(t, err, c.want)
 				if err != nil && !strings.Contains(err.Error(), c.wantText) {
-					t.Errorf("%q does not name %q", err, c.wantText)
+					t.Errorf("error %q does not contain %q", err, c.wantText)
 				}
 				if served := client.SinceServed() == 0; served != c.wantServed {
-					t.Errorf("served is %v after %v", served, err)
+					t.Errorf("the store counts as serving: %v, after error %v", served, err)
 				}
 			})
 		})
 	}
 }
 
-// checkOutcome checks that an error wraps the wanted sentinel and, but for ErrUnavailable
-// beside ErrThrottled, no other.
+// checkOutcome checks that an error wraps the wanted sentinel and no other, except that
+// ErrThrottled also wraps ErrUnavailable.
 func checkOutcome(t *testing.T, err, want error) {
 	t.Helper()
 	if want == nil {
 		if err != nil {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want none", err)
 		}
 		return
 	}
 	for _, sentinel := range sentinels {
 		if errors.Is(err, sentinel) != errors.Is(want, sentinel) {
-			t.Errorf("got %v instead of %v", err, want)
+			t.Errorf("got error %v, want %v", err, want)
 		}
 	}
 	var failed *kvstore.OperationError
 	if !errors.As(err, &failed) {
-		t.Errorf("%v does not say what was tried", err)
+		t.Errorf("error %v does not wrap an OperationError", err)
 	}
 }
--- a/internal/kvstore/commit.go
+++ b/internal/kvstore/commit.go
@@ -11,19 +11,21 @@
 	"marblehaven/internal/tuning"
 )
 
-// CommitUntilKnown carries a transaction through to an outcome that holds for good.
-// Without an answer the transaction may have been executed, or may be executed later, so
-// it is sent again, unchanged. The result is one of these:
+// CommitUntilKnown commits a transaction and returns once its outcome is final. Without a
+// response the transaction may have been executed, or may be executed later, so
+// CommitUntilKnown sends it again, unchanged. The error is one of these:
 //
-//   - nil: executed once; the reply has the revision.
-//   - ErrConflict: not executed, and never will be, or the precondition on termKey has
-//     failed; the reply names the keys whose preconditions failed.
-//   - ErrInDoubt, or the context's error: unknown, see there.
-//   - any other error: no attempt was executed, nor will be.
+//   - nil: executed once. The reply has the revision, except after retries of a transaction
+//     that sets no key under a precondition.
+//   - ErrConflict: not executed, and never will be, unless the precondition on termKey
+//     failed, which leaves the outcome of earlier attempts open. The reply names the keys
+//     whose preconditions failed.
+//   - ErrInDoubt, or the context's error: the outcome is unknown, see ErrInDoubt.
+//   - any other error: no attempt was executed or will be.
 //
-// As long as the precondition on termKey holds, the caller must be the only one to create
-// or delete any key that the transaction mutates under a precondition, or to set any key
-// that it sets, and must have one transaction under way at a time.
+// While the precondition on termKey holds, only the caller may create or delete a key that
+// the transaction mutates under a precondition, or set a key that the transaction sets. The
+// caller must have at most one transaction in flight.
 func (c *Client) CommitUntilKnown(ctx context.Context, txn protocol.Transaction, termKey string) (protocol.TransactionReply, error) {
 	maybeExecuted := false // whether an earlier attempt may have been executed
 	for ctx.Err() == nil {
@@ -38,8 +40,8 @@
 		case errors.Is(err, ErrConflict):
 			return c.resolveConflict(ctx, &txn, reply, err)
 		case !errors.Is(err, ErrUnavailable):
-			// The transaction cannot be sent any more, for instance since the limits
-			// have become smaller. That says nothing of the first attempt.
+			// The transaction cannot be sent again, for instance because the limits have
+			// become smaller. An earlier attempt may still have been executed.
 			return reply, fmt.Errorf("%w: %w", ErrInDoubt, err)
 		}
 		clock.Sleep(ctx, tuning.ElectionRetry)
@@ -47,22 +49,23 @@
 	return protocol.TransactionReply{}, ctx.Err()
 }
 
-// resolveConflict tells whether a conflict shows that an earlier, unanswered attempt was
-// executed: that would have changed every key that the transaction mutates, so the
-// preconditions on all of these would fail. One that holds proves that no attempt was
-// executed; and none ever will be, since a key never gets an earlier version again.
+// resolveConflict determines whether a conflict shows that an earlier attempt without a
+// response was executed. Such an attempt has changed every key that the transaction mutates,
+// so the preconditions on all of these keys fail now. One that still holds proves that no
+// attempt was executed. None will be later either, because a key never returns to an earlier
+// version, so the failed preconditions stay failed.
 func (c *Client) resolveConflict(ctx context.Context, txn *protocol.Transaction, reply protocol.TransactionReply, conflict error) (protocol.TransactionReply, error) {
 	setKey, executed := executedBefore(txn, reply.FailedKeys)
 	switch {
 	case !executed:
 		return reply, conflict
 	case setKey == "":
-		return protocol.TransactionReply{}, nil // it only deleted keys, which leaves no version to read
+		return protocol.TransactionReply{}, nil // only deletions, which leave no version to read
 	}
 	return c.readRevision(ctx, setKey, reply)
 }
 
-// readRevision reads at which revision an executed transaction set a key.
+// readRevision reads the revision at which an executed transaction set a key.
 func (c *Client) readRevision(ctx context.Context, setKey string, conflict protocol.TransactionReply) (protocol.TransactionReply, error) {
 	for ctx.Err() == nil {
 		entry, err := c.Get(ctx, setKey)
@@ -70,23 +73,23 @@
 		case err == nil:
 			return protocol.TransactionReply{Revision: entry.Version.Revision()}, nil
 		case errors.Is(err, ErrNotFound):
-			return conflict, fmt.Errorf("%w: key %q, which it sets, does not exist", ErrInDoubt, setKey)
+			return conflict, fmt.Errorf("%w: key %q, which the transaction sets, does not exist", ErrInDoubt, setKey)
 		}
 		clock.Sleep(ctx, tuning.ElectionRetry)
 	}
 	return protocol.TransactionReply{}, ctx.Err()
 }
 
-// executedBefore tells whether the preconditions on all keys that a transaction mutates
-// under a precondition have failed, of which there must be one. It also names the first
-// of these keys that the transaction sets.
+// executedBefore reports whether the preconditions failed on all keys that a transaction
+// mutates under a precondition. Without any such key it reports false. It also returns the
+// first of these keys that the transaction sets.
 func executedBefore(txn *protocol.Transaction, failedKeys []string) (setKey string, executed bool) {
 	conditional := map[string]bool{}
 	for _, precondition := range txn.Preconditions {
 		conditional[precondition.Key] = true
 	}
 	for _, mutation := range txn.Mutations {
-		key := mutation.Set + mutation.Delete // one of them is empty
+		key := mutation.Set + mutation.Delete // exactly one of these is not empty
 		if !conditional[key] {
 			continue
 		}
--- a/internal/kvstore/commit_test.go
+++ b/internal/kvstore/commit_test.go
@@ -20,18 +20,19 @@
 
 const termKey = "term"
 
-// writer is a leader that writes records under preconditions on the versions that it
-// believes them to have. A user changes an open record from time to time.
+// writer commits transactions as a leader does, with preconditions on the versions that it
+// expects the records to have. Some of its steps run beside a user who changes the open
+// record.
 type writer struct {
 	t          *testing.T
 	rng        *rand.Rand
 	store      *fake.Store
 	client     *kvstore.Client
-	versions   map[string]protocol.Version // as the writer believes
-	outcomes   map[int]error               // what the writer was told of each transaction
+	versions   map[string]protocol.Version // that the writer expects, by key
+	outcomes   map[int]error               // the result of each transaction, by number
 	mu         sync.Mutex
-	executions map[int]int // how often each was executed, by number; protected by mu
-	lastNumber int         // of the transaction under way
+	executions map[int]int // how often each transaction was executed, by number; protected by mu
+	lastNumber int         // of the latest transaction
 }
 
 func newWriter(t *testing.T, seed uint64) *writer {
@@ -55,15 +56,15 @@
 	return w
 }
 
-// timesExecuted is how often a transaction was executed.
+// timesExecuted returns how often a transaction was executed.
 func (w *writer) timesExecuted(number int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.executions[number]
 }
 
-// newTerm makes all earlier transactions fail that may still be executed, and reads the
-// versions.
+// newTerm changes the term key, so that earlier transactions that may still be executed
+// fail, and reads all versions.
 func (w *writer) newTerm() {
 	w.store.Put(termKey, w.lastNumber)
 	w.versions = map[string]protocol.Version{}
@@ -76,7 +77,7 @@
 	}
 }
 
-// readOpenVersion reads the version of the record that the user changes too.
+// readOpenVersion reads the version of the open record, which the user changes as well.
 func (w *writer) readOpenVersion() {
 	entry, err := w.client.Get(w.t.Context(), "open")
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
@@ -85,8 +86,8 @@
 	w.versions["open"] = entry.Version
 }
 
-// transaction rewrites some records, closes a job whose open record the user changes as
-// well, or does both.
+// transaction returns a transaction that rewrites some run records, closes the job whose
+// open record the user changes as well, or does both. It may have no mutations.
 func (w *writer) transaction() protocol.Transaction {
 	w.lastNumber++
 	txn := protocol.Transaction{Preconditions: []protocol.Precondition{{Key: termKey, Version: w.versions[termKey]}, {Key: fmt.Sprint("number/", w.lastNumber)}}}
@@ -108,7 +109,7 @@
 	return txn
 }
 
-// recordVersions takes in that a transaction was executed.
+// recordVersions updates the expected versions after a transaction was executed.
 func (w *writer) recordVersions(txn *protocol.Transaction, revision protocol.Revision) {
 	for _, mutation := range txn.Mutations {
 		if mutation.Delete != "" {
@@ -119,7 +120,8 @@
 	}
 }
 
-// step writes one transaction and goes on by what the client says of its outcome.
+// step commits one transaction and updates the expected versions by the outcome that the
+// client returns.
 func (w *writer) step() {
 	if w.versions["open"] == 0 {
 		w.store.Put("open", "a job")
@@ -129,7 +131,7 @@
 	if len(txn.Mutations) == 0 {
 		return
 	}
-	if w.rng.IntN(3) == 0 { // its user cancels it meanwhile
+	if w.rng.IntN(3) == 0 { // the user cancels the job while the transaction is in flight
 		pause := time.Duration(w.rng.IntN(400)) * time.Millisecond
 		go func() {
 			time.Sleep(pause)
@@ -146,31 +148,33 @@
 	switch {
 	case err == nil:
 		if n := w.timesExecuted(w.lastNumber); n != 1 {
-			w.t.Errorf("transaction %d is said to be executed, and was %d times", w.lastNumber, n)
+			w.t.Errorf("transaction %d was executed %d times, want once after a nil error", w.lastNumber, n)
 		}
 		w.recordVersions(&txn, reply.Revision)
 	case errors.Is(err, kvstore.ErrConflict):
-		w.readOpenVersion() // as a watch event would tell; all other versions are as believed
+		w.readOpenVersion() // a leader receives it in a watch event; all other versions are as expected
 	case errors.Is(err, kvstore.ErrInDoubt):
 		w.newTerm()
 	}
 	for key, version := range w.versions {
 		if entry, err := w.client.Get(w.t.Context(), key); key != "open" && (err != nil || entry.Version != version) {
-			w.t.Fatalf("%s has version %d and not %d after transaction %d, %v", key, entry.Version, version, w.lastNumber, w.outcomes[w.lastNumber])
+			w.t.Fatalf("key %s has version %d, want %d, after transaction %d with error %v", key, entry.Version, version, w.lastNumber, w.outcomes[w.lastNumber])
 		}
 	}
 }
 
-// Whatever happens to a transaction and its answers, what its writer is told holds for
-// good: it was executed once, or never was and never will be, or the outcome is unknown. A
-// first attempt that was executed without an answer, and rejected for the limits when sent
-// again, was once returned as not executed; tasks ran then that no record named.
+// TestCommitUntilKnownTellsTheTruth checks that the result of CommitUntilKnown stays true
+// when requests and responses are lost, late or rejected: a transaction was executed once, or
+// was not executed and never will be, or its outcome is unknown. It guards against this
+// fault: a first attempt was executed without a response, the retry was rejected for the
+// limits, and the transaction was returned as not executed, so tasks ran that no record
+// named.
 func TestCommitUntilKnownTellsTheTruth(t *testing.T) {
 	inDoubt, conflicts := 0, 0
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			w := newWriter(t, seed)
-			faults := rand.New(rand.NewPCG(seed, 4)) // the store asks for one fault at a time
+			faults := rand.New(rand.NewPCG(seed, 4)) // needs no lock: the store calls the hooks one at a time
 			w.store.SetFault(func(*protocol.Transaction) fake.Fault {
 				return []fake.Fault{fake.None, fake.None, fake.None, fake.AnswerLost,
 					fake.NotExecuted, fake.OverLimit, fake.Throttled}[faults.IntN(7)]
@@ -184,7 +188,7 @@
 			for range 40 {
 				w.step()
 			}
-			time.Sleep(time.Minute) // transactions that are late have been executed
+			time.Sleep(time.Minute) // by then the late transactions have been executed
 			for number, err := range w.outcomes {
 				switch {
 				case errors.Is(err, kvstore.ErrInDoubt):
@@ -195,13 +199,13 @@
 					fallthrough
 				default:
 					if w.timesExecuted(number) > 0 {
-						t.Errorf("transaction %d was executed, and its writer told %v", number, err)
+						t.Errorf("transaction %d was executed, but CommitUntilKnown returned %v", number, err)
 					}
 				}
 			}
 		})
 	}
 	if inDoubt < 10 || conflicts < 10 {
-		t.Errorf("only %d transactions were in doubt and %d in conflict", inDoubt, conflicts)
+		t.Errorf("%d transactions in doubt and %d conflicts, want at least 10 of each", inDoubt, conflicts)
 	}
 }
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -11,7 +11,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// GrantLease opens a lease that expires unless it is kept alive within its time to live.
+// GrantLease requests a lease that expires unless it is kept alive within its time to live.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (protocol.LeaseID, error) {
 	var lease protocol.Lease
 	request := call{
@@ -43,8 +43,8 @@
 	})
 }
 
-// RevokeLease ends a lease at once, with the keys attached to it. A lease that no longer
-// exists is no error.
+// RevokeLease ends a lease at once, which deletes the keys attached to it. A lease that no
+// longer exists is not an error.
 func (c *Client) RevokeLease(ctx context.Context, lease protocol.LeaseID) error {
 	err := c.do(ctx, call{
 		operation:    OperationRevoke,
--- a/internal/kvstore/limits.go
+++ b/internal/kvstore/limits.go
@@ -10,13 +10,13 @@
 	"marblehaven/internal/tuning"
 )
 
-// limits is what a transaction is held to. The number of mutations always respects the
-// announced limits. Values may be as large as the present limit while records are written
-// so that the previous version of this software can read them, and respect the announced
-// limit from the moment when announced is set, which is never undone.
+// limits holds the limits that transactions are checked against. The number of mutations
+// always respects the announced limit. Values may be as large as the present limit while
+// records are written in a format that the previous version of this software can read.
+// They respect the announced limit once useAnnounced is set, which is never reset.
 type limits struct {
 	present      config.StateLimits
-	stricter     config.StateLimits // of the present and the announced limits
+	stricter     config.StateLimits // for each limit the smaller of the present and the announced one
 	useAnnounced atomic.Bool
 }
 
@@ -31,8 +31,8 @@
 	return l.present.ValueBytes()
 }
 
-// check encodes the values of a transaction in place, and fails with ErrTooLarge if the
-// store would reject the transaction for its size.
+// check encodes the values of a transaction in place, and returns an error that wraps
+// ErrTooLarge if the store would reject the transaction for its size.
 func (l *limits) check(txn *protocol.Transaction) error {
 	if n := len(txn.Mutations); n > l.stricter.TxnOps {
 		return fmt.Errorf("%w: %d mutations", ErrTooLarge, n)
@@ -49,13 +49,13 @@
 		total += size
 	}
 	if total > tuning.TransactionBytes {
-		return fmt.Errorf("%w: %d bytes in all", ErrTooLarge, total)
+		return fmt.Errorf("%w: %d bytes in total", ErrTooLarge, total)
 	}
 	return nil
 }
 
-// encodeValue encodes the value of a mutation, if it has one, and returns the value's size
-// in bytes as JSON.
+// encodeValue encodes the value of a mutation in place, if it has one, and returns the
+// value's size in bytes as JSON.
 func (l *limits) encodeValue(mutation *protocol.Mutation) (size int, err error) {
 	if mutation.Value == nil {
 		return 0, nil
@@ -66,7 +66,7 @@
 	}
 	mutation.Value = raw
 	if size > l.valueBytes() {
-		return 0, fmt.Errorf("%w: %d bytes at %s", ErrTooLarge, size, mutation.Set)
+		return 0, fmt.Errorf("%w: value of %d bytes for key %s", ErrTooLarge, size, mutation.Set)
 	}
 	return size, nil
 }
--- a/internal/kvstore/read.go
+++ b/internal/kvstore/read.go
@@ -29,8 +29,8 @@
 	return entry, err
 }
 
-// List reads one page, of at most limit keys, of the keys with a prefix that come after
-// a key; an empty key asks for the first page.
+// List reads one page, of at most limit keys, of the keys with a prefix that sort after the
+// key after. An empty after requests the first page.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) (protocol.KeyValuePage, error) {
 	query := url.Values{"prefix": {prefix}, "most": {fmt.Sprint(limit)}}
 	if after != "" {
@@ -49,8 +49,8 @@
 }
 
 // ListAll reads all keys with a prefix. The revision is the first page's, so that a watch
-// from this revision sees whatever changed while the other pages were read. A page that
-// does not continue where the last one ended is an error: a missing key would look like
+// from this revision returns every change made while the other pages were read. A page that
+// does not continue where the previous one ended is an error: a missing key would look like
 // a record that does not exist.
 func (c *Client) ListAll(ctx context.Context, prefix string) (protocol.KeyValuePage, error) {
 	var all protocol.KeyValuePage
@@ -74,8 +74,8 @@
 	}
 }
 
-// pageProblem tells why a page does not continue a list whose last key so far is given, and
-// returns "" for one that does.
+// pageProblem returns why a page does not continue a list that has been read up to lastKey,
+// or "" if it does.
 func pageProblem(page protocol.KeyValuePage, lastKey string) string {
 	for _, entry := range page.Entries {
 		if entry.Key <= lastKey {
--- a/internal/kvstore/read_test.go
+++ b/internal/kvstore/read_test.go
@@ -18,8 +18,9 @@
 // last key of the page before.
 type pageTransport func(after string) protocol.KeyValuePage
 
-// A list of several pages that breaks off, repeats a page or goes back is an error: records
-// that are missing in a list would be taken for closed jobs, and their segments deleted.
+// TestListAll checks that a list of several pages that ends early, repeats a page or goes
+// back to earlier keys is an error: records that are missing in a list would be taken for
+// closed jobs, and their segments would be deleted.
 func TestListAll(t *testing.T) {
 	entries := func(keys ...string) (out []protocol.KeyValue) {
 		for _, key := range keys {
@@ -30,7 +31,7 @@
 	for _, test := range []struct {
 		name  string
 		pages pageTransport
-		want  int // -1: an error
+		want  int // number of entries; -1: an error
 	}{
 		{"one page", func(string) protocol.KeyValuePage {
 			return protocol.KeyValuePage{Entries: entries("a", "b"), Revision: 5}
@@ -57,7 +58,7 @@
 	} {
 		all, err := kvstore.New("state:1", test.pages, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), config.State{}).ListAll(t.Context(), "")
 		if (err != nil) != (test.want < 0) || (err == nil && (len(all.Entries) != test.want || all.Revision != 5)) {
-			t.Errorf("%s: %d records at %d, %v", test.name, len(all.Entries), all.Revision, err)
+			t.Errorf("%s: got %d entries at revision %d, error %v", test.name, len(all.Entries), all.Revision, err)
 		}
 	}
 }
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -11,8 +11,8 @@
 )
 
 // Commit sends a transaction once. After an ErrConflict the reply names the keys whose
-// preconditions failed. All writes to the store come through here, so that they are held
-// to the limits here.
+// preconditions failed. Commit is the only way to write to the store, so it checks the
+// transaction against the limits.
 func (c *Client) Commit(ctx context.Context, txn protocol.Transaction) (protocol.TransactionReply, error) {
 	var reply protocol.TransactionReply
 	request := call{
@@ -34,7 +34,7 @@
 	if err := c.limits.check(&txn); err != nil {
 		return reply, request.operationError(err)
 	}
-	request.body = txn // encoded by the check
+	request.body = txn // check has encoded the values
 	err := c.do(ctx, request)
 	switch {
 	case errors.Is(err, ErrInvalidRequest):
@@ -45,22 +45,23 @@
 	return reply, err
 }
 
-// rejectionError is the error of a transaction that the store rejectionError for a reason.
+// rejectionError returns the error of a transaction that the store rejected for a reason.
 func (c *Client) rejectionError(reason string) error {
 	if reason == protocol.ReasonNoLease {
 		return ErrLeaseExpired
 	}
-	// The limits may have become smaller, which no message announces.
+	// The announced limits may have taken effect. The store sends no notice of that.
 	c.UseAnnouncedLimits()
 	return fmt.Errorf("%w: %s", ErrInvalidRequest, reason)
 }
 
-// summarizeMutatedKeys names the first key that a transaction mutates, and how many more there are.
+// summarizeMutatedKeys returns the first key that a transaction mutates and the number of
+// the others.
 func summarizeMutatedKeys(txn *protocol.Transaction) string {
 	if len(txn.Mutations) == 0 {
 		return "no key"
 	}
-	first := txn.Mutations[0].Set + txn.Mutations[0].Delete // one of them is empty
+	first := txn.Mutations[0].Set + txn.Mutations[0].Delete // exactly one of these is not empty
 	if others := len(txn.Mutations) - 1; others > 0 {
 		return fmt.Sprintf("%s and %d more", first, others)
 	}
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -11,9 +11,9 @@
 	"marblehaven/internal/tuning"
 )
 
-// Watch waits until a key with a prefix changes after a revision, for at most hold, and
-// returns the changes. The error wraps ErrCompacted if the store no longer keeps them
-// all: the caller must list the keys anew.
+// Watch waits for at most hold until a key with a prefix changes after a revision, and
+// returns the changes. The error wraps ErrCompacted if the store no longer keeps all of
+// them; the caller must then list the keys again.
 func (c *Client) Watch(ctx context.Context, prefix string, after protocol.Revision, hold time.Duration) (protocol.WatchReply, error) {
 	query := url.Values{
 		"prefix": {prefix},
