--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -1,8 +1,8 @@
 // Package agent is the client of the agents, the processes that run tasks on the machines.
 //
-// It owns the sending of commands and the bound on how many are under way at once. It must
-// never repeat a command: an agent may execute one long after it was sent, and the leader
-// alone knows what may follow.
+// The package sends commands and limits the number of requests in flight. It must never
+// retry a command: an agent may execute a command long after it was sent, and only the
+// leader knows which command may be sent after it.
 package agent
 
 import (
@@ -18,13 +18,13 @@
 // Client sends commands to agents. It is safe for concurrent use.
 type Client struct {
 	http httpclient.Client
-	// slots holds an element for each request under way.
+	// slots holds an element for each request in flight.
 	slots chan struct{}
 }
 
-// New makes a client over the given transport that has at most maxInFlight requests under
-// way at once: a hundred machines that hang take a socket each until the requests to them
-// time out.
+// New returns a client over the given transport with at most maxInFlight requests in flight.
+// Without the limit, a hundred machines that hang would take a hundred sockets until the
+// requests to them time out.
 func New(transport http.RoundTripper, malformed *httpclient.MalformedLog, maxInFlight int) *Client {
 	return &Client{
 		http:  httpclient.Client{HTTP: &http.Client{Transport: transport}, Malformed: malformed},
@@ -32,14 +32,14 @@
 	}
 }
 
-// CommandError is a request with commands that got no usable answer: the commands may have
-// been executed, or may be executed even much later.
+// CommandError is the error of a request with commands that got no usable response: the
+// commands may have been executed, or may be executed later, even much later.
 type CommandError struct {
 	Address string // of the agent
 	Err     error
 }
 
-// Error names the agent, the outcome and the cause.
+// Error returns the agent's address, the unknown outcome and the cause.
 func (e *CommandError) Error() string {
 	return fmt.Sprintf("commands to agent %s: outcome unknown: %v", e.Address, e.Err)
 }
@@ -48,8 +48,9 @@
 func (e *CommandError) Unwrap() error { return e.Err }
 
 // SendCommands sends commands to the agent at an address and returns the agent's heartbeat
-// after them. The agent has executed all of the commands or none: the heartbeat tells. The
-// error is a *CommandError, or the context's if it ended before the commands were sent.
+// after them. The agent has executed all of the commands or none; the heartbeat shows which.
+// The error is a *CommandError, or the context's error if ctx ended before the commands were
+// sent.
 func (c *Client) SendCommands(ctx context.Context, address string, request protocol.CommandRequest) (*protocol.Heartbeat, error) {
 	select {
 	case c.slots <- struct{}{}:
@@ -66,8 +67,8 @@
 	return heartbeat, nil
 }
 
-// exchange sends the request once and decodes the heartbeat that answers it. An agent that
-// rejects the commands answers 409, with a heartbeat as well.
+// exchange sends the request once and decodes the heartbeat in the response. An agent that
+// rejects the commands responds with 409 and also with a heartbeat.
 func (c *Client) exchange(ctx context.Context, address string, request protocol.CommandRequest, heartbeat *protocol.Heartbeat) error {
 	err := c.http.Do(ctx, httpclient.Request{
 		Method: http.MethodPost,
--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -15,6 +15,7 @@
 	"marblehaven/internal/tuning"
 )
 
+// hangingTransport is a transport that never responds and counts the requests in flight.
 type hangingTransport struct{ inFlight, maxInFlight atomic.Int32 }
 
 func (h *hangingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -24,9 +25,9 @@
 	return nil, r.Context().Err()
 }
 
-// A hundred machines hang at once: commands to them take a bounded number of
-// sockets, each is tried all the same, and none holds its place for longer than
-// one command may take.
+// TestCommandsAtOnce sends commands to a hundred machines that hang. The number of requests
+// in flight must stay within the limit, every command must be sent, and each request must
+// free its slot after CommandTimeout.
 func TestCommandsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &hangingTransport{}
@@ -41,14 +42,14 @@
 		}
 		for range 100 {
 			if err := <-done; !errors.Is(err, context.DeadlineExceeded) {
-				t.Errorf("unexpected outcome: %v", err)
+				t.Errorf("got error %v, want context.DeadlineExceeded", err)
 			}
 		}
 		if transport.maxInFlight.Load() > 20 {
-			t.Errorf("%d commands at once", transport.maxInFlight.Load())
+			t.Errorf("%d requests in flight, want at most 20", transport.maxInFlight.Load())
 		}
 		if took := time.Since(start); took > 5*tuning.CommandTimeout+time.Second {
-			t.Errorf("took %v", took)
+			t.Errorf("all commands took %v, want five times CommandTimeout", took)
 		}
 	})
 }
--- a/internal/agent/outcomes_test.go
+++ b/internal/agent/outcomes_test.go
@@ -14,7 +14,7 @@
 	"marblehaven/internal/protocol"
 )
 
-// fixedResponse is a transport that gives one answer to all requests.
+// fixedResponse is a transport that answers every request with the same response.
 type fixedResponse struct {
 	status int // 0: the connection fails
 	body   []byte
@@ -27,8 +27,8 @@
 	return &http.Response{StatusCode: f.status, Body: io.NopCloser(bytes.NewReader(f.body))}, nil
 }
 
-// TestOutcomes pins which answers are heartbeats. Whatever is none leaves open whether the
-// commands will be executed.
+// TestOutcomes checks which responses are returned as heartbeats. Any other response must be
+// an error, because it leaves open whether the commands are executed.
 func TestOutcomes(t *testing.T) {
 	validHeartbeat, err := codec.Marshal(protocol.Heartbeat{Machine: "m-1", Incarnation: 1})
 	if err != nil {
@@ -58,13 +58,13 @@
 			heartbeat, err := client.SendCommands(t.Context(), "m-1:80", protocol.CommandRequest{})
 			if c.wantHeartbeat {
 				if err != nil || heartbeat.Machine != "m-1" {
-					t.Errorf("got %v, %v", heartbeat, err)
+					t.Errorf("got heartbeat %v, error %v; want the heartbeat of m-1", heartbeat, err)
 				}
 				return
 			}
 			var failed *CommandError
 			if !errors.As(err, &failed) || failed.Address != "m-1:80" || !strings.Contains(err.Error(), "m-1:80") {
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v, want a CommandError that names m-1:80", err)
 			}
 		})
 	}
--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -7,8 +7,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// Catalog reads the machine types and their current prices. Types that make no sense are
-// left out; a catalog without any type is an error.
+// Catalog reads the machine types and their current prices. Unusable types are left out; a
+// catalog without a usable type is an error.
 func (c *Client) Catalog(ctx context.Context) ([]protocol.MachineType, error) {
 	var catalog protocol.Catalog
 	request := call{
@@ -33,7 +33,8 @@
 	return usable, nil
 }
 
-// isUsable tells whether a machine type of the catalog makes sense.
+// isUsable reports whether a machine type has a name, a price above 0, at least one zone, and
+// no negative amount.
 func isUsable(machineType protocol.MachineType) bool {
 	return machineType.Name != "" &&
 		machineType.Cores >= 0 &&
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,9 +1,9 @@
 // Package cloud is the client of the cloud that provisions machines.
 //
-// It owns the cloud's wire protocol, the budget of calls that the settings allow, and what
-// an answer says of an operation's outcome. It must never exceed the budget, repeat a
-// request by itself, or return a part of a list as the whole: a machine that is missing
-// from a list counts as removed.
+// The package implements the cloud's wire protocol, keeps to the call budget in the
+// settings, and maps each response to what is known of the operation's outcome. It must
+// never exceed the budget, retry a request, or return part of a list as the whole list: a
+// machine that is missing from a list counts as removed.
 package cloud
 
 import (
@@ -25,8 +25,8 @@
 	budget  *rate.Limiter
 }
 
-// New makes a client for the cloud at address host:port over the given transport. It makes
-// at most callsPerSecond calls a second on average.
+// New returns a client for the cloud at address (host:port) that sends its requests over the
+// given transport. It makes at most callsPerSecond calls per second on average.
 func New(address string, transport http.RoundTripper, malformed *httpclient.MalformedLog, callsPerSecond float64) *Client {
 	burst := int(math.Max(1, callsPerSecond*tuning.CloudBurst))
 	return &Client{
@@ -47,18 +47,18 @@
 	responses map[int]any
 }
 
-// operationError makes the error of the call.
+// operationError adds the operation and its target to an error of the call.
 func (r *call) operationError(err error) error {
 	return &OperationError{Operation: r.operation, Target: r.target, Err: err}
 }
 
-// protocolError is the error of a call whose answer makes no sense.
+// protocolError returns the error of a call whose response breaks the cloud's protocol.
 func (r *call) protocolError(problem string) error {
 	return r.operationError(fmt.Errorf("%w: %s", ErrUnavailable, problem))
 }
 
-// do sends the request of a call once, as soon as the budget allows, and returns nil after
-// an answer 200.
+// do sends the request of a call once, as soon as the budget allows, and returns nil if the
+// response has status 200.
 func (c *Client) do(ctx context.Context, request call) error {
 	if err := c.budget.Wait(ctx); err != nil {
 		return request.operationError(fmt.Errorf("%w: %v", ErrUnavailable, err))
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -15,7 +15,7 @@
 	"marblehaven/internal/protocol"
 )
 
-// fixedResponse is a transport that gives one answer to all requests.
+// fixedResponse is a transport that answers every request with the same response.
 type fixedResponse struct {
 	status int // 0: the connection fails
 	body   []byte
@@ -28,8 +28,9 @@
 	return &http.Response{StatusCode: f.status, Body: io.NopCloser(bytes.NewReader(f.body))}, nil
 }
 
-// TestOutcomes pins what each operation makes of each answer. A provisioning request taken
-// for not executed, when it was, would leave machines that nobody uses or returns.
+// TestOutcomes checks which error each operation returns for each response. A provisioning
+// request that was executed but is reported as not executed would leave machines that are
+// neither used nor deprovisioned.
 func TestOutcomes(t *testing.T) {
 	provision := func(ctx context.Context, c *Client) error {
 		_, err := c.Provision(ctx, protocol.ProvisionRequest{RequestID: "claim-1"})
@@ -53,7 +54,7 @@
 		status    int
 		body      any // nil: an empty body
 		want      error
-		wantText  string // what the error must name
+		wantText  string // what the error must contain
 	}{
 		{"provision: machines", provision, 200, protocol.MachineIDs{IDs: []string{"m-1"}}, nil, ""},
 		{"provision: no capacity", provision, 503, protocol.ErrorReply{Error: "no capacity"}, ErrNoCapacity, "claim-1"},
@@ -78,7 +79,7 @@
 	}
 }
 
-// encodeBody is the body of an answer; nil has none.
+// encodeBody returns the body of a response that holds value; nil stands for an empty body.
 func encodeBody(t *testing.T, value any) []byte {
 	t.Helper()
 	if value == nil {
@@ -91,23 +92,23 @@
 	return body
 }
 
-// checkOutcome checks that an error is the one wanted and no other, and that it says what
-// was tried and on what.
+// checkOutcome checks that an error wraps the wanted sentinel and no other, and that it is
+// an OperationError that contains wantText.
 func checkOutcome(t *testing.T, err, want error, wantText string) {
 	t.Helper()
 	if want == nil {
 		if err != nil {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want none", err)
 		}
 		return
 	}
 	for _, sentinel := range []error{ErrNoCapacity, ErrInvalidRequest, ErrUnavailable} {
 		if errors.Is(err, sentinel) != errors.Is(want, sentinel) {
-			t.Fatalf("got %v instead of %v", err, want)
+			t.Fatalf("got error %v, want %v", err, want)
 		}
 	}
 	var failed *OperationError
 	if !errors.As(err, &failed) || !strings.Contains(err.Error(), wantText) {
-		t.Errorf("%q does not say what was tried, or does not name %q", err, wantText)
+		t.Errorf("error %q does not wrap an OperationError or does not contain %q", err, wantText)
 	}
 }
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -8,21 +8,22 @@
 // Each error of this package wraps one of these, which says what is known of the outcome
 // of the operation.
 var (
-	// ErrNoCapacity says that no machine of this type, zone and kind can be had now: not
-	// executed.
+	// ErrNoCapacity means that no machine of the requested type and zone, spot or standard as
+	// requested, is available now: not executed.
 	ErrNoCapacity = errors.New("cloud: no capacity, not executed")
-	// ErrInvalidRequest says that the cloud rejected the request: not executed.
+	// ErrInvalidRequest means that the cloud rejected the request: not executed.
 	ErrInvalidRequest = errors.New("cloud: request rejected, not executed")
-	// ErrUnavailable says that there was no usable answer: the outcome is unknown, and the
-	// request may be executed later. The context's end while the call waits for its budget
-	// counts as this, too.
+	// ErrUnavailable means that there was no usable response: the outcome is unknown, and the
+	// request may be executed later. It is also the error of a call whose context ends while
+	// it waits for the call budget.
 	ErrUnavailable = errors.New("cloud: unavailable, outcome unknown")
 )
 
-// OperationError is an operation of the cloud that failed.
+// OperationError is the error of a failed operation of the cloud.
 type OperationError struct {
 	Operation Operation
-	// Target is what the operation was on: a provisioning request or machines.
+	// Target names what the operation was on: the machine types, a provisioning request,
+	// machines, or the machine after which a page of the list was to start.
 	Target string
 	// Err wraps one of the sentinels above.
 	Err error
@@ -39,7 +40,7 @@
 	OperationList        Operation = "list machines after"
 )
 
-// Error names the operation, its target and what is known of the outcome.
+// Error returns the operation, its target and what is known of the outcome.
 func (e *OperationError) Error() string {
 	return fmt.Sprintf("%s %q: %v", e.Operation, e.Target, e.Err)
 }
--- a/internal/cloud/machines.go
+++ b/internal/cloud/machines.go
@@ -10,12 +10,12 @@
 	"marblehaven/internal/tuning"
 )
 
-// reasonNoCapacity is the cloud's reason for not provisioning any machine.
+// reasonNoCapacity is the reason in the cloud's response if no machine is available.
 const reasonNoCapacity = "no capacity"
 
-// Provision asks for machines, and returns the IDs of those it got. Repeating a request
-// with the same ID is safe: it is executed once. The error wraps ErrNoCapacity if no
-// machine is to be had.
+// Provision requests machines, and returns the IDs of those that the cloud provisions. It is
+// safe to repeat a request with the same ID: the cloud executes it once. The error wraps
+// ErrNoCapacity if no machine is available.
 func (c *Client) Provision(ctx context.Context, request protocol.ProvisionRequest) ([]string, error) {
 	var machines protocol.MachineIDs
 	var rejection protocol.ErrorReply
@@ -37,7 +37,8 @@
 	return machines.IDs, err
 }
 
-// Deprovision gives machines back. On success the machines and all tasks on them are gone.
+// Deprovision returns machines to the cloud. After a nil error the machines are removed,
+// and no task runs on them any more.
 func (c *Client) Deprovision(ctx context.Context, machineIDs []string) error {
 	return c.do(ctx, call{
 		operation: OperationDeprovision,
@@ -59,9 +60,9 @@
 	return machineIDs[0]
 }
 
-// ListMachines reads all machines, in as many pages as it takes. A page that does not lead
-// any further although there is more is an error, so that no part of the list is taken for
-// the whole.
+// ListMachines reads the whole list of machines, page by page. A page that does not advance
+// the list although another one follows is an error, so that part of the list is never taken
+// for the whole.
 func (c *Client) ListMachines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
 	for lastID := ""; ; {
@@ -77,8 +78,8 @@
 	}
 }
 
-// listPage reads the page of the list of machines after an ID; an empty ID asks for the
-// first page. A page that is not the last one leads to another ID.
+// listPage reads the page of the list of machines after an ID; an empty ID requests the
+// first page. A page that is not the last one and does not end with another ID is an error.
 func (c *Client) listPage(ctx context.Context, after string) (protocol.MachineList, error) {
 	query := url.Values{"most": {fmt.Sprint(tuning.ListMax)}}
 	if after != "" {
--- a/internal/cloud/machines_test.go
+++ b/internal/cloud/machines_test.go
@@ -14,6 +14,8 @@
 	"marblehaven/internal/protocol"
 )
 
+// pageTransport is a transport that answers a list request with a status and a page computed
+// from the ID after which the page starts.
 type pageTransport func(after string) (int, protocol.MachineList)
 
 func (p pageTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -22,8 +24,9 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(body))}, nil
 }
 
-// At a fleet's size the list has several pages. Where one of them fails there is
-// no list: a part of one would look like machines that are gone.
+// TestListPages checks that a list of several pages is read completely, and that there is an
+// error and no list if one of the pages fails: the machines that are missing in a part of
+// the list would count as removed.
 func TestListPages(t *testing.T) {
 	page := func(from int) protocol.MachineList {
 		var list protocol.MachineList
@@ -45,7 +48,7 @@
 		return 200, page(from)
 	}), httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000)
 	if all, err := client.ListMachines(t.Context()); err != nil || len(all) != 2500 || all[2499].ID != "m-002499" {
-		t.Errorf("listed %d machines: %v", len(all), err)
+		t.Errorf("listed %d machines, error %v; want 2500 up to m-002499", len(all), err)
 	}
 	for name, page := range map[string]protocol.MachineList{
 		"empty":    {More: true},
@@ -54,11 +57,11 @@
 		broken := pageTransport(func(string) (int, protocol.MachineList) { return 200, page })
 		all, err := New("cloud:1", broken, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 1000).ListMachines(t.Context())
 		if !errors.Is(err, ErrUnavailable) || all != nil {
-			t.Errorf("a list with a page that is %s: %d machines, %v", name, len(all), err)
+			t.Errorf("with a page that is %s: listed %d machines, error %v; want none and ErrUnavailable", name, len(all), err)
 		}
 	}
 	failingPage = 1500
 	if all, err := client.ListMachines(t.Context()); !errors.Is(err, ErrUnavailable) || all != nil {
-		t.Errorf("a page failed: listed %d machines: %v", len(all), err)
+		t.Errorf("with a page that fails: listed %d machines, error %v; want none and ErrUnavailable", len(all), err)
 	}
 }
