--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,9 +1,9 @@
-// Package httpclient sends single HTTP requests with MessagePack bodies and says by typed
-// errors what is known of their outcome.
+// Package httpclient sends single HTTP requests with MessagePack bodies and reports with
+// typed errors what is known of their outcome.
 //
-// It owns the encoding of requests, the decoding of answers and the rate-limited log of
-// malformed messages. It must never retry a request, nor take an answer that it could
-// not read for an answer: only the callers know whether a request may be repeated.
+// The package encodes requests, decodes responses and logs malformed messages at a limited
+// rate. It must never retry a request, or treat a response that it could not read as a
+// usable one: only the callers know whether a request may be repeated.
 package httpclient
 
 import (
@@ -23,22 +23,23 @@
 	URL    string
 	// Body is sent as MessagePack; nil sends no body.
 	Body any
-	// Responses holds, by status, the value into which the answer's body is decoded.
-	// The body of an answer with any other status is ignored.
+	// Responses holds, by status, the value into which the response's body is decoded.
+	// The body of a response with any other status is ignored.
 	Responses map[int]any
 }
 
 // Client sends requests to one kind of service. It is safe for concurrent use.
 type Client struct {
 	HTTP *http.Client
-	// Malformed logs answers that cannot be decoded; nil logs none.
+	// Malformed logs responses that cannot be decoded; nil logs none.
 	Malformed *MalformedLog
 }
 
-// Do sends a request once. It returns nil after an answer with status 200, a
-// *StatusError after one with another status, and a *NoAnswerError when there was no
-// usable answer. In each case a body that Responses asks for has been decoded, except
-// where there was no usable answer: what the values hold then means nothing.
+// Do sends a request once. It returns nil after a response with status 200, a *StatusError
+// after one with another status, and a *NoResponseError if there was no usable response.
+// Unless Do returns a *NoResponseError, the body has been decoded into the value that
+// Responses holds for the status, if any. After a *NoResponseError the contents of these
+// values are undefined.
 func (c Client) Do(ctx context.Context, request Request) error {
 	status, err := exchange(ctx, c.HTTP, request)
 	if err != nil {
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// exchange sends the request and reads the whole answer. An error says that there is no
-// usable answer.
+// exchange sends the request and reads the whole response. An error means that there is no
+// usable response.
 func exchange(ctx context.Context, httpClient *http.Client, request Request) (status int, err error) {
 	httpRequest, err := newHTTPRequest(ctx, request)
 	if err != nil {
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -29,15 +29,15 @@
 	return body
 }
 
-// TestAnswers pins which error an answer becomes, and whether its body is decoded.
+// TestAnswers checks which error Do returns for a response, and whether Do decodes its body.
 func TestAnswers(t *testing.T) {
 	validBody := encode(t, payload{"decoded"})
 	for _, c := range []struct {
 		name       string
 		status     int
 		body       []byte
-		wantStatus int  // of the StatusError; 200: no error; 0: no usable answer
-		malformed  bool // with ErrMalformed in the chain
+		wantStatus int  // of the StatusError; 200: no error; 0: no usable response
+		malformed  bool // whether the error wraps ErrMalformed
 		wantText   string
 	}{
 		{name: "200 with a body", status: 200, body: validBody, wantStatus: 200, wantText: "decoded"},
@@ -65,20 +65,20 @@
 				Responses: map[int]any{200: &got, 202: nil, 400: &got, 409: &got}})
 			checkError(t, err, c.wantStatus, server.URL+"/path")
 			if errors.Is(err, httpclient.ErrMalformed) != c.malformed {
-				t.Errorf("malformed is %v in %v", !c.malformed, err)
+				t.Errorf("whether the error wraps ErrMalformed is %v for %v", !c.malformed, err)
 			}
 			if wrote := strings.Contains(logged.String(), "malformed message"); wrote != c.malformed {
-				t.Errorf("logged %q", logged.String())
+				t.Errorf("a malformed message is missing in the log or unexpected there: %q", logged.String())
 			}
 			if got.Text != c.wantText {
-				t.Errorf("decoded %q instead of %q", got.Text, c.wantText)
+				t.Errorf("decoded %q, want %q", got.Text, c.wantText)
 			}
 		})
 	}
 }
 
-// checkError checks that an error is the one for a status: 200 is none, 0 no usable
-// answer.
+// checkError checks that an error is the one for a status: for 200 none, for 0 a
+// NoResponseError, for any other a StatusError.
 func checkError(t *testing.T, err error, status int, url string) {
 	t.Helper()
 	var statusErr *httpclient.StatusError
@@ -86,19 +86,20 @@
 	isStatusError, isNoResponse := errors.As(err, &statusErr), errors.As(err, &noResponse)
 	switch {
 	case status == http.StatusOK && err != nil:
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want none", err)
 	case status == http.StatusOK:
 	case status == 0 && (!isNoResponse || isStatusError || noResponse.Method != http.MethodGet || noResponse.URL != url):
-		t.Errorf("got %v instead of no usable answer", err)
+		t.Errorf("got error %v, want a NoResponseError", err)
 	case status > 0 && (!isStatusError || isNoResponse || *statusErr != httpclient.StatusError{Method: http.MethodGet, URL: url, Status: status}):
-		t.Errorf("got %v instead of status %d", err, status)
+		t.Errorf("got error %v, want a StatusError with status %d", err, status)
 	case status > 0 && (!httpclient.HasStatus(err, status) || httpclient.HasStatus(err, status+1)):
-		t.Errorf("HasStatus misreads %v", err)
+		t.Errorf("HasStatus reports the wrong status for error %v", err)
 	}
 }
 
-// TestNoAnswer pins that whatever keeps an answer from being read whole leaves the outcome
-// unknown, with the cause in the chain, and is not logged as malformed.
+// TestNoAnswer checks that a request without a completely read response fails with a
+// NoResponseError, which leaves the outcome unknown, that the error wraps the cause, and
+// that nothing is logged as malformed.
 func TestNoAnswer(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	truncate := func(w http.ResponseWriter, _ *http.Request) {
@@ -126,17 +127,17 @@
 			err := client.Do(ctx, httpclient.Request{Method: http.MethodGet, URL: server.URL, Body: c.body})
 			checkError(t, err, 0, server.URL)
 			if c.cause != nil && !errors.Is(err, c.cause) {
-				t.Errorf("%v does not say %v", err, c.cause)
+				t.Errorf("error %v does not wrap %v", err, c.cause)
 			}
 			if errors.Is(err, httpclient.ErrMalformed) || logged.Len() > 0 {
-				t.Errorf("taken for malformed: %v, logged %q", err, logged.String())
+				t.Errorf("got error %v, logged %q; want neither ErrMalformed nor a log line", err, logged.String())
 			}
 		})
 	}
 }
 
-// TestRequestSent pins what goes out: the method, the body as MessagePack with its
-// content type, and neither without a body.
+// TestRequestSent checks what Do sends: the method, and the body as MessagePack with its
+// content type. A request without a body has no content type.
 func TestRequestSent(t *testing.T) {
 	for _, c := range []struct {
 		name, method, wantType string
@@ -162,7 +163,7 @@
 				want = encode(t, c.body)
 			}
 			if method != c.method || contentType != c.wantType || !bytes.Equal(body, want) {
-				t.Errorf("sent %s %q %x", method, contentType, body)
+				t.Errorf("sent method %s, content type %q, body %x", method, contentType, body)
 			}
 		})
 	}
--- a/internal/httpclient/errors.go
+++ b/internal/httpclient/errors.go
@@ -5,33 +5,34 @@
 	"fmt"
 )
 
-// ErrMalformed is in the chain of a NoAnswerError when an answer came whose body could
-// not be decoded.
-var ErrMalformed = errors.New("malformed answer")
+// ErrMalformed is wrapped by a NoResponseError if the body of a response could not be
+// decoded.
+var ErrMalformed = errors.New("malformed response")
 
-// StatusError is an answer with a status other than 200. What the status says of the
-// request's outcome is up to the service's protocol.
+// StatusError is the error of a response with a status other than 200. The service's
+// protocol defines what the status says about the request's outcome.
 type StatusError struct {
 	Method string
 	URL    string
 	Status int
 }
 
-// Error names the request and the status.
+// Error returns the request and the status.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("%s %s: status %d", e.Method, e.URL, e.Status)
 }
 
-// NoResponseError is a request without a usable answer: it may have been executed, may be
-// executed later, or may never have left.
+// NoResponseError is the error of a request without a usable response: the request may have
+// been executed, may be executed later, or may never have been sent.
 type NoResponseError struct {
 	Method string
 	URL    string
-	// Err is the cause: of the transport, of the context, or ErrMalformed.
+	// Err is the cause, for example an error of the transport or the context, or one that
+	// wraps ErrMalformed.
 	Err error
 }
 
-// Error names the request and the cause.
+// Error returns the request and the cause.
 func (e *NoResponseError) Error() string {
 	return fmt.Sprintf("%s %s: no usable answer: %v", e.Method, e.URL, e.Err)
 }
@@ -39,7 +40,7 @@
 // Unwrap returns the cause.
 func (e *NoResponseError) Unwrap() error { return e.Err }
 
-// HasStatus tells whether an error of Do is an answer with the given status.
+// HasStatus reports whether an error of Do stands for a response with the given status.
 func HasStatus(err error, status int) bool {
 	var statusErr *StatusError
 	return errors.As(err, &statusErr) && statusErr.Status == status
--- a/internal/httpclient/malformedlog.go
+++ b/internal/httpclient/malformedlog.go
@@ -14,7 +14,7 @@
 	lastLogged atomic.Int64 // Unix time in nanoseconds
 }
 
-// NewMalformedLog makes a log of malformed messages.
+// NewMalformedLog returns a MalformedLog that writes to log.
 func NewMalformedLog(log *slog.Logger) *MalformedLog { return &MalformedLog{log: log} }
 
 // Record logs a malformed message, unless another was logged less than
