--- a/cmd/marblehaven/main.go
+++ b/cmd/marblehaven/main.go
@@ -15,7 +15,8 @@
 	"marblehaven"
 )
 
-// errorExitCode is the exit code for bad settings or flags.
+// errorExitCode is the exit code for invalid flags or settings, and for a controller that
+// cannot start.
 const errorExitCode = 2
 
 // settingsFiles are the paths of the settings files that a subcommand reads.
@@ -52,14 +53,14 @@
 	}
 }
 
-// exitWithError ends the program with one line on standard error, as the operators expect of
-// bad settings.
+// exitWithError ends the program with an error line on standard error. Operators rely on a
+// single line for invalid settings.
 func exitWithError(err error) {
 	fmt.Fprintf(os.Stderr, "marblehaven: %v\n", err)
 	os.Exit(errorExitCode)
 }
 
-// Run runs a controller until the process gets an interrupt or a termination signal.
+// Run runs a controller until the process receives an interrupt or termination signal.
 func (s *serveCmd) Run() error {
 	log, err := logger(os.Getenv("LOG_LEVEL"))
 	if err != nil {
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// Run prints the version that the build has recorded, if it has recorded one.
+// Run prints the version recorded in the binary, or "unknown" if there is none.
 func (versionCmd) Run() error {
 	version := "unknown"
 	if buildInfo, ok := debug.ReadBuildInfo(); ok {
@@ -93,8 +94,8 @@
 	return nil
 }
 
-// logger returns a logger to standard error at a level of LOG_LEVEL: error, info or
-// debug. The level is info if none is given.
+// logger returns a logger that writes to standard error. levelName is the value of
+// LOG_LEVEL: error, info or debug; empty stands for info.
 func logger(levelName string) (*slog.Logger, error) {
 	level := slog.LevelInfo
 	switch levelName {
@@ -104,7 +105,7 @@
 	case "debug":
 		level = slog.LevelDebug
 	default:
-		return nil, fmt.Errorf("LOG_LEVEL: %q is none of error, info, debug", levelName)
+		return nil, fmt.Errorf("LOG_LEVEL: %q is not one of error, info, debug", levelName)
 	}
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock waits for time to pass. It must never wait beyond the end of the context.
+// Package clock waits for durations. A wait must never outlast its context.
 package clock
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for a duration and returns true. If ctx ends before, it returns false at
+// Sleep waits for a duration and returns true. If ctx ends first, Sleep returns false at
 // once.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,8 +9,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// check returns the first fault of the settings. Settings that the service cannot work
-// with are refused at the start; it starts with all others.
+// check returns an error for the first setting with which the service cannot work. A
+// controller refuses to start with such settings and starts with all others.
 func (c *Config) check() error {
 	deployment := &c.Deployment
 	checks := []func() error{
@@ -80,13 +80,13 @@
 		}
 		seen[team.Name] = true
 		if team.Cores < 0 || team.CoresMax < 0 || team.GPUs < 0 || team.GPUsMax < 0 {
-			return fmt.Errorf("field deployment.teams[%d]: negative amount", i)
+			return fmt.Errorf("field deployment.teams[%d]: negative quota or quota limit", i)
 		}
 	}
 	return nil
 }
 
-// checkPositive checks the numbers that have no meaning unless they are above 0.
+// checkPositive checks the numbers that only have a meaning above 0.
 func (d *Deployment) checkPositive() error {
 	for _, number := range []struct {
 		field string
@@ -105,7 +105,7 @@
 		{"deployment.limits.memory_mb", d.Limits.MemoryMB},
 		{"deployment.limits.sockets", float64(d.Limits.Sockets)},
 	} {
-		// The condition is negated so that it also refuses a value that is not a number.
+		// The condition is negated so that it also refuses NaN.
 		if !(number.value > 0) || math.IsInf(number.value, 0) {
 			return fmt.Errorf("field %s: missing or not above 0", number.field)
 		}
@@ -113,32 +113,32 @@
 	return nil
 }
 
-// checkTimings refuses times with which machines would lose their leases without any
-// failure.
+// checkTimings refuses timings with which agents' leases would expire without any failure.
 func (w Workers) checkTimings() error {
 	minCancelS := w.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
 	if w.CancelS < minCancelS {
-		return fmt.Errorf("field deployment.workers.cancel_s: %v is below %v, lease_s and what a leader needs to answer reports", w.CancelS, minCancelS)
+		return fmt.Errorf("field deployment.workers.cancel_s: %v is below %v, the sum of lease_s, the shortest leader lease and its margin", w.CancelS, minCancelS)
 	}
 	maxHeartbeatPauseS := tuning.HeartbeatJitter * w.ReportS
 	if w.LeaseS <= maxHeartbeatPauseS {
-		return fmt.Errorf("field deployment.workers.lease_s: %v is not above %v, the longest pause between two reports", w.LeaseS, maxHeartbeatPauseS)
+		return fmt.Errorf("field deployment.workers.lease_s: %v is not above %v, the longest pause between two heartbeats of an agent", w.LeaseS, maxHeartbeatPauseS)
 	}
 	return nil
 }
 
-// checkSockets refuses a limit that leaves some use without a socket.
+// checkSockets refuses a limit that leaves fewer than tuning.SocketsMin sockets for incoming
+// connections, or none for commands or for users' calls.
 func (c *Config) checkSockets() error {
 	sockets := c.Deployment.Sockets(len(c.Peers))
 	if sockets.Incoming < tuning.SocketsMin || sockets.Commands < 1 || sockets.Users < 1 {
-		return fmt.Errorf("field deployment.limits.sockets: %d is too few to serve with", c.Deployment.Limits.Sockets)
+		return fmt.Errorf("field deployment.limits.sockets: %d is too few for incoming connections, commands to agents and users' calls", c.Deployment.Limits.Sockets)
 	}
 	return nil
 }
 
 func (l Limits) checkMemory() error {
 	if l.MemoryMB < tuning.MemoryMinMB {
-		return fmt.Errorf("field deployment.limits.memory_mb: %v is too little to serve with, below %d", l.MemoryMB, tuning.MemoryMinMB)
+		return fmt.Errorf("field deployment.limits.memory_mb: %v is below %d, the least with which the service runs", l.MemoryMB, tuning.MemoryMinMB)
 	}
 	return nil
 }
@@ -153,7 +153,7 @@
 	return state.Smaller().check("deployment.state.next")
 }
 
-// check refuses limits within which the service could not store its records.
+// check refuses limits with which the service cannot write its records.
 func (l StateLimits) check(field string) error {
 	switch {
 	case !(l.RPS > 0):
@@ -161,9 +161,9 @@
 	case !(l.WriteRPS > 0):
 		return fmt.Errorf("field %s.write_rps: not above 0", field)
 	case l.TxnOps < tuning.TransactionMutationsMin:
-		return fmt.Errorf("field %s.txn_ops: below %d, the changes that end a job", field, tuning.TransactionMutationsMin)
+		return fmt.Errorf("field %s.txn_ops: below %d, the mutations in the transaction that ends a job", field, tuning.TransactionMutationsMin)
 	case l.ValueKB < tuning.ValueMinKB:
-		return fmt.Errorf("field %s.value_kb: below %v, what a record takes", field, tuning.ValueMinKB)
+		return fmt.Errorf("field %s.value_kb: below %v, the size of a segment of a run record", field, tuning.ValueMinKB)
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,10 +1,10 @@
 // Package config reads and checks the settings of a controller: the platform's file
 // (JSON) and the operators' file (TOML).
 //
-// The package owns the names of the settings' fields and the texts of the errors that
-// refuse them; operators and the deploy file depend on both. Settings are read once at
-// the start. The package never changes them afterwards and knows nothing of the
-// components that use them.
+// The package defines the names of the settings' fields and the texts of the errors for
+// invalid ones; operators and the deploy file depend on both. Settings are read once at the
+// start. The package never changes them afterwards and does not depend on the components
+// that use them.
 package config
 
 import (
@@ -21,8 +21,8 @@
 	Address string `json:"address"`
 }
 
-// Team has a guaranteed quota and a quota limit of each resource. A limit of 0 means
-// that there is none.
+// Team holds a team's guaranteed quota and quota limit of each resource. A limit of 0 means
+// that the resource is not limited.
 type Team struct {
 	Name     string  `json:"name"`
 	Cores    float64 `json:"cpus"`
@@ -31,11 +31,10 @@
 	GPUsMax  float64 `json:"gpus_max"`
 }
 
-// ObjectiveKind tells what a service-level objective asks for. Kinds that this program
-// does not know are ignored.
+// ObjectiveKind is the kind of a service-level objective. Unknown kinds are ignored.
 type ObjectiveKind string
 
-// The kinds of objectives that decisions are made for.
+// The kinds of objectives that the leader takes into account when it schedules.
 const (
 	// ObjectiveDeadline: jobs are complete within a multiple of their deadline.
 	ObjectiveDeadline ObjectiveKind = "deadline"
@@ -60,8 +59,8 @@
 	Share float64 `json:"share"`
 }
 
-// Workers holds the timings of agents, in seconds. The type has the name of its field
-// in the settings.
+// Workers holds the timings of agents, in seconds. The type is named after its field in the
+// settings.
 type Workers struct {
 	// ReportS is the interval between two heartbeats of an agent.
 	ReportS float64 `json:"report_s"`
@@ -69,16 +68,16 @@
 	LeaseS float64 `json:"lease_s"`
 	// GangWaitS is how long a task of a gang waits for the other tasks to start.
 	GangWaitS float64 `json:"gang_wait_s"`
-	// GangPeerS is the time within which the other tasks of a running gang notice that
-	// one is lost.
+	// GangPeerS is the time within which the other tasks of a running gang detect that one
+	// is lost.
 	GangPeerS float64 `json:"gang_peer_s"`
 	// CancelS is the time after an acknowledged cancellation within which no task of
 	// the job may run any more.
 	CancelS float64 `json:"cancel_s"`
 }
 
-// Cloud holds the limits of the cloud: calls a second, and how far its list of machines
-// may lag behind.
+// Cloud holds the limits of the cloud: calls per second, and by how many seconds its list of
+// machines may lag behind the actual machines.
 type Cloud struct {
 	RPS      float64 `json:"rps"`
 	ListLagS float64 `json:"list_lag_s"`
@@ -91,7 +90,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Deployment describes the site.
+// Deployment describes the cluster and the services that it uses.
 type Deployment struct {
 	Count        int         `json:"count"`
 	Zones        []string    `json:"zones"`
@@ -124,7 +123,7 @@
 func Load(path, operatorPath string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err // names the file already
+		return nil, err // the error already names the file
 	}
 	c := &Config{Operator: DefaultOperator()}
 	if err := c.decode(raw); err != nil {
@@ -142,7 +141,7 @@
 	return c, nil
 }
 
-// decode reads the platform's settings. Fields that are not known are ignored.
+// decode parses the platform's settings. Unknown fields are ignored.
 func (c *Config) decode(raw []byte) error {
 	err := json.Unmarshal(raw, c)
 	if err == nil {
@@ -150,12 +149,12 @@
 	}
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return fmt.Errorf("field %s: cannot be %s", wrongType.Field, wrongType.Value)
+		return fmt.Errorf("field %s: wrong type, JSON %s", wrongType.Field, wrongType.Value)
 	}
 	return fmt.Errorf("not valid JSON: %w", err)
 }
 
-// Team returns the team with the name, nil if there is none.
+// Team returns the team with the name, or nil if there is none.
 func (c *Config) Team(name string) *Team {
 	for i := range c.Deployment.Teams {
 		if c.Deployment.Teams[i].Name == name {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,22 +27,22 @@
 }
 
 func TestLoad(t *testing.T) {
-	dir := t.TempDir() // not of a subtest: its path must not contain what errors must name
+	dir := t.TempDir() // not a subtest's, whose path could contain a name that errors must contain
 	c, err := Load(writeFile(t, dir, "good.json", validSettings), writeFile(t, dir, "op.toml", "rho = 1.5\nestimator = \"user\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Operator.Rho != 1.5 || c.Operator.IdleTimeoutBootFactor != DefaultOperator().IdleTimeoutBootFactor || c.Team("t") == nil {
-		t.Errorf("read as %+v", c)
+		t.Errorf("settings were read as %+v", c)
 	}
-	// Settings that the service cannot work with are refused by one line that names the
-	// file or the field.
+	// Settings with which the service cannot work are refused with an error of one line that
+	// names the file or the field.
 	replaced := func(old, replacement string) string { return strings.Replace(validSettings, old, replacement, 1) }
 	for _, test := range []struct {
 		name     string
 		json     string
 		operator string // the operators' file; empty: none
-		wantName string // what the error must name
+		wantName string // the file or field that the error must contain
 	}{
 		{"platform file is not JSON", "{", "", "bad.json"},
 		{"lease is not a number", replaced(`"lease_s":12`, `"lease_s":"x"`), "", "lease_s"},
@@ -74,49 +74,49 @@
 			}
 			_, err := Load(writeFile(t, dir, "bad.json", test.json), operatorPath)
 			if err == nil || !strings.Contains(err.Error(), test.wantName) || strings.Contains(strings.TrimSpace(err.Error()), "\n") {
-				t.Errorf("expected one line naming %s, got %v", test.wantName, err)
+				t.Errorf("got error %v, want one line that names %s", err, test.wantName)
 			}
 		})
 	}
 }
 
-// An announced limit counts only where it is smaller than the present one. Without
-// announced limits the present ones stand.
+// TestSmallerLimits checks that an announced limit is used only if it is smaller than the
+// present one, and that the present limits are used if none are announced.
 func TestSmallerLimits(t *testing.T) {
 	present := StateLimits{RPS: 250, WriteRPS: 25, ValueKB: 32, TxnOps: 20}
 	if got := (State{StateLimits: present}).Smaller(); got != present {
-		t.Errorf("without announced limits %+v", got)
+		t.Errorf("without announced limits: got %+v, want the present limits", got)
 	}
 	rps, value, ops := 400.0, 2.0, 6
 	got := State{StateLimits: present, Next: NextLimits{RPS: &rps, ValueKB: &value, TxnOps: &ops}}.Smaller()
 	if want := (StateLimits{RPS: 250, WriteRPS: 25, ValueKB: 2, TxnOps: 6}); got != want {
-		t.Errorf("smaller limits %+v instead of %+v", got, want)
+		t.Errorf("got limits %+v, want %+v", got, want)
 	}
 }
 
-// The parts of the sockets never add up to more than the limit, and the connections of
-// users and agents get the most of them.
+// TestSockets checks that the sockets of all uses never add up to more than the limit, and
+// that connections of users and agents get at least half of a limit of 1,000 or more.
 func TestSockets(t *testing.T) {
 	for _, n := range []int{200, 1000, 1800, 3000, 4000, 20000} {
 		for _, peers := range []int{2, 4, 6, 10} {
 			d := Deployment{Limits: Limits{Sockets: n}}
 			s := d.Sockets(peers)
 			if sum := s.Incoming + s.Commands + s.Users + 2*peers + tuning.SocketsReserved; sum > n || s.Users < 1 || s.Commands < 1 {
-				t.Errorf("%d sockets, %d peers: %+v", n, peers, s)
+				t.Errorf("%d sockets, %d peers: %+v exceed the limit or leave no socket for users or commands", n, peers, s)
 			}
 			if n >= 1000 && s.Incoming < n/2 {
-				t.Errorf("%d sockets, %d peers: only %d for users and agents", n, peers, s.Incoming)
+				t.Errorf("%d sockets, %d peers: %d for users and agents, want at least half", n, peers, s.Incoming)
 			}
 		}
 	}
 }
 
-// Each of 4,000 agents may hold a connection to the leader where there are 5,000 sockets.
-// Commands once took a fifth of the sockets left, so that the connections of agents were
-// evicted in turn.
+// TestSocketsForFourThousandMachines checks that 5,000 sockets allow each of 4,000 agents to
+// hold a connection to the leader. It guards against this fault: commands took a fifth of
+// the remaining sockets, so that agents' connections were closed to make room for others.
 func TestSocketsForFourThousandMachines(t *testing.T) {
 	d := Deployment{Limits: Limits{Sockets: 5000}}
 	if s := d.Sockets(2); s.Incoming < 4000 {
-		t.Errorf("only %d connections for users and agents", s.Incoming)
+		t.Errorf("%d connections for users and agents, want at least 4000", s.Incoming)
 	}
 }
--- a/internal/config/durations.go
+++ b/internal/config/durations.go
@@ -2,22 +2,21 @@
 
 import "time"
 
-// The settings files give times in seconds as decimal numbers. Inside, they are
-// durations.
+// seconds converts a time from the settings, a decimal number of seconds, to a duration.
 func seconds(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
 
-// HeartbeatInterval is the pause between two heartbeats of an agent.
+// HeartbeatInterval returns the interval between two heartbeats of an agent.
 func (w Workers) HeartbeatInterval() time.Duration { return seconds(w.ReportS) }
 
-// LeaseDuration is the life of an agent's lease.
+// LeaseDuration returns how long an agent's lease lasts after its last answered heartbeat.
 func (w Workers) LeaseDuration() time.Duration { return seconds(w.LeaseS) }
 
-// CancellationLimit is the time after an acknowledged cancellation within which no task
+// CancellationLimit returns the time after an acknowledged cancellation within which no task
 // of the job may run any more.
 func (w Workers) CancellationLimit() time.Duration { return seconds(w.CancelS) }
 
-// CancellationShare is a share of the cancellation limit.
+// CancellationShare returns a share of the cancellation limit.
 func (w Workers) CancellationShare(share float64) time.Duration { return seconds(w.CancelS * share) }
 
-// ListLag is how far the cloud's list of machines may lag behind.
+// ListLag returns by how much the cloud's list of machines may lag behind the actual machines.
 func (c Cloud) ListLag() time.Duration { return seconds(c.ListLagS) }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -7,20 +7,21 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Operator holds the settings in the operators' own file.
+// Operator holds the settings in the operators' file.
 type Operator struct {
-	// Rho is the factor by which an estimated run time and its queueing time count
+	// Rho is the factor by which an estimated run time and its queueing time are multiplied
 	// when the slack before a deadline is computed.
 	Rho float64 `toml:"rho"`
-	// DeadlineFactor times the estimated run time is the deadline of a job without one.
+	// DeadlineFactor times the estimated run time is the deadline of a job that was
+	// submitted without a deadline.
 	DeadlineFactor float64 `toml:"default_deadline_factor"`
 	// IdleTimeoutBootFactor times the boot time of its type is how long an idle machine is
 	// kept before scale in, at the type's lowest price. A higher price shortens it.
 	IdleTimeoutBootFactor float64 `toml:"give_back_boot_factor"`
-	// CloudCallShare is the share of the cloud's call rate limit that is used.
+	// CloudCallShare is the share of the cloud's call rate limit that a controller uses.
 	CloudCallShare float64 `toml:"cloud_call_share"`
-	// Estimator chooses the run-time estimate: estimatorRecent corrects the user's
-	// estimate by the recent runs of the job's class, estimatorUser takes it as it is.
+	// Estimator selects the run-time estimate: estimatorRecent corrects the user's estimate
+	// by the recent runs of the job's class, estimatorUser uses it unchanged.
 	Estimator string `toml:"estimator"`
 }
 
@@ -29,7 +30,7 @@
 	return Operator{Rho: 1, DeadlineFactor: 3, IdleTimeoutBootFactor: 4, CloudCallShare: 0.8, Estimator: estimatorRecent}
 }
 
-// load reads the operators' file over the values that the settings have now.
+// load reads the operators' file. Settings that are not in the file keep their values.
 func (o *Operator) load(path string) error {
 	metadata, err := toml.DecodeFile(path, o)
 	if err != nil {
@@ -47,7 +48,8 @@
 	estimatorUser   = "user"
 )
 
-// check names the unknown estimator, or every number that is out of its range.
+// check returns an error for an unknown estimator, or else for every number that is out of
+// its range.
 func (o Operator) check() error {
 	if o.Estimator != estimatorRecent && o.Estimator != estimatorUser {
 		return fmt.Errorf("field estimator: %q is neither \"recent\" nor \"user\"", o.Estimator)
@@ -60,7 +62,7 @@
 	)
 }
 
-// checkRange also refuses a value that is not a number, for which no comparison holds.
+// checkRange refuses a value outside of low to high, and NaN, for which no comparison holds.
 func checkRange(field string, value, low, high float64) error {
 	if !(value >= low && value <= high) {
 		return fmt.Errorf("field %s: %v is not within %v to %v", field, value, low, high)
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -1,7 +1,7 @@
 package config
 
-// StateLimits holds limits of the key-value store: requests and writes a second, the
-// size of a value, and the mutations in a transaction.
+// StateLimits holds limits of the key-value store: requests and writes per second, the size
+// of a value, and the mutations in a transaction.
 type StateLimits struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -9,8 +9,8 @@
 	TxnOps   int     `json:"txn_ops"`
 }
 
-// NextLimits holds the announced limits of the key-value store. A field that is left
-// out stays at its present limit.
+// NextLimits holds the announced limits of the key-value store. A limit that is left out
+// does not change.
 type NextLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -18,8 +18,8 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// State holds the present limits of the key-value store and the announced ones, which
-// take effect at some moment after an upgrade.
+// State holds the present limits of the key-value store and the announced ones, which take
+// effect at an unknown time after an upgrade.
 type State struct {
 	StateLimits
 	Next NextLimits `json:"next"`
@@ -43,5 +43,5 @@
 	return min(present, *next)
 }
 
-// ValueBytes is the size limit of a value, in bytes of its JSON form.
+// ValueBytes returns the size limit of a value, in bytes as JSON.
 func (l StateLimits) ValueBytes() int { return int(l.ValueKB * 1024) }
--- a/scripts/known_red_test.go
+++ b/scripts/known_red_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestKnownRed checks which tests a KNOWN-RED file passes over, and that a file which could
-// hide another test is an error.
+// TestKnownRed checks which tests the script known-red excludes for a KNOWN-RED file, and
+// that the script fails for a file that could hide another test.
 func TestKnownRed(t *testing.T) {
 	const line = "TestKnownRed, a cause, issue 1\n"
 	cases := map[string]struct {
