--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -36,14 +36,14 @@
 
 // The kinds of objectives that the leader takes into account when it schedules.
 const (
-	// ObjectiveDeadline: jobs are complete within a multiple of their deadline.
+	// ObjectiveDeadline asks that jobs are complete within a multiple of their deadline.
 	ObjectiveDeadline ObjectiveKind = "deadline"
-	// ObjectiveFinished: jobs are complete within some seconds.
+	// ObjectiveFinished asks that jobs are complete within some seconds.
 	ObjectiveFinished ObjectiveKind = "finished"
-	// ObjectiveWait: tasks start within some seconds.
+	// ObjectiveWait asks that tasks start within some seconds.
 	ObjectiveWait ObjectiveKind = "wait"
-	// ObjectiveGuarantee: work within a team's guaranteed quota starts within some
-	// seconds.
+	// ObjectiveGuarantee asks that work within a team's guaranteed quota starts within
+	// some seconds.
 	ObjectiveGuarantee ObjectiveKind = "guarantee"
 )
 
@@ -64,7 +64,7 @@
 type Workers struct {
 	// ReportS is the interval between two heartbeats of an agent.
 	ReportS float64 `json:"report_s"`
-	// LeaseS is the life of an agent's lease after its last answered heartbeat.
+	// LeaseS is how long an agent's lease lasts after its last answered heartbeat.
 	LeaseS float64 `json:"lease_s"`
 	// GangWaitS is how long a task of a gang waits for the other tasks to start.
 	GangWaitS float64 `json:"gang_wait_s"`
