--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -74,7 +74,7 @@
 			}
 			_, err := Load(writeFile(t, dir, "bad.json", test.json), operatorPath)
 			if err == nil || !strings.Contains(err.Error(), test.wantName) || strings.Contains(strings.TrimSpace(err.Error()), "\n") {
-				t.Errorf("got error %v, want one line that names %s", err, test.wantName)
+				t.Errorf("want an error of one line that names %s, got %v", test.wantName, err)
 			}
 		})
 	}
