--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -15,40 +15,41 @@
 	"marblehaven/internal/tuning"
 )
 
-type silent struct{ now, most atomic.Int32 }
+// hangingTransport is a transport that never responds and counts the requests in flight.
+type hangingTransport struct{ inFlight, maxInFlight atomic.Int32 }
 
-func (s *silent) RoundTrip(r *http.Request) (*http.Response, error) {
-	s.most.Store(max(s.most.Load(), s.now.Add(1)))
+func (h *hangingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	h.maxInFlight.Store(max(h.maxInFlight.Load(), h.inFlight.Add(1)))
 	<-r.Context().Done()
-	s.now.Add(-1)
+	h.inFlight.Add(-1)
 	return nil, r.Context().Err()
 }
 
-// A hundred machines hang at once: commands to them take a bounded number of
-// sockets, each is tried all the same, and none holds its place for longer than
-// one command may take.
+// TestCommandsAtOnce sends commands to a hundred machines that hang. The number of requests
+// in flight must stay within the limit, every command must be sent, and each request must
+// free its slot after CommandTimeout.
 func TestCommandsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &silent{}
-		c := New(s, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 20)
+		transport := &hangingTransport{}
+		client := New(transport, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), 20)
 		start := time.Now()
 		done := make(chan error)
 		for range 100 {
 			go func() {
-				_, err := c.SendCommands(t.Context(), "m:1", protocol.CommandRequest{})
+				_, err := client.SendCommands(t.Context(), "m:1", protocol.CommandRequest{})
 				done <- err
 			}()
 		}
 		for range 100 {
 			if err := <-done; !errors.Is(err, context.DeadlineExceeded) {
-				t.Errorf("unexpected outcome: %v", err)
+				t.Errorf("got error %v, want context.DeadlineExceeded", err)
 			}
 		}
-		if s.most.Load() > 20 {
-			t.Errorf("%d commands at once", s.most.Load())
+		if transport.maxInFlight.Load() > 20 {
+			t.Errorf("%d requests in flight, want at most 20", transport.maxInFlight.Load())
 		}
 		if took := time.Since(start); took > 5*tuning.CommandTimeout+time.Second {
-			t.Errorf("took %v", took)
+			t.Errorf("all commands took %v, want five times CommandTimeout", took)
 		}
 	})
 }
--- a/internal/cloud/machines.go
+++ b/internal/cloud/machines.go
@@ -10,12 +10,12 @@
 	"marblehaven/internal/tuning"
 )
 
-// reasonNoCapacity is the cloud's reason for not provisioning any machine.
+// reasonNoCapacity is the reason in the cloud's response if no machine is available.
 const reasonNoCapacity = "no capacity"
 
-// Provision asks for machines, and returns the IDs of those it got. Repeating a request
-// with the same ID is safe: it is executed once. The error wraps ErrNoCapacity if no
-// machine is to be had.
+// Provision requests machines, and returns the IDs of those that the cloud provisions. It is
+// safe to repeat a request with the same ID: the cloud executes it once. The error wraps
+// ErrNoCapacity if no machine is available.
 func (c *Client) Provision(ctx context.Context, request protocol.ProvisionRequest) ([]string, error) {
 	var machines protocol.MachineIDs
 	var rejection protocol.ErrorReply
@@ -32,24 +32,25 @@
 	}
 	err := c.do(ctx, provision)
 	if err != nil && rejection.Error == reasonNoCapacity {
-		return nil, provision.fail(ErrNoCapacity)
+		return nil, provision.operationError(ErrNoCapacity)
 	}
 	return machines.IDs, err
 }
 
-// Deprovision gives machines back. On success the machines and all tasks on them are gone.
+// Deprovision returns machines to the cloud. After a nil error the machines are removed,
+// and no task runs on them any more.
 func (c *Client) Deprovision(ctx context.Context, machineIDs []string) error {
 	return c.do(ctx, call{
 		operation: OperationDeprovision,
-		target:    firstOf(machineIDs),
+		target:    summarizeMachineIDs(machineIDs),
 		method:    http.MethodPost,
 		path:      "/rentals/return",
 		body:      protocol.MachineIDs{IDs: machineIDs},
 	})
 }
 
-// firstOf names the first of some machines, and how many more there are.
-func firstOf(machineIDs []string) string {
+// summarizeMachineIDs names the first of some machines, and how many more there are.
+func summarizeMachineIDs(machineIDs []string) string {
 	switch others := len(machineIDs) - 1; {
 	case others < 0:
 		return "no machine"
@@ -59,13 +60,13 @@
 	return machineIDs[0]
 }
 
-// ListMachines reads all machines, in as many pages as it takes. A page that does not lead
-// any further although there is more is an error, so that no part of the list is taken for
-// the whole.
+// ListMachines reads the whole list of machines, page by page. A page that does not advance
+// the list although another one follows is an error, so that part of the list is never taken
+// for the whole.
 func (c *Client) ListMachines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
-	for last := ""; ; {
-		page, err := c.listPage(ctx, last)
+	for lastID := ""; ; {
+		page, err := c.listPage(ctx, lastID)
 		if err != nil {
 			return nil, err
 		}
@@ -73,12 +74,12 @@
 		if !page.More {
 			return all, nil
 		}
-		last = page.Machines[len(page.Machines)-1].ID
+		lastID = page.Machines[len(page.Machines)-1].ID
 	}
 }
 
-// listPage reads the page of the list of machines after an ID; an empty ID asks for the
-// first page. A page that is not the last one leads to another ID.
+// listPage reads the page of the list of machines after an ID; an empty ID requests the
+// first page. A page that is not the last one and does not end with another ID is an error.
 func (c *Client) listPage(ctx context.Context, after string) (protocol.MachineList, error) {
 	query := url.Values{"most": {fmt.Sprint(tuning.ListMax)}}
 	if after != "" {
@@ -97,9 +98,9 @@
 	}
 	switch count := len(page.Machines); {
 	case count == 0:
-		return page, request.fault("empty page with more to come")
+		return page, request.protocolError("empty page with more to come")
 	case page.Machines[count-1].ID == after:
-		return page, request.fault("the same page again")
+		return page, request.protocolError("the same page again")
 	}
 	return page, nil
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -19,30 +19,30 @@
 	"marblehaven/internal/protocol"
 )
 
-// fixedAnswer is a transport that gives one answer to all requests.
-type fixedAnswer struct {
+// fixedResponse is a transport that answers every request with the same response.
+type fixedResponse struct {
 	status int // 0: the connection fails
 	body   []byte
 }
 
-func (f fixedAnswer) RoundTrip(*http.Request) (*http.Response, error) {
+func (f fixedResponse) RoundTrip(*http.Request) (*http.Response, error) {
 	if f.status == 0 {
 		return nil, errors.New("connection refused")
 	}
 	return &http.Response{StatusCode: f.status, Body: io.NopCloser(bytes.NewReader(f.body))}, nil
 }
 
-// sentinels are all errors that say what is known of an outcome.
+// sentinels are all errors of the package that say what is known of an outcome.
 var sentinels = []error{kvstore.ErrOutcomeUnknown, kvstore.ErrUnavailable, kvstore.ErrThrottled, kvstore.ErrConflict, kvstore.ErrNotFound,
 	kvstore.ErrLeaseExpired, kvstore.ErrInvalidRequest, kvstore.ErrTooLarge, kvstore.ErrCompacted, kvstore.ErrInDoubt}
 
-// operation is a call of the client.
+// operation calls one method of the client.
 type operation = func(context.Context, *kvstore.Client) error
 
-// unreadable is a body that cannot be decoded.
-var unreadable = []byte("unreadable")
+// undecodableBody is a body that cannot be decoded.
+var undecodableBody = []byte("unreadable")
 
-// The operations on some key, some prefix or a lease.
+// The operations on the key or prefix some/key, or on lease 7.
 var (
 	get operation = func(ctx context.Context, c *kvstore.Client) error {
 		_, err := c.Get(ctx, "some/key")
@@ -68,22 +68,22 @@
 	}
 )
 
-// outcomeCase is what an operation makes of an answer.
+// outcomeCase is the error that an operation is expected to return for a response.
 type outcomeCase struct {
-	name      string
-	operation operation
-	status    int
-	body      any // encoded unless it is bytes
-	want      error
-	served    bool
-	names     string // what the error must name
+	name       string
+	operation  operation
+	status     int
+	body       any // sent as it is if it is a []byte, otherwise encoded
+	want       error
+	wantServed bool
+	wantText   string // what the error must contain
 }
 
 var outcomeCases = []outcomeCase{
 	{"get: found", get, 200, protocol.KeyValue{Key: "some/key", Version: 3}, nil, true, ""},
 	{"get: no version", get, 200, protocol.KeyValue{Key: "some/key"}, kvstore.ErrOutcomeUnknown, true, "some/key"},
 	{"get: no such key", get, 404, nil, kvstore.ErrNotFound, true, "some/key"},
-	{"get: unreadable", get, 200, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
+	{"get: unreadable", get, 200, undecodableBody, kvstore.ErrOutcomeUnknown, false, "some/key"},
 	{"get: no connection", get, 0, nil, kvstore.ErrOutcomeUnknown, false, "connection refused"},
 	{"get: unavailable", get, 503, nil, kvstore.ErrUnavailable, false, "some/key"},
 	{"get: throttled", get, 429, nil, kvstore.ErrThrottled, true, "some/key"},
@@ -93,9 +93,9 @@
 	{"commit: executed", commit, 200, protocol.TransactionReply{Revision: 4}, nil, true, ""},
 	{"commit: no revision", commit, 200, protocol.TransactionReply{}, kvstore.ErrOutcomeUnknown, true, "some/key"},
 	{"commit: conflict", commit, 409, protocol.TransactionReply{FailedKeys: []string{"term"}}, kvstore.ErrConflict, true, "some/key"},
-	{"commit: unreadable conflict", commit, 409, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
+	{"commit: unreadable conflict", commit, 409, undecodableBody, kvstore.ErrOutcomeUnknown, false, "some/key"},
 	{"commit: rejected", commit, 400, protocol.ErrorReply{Error: "too many rows"}, kvstore.ErrInvalidRequest, true, "too many rows"},
-	{"commit: unreadable rejection", commit, 400, unreadable, kvstore.ErrOutcomeUnknown, false, "some/key"},
+	{"commit: unreadable rejection", commit, 400, undecodableBody, kvstore.ErrOutcomeUnknown, false, "some/key"},
 	{"commit: no such lease", commit, 400, protocol.ErrorReply{Error: protocol.ReasonNoLease}, kvstore.ErrLeaseExpired, true, "some/key"},
 	{"commit: unavailable", commit, 503, nil, kvstore.ErrUnavailable, false, "some/key"},
 	{"commit: throttled", commit, 429, nil, kvstore.ErrThrottled, true, "some/key"},
@@ -113,9 +113,9 @@
 	{"watch: no connection", watch, 0, nil, kvstore.ErrOutcomeUnknown, false, "connection refused"},
 }
 
-// TestOutcomes pins what each operation makes of each answer, and which answers show that
-// the store serves this node. An unknown outcome taken for a known one would lose or
-// repeat a write.
+// TestOutcomes checks which error each operation returns for each response, and which
+// responses show that the store serves this node. An unknown outcome that is taken for a
+// known one would lose or repeat a write.
 func TestOutcomes(t *testing.T) {
 	for _, c := range outcomeCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -128,38 +128,38 @@
 					}
 				}
 				limits := config.State{StateLimits: config.StateLimits{ValueKB: 32, TxnOps: 20}}
-				client := kvstore.New("state:1", fixedAnswer{c.status, body}, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), limits)
+				client := kvstore.New("state:1", fixedResponse{c.status, body}, httpclient.NewMalformedLog(slog.New(slog.DiscardHandler)), limits)
 				time.Sleep(time.Second)
 				err := c.operation(t.Context(), client)
 				checkOutcome(t, err, c.want)
-				if err != nil && !strings.Contains(err.Error(), c.names) {
-					t.Errorf("%q does not name %q", err, c.names)
+				if err != nil && !strings.Contains(err.Error(), c.wantText) {
+					t.Errorf("error %q does not contain %q", err, c.wantText)
 				}
-				if served := client.SinceServed() == 0; served != c.served {
-					t.Errorf("served is %v after %v", served, err)
+				if served := client.SinceServed() == 0; served != c.wantServed {
+					t.Errorf("the store counts as serving: %v, after error %v", served, err)
 				}
 			})
 		})
 	}
 }
 
-// checkOutcome checks that an error wraps the wanted sentinel and, but for ErrUnavailable
-// beside ErrThrottled, no other.
+// checkOutcome checks that an error wraps the wanted sentinel and no other, except that
+// ErrThrottled also wraps ErrUnavailable.
 func checkOutcome(t *testing.T, err, want error) {
 	t.Helper()
 	if want == nil {
 		if err != nil {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want none", err)
 		}
 		return
 	}
 	for _, sentinel := range sentinels {
 		if errors.Is(err, sentinel) != errors.Is(want, sentinel) {
-			t.Errorf("got %v instead of %v", err, want)
+			t.Errorf("got error %v, want %v", err, want)
 		}
 	}
 	var failed *kvstore.OperationError
 	if !errors.As(err, &failed) {
-		t.Errorf("%v does not say what was tried", err)
+		t.Errorf("error %v does not wrap an OperationError", err)
 	}
 }
--- a/internal/kvstore/read.go
+++ b/internal/kvstore/read.go
@@ -24,13 +24,13 @@
 	}
 	err := c.do(ctx, request)
 	if err == nil && entry.Version == 0 {
-		err = request.fault("answer without a version")
+		err = request.protocolError("answer without a version")
 	}
 	return entry, err
 }
 
-// List reads one page, of at most limit keys, of the keys with a prefix that come after
-// a key; an empty key asks for the first page.
+// List reads one page, of at most limit keys, of the keys with a prefix that sort after the
+// key after. An empty after requests the first page.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) (protocol.KeyValuePage, error) {
 	query := url.Values{"prefix": {prefix}, "most": {fmt.Sprint(limit)}}
 	if after != "" {
@@ -49,39 +49,39 @@
 }
 
 // ListAll reads all keys with a prefix. The revision is the first page's, so that a watch
-// from this revision sees whatever changed while the other pages were read. A page that
-// does not continue where the last one ended is an error: a missing key would look like
+// from this revision returns every change made while the other pages were read. A page that
+// does not continue where the previous one ended is an error: a missing key would look like
 // a record that does not exist.
 func (c *Client) ListAll(ctx context.Context, prefix string) (protocol.KeyValuePage, error) {
 	var all protocol.KeyValuePage
-	for last := ""; ; {
-		page, err := c.List(ctx, prefix, last, tuning.StorePageKeys)
+	for lastKey := ""; ; {
+		page, err := c.List(ctx, prefix, lastKey, tuning.StorePageKeys)
 		if err != nil {
 			return protocol.KeyValuePage{}, err
 		}
-		if problem := pageFault(page, last); problem != "" {
+		if problem := pageProblem(page, lastKey); problem != "" {
 			request := call{operation: OperationList, target: prefix}
-			return protocol.KeyValuePage{}, request.fault(problem)
+			return protocol.KeyValuePage{}, request.protocolError(problem)
 		}
-		if last == "" {
+		if lastKey == "" {
 			all.Revision = page.Revision
 		}
 		all.Entries = append(all.Entries, page.Entries...)
 		if !page.More {
 			return all, nil
 		}
-		last = page.Entries[len(page.Entries)-1].Key
+		lastKey = page.Entries[len(page.Entries)-1].Key
 	}
 }
 
-// pageFault tells why a page does not continue a list whose last key so far is given, and
-// returns "" for one that does.
-func pageFault(page protocol.KeyValuePage, last string) string {
+// pageProblem returns why a page does not continue a list that has been read up to lastKey,
+// or "" if it does.
+func pageProblem(page protocol.KeyValuePage, lastKey string) string {
 	for _, entry := range page.Entries {
-		if entry.Key <= last {
-			return fmt.Sprintf("key %q listed after %q", entry.Key, last)
+		if entry.Key <= lastKey {
+			return fmt.Sprintf("key %q listed after %q", entry.Key, lastKey)
 		}
-		last = entry.Key
+		lastKey = entry.Key
 	}
 	if page.More && len(page.Entries) == 0 {
 		return "empty page with more to come"
