--- a/internal/fake/agent_capacity.go
+++ b/internal/fake/agent_capacity.go
@@ -16,7 +16,7 @@
 		if task.state == protocol.TaskExited {
 			continue
 		}
-		placed := &m.env.jobs[task.jobID].job
+		placed := &m.env.jobs[task.jobID].spec
 		free.Cores -= placed.Cores
 		free.GPUs -= placed.GPUs
 		free.MemGB -= placed.MemGB
--- a/internal/fake/agent_commands.go
+++ b/internal/fake/agent_commands.go
@@ -80,7 +80,7 @@
 // grace period is long enough. A task that is saving already goes on unless the grace period
 // is zero.
 func (m *machineAgent) stopTask(task *agentTask, gracePeriodS float64) {
-	spec := &m.env.jobs[task.jobID].job
+	spec := &m.env.jobs[task.jobID].spec
 	savesCheckpoint := task.state == protocol.TaskRunning && spec.CheckpointIntervalS > 0 && gracePeriodS >= spec.CheckpointSaveS
 	switch {
 	case savesCheckpoint:
@@ -113,7 +113,7 @@
 		task.exitReason = protocol.ExitUnknownTask
 	case existing != nil && existing.state != protocol.TaskExited:
 		task.exitReason = protocol.ExitDuplicate
-	case !m.hasCapacityFor(&job.job):
+	case !m.hasCapacityFor(&job.spec):
 		task.exitReason = protocol.ExitNoCapacity
 	default:
 		task.state = protocol.TaskFetching
--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -33,7 +33,7 @@
 		age := time.Since(task.stateSince).Seconds()
 		switch task.state {
 		case protocol.TaskFetching:
-			if m.imageCache[job.job.Image] || age >= job.job.ImageGB/m.machineType.FetchGBps {
+			if m.imageCache[job.spec.Image] || age >= job.spec.ImageGB/m.machineType.FetchGBps {
 				m.endFetching(task, job)
 			}
 		case protocol.TaskWaiting:
@@ -43,7 +43,7 @@
 		case protocol.TaskRunning:
 			m.advanceRunning(task, job, elapsedS)
 		case protocol.TaskSaving:
-			if age >= job.job.CheckpointSaveS {
+			if age >= job.spec.CheckpointSaveS {
 				task.checkpointed = true
 				m.env.saved++
 				m.exit(task, protocol.ExitStopped)
@@ -54,11 +54,11 @@
 
 // endFetching starts a task whose image has arrived. A task of a gang waits for the others.
 func (m *machineAgent) endFetching(task *agentTask, job *userJob) {
-	m.imageCache[job.job.Image] = true
+	m.imageCache[job.spec.Image] = true
 	switch {
 	case job.finished[task.index]:
 		m.exit(task, protocol.ExitDone)
-	case job.job.Kind == protocol.KindGang:
+	case job.spec.Kind == protocol.KindGang:
 		m.setState(task, protocol.TaskWaiting)
 	default:
 		task.remainingS = job.runS * (1 + m.env.uneven*float64(task.index))
@@ -71,7 +71,7 @@
 // advanceRunning lets a running task work, and ends it when its work is done. A service
 // never ends by itself.
 func (m *machineAgent) advanceRunning(task *agentTask, job *userJob, elapsedS float64) {
-	if job.job.Kind == protocol.KindService {
+	if job.spec.Kind == protocol.KindService {
 		return
 	}
 	task.remainingS -= elapsedS
@@ -80,7 +80,7 @@
 	}
 	job.finished[task.index] = true
 	m.exit(task, protocol.ExitDone)
-	if m.env.onDone != nil && len(job.finished) == job.job.Tasks {
+	if m.env.onDone != nil && len(job.finished) == job.spec.Tasks {
 		go m.env.onDone(task.jobID)
 	}
 }
@@ -94,7 +94,7 @@
 func (m *machineAgent) exit(task *agentTask, reason protocol.ExitReason) {
 	task.exitReason = reason
 	m.setState(task, protocol.TaskExited)
-	if m.env.jobs[task.jobID].job.Kind == protocol.KindGang {
+	if m.env.jobs[task.jobID].spec.Kind == protocol.KindGang {
 		m.env.updateGangs()
 	}
 }
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -89,7 +89,7 @@
 // surveyOthers looks at the tasks of all machines once, because tests have thousands of them.
 func (c *checker) surveyOthers(task *agentTask) otherTasks {
 	others := otherTasks{jobZones: map[string]int{}}
-	team := c.env.jobs[task.jobID].job.Team
+	team := c.env.jobs[task.jobID].spec.Team
 	for _, machine := range c.env.machines {
 		for _, other := range machine.tasks {
 			if !other.onMachine() || other == task {
@@ -101,7 +101,7 @@
 					others.sameTask = append(others.sameTask, placedTask{machine, other})
 				}
 			}
-			if spec := &c.env.jobs[other.jobID].job; spec.Team == team {
+			if spec := &c.env.jobs[other.jobID].spec; spec.Team == team {
 				others.teamCores += spec.Cores
 				others.teamGPUs += spec.GPUs
 			}
@@ -121,7 +121,7 @@
 
 // checkQuota guards that the tasks of a team stay within its quota limits.
 func (c *checker) checkQuota(machine *machineAgent, task *agentTask, usedCores, usedGPUs float64) {
-	spec := &c.env.jobs[task.jobID].job
+	spec := &c.env.jobs[task.jobID].spec
 	cores, gpus := usedCores+spec.Cores, usedGPUs+spec.GPUs
 	for _, team := range c.env.Cfg.Teams {
 		if team.Name == spec.Team && exceedsQuota(&team, cores, gpus) {
@@ -140,7 +140,7 @@
 // checkPlacement guards that a task runs on a machine that its job accepts, and that the job's
 // tasks share a zone or spread over zones as the job asks.
 func (c *checker) checkPlacement(machine *machineAgent, task *agentTask, otherZones map[string]int) {
-	spec := &c.env.jobs[task.jobID].job
+	spec := &c.env.jobs[task.jobID].spec
 	zones := maps.Clone(otherZones)
 	zones[machine.zone]++
 	outsideZone := spec.OneZone && len(zones) > 1
@@ -159,13 +159,13 @@
 func (c *checker) checkJobStatus(job *userJob, before userJob, jobStatus protocol.JobStatus) {
 	switch {
 	case before.doneConfirmed && jobStatus.Phase != protocol.PhaseDone, !before.cancelConfirmed.IsZero() && jobStatus.Phase != protocol.PhaseCancelled:
-		c.addViolation("went_back: %s is called %s", job.job.ID, jobStatus.Phase)
+		c.addViolation("went_back: %s is called %s", job.spec.ID, jobStatus.Phase)
 	case jobStatus.Phase == protocol.PhaseCancelled && !job.cancelRequested:
 		if requested, _ := c.dependencyCancelled(job); !requested {
-			c.addViolation("went_back: %s is called cancelled, its user did not ask", job.job.ID)
+			c.addViolation("went_back: %s is called cancelled, its user did not ask", job.spec.ID)
 		}
-	case jobStatus.Phase == protocol.PhaseDone && len(job.finished) < job.job.Tasks:
-		c.addViolation("not_done: %s is called done", job.job.ID)
+	case jobStatus.Phase == protocol.PhaseDone && len(job.finished) < job.spec.Tasks:
+		c.addViolation("not_done: %s is called done", job.spec.ID)
 	}
 	c.checkDependentStatus(job, jobStatus.Phase)
 	if jobStatus.Phase == protocol.PhaseDone {
--- a/internal/fake/checker_dependencies.go
+++ b/internal/fake/checker_dependencies.go
@@ -10,14 +10,14 @@
 func (c *checker) dependenciesOf(job *userJob) []*userJob {
 	var dependencies []*userJob
 	seen := map[protocol.JobID]bool{}
-	remaining := job.job.DependsOn
+	remaining := job.spec.DependsOn
 	for len(remaining) > 0 {
 		jobID := remaining[0]
 		remaining = remaining[1:]
 		if dependency := c.env.jobs[jobID]; dependency != nil && !seen[jobID] {
 			seen[jobID] = true
 			dependencies = append(dependencies, dependency)
-			remaining = append(remaining, dependency.job.DependsOn...)
+			remaining = append(remaining, dependency.spec.DependsOn...)
 		}
 	}
 	return dependencies
@@ -77,6 +77,6 @@
 		return
 	}
 	if late := time.Since(confirmedAt); late.Seconds() > c.env.Cfg.Workers.CancelS {
-		c.addViolation("orphaned: %s is called %s %v after a job that it needs was cancelled", job.job.ID, phase, late)
+		c.addViolation("orphaned: %s is called %s %v after a job that it needs was cancelled", job.spec.ID, phase, late)
 	}
 }
--- a/internal/fake/checker_waiting.go
+++ b/internal/fake/checker_waiting.go
@@ -27,7 +27,7 @@
 		return
 	}
 	for _, job := range c.env.jobs {
-		if !job.accepted || job.job.Kind == protocol.KindGang || !c.isStartable(job) || !c.hasCapacityFor(job) {
+		if !job.accepted || job.spec.Kind == protocol.KindGang || !c.isStartable(job) || !c.hasCapacityFor(job) {
 			job.waitingSince = time.Time{}
 			continue
 		}
@@ -35,7 +35,7 @@
 			job.waitingSince = time.Now()
 		}
 		if waited := time.Since(job.waitingSince); waited > maxWaitWithCapacity {
-			c.addViolation("left waiting: %s beside room for %v", job.job.ID, waited)
+			c.addViolation("left waiting: %s beside room for %v", job.spec.ID, waited)
 			job.waitingSince = time.Now()
 		}
 	}
@@ -44,7 +44,7 @@
 // hasCapacityFor tells whether a task of the job is not placed although its team's quota limits
 // and a machine allow it.
 func (c *checker) hasCapacityFor(job *userJob) bool {
-	spec := &job.job
+	spec := &job.spec
 	placed := c.surveyPlaced(spec)
 	if placed.jobTasks+len(job.finished) >= spec.Tasks {
 		return false
@@ -84,7 +84,7 @@
 			if task.state == protocol.TaskExited {
 				continue
 			}
-			if other := &c.env.jobs[task.jobID].job; other.Team == spec.Team {
+			if other := &c.env.jobs[task.jobID].spec; other.Team == spec.Team {
 				placed.teamCores += other.Cores
 				placed.teamGPUs += other.GPUs
 			}
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -24,13 +24,13 @@
 	waiting, running := e.gangTasks()
 	for id, tasks := range waiting {
 		job := e.jobs[id.jobID]
-		if len(tasks) == job.job.Tasks {
+		if len(tasks) == job.spec.Tasks {
 			startGang(job, tasks)
 		}
 	}
 	for id, tasks := range running {
 		job := e.jobs[id.jobID]
-		if len(tasks) != job.job.Tasks {
+		if len(tasks) != job.spec.Tasks {
 			endGang(job, tasks)
 		}
 	}
@@ -44,7 +44,7 @@
 		for _, task := range machine.tasks {
 			id := gang{task.jobID, task.attempt}
 			switch {
-			case e.jobs[task.jobID].job.Kind != protocol.KindGang:
+			case e.jobs[task.jobID].spec.Kind != protocol.KindGang:
 			case task.state == protocol.TaskWaiting:
 				waiting[id] = append(waiting[id], task)
 			case task.state == protocol.TaskRunning, task.state == protocol.TaskSaving, task.checkpointed:
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -12,7 +12,7 @@
 
 // userJob is a job as its user knows it, with what the user requested and was told.
 type userJob struct {
-	job                protocol.Job
+	spec               protocol.Job
 	runS               float64
 	submitted          bool
 	accepted           bool
@@ -25,20 +25,20 @@
 }
 
 // complete tells whether all tasks of the job are done.
-func (j *userJob) complete() bool { return len(j.finished) >= j.job.Tasks }
+func (j *userJob) complete() bool { return len(j.finished) >= j.spec.Tasks }
 
 // Register adds a job as if its user had submitted it and had been told that it is accepted.
 func (e *Environment) Register(job protocol.Job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.jobs[job.ID] = &userJob{job: job, submitted: true, accepted: true, finished: map[int]bool{}}
+	e.jobs[job.ID] = &userJob{spec: job, submitted: true, accepted: true, finished: map[int]bool{}}
 }
 
 // Job returns a job as its user submitted it.
 func (e *Environment) Job(jobID protocol.JobID) protocol.Job {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.jobs[jobID].job
+	return e.jobs[jobID].spec
 }
 
 // Cancelled tells whether the user of a job requested to cancel it.
@@ -54,7 +54,7 @@
 func (e *Environment) Submit(job protocol.Job, runS float64) int {
 	e.mu.Lock()
 	if e.jobs[job.ID] == nil {
-		e.jobs[job.ID] = &userJob{job: job, runS: runS, finished: map[int]bool{}}
+		e.jobs[job.ID] = &userJob{spec: job, runS: runS, finished: map[int]bool{}}
 	}
 	registered := e.jobs[job.ID]
 	registered.submitted = true
