--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -16,13 +16,13 @@
 	checkpointed bool
 	stateSince   time.Time // when the state began
 	remainingS   float64   // seconds of work left, while running
-	// unrecorded is set once the checker has found that no run record names the task.
-	unrecorded bool
+	// reportedUnrecorded is set once the checker has found that no run record names the task.
+	reportedUnrecorded bool
 }
 
-// onMachine tells whether the task occupies the machine for the checker's rules, which is
+// occupiesMachine tells whether the task occupies the machine for the checker's rules, which is
 // from the end of the image's fetching to the exit.
-func (t *agentTask) onMachine() bool {
+func (t *agentTask) occupiesMachine() bool {
 	return t.state != protocol.TaskExited && t.state != protocol.TaskFetching
 }
 
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -18,11 +18,11 @@
 // looks at task starts and at answers to users as they happen, and at all machines and jobs
 // periodically. It reads the fakes' own state, never the controllers'.
 type checker struct {
-	env         *Environment
-	lateStart   time.Duration // the longest time from a confirmed cancellation to a start
-	records     *runRecordReader
-	violations  []string
-	faultsEnded bool // the test causes no more faults
+	env                 *Environment
+	maxStartAfterCancel time.Duration // the longest time from a confirmed cancellation to a start
+	runRecords          *runRecordReader
+	violations          []string
+	faultsEnded         bool // the test causes no more faults
 }
 
 // checkPeriodically finds violations that no message shows, such as a task that goes on too long.
@@ -46,7 +46,7 @@
 func (c *checker) LateStart() time.Duration {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
-	return c.lateStart
+	return c.maxStartAfterCancel
 }
 
 // addViolation records a violation. The caller holds the mutex.
@@ -57,7 +57,7 @@
 // checkStart checks all rules on a task that starts to occupy a machine.
 func (c *checker) checkStart(machine *machineAgent, task *agentTask) {
 	job := c.env.jobs[task.jobID]
-	others := c.surveyOthers(task)
+	others := c.collectOtherTasks(task)
 	c.checkRanTwice(machine, task, others.sameTask)
 	c.checkQuota(machine, task, others.teamCores, others.teamGPUs)
 	c.checkPlacement(machine, task, others.jobZones)
@@ -68,37 +68,37 @@
 		c.addViolation("too_early: %s/%d on %s at %v", task.jobID, task.index, machine.id, time.Now())
 	}
 	if !job.cancelConfirmed.IsZero() {
-		c.lateStart = max(c.lateStart, time.Since(job.cancelConfirmed))
+		c.maxStartAfterCancel = max(c.maxStartAfterCancel, time.Since(job.cancelConfirmed))
 	}
 	c.checkCancelledTask(machine, task)
 }
 
-// placedTask is a task with the machine that holds it.
-type placedTask struct {
+// taskOnMachine is a task with the machine that holds it.
+type taskOnMachine struct {
 	machine *machineAgent
 	task    *agentTask
 }
 
 // otherTasks sums up the tasks that occupy machines, apart from the one that starts.
 type otherTasks struct {
-	sameTask            []placedTask   // other attempts of the same task
-	jobZones            map[string]int // tasks of its job by zone
-	teamCores, teamGPUs float64        // what its team uses
+	sameTask            []taskOnMachine // other attempts of the same task
+	jobZones            map[string]int  // tasks of its job by zone
+	teamCores, teamGPUs float64         // what its team uses
 }
 
-// surveyOthers looks at the tasks of all machines once, because tests have thousands of them.
-func (c *checker) surveyOthers(task *agentTask) otherTasks {
+// collectOtherTasks looks at the tasks of all machines once, because tests have thousands of them.
+func (c *checker) collectOtherTasks(task *agentTask) otherTasks {
 	others := otherTasks{jobZones: map[string]int{}}
 	team := c.env.jobs[task.jobID].spec.Team
 	for _, machine := range c.env.machines {
 		for _, other := range machine.tasks {
-			if !other.onMachine() || other == task {
+			if !other.occupiesMachine() || other == task {
 				continue
 			}
 			if other.jobID == task.jobID {
 				others.jobZones[machine.zone]++
 				if other.index == task.index {
-					others.sameTask = append(others.sameTask, placedTask{machine, other})
+					others.sameTask = append(others.sameTask, taskOnMachine{machine, other})
 				}
 			}
 			if spec := &c.env.jobs[other.jobID].spec; spec.Team == team {
@@ -111,7 +111,7 @@
 }
 
 // checkRanTwice guards that at most one attempt of a task occupies a machine at any time.
-func (c *checker) checkRanTwice(machine *machineAgent, task *agentTask, sameTask []placedTask) {
+func (c *checker) checkRanTwice(machine *machineAgent, task *agentTask, sameTask []taskOnMachine) {
 	for _, other := range sameTask {
 		c.addViolation("ran_twice: %s/%d attempt %d on %s since %v and attempt %d on %s (hung %v, up %v, incarnation %d) at %v",
 			task.jobID, task.index, other.task.attempt, other.machine.id, other.task.stateSince, task.attempt, machine.id,
@@ -143,9 +143,9 @@
 	spec := &c.env.jobs[task.jobID].spec
 	zones := maps.Clone(otherZones)
 	zones[machine.zone]++
-	outsideZone := spec.OneZone && len(zones) > 1
-	crowded := spec.Spread && zones[machine.zone] > maxTasksInZone(spec)
-	if !machine.isAllowedFor(spec) || outsideZone || crowded {
+	inSeveralZones := spec.OneZone && len(zones) > 1
+	tooManyInZone := spec.Spread && zones[machine.zone] > maxTasksInZone(spec)
+	if !machine.isAllowedFor(spec) || inSeveralZones || tooManyInZone {
 		c.addViolation("wrong_place: %s/%d on %s", task.jobID, task.index, machine.id)
 	}
 }
@@ -187,7 +187,7 @@
 	if _, confirmedAt := c.dependencyCancelled(job); since.IsZero() || (!confirmedAt.IsZero() && confirmedAt.Before(since)) {
 		since = confirmedAt
 	}
-	if !since.IsZero() && time.Since(since).Seconds() > c.env.Cfg.Workers.CancelS && task.onMachine() {
+	if !since.IsZero() && time.Since(since).Seconds() > c.env.Cfg.Workers.CancelS && task.occupiesMachine() {
 		c.addViolation("ran_cancelled: %s/%d on %s", task.jobID, task.index, machine.id)
 	}
 }
--- a/internal/fake/checker_dependencies.go
+++ b/internal/fake/checker_dependencies.go
@@ -76,7 +76,7 @@
 	if confirmedAt.IsZero() {
 		return
 	}
-	if late := time.Since(confirmedAt); late.Seconds() > c.env.Cfg.Workers.CancelS {
-		c.addViolation("orphaned: %s is called %s %v after a job that it needs was cancelled", job.spec.ID, phase, late)
+	if elapsed := time.Since(confirmedAt); elapsed.Seconds() > c.env.Cfg.Workers.CancelS {
+		c.addViolation("orphaned: %s is called %s %v after a job that it needs was cancelled", job.spec.ID, phase, elapsed)
 	}
 }
--- a/internal/fake/checker_records.go
+++ b/internal/fake/checker_records.go
@@ -39,8 +39,8 @@
 			return decodedSegment{readable: true} // an absent record names no task
 		}
 	}
-	if known, ok := r.segments[key]; ok && known.version == stored.version {
-		return known
+	if cached, ok := r.segments[key]; ok && cached.version == stored.version {
+		return cached
 	}
 	segment := decodedSegment{version: stored.version}
 	segment.readable = codec.Unmarshal(stored.value, &segment.run) == nil
@@ -48,9 +48,9 @@
 	return segment
 }
 
-// mayRecord tells whether the record names the attempt on the machine. An unreadable segment
+// mayContain tells whether the record names the attempt on the machine. An unreadable segment
 // may name it, and is given the benefit of the doubt.
-func (r *runRecordReader) mayRecord(task *agentTask, machine string) bool {
+func (r *runRecordReader) mayContain(task *agentTask, machine string) bool {
 	segment := r.segment(task.jobID, task.index)
 	if !segment.readable {
 		return true
@@ -71,10 +71,10 @@
 	defer c.env.mu.Unlock()
 	for _, machine := range c.env.machines {
 		for _, task := range machine.tasks {
-			if task.state == protocol.TaskExited || task.unrecorded || c.records.mayRecord(task, machine.id) {
+			if task.state == protocol.TaskExited || task.reportedUnrecorded || c.runRecords.mayContain(task, machine.id) {
 				continue
 			}
-			task.unrecorded = true // one violation a task is enough
+			task.reportedUnrecorded = true // one violation a task is enough
 			c.addViolation("orphaned: no record names %s/%d try %d (%s) on %s at %v", task.jobID, task.index, task.attempt, task.state, machine.id, time.Now())
 		}
 	}
--- a/internal/fake/checker_waiting.go
+++ b/internal/fake/checker_waiting.go
@@ -45,7 +45,7 @@
 // and a machine allow it.
 func (c *checker) hasCapacityFor(job *userJob) bool {
 	spec := &job.spec
-	placed := c.surveyPlaced(spec)
+	placed := c.sumPlacements(spec)
 	if placed.jobTasks+len(job.finished) >= spec.Tasks {
 		return false
 	}
@@ -55,7 +55,7 @@
 		}
 	}
 	for _, machine := range c.env.machines {
-		if machine.isUsable() && machine.isAllowedFor(spec) && placed.allowZone(spec, machine.zone) && machine.hasCapacityFor(spec) {
+		if machine.isUsable() && machine.isAllowedFor(spec) && placed.allowsZone(spec, machine.zone) && machine.hasCapacityFor(spec) {
 			return true
 		}
 	}
@@ -68,17 +68,17 @@
 	return m.up && !m.hung && m.preemptionAt.IsZero()
 }
 
-// placedTasks sums up the tasks of a job and of its team that have not exited. Unlike
+// placementTotals sums up the tasks of a job and of its team that have not exited. Unlike
 // otherTasks it includes those whose image is still being fetched.
-type placedTasks struct {
+type placementTotals struct {
 	jobTasks            int
 	jobZones            map[string]int // tasks of the job by zone
 	teamCores, teamGPUs float64
 }
 
-// surveyPlaced looks at the tasks of all machines once.
-func (c *checker) surveyPlaced(spec *protocol.Job) placedTasks {
-	placed := placedTasks{jobZones: map[string]int{}}
+// sumPlacements looks at the tasks of all machines once.
+func (c *checker) sumPlacements(spec *protocol.Job) placementTotals {
+	placed := placementTotals{jobZones: map[string]int{}}
 	for _, machine := range c.env.machines {
 		for _, task := range machine.tasks {
 			if task.state == protocol.TaskExited {
@@ -97,8 +97,8 @@
 	return placed
 }
 
-// allowZone tells whether one more task of the job may be in a zone.
-func (p *placedTasks) allowZone(spec *protocol.Job, zone string) bool {
+// allowsZone tells whether one more task of the job may be in a zone.
+func (p *placementTotals) allowsZone(spec *protocol.Job, zone string) bool {
 	if spec.OneZone && len(p.jobZones) > 0 && p.jobZones[zone] == 0 {
 		return false
 	}
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -41,7 +41,7 @@
 	}
 	e.cloud = newCloud(e, types)
 	e.workloadClient = &workloadClient{env: e}
-	e.checker = &checker{env: e, records: newRunRecordReader(e.Store)}
+	e.checker = &checker{env: e, runRecords: newRunRecordReader(e.Store)}
 	e.Store.maxOps, e.Store.maxValue = cfg.State.TxnOps, int(cfg.State.ValueKB*1024)
 	net.Listen("state", "state:1", e.Store)
 	net.Listen("cloud", "cloud:1", http.HandlerFunc(e.serveCloud))
