--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -11,12 +11,12 @@
 
 // agents holds the machines' agents and what tests set or count for all of them.
 type agents struct {
-	step          time.Duration              // how often a machine advances its tasks
-	uneven        float64                    // by which share each task of an array runs longer than the one before
-	onDone        func(jobID protocol.JobID) // called when the last task of a job has completed
-	saved         int                        // tasks that stopped with a checkpoint
-	leaseExpiries int                        // leases that expired while the agent had tasks
-	machines      map[string]*machineAgent
+	step             time.Duration              // how often a machine advances its tasks
+	runtimeIncrement float64                    // by which share each task of an array runs longer than the one before
+	onJobDone        func(jobID protocol.JobID) // called when the last task of a job has completed
+	savedCheckpoints int                        // tasks that stopped with a checkpoint
+	leaseExpiries    int                        // leases that expired while the agent had tasks
+	machines         map[string]*machineAgent
 }
 
 // defaultStep is fine enough for the times in the rules. A test with thousands of machines
@@ -95,7 +95,7 @@
 	for {
 		time.Sleep(m.env.currentStep())
 		m.env.mu.Lock()
-		if m.isOver() {
+		if m.shouldStop() {
 			m.env.mu.Unlock()
 			return
 		}
@@ -107,18 +107,18 @@
 	}
 }
 
-// isOver tells whether the machine was removed or the test has ended.
-func (m *machineAgent) isOver() bool { return m.removed || m.env.life.Err() != nil }
+// shouldStop tells whether the machine was removed or the test has ended.
+func (m *machineAgent) shouldStop() bool { return m.removed || m.env.ctx.Err() != nil }
 
 // expireLease ends the incarnation if the agent's lease has expired: the tasks stop and the
 // next incarnation starts empty. The lease runs from the incarnation's start or from the last
 // heartbeat that was answered.
 func (m *machineAgent) expireLease() {
-	from := m.incarnationStart
-	if m.leaseRenewed.After(from) {
-		from = m.leaseRenewed
+	leaseStart := m.incarnationStart
+	if m.leaseRenewed.After(leaseStart) {
+		leaseStart = m.leaseRenewed
 	}
-	if time.Since(from).Seconds() > m.env.Cfg.Workers.LeaseS {
+	if time.Since(leaseStart).Seconds() > m.env.Cfg.Workers.LeaseS {
 		if len(m.tasks) > 0 {
 			m.env.leaseExpiries++
 		}
--- a/internal/fake/agent_heartbeat.go
+++ b/internal/fake/agent_heartbeat.go
@@ -30,12 +30,12 @@
 // then to the leader. The lease is renewed as of the time when the answered heartbeat was
 // sent, which is before the controller received it. So it expires at the agent first.
 func (m *machineAgent) sendHeartbeats() {
-	client := httpclient.Client{HTTP: &http.Client{Transport: m.env.Network.From(m.env.life, m.id)}}
+	client := httpclient.Client{HTTP: &http.Client{Transport: m.env.Network.From(m.env.ctx, m.id)}}
 	lastSent := longAgo()
 	for {
 		time.Sleep(2 * m.env.currentStep())
 		m.env.mu.Lock()
-		if m.isOver() {
+		if m.shouldStop() {
 			m.env.mu.Unlock()
 			return
 		}
@@ -45,7 +45,7 @@
 		}
 		m.statusChanged = false
 		heartbeat := m.heartbeat()
-		addr := m.env.nodes[m.nodeIndex%len(m.env.nodes)]
+		addr := m.env.nodeAddrs[m.nodeIndex%len(m.env.nodeAddrs)]
 		m.env.mu.Unlock()
 		lastSent = time.Now()
 		answer := m.postHeartbeat(client, addr, heartbeat)
@@ -78,7 +78,7 @@
 // heartbeatDue tells whether the next heartbeat is due: after the usual interval, and earlier
 // after a change of the tasks.
 func (m *machineAgent) heartbeatDue(lastSent time.Time) bool {
-	if m.hung || len(m.env.nodes) == 0 {
+	if m.hung || len(m.env.nodeAddrs) == 0 {
 		return false
 	}
 	if time.Since(lastSent).Seconds() >= m.env.Cfg.Workers.ReportS {
@@ -96,7 +96,7 @@
 
 // postHeartbeat sends a heartbeat to a node and waits for the answer.
 func (m *machineAgent) postHeartbeat(client httpclient.Client, addr string, heartbeat protocol.Heartbeat) heartbeatAnswer {
-	ctx, cancel := context.WithTimeout(m.env.life, heartbeatTimeout)
+	ctx, cancel := context.WithTimeout(m.env.ctx, heartbeatTimeout)
 	defer cancel()
 	var reply protocol.HeartbeatReply
 	var redirect protocol.Redirect
@@ -120,8 +120,8 @@
 // is no redirect or it names the node that was asked.
 func (m *machineAgent) indexOfLeader(leader, askedAddr string) int {
 	index := -1
-	for i, addr := range m.env.nodes {
-		if leader != "" && m.env.nodeAddrs[leader] == addr && addr != askedAddr {
+	for i, addr := range m.env.nodeAddrs {
+		if leader != "" && m.env.addrByNode[leader] == addr && addr != askedAddr {
 			index = i
 		}
 	}
--- a/internal/fake/agent_settings.go
+++ b/internal/fake/agent_settings.go
@@ -21,25 +21,25 @@
 }
 
 // SetUneven sets by which share each task of an array runs longer than the one before.
-func (e *Environment) SetUneven(share float64) {
+func (e *Environment) SetUneven(increment float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.uneven = share
+	e.runtimeIncrement = increment
 }
 
 // SetOnDone sets a function that is called, in a goroutine of its own, when the last task of a
 // job has completed.
-func (e *Environment) SetOnDone(onDone func(jobID protocol.JobID)) {
+func (e *Environment) SetOnDone(onJobDone func(jobID protocol.JobID)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.onDone = onDone
+	e.onJobDone = onJobDone
 }
 
 // SavedCheckpoints returns how many tasks stopped with a checkpoint.
 func (e *Environment) SavedCheckpoints() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.saved
+	return e.savedCheckpoints
 }
 
 // LeaseExpiries returns how many leases expired while the agent had tasks.
--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -45,7 +45,7 @@
 		case protocol.TaskSaving:
 			if age >= job.spec.CheckpointSaveS {
 				task.checkpointed = true
-				m.env.saved++
+				m.env.savedCheckpoints++
 				m.exit(task, protocol.ExitStopped)
 			}
 		}
@@ -61,7 +61,7 @@
 	case job.spec.Kind == protocol.KindGang:
 		m.setState(task, protocol.TaskWaiting)
 	default:
-		task.remainingS = job.runS * (1 + m.env.uneven*float64(task.index))
+		task.remainingS = job.runS * (1 + m.env.runtimeIncrement*float64(task.index))
 		m.setState(task, protocol.TaskRunning)
 	}
 	m.env.checkStart(m, task)
@@ -80,8 +80,8 @@
 	}
 	job.finished[task.index] = true
 	m.exit(task, protocol.ExitDone)
-	if m.env.onDone != nil && len(job.finished) == job.spec.Tasks {
-		go m.env.onDone(task.jobID)
+	if m.env.onJobDone != nil && len(job.finished) == job.spec.Tasks {
+		go m.env.onJobDone(task.jobID)
 	}
 }
 
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -26,25 +26,25 @@
 // cloud simulates the cloud's HTTP interface: it provisions machines within the capacity that a
 // test sets, removes them, and lists them late, as the protocol allows.
 type cloud struct {
-	env         *Environment
-	calls       map[string]int                    // number of calls by path
-	loseReply   func(path string, calls int) bool // picks the calls whose answers are lost
-	down        bool                              // every call gets 503 "trouble"
-	maxPageSize int                               // machines in a page of the list at most; 0: as many as asked for
-	types       map[string]protocol.MachineType
-	capacity    map[string]int // by type, zone and kind; absent: unlimited
-	provisioned map[string][]string
-	nextID      int
+	env               *Environment
+	calls             map[string]int                    // number of calls by path
+	loseReply         func(path string, calls int) bool // picks the calls whose answers are lost
+	down              bool                              // every call gets 503 "trouble"
+	maxPageSize       int                               // machines in a page of the list at most; 0: as many as asked for
+	types             map[string]protocol.MachineType
+	capacity          map[string]int // by type, zone and kind; absent: unlimited
+	machinesByRequest map[string][]string
+	nextID            int
 }
 
 // newCloud makes a cloud with plenty of machines of each type.
 func newCloud(env *Environment, types []protocol.MachineType) *cloud {
 	c := &cloud{
-		env:         env,
-		calls:       map[string]int{},
-		types:       map[string]protocol.MachineType{},
-		capacity:    map[string]int{},
-		provisioned: map[string][]string{},
+		env:               env,
+		calls:             map[string]int{},
+		types:             map[string]protocol.MachineType{},
+		capacity:          map[string]int{},
+		machinesByRequest: map[string][]string{},
 	}
 	for _, machineType := range types {
 		c.types[machineType.Name] = machineType
@@ -139,7 +139,7 @@
 	if codec.Unmarshal(body, &request) != nil || request.Count < 1 || request.Count > maxProvisionCount {
 		return http.StatusBadRequest, nil
 	}
-	if machineIDs, ok := c.provisioned[request.RequestID]; ok {
+	if machineIDs, ok := c.machinesByRequest[request.RequestID]; ok {
 		return http.StatusOK, protocol.MachineIDs{IDs: machineIDs}
 	}
 	count := c.available(&request)
@@ -150,7 +150,7 @@
 	for range count {
 		machineIDs = append(machineIDs, c.env.newMachine(request.Type, request.Zone, request.Spot))
 	}
-	c.provisioned[request.RequestID] = machineIDs
+	c.machinesByRequest[request.RequestID] = machineIDs
 	return http.StatusOK, protocol.MachineIDs{IDs: machineIDs}
 }
 
@@ -189,12 +189,12 @@
 		if age <= c.env.Cfg.Cloud.ListLagS {
 			continue
 		}
-		phase := protocol.MachineStarting
+		state := protocol.MachineStarting
 		if machine.up {
-			phase = machineRunning
+			state = machineRunning
 		}
 		list.Machines = append(list.Machines, protocol.ListedMachine{ID: id, Addr: machine.addr, Type: machine.machineType.Name,
-			Zone: machine.zone, Spot: machine.spot, State: phase, AgeS: age})
+			Zone: machine.zone, Spot: machine.spot, State: state, AgeS: age})
 	}
 	slices.SortFunc(list.Machines, func(a, b protocol.ListedMachine) int { return strings.Compare(a.ID, b.ID) })
 	c.paginate(&list, query)
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -18,29 +18,29 @@
 	Cfg     config.Deployment
 	agents
 	*cloud
-	*workloadClient
+	*userClient
 	*checker
 
-	life      context.Context
-	mu        sync.Mutex
-	jobs      map[protocol.JobID]*userJob
-	nodeAddrs map[string]string // by node name
+	ctx        context.Context
+	mu         sync.Mutex
+	jobs       map[protocol.JobID]*userJob
+	addrByNode map[string]string // by node name
 }
 
 // NewEnvironment makes an environment without machines and jobs and lets it serve the store
 // and the cloud on the network. The environment ends with ctx.
 func NewEnvironment(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *Environment {
 	e := &Environment{
-		Network:   net,
-		Store:     NewStore(),
-		Cfg:       cfg,
-		agents:    agents{machines: map[string]*machineAgent{}, step: defaultStep},
-		life:      ctx,
-		jobs:      map[protocol.JobID]*userJob{},
-		nodeAddrs: map[string]string{},
+		Network:    net,
+		Store:      NewStore(),
+		Cfg:        cfg,
+		agents:     agents{machines: map[string]*machineAgent{}, step: defaultStep},
+		ctx:        ctx,
+		jobs:       map[protocol.JobID]*userJob{},
+		addrByNode: map[string]string{},
 	}
 	e.cloud = newCloud(e, types)
-	e.workloadClient = &workloadClient{env: e}
+	e.userClient = &userClient{env: e}
 	e.checker = &checker{env: e, runRecords: newRunRecordReader(e.Store)}
 	e.Store.maxOps, e.Store.maxValue = cfg.State.TxnOps, int(cfg.State.ValueKB*1024)
 	net.Listen("state", "state:1", e.Store)
@@ -54,8 +54,8 @@
 func (e *Environment) AddNode(name, addr string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.nodes = append(e.nodes, addr)
-	e.nodeAddrs[name] = addr
+	e.nodeAddrs = append(e.nodeAddrs, addr)
+	e.addrByNode[name] = addr
 }
 
 // Random draws the next number between 0 and 1 from the network's seeded sequence. Tests that
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -60,7 +60,7 @@
 	registered.submitted = true
 	before := *registered
 	e.mu.Unlock()
-	status, jobStatus := e.ask(http.MethodPost, "/v1/jobs", JobMap(&job), 5*time.Second, 60*time.Second)
+	status, jobStatus := e.sendRequest(http.MethodPost, "/v1/jobs", JobMap(&job), 5*time.Second, 60*time.Second)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if status == http.StatusOK || status == http.StatusCreated {
@@ -81,7 +81,7 @@
 		before = *job
 	}
 	e.mu.Unlock()
-	status, jobStatus := e.ask(http.MethodGet, "/v1/jobs/"+string(jobID), nil, 2*time.Second, 0)
+	status, jobStatus := e.sendRequest(http.MethodGet, "/v1/jobs/"+string(jobID), nil, 2*time.Second, 0)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	job = e.jobs[jobID]
@@ -103,7 +103,7 @@
 	job.cancelRequested = true
 	before := *job
 	e.mu.Unlock()
-	status, jobStatus := e.ask(http.MethodPost, "/v1/jobs/"+string(jobID)+"/withdraw", nil, 5*time.Second, 120*time.Second)
+	status, jobStatus := e.sendRequest(http.MethodPost, "/v1/jobs/"+string(jobID)+"/withdraw", nil, 5*time.Second, 120*time.Second)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if status == http.StatusOK {
@@ -117,7 +117,7 @@
 func (e *Environment) Refused(job protocol.Job, change func(fields map[string]any), want int) {
 	fields := JobMap(&job)
 	change(fields)
-	status, _ := e.ask(http.MethodPost, "/v1/jobs", fields, 5*time.Second, 60*time.Second)
+	status, _ := e.sendRequest(http.MethodPost, "/v1/jobs", fields, 5*time.Second, 60*time.Second)
 	answered := status > 0 && status < http.StatusInternalServerError && status != http.StatusTooManyRequests // otherwise the user would retry
 	if answered && status != want {
 		e.mu.Lock()
@@ -126,55 +126,55 @@
 	}
 }
 
-// workloadClient sends the users' requests to the controllers.
-type workloadClient struct {
-	env   *Environment
-	nodes []string // addresses of the controllers' nodes
-	asked []string // the nodes that users ask; nil: all
+// userClient sends the users' requests to the controllers.
+type userClient struct {
+	env        *Environment
+	nodeAddrs  []string // addresses of the controllers' nodes
+	askedAddrs []string // the nodes that users ask; nil: all
 }
 
 // NodeAddrs returns the addresses of the controllers' nodes.
-func (w *workloadClient) NodeAddrs() []string {
-	w.env.mu.Lock()
-	defer w.env.mu.Unlock()
-	return slices.Clone(w.nodes)
+func (u *userClient) NodeAddrs() []string {
+	u.env.mu.Lock()
+	defer u.env.mu.Unlock()
+	return slices.Clone(u.nodeAddrs)
 }
 
 // SetAskedNodes sets the addresses of the nodes that users ask; without any, they ask all nodes.
-func (w *workloadClient) SetAskedNodes(addrs ...string) {
-	w.env.mu.Lock()
-	defer w.env.mu.Unlock()
-	w.asked = addrs
+func (u *userClient) SetAskedNodes(addrs ...string) {
+	u.env.mu.Lock()
+	defer u.env.mu.Unlock()
+	u.askedAddrs = addrs
 }
 
 // askedNodes returns the addresses of the nodes that users ask.
-func (w *workloadClient) askedNodes() []string {
-	w.env.mu.Lock()
-	defer w.env.mu.Unlock()
-	if w.asked != nil {
-		return w.asked
+func (u *userClient) askedNodes() []string {
+	u.env.mu.Lock()
+	defer u.env.mu.Unlock()
+	if u.askedAddrs != nil {
+		return u.askedAddrs
 	}
-	return w.nodes
+	return u.nodeAddrs
 }
 
-// ask sends a request to a random node, and retries until it gets an answer other than "try
+// sendRequest sends a request to a random node, and retries until it gets an answer other than "try
 // again" or the total time is over.
-func (w *workloadClient) ask(method, path string, in any, each, total time.Duration) (int, protocol.JobStatus) {
+func (u *userClient) sendRequest(method, path string, body any, attemptTimeout, retryTimeout time.Duration) (int, protocol.JobStatus) {
 	start := time.Now()
 	for {
-		nodes := w.askedNodes()
-		addr := nodes[int(w.env.Network.randomFloat()*float64(len(nodes)))]
-		ctx, cancel := context.WithTimeout(w.env.life, each)
-		var st protocol.JobStatus
-		client := httpclient.Client{HTTP: &http.Client{Transport: w.env.Network.From(w.env.life, "users")}}
-		status := answeredStatus(client.Do(ctx, httpclient.Request{Method: method, URL: "http://" + addr + path, Body: in,
-			Responses: map[int]any{http.StatusOK: &st, http.StatusCreated: &st}}))
+		nodes := u.askedNodes()
+		addr := nodes[int(u.env.Network.randomFloat()*float64(len(nodes)))]
+		ctx, cancel := context.WithTimeout(u.env.ctx, attemptTimeout)
+		var jobStatus protocol.JobStatus
+		client := httpclient.Client{HTTP: &http.Client{Transport: u.env.Network.From(u.env.ctx, "users")}}
+		status := answeredStatus(client.Do(ctx, httpclient.Request{Method: method, URL: "http://" + addr + path, Body: body,
+			Responses: map[int]any{http.StatusOK: &jobStatus, http.StatusCreated: &jobStatus}}))
 		cancel()
 		if status != 0 && status != http.StatusTooManyRequests && status < http.StatusInternalServerError {
-			return status, st
+			return status, jobStatus
 		}
-		if w.env.life.Err() != nil || time.Since(start) > total {
-			return status, st
+		if u.env.ctx.Err() != nil || time.Since(start) > retryTimeout {
+			return status, jobStatus
 		}
 		time.Sleep(time.Second)
 	}
