--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -13,15 +13,15 @@
 // use. All random numbers come from one seeded sequence, so the order and number of draws
 // decide how a test with a fixed seed plays.
 type Network struct {
-	mu              sync.Mutex
-	random          *rand.Rand
-	hosts           map[string]string       // host by address
-	handlers        map[string]http.Handler // handler by address; absent: connections are refused
-	cuts            map[[2]string]*linkCut
-	inboundBlocked  map[string]*linkCut // hosts that no message reaches
-	outboundBlocked map[string]bool     // hosts that cannot open connections
-	delay           func(from, to string) time.Duration
-	repeat          map[string]time.Duration // by path
+	mu                 sync.Mutex
+	random             *rand.Rand
+	hosts              map[string]string       // host by address
+	handlers           map[string]http.Handler // handler by address; absent: connections are refused
+	cuts               map[[2]string]*linkCut
+	inboundBlocked     map[string]*linkCut // hosts that no message reaches
+	outboundBlocked    map[string]bool     // hosts that cannot open connections
+	delay              func(from, to string) time.Duration
+	maxDuplicateDelays map[string]time.Duration // by path
 }
 
 // NewNetwork makes a network without hosts.
--- a/internal/fake/network_faults.go
+++ b/internal/fake/network_faults.go
@@ -63,10 +63,10 @@
 // BlockOutbound starts a one-way partition: the host cannot open connections until the returned
 // function is called, while requests of others to it arrive and are answered.
 func (n *Network) BlockOutbound(host string) (heal func()) {
-	set := func(on bool) {
+	set := func(blocked bool) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.outboundBlocked[host] = on
+		n.outboundBlocked[host] = blocked
 	}
 	set(true)
 	return sync.OnceFunc(func() { set(false) })
@@ -92,7 +92,7 @@
 func (n *Network) SetRepeat(maxDelays map[string]time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.repeat = maxDelays
+	n.maxDuplicateDelays = maxDelays
 }
 
 // cut returns the cut that a message from one host to another meets, or nil.
--- a/internal/fake/network_transport.go
+++ b/internal/fake/network_transport.go
@@ -12,14 +12,14 @@
 
 // From returns the HTTP transport of a host. The host stops sending when life ends, but a
 // request that was sent before arrives all the same.
-func (n *Network) From(life context.Context, host string) http.RoundTripper {
-	return transport{n, life, host}
+func (n *Network) From(hostCtx context.Context, host string) http.RoundTripper {
+	return transport{n, hostCtx, host}
 }
 
 // transport sends the HTTP requests of one host over the network.
 type transport struct {
 	network *Network
-	life    context.Context
+	hostCtx context.Context
 	host    string
 }
 
@@ -32,8 +32,8 @@
 // RoundTrip implements http.RoundTripper. If the caller gives up, the request is delivered
 // all the same, which is what makes the outcome of a request unknown.
 func (t transport) RoundTrip(req *http.Request) (*http.Response, error) {
-	if t.life.Err() != nil {
-		return nil, t.life.Err()
+	if t.hostCtx.Err() != nil {
+		return nil, t.hostCtx.Err()
 	}
 	var body []byte
 	if req.Body != nil {
@@ -51,8 +51,8 @@
 		return result.response, result.err
 	case <-req.Context().Done():
 		return nil, req.Context().Err()
-	case <-t.life.Done():
-		return nil, t.life.Err()
+	case <-t.hostCtx.Done():
+		return nil, t.hostCtx.Err()
 	}
 }
 
@@ -98,7 +98,7 @@
 func (n *Network) receive(req *http.Request) (handler http.Handler, duplicated bool, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	maxDelay, repeatable := n.repeat[req.URL.Path]
+	maxDelay, repeatable := n.maxDuplicateDelays[req.URL.Path]
 	duplicated = repeatable && n.random.Float64() < duplicateProbability
 	return n.handlers[req.URL.Host], duplicated, maxDelay
 }
