--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -43,7 +43,7 @@
 func NewStore() *Store {
 	return &Store{
 		storeLimits: storeLimits{refusals: map[int]int{}},
-		storeFaults: storeFaults{unavailable: map[string]bool{}},
+		storeFaults: storeFaults{unavailableHosts: map[string]bool{}},
 		keys:        map[string]storeEntry{},
 		leases:      map[protocol.LeaseID]*storeLease{},
 		changed:     make(chan struct{}),
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -9,12 +9,12 @@
 // storeFaults is what a test makes go wrong with the store's calls. All functions but slow are
 // called with the store's mutex held, so they must not call the store.
 type storeFaults struct {
-	loseReply   func() bool
-	fault       func(transaction *protocol.Transaction) Fault
-	late        func() time.Duration
-	slow        func(path string) time.Duration
-	loseEvent   func(key string) bool
-	unavailable map[string]bool // hosts that get 503; "" stands for all hosts
+	loseReply        func() bool
+	fault            func(transaction *protocol.Transaction) Fault
+	commitDelay      func() time.Duration
+	callDelay        func(path string) time.Duration
+	loseEvent        func(key string) bool
+	unavailableHosts map[string]bool // hosts that get 503; "" stands for all hosts
 }
 
 // SetLoseReply sets a function that picks transactions that are carried out and not answered.
@@ -34,25 +34,25 @@
 
 // SetLate sets a function that returns by how much a transaction, which then gets no answer, is
 // carried out late; 0: not late.
-func (s *Store) SetLate(late func() time.Duration) {
+func (s *Store) SetLate(commitDelay func() time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.late = late
+	s.commitDelay = commitDelay
 }
 
 // SetSlow sets a function that returns how long a call on a path waits before it is handled. It
 // is called without the store's mutex, and by several goroutines at a time.
-func (s *Store) SetSlow(slow func(path string) time.Duration) {
+func (s *Store) SetSlow(callDelay func(path string) time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = slow
+	s.callDelay = callDelay
 }
 
-// currentSlow returns the function that SetSlow has set, or nil.
-func (s *Store) currentSlow() func(path string) time.Duration {
+// currentCallDelay returns the function that SetSlow has set, or nil.
+func (s *Store) currentCallDelay() func(path string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.slow
+	return s.callDelay
 }
 
 // SetLoseEvent sets a function that picks keys whose changes watches do not see.
@@ -77,14 +77,14 @@
 // Refuse makes the store answer 503 to a host, or to all hosts with "", until it is called
 // again with false. When an outage for all hosts ends, every lease has its full time to live
 // again, as the protocol promises.
-func (s *Store) Refuse(host string, on bool) {
+func (s *Store) Refuse(host string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if on {
-		s.unavailable[host] = true
+	if unavailable {
+		s.unavailableHosts[host] = true
 		return
 	}
-	delete(s.unavailable, host)
+	delete(s.unavailableHosts, host)
 	if host == "" {
 		for _, lease := range s.leases {
 			lease.expires = time.Now().Add(lease.ttl)
@@ -94,5 +94,5 @@
 
 // isUnavailableTo tells whether the store answers 503 to a host.
 func (f *storeFaults) isUnavailableTo(host string) bool {
-	return f.unavailable[""] || f.unavailable[host]
+	return f.unavailableHosts[""] || f.unavailableHosts[host]
 }
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -20,8 +20,8 @@
 // ServeHTTP implements the protocol of the key-value store, after the faults and limits that a
 // test has set.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if slow := s.currentSlow(); slow != nil {
-		time.Sleep(slow(r.URL.Path))
+	if delay := s.currentCallDelay(); delay != nil {
+		time.Sleep(delay(r.URL.Path))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/store_lease.go
+++ b/internal/fake/store_lease.go
@@ -18,7 +18,7 @@
 // expireLeases ends the leases whose time is over, with the keys that are bound to them. No
 // lease expires during an outage for all hosts, because no keep-alive could arrive.
 func (s *Store) expireLeases() {
-	if s.unavailable[""] {
+	if s.unavailableHosts[""] {
 		return
 	}
 	for id, lease := range s.leases {
--- a/internal/fake/store_transaction.go
+++ b/internal/fake/store_transaction.go
@@ -38,8 +38,8 @@
 // the delay that the hook late returns. Newer transactions may overtake it.
 func (s *Store) commitNowOrLate(w http.ResponseWriter, body []byte) {
 	var delay time.Duration
-	if s.late != nil {
-		delay = s.late()
+	if s.commitDelay != nil {
+		delay = s.commitDelay()
 	}
 	if delay <= 0 {
 		s.commit(w, body)
