--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -95,13 +95,13 @@
 	h.answerUser(jobID, protocol.PhaseCancelled)
 }
 
-// passCancelLimit waits until no task of a cancelled job may run any more.
-func passCancelLimit() { time.Sleep(cancelLimit + 3*time.Second) }
+// exceedCancelLimit waits until no task of a cancelled job may run any more.
+func exceedCancelLimit() { time.Sleep(cancelLimit + 3*time.Second) }
 
 // checkerTest is a history with the violation that the checker must find in it.
 type checkerTest struct {
 	name          string
-	play          func(h *history)
+	steps         func(h *history)
 	wantViolation string // "": no rule is broken
 }
 
@@ -141,16 +141,16 @@
 		h.completeJob(firstJob)
 		h.startTask(dependentJob)
 		h.cancelAndConfirm(firstJob)
-		passCancelLimit()
+		exceedCancelLimit()
 	}, "ran_cancelled"},
 	{"job is called queued long after a dependency was cancelled", func(h *history) {
 		h.cancelAndConfirm(firstJob)
-		passCancelLimit()
+		exceedCancelLimit()
 		h.answerUser(dependentJob, protocol.PhaseQueued)
 	}, "orphaned: " + dependentJob},
 	{"job is called cancelled after a dependency was cancelled", func(h *history) {
 		h.cancelAndConfirm(firstJob)
-		passCancelLimit()
+		exceedCancelLimit()
 		h.answerUser(dependentJob, protocol.PhaseCancelled)
 	}, ""},
 }
@@ -160,13 +160,13 @@
 	{"task runs on after its job was cancelled", func(h *history) {
 		h.startTask(firstJob)
 		h.cancelAndConfirm(firstJob)
-		passCancelLimit()
+		exceedCancelLimit()
 	}, "ran_cancelled"},
 	{"task exits in time after its job was cancelled", func(h *history) {
 		running := h.startTask(firstJob)
 		h.cancelAndConfirm(firstJob)
 		h.stopTask(running)
-		passCancelLimit()
+		exceedCancelLimit()
 	}, ""},
 	{"job is called done before it is done", func(h *history) {
 		h.startTask(firstJob)
@@ -192,7 +192,7 @@
 func (test checkerTest) run(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	h := newHistory(ctx)
-	test.play(h)
+	test.steps(h)
 	time.Sleep(time.Second)
 	violations := strings.Join(h.Violations(), "\n")
 	if (test.wantViolation == "" && violations != "") || !strings.Contains(violations, test.wantViolation) {
