--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -11,19 +11,19 @@
 
 // agents holds the machines' agents and what tests set or count for all of them.
 type agents struct {
-	step             time.Duration              // how often a machine advances its tasks
-	runtimeIncrement float64                    // by which share each task of an array runs longer than the one before
+	step             time.Duration              // interval at which a machine advances its tasks
+	runtimeIncrement float64                    // share of the run time by which each task of an array runs longer than the one before
 	onJobDone        func(jobID protocol.JobID) // called when the last task of a job has completed
 	savedCheckpoints int                        // tasks that stopped with a checkpoint
 	leaseExpiries    int                        // leases that expired while the agent had tasks
 	machines         map[string]*machineAgent
 }
 
-// defaultStep is fine enough for the times in the rules. A test with thousands of machines
-// may set a longer step.
+// defaultStep is short compared with the time limits of the checker's rules. A test with
+// thousands of machines may set a longer step.
 const defaultStep = 50 * time.Millisecond
 
-// machineIdentity is what does not change from a machine's provisioning to its removal.
+// machineIdentity holds what stays the same from a machine's provisioning to its removal.
 type machineIdentity struct {
 	id            string
 	addr          string
@@ -33,7 +33,7 @@
 	provisionedAt time.Time
 }
 
-// agentIncarnation is an agent's state within its present incarnation. An incarnation ends,
+// agentIncarnation is an agent's state in its current incarnation. An incarnation ends,
 // with all its tasks, when the agent's lease expires or the machine reboots.
 type agentIncarnation struct {
 	incarnation      protocol.Incarnation
@@ -44,7 +44,7 @@
 }
 
 // machineAgent simulates one machine with its agent. It sends heartbeats to a controller,
-// carries out commands from the replies and from direct calls, and lets its tasks advance.
+// carries out commands from the replies and from direct calls, and advances its tasks.
 type machineAgent struct {
 	machineIdentity
 	agentIncarnation
@@ -55,11 +55,12 @@
 	removed       bool
 	tasks         []*agentTask
 	imageCache    map[string]bool
-	statusChanged bool
-	nodeIndex     int
+	statusChanged bool // since the last heartbeat, so the next one is due early
+	nodeIndex     int  // index of the node for the next heartbeat, modulo the number of nodes
 }
 
-// newMachine makes a machine that starts up after its type's boot time. The caller holds the mutex.
+// newMachine adds a machine that is up after its type's boot time, and returns its ID. The
+// caller holds the mutex.
 func (e *Environment) newMachine(typeName, zone string, spot bool) string {
 	id := fmt.Sprintf("m-%06d", e.nextID)
 	e.nextID++
@@ -99,7 +100,7 @@
 			m.env.mu.Unlock()
 			return
 		}
-		m.expireLease() // the lease of a hung machine expires all the same
+		m.expireLease() // a hung machine's lease expires too
 		if !m.hung {
 			m.advanceTasks(m.env.step.Seconds())
 		}
@@ -107,12 +108,12 @@
 	}
 }
 
-// shouldStop tells whether the machine was removed or the test has ended.
+// shouldStop reports whether the machine was removed or the test has ended.
 func (m *machineAgent) shouldStop() bool { return m.removed || m.env.ctx.Err() != nil }
 
-// expireLease ends the incarnation if the agent's lease has expired: the tasks stop and the
-// next incarnation starts empty. The lease runs from the incarnation's start or from the last
-// heartbeat that was answered.
+// expireLease ends the incarnation if the agent's lease has expired: the tasks end and the
+// next incarnation starts without tasks. The lease runs from the incarnation's start or from
+// the last heartbeat that was answered.
 func (m *machineAgent) expireLease() {
 	leaseStart := m.incarnationStart
 	if m.leaseRenewed.After(leaseStart) {
@@ -148,8 +149,8 @@
 	return out
 }
 
-// MachinesOf lists the machines that hold tasks of a job that have not exited, in order, once
-// for each task. Tasks whose image is still being fetched count.
+// MachinesOf lists in order the machine ID of each task of a job that has not exited. A machine
+// with several such tasks is listed once for each. Tasks whose image is still being fetched count.
 func (e *Environment) MachinesOf(jobID protocol.JobID) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -175,7 +176,7 @@
 	return ""
 }
 
-// markRemoved makes the machine's loops end at their next step.
+// markRemoved makes the machine's loops return at their next check of shouldStop.
 func (m *machineAgent) markRemoved() { m.removed = true }
 
 // markStatusChanged makes the next heartbeat due early.
--- a/internal/fake/agent_capacity.go
+++ b/internal/fake/agent_capacity.go
@@ -9,7 +9,7 @@
 // capacityTolerance is the rounding error that sums of cores, GPUs and memory may have.
 const capacityTolerance = 1e-6
 
-// hasCapacityFor tells whether a task of the job fits beside those that have not exited.
+// hasCapacityFor reports whether a task of the job fits beside those that have not exited.
 func (m *machineAgent) hasCapacityFor(spec *protocol.Job) bool {
 	free := m.machineType
 	for _, task := range m.tasks {
@@ -26,8 +26,8 @@
 		spec.MemGB <= free.MemGB+capacityTolerance
 }
 
-// isAllowedFor tells whether the job accepts the machine's type and zone, and spot instances
-// if it is one.
+// isAllowedFor reports whether the job accepts the machine's type and zone, and accepts spot
+// instances if the machine is one.
 func (m *machineAgent) isAllowedFor(spec *protocol.Job) bool {
 	if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, m.machineType.Name) {
 		return false
--- a/internal/fake/agent_commands.go
+++ b/internal/fake/agent_commands.go
@@ -12,8 +12,8 @@
 )
 
 // serveCommands answers a controller's direct commands and status queries. A hung machine
-// answers when it goes on. Commands with an old fencing token or for another incarnation are
-// refused, so that a deposed leader cannot act.
+// answers once it no longer hangs. Commands with an old fencing token or for another incarnation
+// are refused, so that a deposed leader can neither start nor stop tasks.
 func (m *machineAgent) serveCommands(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	m.env.mu.Lock()
@@ -44,8 +44,8 @@
 	writeReply(w, http.StatusOK, m.heartbeat())
 }
 
-// hangBeforeAnswer makes the machine hang once, with the commands carried out and the answer
-// not yet sent. It releases the mutex meanwhile.
+// hangBeforeAnswer makes the machine hang once, after it has carried out the commands and
+// before it answers. It releases the mutex while the machine hangs.
 func (m *machineAgent) hangBeforeAnswer() {
 	hang := m.nextCommandHang
 	m.nextCommandHang, m.hung = 0, true
@@ -76,9 +76,9 @@
 	}
 }
 
-// stopTask stops a task. A running task saves a checkpoint first if its job has them and the
-// grace period is long enough. A task that is saving already goes on unless the grace period
-// is zero.
+// stopTask stops a task. A running task saves a checkpoint first if its job uses checkpoints and
+// the grace period is long enough. A task that is already saving one continues to do so unless
+// the grace period is zero.
 func (m *machineAgent) stopTask(task *agentTask, gracePeriodS float64) {
 	spec := &m.env.jobs[task.jobID].spec
 	savesCheckpoint := task.state == protocol.TaskRunning && spec.CheckpointIntervalS > 0 && gracePeriodS >= spec.CheckpointSaveS
@@ -90,7 +90,8 @@
 	}
 }
 
-// releaseTask forgets a task that has exited, once the controller has recorded its exit.
+// releaseTask removes a task that has exited from the machine. A controller sends the command
+// once it has recorded the exit.
 func (m *machineAgent) releaseTask(released *agentTask) {
 	for i, task := range m.tasks {
 		if task == released && task.state == protocol.TaskExited {
@@ -101,8 +102,8 @@
 	}
 }
 
-// startTask adds a task that fetches its image, or one that has exited at once with the
-// reason for which it cannot start.
+// startTask adds a task to the machine. The task first fetches its image. If the task cannot
+// start, it is added as exited, with the reason.
 func (m *machineAgent) startTask(jobID protocol.JobID, index int, attempt uint64) {
 	task := &agentTask{jobID: jobID, index: index, attempt: attempt, state: protocol.TaskExited, stateSince: time.Now()}
 	m.statusChanged = true
@@ -121,7 +122,7 @@
 	m.tasks = append(m.tasks, task)
 }
 
-// parseTaskName splits a task's name, the job ID and the index with a slash between them.
+// parseTaskName splits a task's name, which is the job ID, a slash and the task's index.
 func parseTaskName(name string) (protocol.JobID, int) {
 	jobID, index, _ := strings.Cut(name, "/")
 	number, _ := strconv.Atoi(index)
--- a/internal/fake/agent_faults.go
+++ b/internal/fake/agent_faults.go
@@ -4,21 +4,22 @@
 	"time"
 )
 
-// machineFaults is what a test makes go wrong with a machine.
+// machineFaults holds the faults that a test injects into a machine.
 type machineFaults struct {
 	hung            bool
-	preemptionAt    time.Time
-	nextCommandHang time.Duration // how long the machine hangs within the next command; 0: not at all
+	preemptionAt    time.Time     // when the machine is preempted; zero: no notice was given
+	nextCommandHang time.Duration // how long the machine hangs before it answers the next command; 0: not at all
 }
 
-// Kill removes a machine without notice: it neither answers nor sends anything any more.
+// Kill removes a machine without notice: from then on it neither answers nor sends.
 func (e *Environment) Kill(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.remove(id)
 }
 
-// remove ends a machine. The caller holds the mutex.
+// remove removes a machine with its tasks; its address then refuses connections. The caller
+// holds the mutex.
 func (e *Environment) remove(id string) {
 	if machine := e.machines[id]; machine != nil {
 		machine.markRemoved()
@@ -28,23 +29,23 @@
 	}
 }
 
-// NoticePreemption sends a preemption notice for a machine, and kills the machine when the
-// notice ends.
-func (e *Environment) NoticePreemption(id string, in time.Duration) {
+// NoticePreemption gives a machine notice of its preemption, and kills the machine when the
+// notice period ends.
+func (e *Environment) NoticePreemption(id string, noticePeriod time.Duration) {
 	e.mu.Lock()
 	machine := e.machines[id]
-	machine.preemptionAt = time.Now().Add(in)
+	machine.preemptionAt = time.Now().Add(noticePeriod)
 	machine.markStatusChanged()
 	e.mu.Unlock()
 	go func() {
-		time.Sleep(in)
+		time.Sleep(noticePeriod)
 		e.Kill(id)
 	}()
 }
 
 // Reboot ends a machine's tasks and makes its agent lose its image cache, counters and
-// fencing token. The machine is back after the given time, in its first incarnation.
-func (e *Environment) Reboot(id string, after time.Duration) {
+// fencing token. The machine hangs for the downtime and is then in its first incarnation.
+func (e *Environment) Reboot(id string, downtime time.Duration) {
 	e.mu.Lock()
 	machine := e.machines[id]
 	machine.tasks, machine.imageCache, machine.hung = nil, map[string]bool{}, true
@@ -52,7 +53,7 @@
 	e.updateGangs()
 	e.mu.Unlock()
 	go func() {
-		time.Sleep(after)
+		time.Sleep(downtime)
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		machine.incarnation, machine.sequence, machine.token, machine.incarnationStart, machine.leaseRenewed = 1, 0, 0, time.Now(), time.Time{}
@@ -61,7 +62,7 @@
 }
 
 // Hang stops a machine from advancing its tasks, sending and answering, until the returned
-// function is called. Its lease expires all the same.
+// function is called. The agent's lease can expire in that time.
 func (e *Environment) Hang(id string) func() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -93,5 +94,5 @@
 	}
 }
 
-// hungPollInterval is the time between two looks at whether a machine still hangs.
+// hungPollInterval is the time between two checks whether a machine still hangs.
 const hungPollInterval = 50 * time.Millisecond
--- a/internal/fake/agent_heartbeat.go
+++ b/internal/fake/agent_heartbeat.go
@@ -10,7 +10,7 @@
 	"marblehaven/internal/protocol"
 )
 
-// heartbeat makes the agent's next heartbeat, with the next sequence number of the incarnation.
+// heartbeat returns the agent's next heartbeat, with the next sequence number of the incarnation.
 func (m *machineAgent) heartbeat() protocol.Heartbeat {
 	m.sequence++
 	heartbeat := protocol.Heartbeat{Machine: m.id, Addr: m.addr, MachineType: m.machineType.Name, Zone: m.zone, Spot: m.spot, Incarnation: m.incarnation,
@@ -27,8 +27,8 @@
 }
 
 // sendHeartbeats sends heartbeats to one node after another until the leader answers, and
-// then to the leader. The lease is renewed as of the time when the answered heartbeat was
-// sent, which is before the controller received it. So it expires at the agent first.
+// then to the leader. The agent's lease runs from the time when the answered heartbeat was
+// sent, which is before the controller received it, so the lease expires at the agent first.
 func (m *machineAgent) sendHeartbeats() {
 	client := httpclient.Client{HTTP: &http.Client{Transport: m.env.Network.From(m.env.ctx, m.id)}}
 	lastSent := longAgo()
@@ -50,7 +50,7 @@
 		lastSent = time.Now()
 		answer := m.postHeartbeat(client, addr, heartbeat)
 		m.env.mu.Lock()
-		m.awaitNotHung() // a hung machine takes the answer when it goes on
+		m.awaitNotHung() // a hung machine handles the answer once it no longer hangs
 		if answer.accepted && time.Since(lastSent) <= heartbeatTimeout {
 			m.applyReply(&answer.reply, heartbeat.Incarnation, lastSent)
 			m.env.mu.Unlock()
@@ -66,17 +66,17 @@
 const (
 	// heartbeatTimeout is how long an agent waits for the answer to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// minHeartbeatInterval is the least time between heartbeats after a change of the tasks.
+	// minHeartbeatInterval is the least time from a heartbeat to an early one after a change of status.
 	minHeartbeatInterval = 500 * time.Millisecond
-	// nodeRetryInterval is the pause before an agent asks the next node.
+	// nodeRetryInterval is the pause before an agent sends a heartbeat to the next node.
 	nodeRetryInterval = time.Second
 )
 
-// longAgo returns a time since which a heartbeat is due in any case.
+// longAgo returns a time that, as that of the last heartbeat, makes the next one due at once.
 func longAgo() time.Time { return time.Now().Add(-time.Hour) }
 
-// heartbeatDue tells whether the next heartbeat is due: after the usual interval, and earlier
-// after a change of the tasks.
+// heartbeatDue reports whether the next heartbeat is due: after the configured interval, or
+// after minHeartbeatInterval if the status has changed. A hung machine sends no heartbeats.
 func (m *machineAgent) heartbeatDue(lastSent time.Time) bool {
 	if m.hung || len(m.env.nodeAddrs) == 0 {
 		return false
@@ -87,11 +87,11 @@
 	return m.statusChanged && time.Since(lastSent) >= minHeartbeatInterval
 }
 
-// heartbeatAnswer is what a node answered to a heartbeat, or that it did not answer.
+// heartbeatAnswer is a node's answer to a heartbeat; accepted is false if there was no answer.
 type heartbeatAnswer struct {
 	accepted bool
 	reply    protocol.HeartbeatReply // if accepted
-	redirect protocol.Redirect       // names the leader, if the node knows of one
+	redirect protocol.Redirect       // names the leader, if the node has found one
 }
 
 // postHeartbeat sends a heartbeat to a node and waits for the answer.
@@ -106,7 +106,7 @@
 }
 
 // applyReply renews the lease and carries out the commands of a reply. It ignores replies
-// with an old fencing token and replies to an earlier incarnation.
+// with an old fencing token and replies to heartbeats of an earlier incarnation.
 func (m *machineAgent) applyReply(reply *protocol.HeartbeatReply, incarnation protocol.Incarnation, sent time.Time) {
 	if reply.Token < m.token || incarnation != m.incarnation || m.removed {
 		return
@@ -116,8 +116,8 @@
 	m.executeCommands(reply.Commands)
 }
 
-// indexOfLeader returns the index of the leader's node that a redirect names, or -1 if there
-// is no redirect or it names the node that was asked.
+// indexOfLeader returns the index of the node that a redirect names as leader, or -1 if the
+// redirect names no known node or the node that sent the redirect.
 func (m *machineAgent) indexOfLeader(leader, askedAddr string) int {
 	index := -1
 	for i, addr := range m.env.nodeAddrs {
@@ -128,8 +128,8 @@
 	return index
 }
 
-// selectNode picks the node for the next heartbeat: the leader's if it is known, otherwise the
-// next one after a pause.
+// selectNode selects the node for the next heartbeat: the leader if leaderIndex is not negative,
+// otherwise, after a pause, the next node.
 func (m *machineAgent) selectNode(leaderIndex int) {
 	if leaderIndex >= 0 {
 		m.nodeIndex = leaderIndex
--- a/internal/fake/agent_settings.go
+++ b/internal/fake/agent_settings.go
@@ -6,21 +6,22 @@
 	"marblehaven/internal/protocol"
 )
 
-// SetStep sets how often a machine advances its tasks.
+// SetStep sets the interval at which a machine advances its tasks.
 func (e *Environment) SetStep(step time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.step = step
 }
 
-// currentStep returns how often a machine advances its tasks.
+// currentStep returns the interval at which a machine advances its tasks.
 func (e *Environment) currentStep() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.step
 }
 
-// SetUneven sets by which share each task of an array runs longer than the one before.
+// SetUneven sets the share of the job's run time by which each task of an array runs longer than
+// the task before it.
 func (e *Environment) SetUneven(increment float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -16,17 +16,17 @@
 	checkpointed bool
 	stateSince   time.Time // when the state began
 	remainingS   float64   // seconds of work left, while running
-	// reportedUnrecorded is set once the checker has found that no run record names the task.
+	// reportedUnrecorded is set once the checker has reported that no run record names the task.
 	reportedUnrecorded bool
 }
 
-// occupiesMachine tells whether the task occupies the machine for the checker's rules, which is
-// from the end of the image's fetching to the exit.
+// occupiesMachine reports whether the checker's rules count the task as being on its
+// machine: from the time its image has been fetched until the task exits.
 func (t *agentTask) occupiesMachine() bool {
 	return t.state != protocol.TaskExited && t.state != protocol.TaskFetching
 }
 
-// advanceTasks moves each task on by the elapsed time, through the states of the protocol.
+// advanceTasks advances each task by the elapsed time through the task states of the protocol.
 func (m *machineAgent) advanceTasks(elapsedS float64) {
 	for _, task := range m.tasks {
 		job := m.env.jobs[task.jobID]
@@ -52,7 +52,8 @@
 	}
 }
 
-// endFetching starts a task whose image has arrived. A task of a gang waits for the others.
+// endFetching starts a task whose image has been fetched. A task that is already done exits, and
+// a task of a gang waits for the others.
 func (m *machineAgent) endFetching(task *agentTask, job *userJob) {
 	m.imageCache[job.spec.Image] = true
 	switch {
@@ -68,8 +69,8 @@
 	m.env.updateGangs()
 }
 
-// advanceRunning lets a running task work, and ends it when its work is done. A service
-// never ends by itself.
+// advanceRunning reduces the remaining work of a running task, and ends the task when the work
+// is done. A task of a service runs until it is stopped.
 func (m *machineAgent) advanceRunning(task *agentTask, job *userJob, elapsedS float64) {
 	if job.spec.Kind == protocol.KindService {
 		return
@@ -90,7 +91,7 @@
 	task.state, task.stateSince, m.statusChanged = state, time.Now(), true
 }
 
-// exit ends a task for a reason. A gang that lost a task ends with it.
+// exit ends a task with a reason. The other running tasks of its gang, if it has one, end too.
 func (m *machineAgent) exit(task *agentTask, reason protocol.ExitReason) {
 	task.exitReason = reason
 	m.setState(task, protocol.TaskExited)
