--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -11,21 +11,22 @@
 	"marblehaven/internal/protocol"
 )
 
-// checkInterval is the time between two looks of the checker at all machines and jobs.
+// checkInterval is the time between two periodic checks of all machines and jobs.
 const checkInterval = 200 * time.Millisecond
 
-// checker compares what users and machines see with the rules, and records each violation. It
-// looks at task starts and at answers to users as they happen, and at all machines and jobs
-// periodically. It reads the fakes' own state, never the controllers'.
+// checker compares the answers to users and the tasks on machines with the rules, and records
+// each violation. It checks task starts and answers to users as they happen, and all machines
+// and jobs periodically. It reads the fakes' own state, never the controllers'.
 type checker struct {
 	env                 *Environment
-	maxStartAfterCancel time.Duration // the longest time from a confirmed cancellation to a start
+	maxStartAfterCancel time.Duration // the longest time from a job's confirmed cancellation to a start of its tasks
 	runRecords          *runRecordReader
 	violations          []string
 	faultsEnded         bool // the test causes no more faults
 }
 
-// checkPeriodically finds violations that no message shows, such as a task that goes on too long.
+// checkPeriodically finds violations that happen without a message, such as a task that runs for
+// too long after its job was cancelled.
 func (c *checker) checkPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(checkInterval)
@@ -42,7 +43,7 @@
 	return slices.Clone(c.violations)
 }
 
-// LateStart returns the longest time from a confirmed cancellation to a start.
+// LateStart returns the longest time from a job's confirmed cancellation to a start of its tasks.
 func (c *checker) LateStart() time.Duration {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -54,7 +55,7 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// checkStart checks all rules on a task that starts to occupy a machine.
+// checkStart checks a task that starts to occupy a machine against all rules for starts.
 func (c *checker) checkStart(machine *machineAgent, task *agentTask) {
 	job := c.env.jobs[task.jobID]
 	others := c.collectOtherTasks(task)
@@ -79,14 +80,15 @@
 	task    *agentTask
 }
 
-// otherTasks sums up the tasks that occupy machines, apart from the one that starts.
+// otherTasks sums up the tasks that occupy machines, except the one that starts.
 type otherTasks struct {
 	sameTask            []taskOnMachine // other attempts of the same task
 	jobZones            map[string]int  // tasks of its job by zone
 	teamCores, teamGPUs float64         // what its team uses
 }
 
-// collectOtherTasks looks at the tasks of all machines once, because tests have thousands of them.
+// collectOtherTasks collects the values for all rules in one pass over the machines, because tests
+// have thousands of machines.
 func (c *checker) collectOtherTasks(task *agentTask) otherTasks {
 	others := otherTasks{jobZones: map[string]int{}}
 	team := c.env.jobs[task.jobID].spec.Team
@@ -110,7 +112,7 @@
 	return others
 }
 
-// checkRanTwice guards that at most one attempt of a task occupies a machine at any time.
+// checkRanTwice checks that at most one attempt of a task occupies a machine at any time.
 func (c *checker) checkRanTwice(machine *machineAgent, task *agentTask, sameTask []taskOnMachine) {
 	for _, other := range sameTask {
 		c.addViolation("ran_twice: %s/%d attempt %d on %s since %v and attempt %d on %s (hung %v, up %v, incarnation %d) at %v",
@@ -119,7 +121,7 @@
 	}
 }
 
-// checkQuota guards that the tasks of a team stay within its quota limits.
+// checkQuota checks that the tasks of a team stay within its quota limits.
 func (c *checker) checkQuota(machine *machineAgent, task *agentTask, usedCores, usedGPUs float64) {
 	spec := &c.env.jobs[task.jobID].spec
 	cores, gpus := usedCores+spec.Cores, usedGPUs+spec.GPUs
@@ -131,14 +133,14 @@
 	}
 }
 
-// exceedsQuota tells whether the given use is beyond a team's limits. A limit of 0 is none.
+// exceedsQuota reports whether the given use exceeds a team's limits. A limit of 0 means no limit.
 func exceedsQuota(team *config.Team, cores, gpus float64) bool {
 	return (team.CoresMax > 0 && cores > team.CoresMax+capacityTolerance) ||
 		(team.GPUsMax > 0 && gpus > team.GPUsMax+capacityTolerance)
 }
 
-// checkPlacement guards that a task runs on a machine that its job accepts, and that the job's
-// tasks share a zone or spread over zones as the job asks.
+// checkPlacement checks that a task runs on a machine that its job accepts, and that the job's
+// tasks share a zone or spread over zones as the job requires.
 func (c *checker) checkPlacement(machine *machineAgent, task *agentTask, otherZones map[string]int) {
 	spec := &c.env.jobs[task.jobID].spec
 	zones := maps.Clone(otherZones)
@@ -150,12 +152,13 @@
 	}
 }
 
-// maxTasksInZone is how many tasks of a job that spreads over zones may be in one of them.
+// maxTasksInZone returns how many tasks of a job that spreads over zones may be in one zone: half
+// of them, rounded up.
 func maxTasksInZone(spec *protocol.Job) int { return (spec.Tasks + 1) / 2 }
 
-// checkJobStatus guards that a job's status never goes back and is true. The argument before is
-// the job as the user knew it when the request was sent, because answers may overtake each
-// other.
+// checkJobStatus checks that a job's status is correct, and that it never changes again after
+// the user received done or cancelled. The argument before is the job's state before the
+// request was sent. Later answers don't count, because answers can arrive out of order.
 func (c *checker) checkJobStatus(job *userJob, before userJob, jobStatus protocol.JobStatus) {
 	switch {
 	case before.doneConfirmed && jobStatus.Phase != protocol.PhaseDone, !before.cancelConfirmed.IsZero() && jobStatus.Phase != protocol.PhaseCancelled:
@@ -179,8 +182,8 @@
 	}
 }
 
-// checkCancelledTask guards that no task occupies a machine for too long after its job, or a
-// dependency of it, was confirmed as cancelled.
+// checkCancelledTask checks that no task occupies a machine for longer than the limit CancelS
+// after its job, or a dependency of the job, was confirmed as cancelled.
 func (c *checker) checkCancelledTask(machine *machineAgent, task *agentTask) {
 	job := c.env.jobs[task.jobID]
 	since := job.cancelConfirmed
--- a/internal/fake/checker_dependencies.go
+++ b/internal/fake/checker_dependencies.go
@@ -23,7 +23,7 @@
 	return dependencies
 }
 
-// MayFinish tells whether no user has requested to cancel the job or a dependency of it.
+// MayFinish reports whether no user has requested to cancel the job or a dependency of it.
 func (c *checker) MayFinish(jobID protocol.JobID) bool {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -31,9 +31,8 @@
 	return !requested && !c.env.jobs[jobID].cancelRequested
 }
 
-// dependenciesDone tells whether a job may start as far as its dependencies are concerned. A
-// dependency that was confirmed as cancelled at its user's request is never done, even if all
-// its tasks are complete.
+// dependenciesDone reports whether all dependencies of a job are done. A dependency that was
+// confirmed as cancelled at its user's request is never done, even if all its tasks are complete.
 func (c *checker) dependenciesDone(job *userJob) bool {
 	for _, dependency := range c.dependenciesOf(job) {
 		if !dependency.complete() || !dependency.ownCancelConfirmed.IsZero() {
@@ -43,8 +42,9 @@
 	return true
 }
 
-// isStartable tells whether a job may start and no cancellation can still prevent it. A
-// dependency may be cancelled after its last task has completed but before that is recorded.
+// isStartable reports whether a job may start and no cancellation can still prevent the start. A
+// dependency can be cancelled after its last task has completed but before the controllers have
+// recorded the completion.
 func (c *checker) isStartable(job *userJob) bool {
 	for _, dependency := range c.dependenciesOf(job) {
 		if dependency.cancelRequested && !dependency.doneConfirmed {
@@ -54,8 +54,8 @@
 	return !job.cancelRequested && c.dependenciesDone(job)
 }
 
-// dependencyCancelled tells whether a user has requested to cancel a dependency of the job, and
-// when the first such cancellation was confirmed, or zero if none was.
+// dependencyCancelled reports whether a user has requested to cancel a dependency of the job, and
+// when the first such cancellation was confirmed (the zero time if none was).
 func (c *checker) dependencyCancelled(job *userJob) (requested bool, confirmedAt time.Time) {
 	for _, dependency := range c.dependenciesOf(job) {
 		requested = requested || dependency.cancelRequested
@@ -66,8 +66,8 @@
 	return requested, confirmedAt
 }
 
-// checkDependentStatus guards that a job is no longer called queued or running when enough time
-// has passed since a dependency of it was confirmed as cancelled.
+// checkDependentStatus checks that no answer calls a job queued or running later than the limit
+// CancelS after a dependency of the job was confirmed as cancelled.
 func (c *checker) checkDependentStatus(job *userJob, phase protocol.JobPhase) {
 	if phase != protocol.PhaseQueued && phase != protocol.PhaseRunning {
 		return
--- a/internal/fake/checker_records.go
+++ b/internal/fake/checker_records.go
@@ -18,16 +18,16 @@
 type decodedSegment struct {
 	version  protocol.Version
 	run      records.RunRecord
-	readable bool
+	readable bool // the segment was decoded without an error
 }
 
-// newRunRecordReader makes a reader of a store's run records.
+// newRunRecordReader returns a reader of a store's run records.
 func newRunRecordReader(store *Store) *runRecordReader {
 	return &runRecordReader{store: store, segments: map[string]decodedSegment{}}
 }
 
-// segment returns the record segment that holds a task: the task's own segment if it was
-// written, otherwise the first of the job.
+// segment returns the segment of the job's run record that holds a task: the segment for the
+// task's index if that key exists, otherwise the first segment.
 func (r *runRecordReader) segment(jobID protocol.JobID, task int) decodedSegment {
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
@@ -48,8 +48,8 @@
 	return segment
 }
 
-// mayContain tells whether the record names the attempt on the machine. An unreadable segment
-// may name it, and is given the benefit of the doubt.
+// mayContain reports whether the record names the attempt on the machine. A segment that cannot
+// be decoded counts as naming the attempt, because it may do so.
 func (r *runRecordReader) mayContain(task *agentTask, machine string) bool {
 	segment := r.segment(task.jobID, task.index)
 	if !segment.readable {
@@ -63,9 +63,9 @@
 	return false
 }
 
-// checkRunRecords guards that every task on a machine is named in the run record of its job,
-// from before its start until after its exit. The next leader knows only what is recorded, so
-// a task without a record would never be stopped.
+// checkRunRecords checks that every task on a machine is named in the run record of its job,
+// from before its start until after its exit. The next leader reads only the records, so it
+// would never stop a task that none of them names.
 func (c *checker) checkRunRecords() {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -74,7 +74,7 @@
 			if task.state == protocol.TaskExited || task.reportedUnrecorded || c.runRecords.mayContain(task, machine.id) {
 				continue
 			}
-			task.reportedUnrecorded = true // one violation a task is enough
+			task.reportedUnrecorded = true // each task is reported once
 			c.addViolation("orphaned: no record names %s/%d try %d (%s) on %s at %v", task.jobID, task.index, task.attempt, task.state, machine.id, time.Now())
 		}
 	}
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -18,17 +18,17 @@
 	dependentJob = "req-000002" // depends on the first
 
 	cancelLimit = 37 * time.Second // how long a task may run after its job was cancelled
-	// unknownMachine is one that the cloud never provisioned.
+	// unknownMachine is the ID of a machine that the cloud never provisioned.
 	unknownMachine = "m-000009"
 )
 
-// history is an environment without controllers, in which a test makes up what happens.
+// history is an environment without controllers, in which a test causes each event itself.
 type history struct {
 	*Environment
 	machine *machineAgent
 }
 
-// newHistory makes a history of two accepted jobs of one task each, and of a machine that
+// newHistory returns a history with two accepted jobs of one task each, and with a machine that
 // is up. A run record places the first job's task on the machine.
 func newHistory(ctx context.Context) *history {
 	cfg := config.Deployment{Workers: config.Workers{ReportS: 2.5, LeaseS: 1000, CancelS: cancelLimit.Seconds()}}
@@ -79,7 +79,7 @@
 	h.jobs[jobID].finished[0] = true
 }
 
-// answerUser lets the checker see that a job's user is told a phase.
+// answerUser passes to the checker an answer that reports a job's phase to its user.
 func (h *history) answerUser(jobID protocol.JobID, phase protocol.JobPhase) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -87,7 +87,7 @@
 	h.checkJobStatus(job, *job, protocol.JobStatus{ID: jobID, Phase: phase})
 }
 
-// cancelAndConfirm lets a job's user cancel it and be told that it is cancelled.
+// cancelAndConfirm cancels a job at its user's request and answers that it is cancelled.
 func (h *history) cancelAndConfirm(jobID protocol.JobID) {
 	h.mu.Lock()
 	h.jobs[jobID].cancelRequested = true
@@ -178,8 +178,8 @@
 	}, "went_back"},
 }
 
-// The checker finds each broken rule in a history that breaks it, and none in a history
-// that breaks none.
+// The checker reports the rule that a history breaks, and reports nothing for a history that
+// breaks no rule.
 func TestCheckerFindsBrokenRules(t *testing.T) {
 	for _, test := range slices.Concat(recordTests, dependencyTests, cancellationTests) {
 		t.Run(test.name, func(t *testing.T) {
@@ -188,7 +188,7 @@
 	}
 }
 
-// run plays the history in synthetic time and compares the violations found.
+// run carries out the history's steps in synthetic time and compares the violations found.
 func (test checkerTest) run(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	h := newHistory(ctx)
@@ -196,7 +196,7 @@
 	time.Sleep(time.Second)
 	violations := strings.Join(h.Violations(), "\n")
 	if (test.wantViolation == "" && violations != "") || !strings.Contains(violations, test.wantViolation) {
-		t.Errorf("found %q, not %q", violations, test.wantViolation)
+		t.Errorf("checker found violations %q, want %q", violations, test.wantViolation)
 	}
 	cancel()
 	time.Sleep(time.Second) // the environment's goroutines end
--- a/internal/fake/checker_waiting.go
+++ b/internal/fake/checker_waiting.go
@@ -6,8 +6,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// EndTroubles tells the checker that the test causes no more faults. From now on no job may be
-// left waiting beside free capacity.
+// EndTroubles declares that the test causes no more faults. From then on the checker reports
+// jobs that wait for too long although there is capacity for them.
 func (c *checker) EndTroubles() {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -18,8 +18,8 @@
 // operators require.
 const maxWaitWithCapacity = 90 * time.Second
 
-// checkWaiting guards that no job starves while a machine has capacity for it. It leaves out
-// gangs, which need capacity for all their tasks at the same time.
+// checkWaiting checks that no job waits for longer than maxWaitWithCapacity while a machine has
+// capacity for it. It skips gangs, which need capacity for all their tasks at the same time.
 func (c *checker) checkWaiting() {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -41,8 +41,8 @@
 	}
 }
 
-// hasCapacityFor tells whether a task of the job is not placed although its team's quota limits
-// and a machine allow it.
+// hasCapacityFor reports whether a task of the job is not placed although its team's quota and
+// the free capacity of a machine allow it.
 func (c *checker) hasCapacityFor(job *userJob) bool {
 	spec := &job.spec
 	placed := c.sumPlacements(spec)
@@ -62,7 +62,7 @@
 	return false
 }
 
-// isUsable tells whether the machine can take tasks: it is up, does not hang, and has no
+// isUsable reports whether the machine can take tasks: it is up, does not hang, and has no
 // preemption notice.
 func (m *machineAgent) isUsable() bool {
 	return m.up && !m.hung && m.preemptionAt.IsZero()
@@ -76,7 +76,7 @@
 	teamCores, teamGPUs float64
 }
 
-// sumPlacements looks at the tasks of all machines once.
+// sumPlacements sums up the tasks of all machines for one job in a single pass.
 func (c *checker) sumPlacements(spec *protocol.Job) placementTotals {
 	placed := placementTotals{jobZones: map[string]int{}}
 	for _, machine := range c.env.machines {
@@ -97,7 +97,7 @@
 	return placed
 }
 
-// allowsZone tells whether one more task of the job may be in a zone.
+// allowsZone reports whether one more task of the job may be placed in a zone.
 func (p *placementTotals) allowsZone(spec *protocol.Job, zone string) bool {
 	if spec.OneZone && len(p.jobZones) > 0 && p.jobZones[zone] == 0 {
 		return false
