--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -14,7 +14,7 @@
 	"marblehaven/internal/protocol"
 )
 
-// maxProvisionCount and maxDeprovisionCount are how many machines one call may name.
+// maxProvisionCount and maxDeprovisionCount limit the machines that one call may add or remove.
 const (
 	maxProvisionCount   = 50
 	maxDeprovisionCount = 100
@@ -24,20 +24,20 @@
 const machineRunning protocol.MachineState = "running"
 
 // cloud simulates the cloud's HTTP interface: it provisions machines within the capacity that a
-// test sets, removes them, and lists them late, as the protocol allows.
+// test sets, removes them, and lists new ones only after a lag, as the protocol allows.
 type cloud struct {
 	env               *Environment
 	calls             map[string]int                    // number of calls by path
-	loseReply         func(path string, calls int) bool // picks the calls whose answers are lost
+	loseReply         func(path string, calls int) bool // reports whether a call's answer is lost
 	down              bool                              // every call gets 503 "trouble"
-	maxPageSize       int                               // machines in a page of the list at most; 0: as many as asked for
+	maxPageSize       int                               // most machines in a page of the list; 0: as many as requested
 	types             map[string]protocol.MachineType
-	capacity          map[string]int // by type, zone and kind; absent: unlimited
-	machinesByRequest map[string][]string
+	capacity          map[string]int      // by type, zone and spot; absent: unlimited
+	machinesByRequest map[string][]string // machine IDs by request ID
 	nextID            int
 }
 
-// newCloud makes a cloud with plenty of machines of each type.
+// newCloud returns a cloud with unlimited capacity for each machine type.
 func newCloud(env *Environment, types []protocol.MachineType) *cloud {
 	c := &cloud{
 		env:               env,
@@ -52,7 +52,8 @@
 	return c
 }
 
-// Limit sets the capacity of a pool: how many machines of a type, zone and kind there may be.
+// Limit sets the capacity of a pool: how many machines of a type in a zone, spot instances or not,
+// there may be at a time.
 func (c *cloud) Limit(machineType, zone string, spot bool, count int) {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -66,8 +67,9 @@
 	c.down = down
 }
 
-// SetLoseCloudReply sets a function that picks the calls whose answers are lost, by their path
-// and the number of calls on it so far. It is called with the environment's mutex held.
+// SetLoseCloudReply sets a function that selects the calls whose answers are lost, by their path
+// and the number of calls on that path so far. The function is called with the environment's
+// mutex held.
 func (c *cloud) SetLoseCloudReply(loseReply func(path string, calls int) bool) {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -75,7 +77,7 @@
 }
 
 // SetCloudMaxPageSize sets how many machines a page of the list holds at most; 0: as many as
-// asked for.
+// requested.
 func (c *cloud) SetCloudMaxPageSize(size int) {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -89,8 +91,8 @@
 	return c.nextID
 }
 
-// serveCloud answers a call. If the hook loseReply picks it, the call is carried out and its
-// answer lost.
+// serveCloud answers a call. If the hook loseReply selects the call, the call is carried out and
+// its answer is lost.
 func (c *cloud) serveCloud(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	c.env.mu.Lock()
@@ -107,7 +109,7 @@
 	writeReply(w, status, reply)
 }
 
-// dispatchCloudCall hands a call to its handler.
+// dispatchCloudCall carries out a call with the handler for its path and method.
 func (c *cloud) dispatchCloudCall(r *http.Request, body []byte) (status int, reply any) {
 	switch {
 	case r.URL.Path == "/catalog":
@@ -132,8 +134,8 @@
 	return catalog
 }
 
-// provision answers a provisioning request with as many machines as are asked for and as the
-// capacity allows. Requests are idempotent: a repeated one gets the machines of the first.
+// provision adds as many machines as a request asks for and the capacity allows. Requests are
+// idempotent: a repeated request gets the machines of the first.
 func (c *cloud) provision(body []byte) (status int, reply any) {
 	var request protocol.ProvisionRequest
 	if codec.Unmarshal(body, &request) != nil || request.Count < 1 || request.Count > maxProvisionCount {
@@ -154,7 +156,7 @@
 	return http.StatusOK, protocol.MachineIDs{IDs: machineIDs}
 }
 
-// available returns how many of the requested machines the capacity pool still has.
+// available returns how many of the requested machines fit the remaining capacity of their pool.
 func (c *cloud) available(request *protocol.ProvisionRequest) int {
 	free, limited := c.capacity[fmt.Sprint(request.Type, request.Zone, request.Spot)]
 	if !limited {
--- a/internal/fake/environment.go
+++ b/internal/fake/environment.go
@@ -9,9 +9,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// Environment is everything outside the controllers: the network, the key-value store, the
-// cloud, the agents and the users, together with the checker of the rules. One mutex guards
-// all of it but the network and the store, which have their own.
+// Environment simulates everything outside the controllers: the network, the key-value store,
+// the cloud, the agents and the users. It includes the checker of the rules. One mutex guards
+// all of it except the network and the store, which have their own.
 type Environment struct {
 	Network *Network
 	Store   *Store
@@ -27,8 +27,8 @@
 	addrByNode map[string]string // by node name
 }
 
-// NewEnvironment makes an environment without machines and jobs and lets it serve the store
-// and the cloud on the network. The environment ends with ctx.
+// NewEnvironment returns an environment without machines and jobs, with the store and the cloud
+// served on the network. The environment's goroutines end after ctx does.
 func NewEnvironment(ctx context.Context, net *Network, cfg config.Deployment, types []protocol.MachineType) *Environment {
 	e := &Environment{
 		Network:    net,
@@ -49,8 +49,8 @@
 	return e
 }
 
-// AddNode makes a controller node known to users and agents, under its name and the address
-// of its users' and agents' HTTP.
+// AddNode adds a controller node by its name, which redirects use, and by the address at which
+// it serves the HTTP requests of users and agents.
 func (e *Environment) AddNode(name, addr string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -58,6 +58,6 @@
 	e.addrByNode[name] = addr
 }
 
-// Random draws the next number between 0 and 1 from the network's seeded sequence. Tests that
-// draw from it take part in that sequence, so an extra draw changes every later message.
+// Random draws the next number between 0 and 1 from the network's seeded sequence. The network
+// draws the delays of messages from the same sequence, so an extra draw changes every later one.
 func (e *Environment) Random() float64 { return e.Network.randomFloat() }
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -8,7 +8,7 @@
 
 // Reasons for which the tasks of a gang exit.
 const (
-	exitGangIncomplete protocol.ExitReason = "incomplete" // the others did not start in time
+	exitGangIncomplete protocol.ExitReason = "incomplete" // the other tasks did not start in time
 	exitGangPeerLost   protocol.ExitReason = "peers"      // another task of the gang was lost
 )
 
@@ -18,8 +18,8 @@
 	attempt uint64
 }
 
-// updateGangs starts the gangs whose tasks all wait, and ends the running gangs that lost a
-// task. The protocol gives agents some time to notice a lost task; here they notice at once.
+// updateGangs starts the gangs whose tasks all wait, and ends the running gangs that have lost a
+// task. The protocol gives agents some time to detect a lost task; here they detect it at once.
 func (e *Environment) updateGangs() {
 	waiting, running := e.gangTasks()
 	for id, tasks := range waiting {
@@ -36,8 +36,8 @@
 	}
 }
 
-// gangTasks groups the gangs' tasks into those that wait for the others and those that run or
-// have saved a checkpoint.
+// gangTasks groups the gangs' tasks into those that wait for the others and those that run, save
+// a checkpoint or have saved one.
 func (e *Environment) gangTasks() (waiting, running map[gang][]*agentTask) {
 	waiting, running = map[gang][]*agentTask{}, map[gang][]*agentTask{}
 	for _, machine := range e.machines {
@@ -63,7 +63,7 @@
 }
 
 // endGang ends the running tasks of a gang that has lost one. If any task of the job is done,
-// the others are done with it, because the tasks of a gang complete together.
+// the others become done too, because the tasks of a gang complete together.
 func endGang(job *userJob, tasks []*agentTask) {
 	for _, task := range tasks {
 		if task.state != protocol.TaskRunning {
--- a/internal/fake/httpstatus.go
+++ b/internal/fake/httpstatus.go
@@ -7,8 +7,8 @@
 	"marblehaven/internal/httpclient"
 )
 
-// answeredStatus is the status of the answer behind an error of httpclient.Client.Do, and
-// 0 when there was no usable answer.
+// answeredStatus returns the HTTP status of the answer that led to an error of
+// httpclient.Client.Do, or 0 if there was no usable answer. Without an error it returns OK.
 func answeredStatus(err error) int {
 	var answered *httpclient.StatusError
 	switch {
--- a/internal/fake/reply.go
+++ b/internal/fake/reply.go
@@ -6,7 +6,7 @@
 	"marblehaven/internal/codec"
 )
 
-// writeReply writes a status and, unless it is nil, a body in MessagePack.
+// writeReply writes a status and, unless body is nil, the body encoded in MessagePack.
 func writeReply(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
 	if body != nil {
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -10,24 +10,24 @@
 	"marblehaven/internal/protocol"
 )
 
-// userJob is a job as its user knows it, with what the user requested and was told.
+// userJob is a job from its user's view: its description, the user's requests and the answers.
 type userJob struct {
 	spec               protocol.Job
 	runS               float64
 	submitted          bool
 	accepted           bool
 	cancelRequested    bool
-	cancelConfirmed    time.Time // when the user was first told that the job is cancelled
-	ownCancelConfirmed time.Time // the same, for a cancellation that this user requested
-	doneConfirmed      bool      // the user was told that the job is done
-	finished           map[int]bool
-	waitingSince       time.Time // since when the job waits beside free capacity; zero: it does not
+	cancelConfirmed    time.Time    // when the first answer reported the job as cancelled
+	ownCancelConfirmed time.Time    // the same, if the job's own user had requested the cancellation
+	doneConfirmed      bool         // an answer reported the job as done
+	finished           map[int]bool // the tasks that are done, by index
+	waitingSince       time.Time    // since when the job waits while there is capacity for it; zero: it does not
 }
 
-// complete tells whether all tasks of the job are done.
+// complete reports whether all tasks of the job are done.
 func (j *userJob) complete() bool { return len(j.finished) >= j.spec.Tasks }
 
-// Register adds a job as if its user had submitted it and had been told that it is accepted.
+// Register adds a job as if its user had submitted it and received the answer that it is accepted.
 func (e *Environment) Register(job protocol.Job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -41,7 +41,7 @@
 	return e.jobs[jobID].spec
 }
 
-// Cancelled tells whether the user of a job requested to cancel it.
+// Cancelled reports whether the user of a job requested to cancel it.
 func (e *Environment) Cancelled(jobID protocol.JobID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -49,8 +49,8 @@
 }
 
 // Submit submits a job and retries until the outcome is known or 60 seconds have passed. It
-// returns the status of the last answer. A repeated submission is idempotent, so an accepted job
-// that is refused later was forgotten, which is a violation.
+// returns the status of the last answer. A repeated submission is idempotent, so the controllers
+// have lost a job that they accepted before and refuse now, which is a violation.
 func (e *Environment) Submit(job protocol.Job, runS float64) int {
 	e.mu.Lock()
 	if e.jobs[job.ID] == nil {
@@ -72,11 +72,11 @@
 	return status
 }
 
-// Poll asks once for the status of a job, and checks the answer.
+// Poll queries the status of a job once, without retries, and checks the answer.
 func (e *Environment) Poll(jobID protocol.JobID) (int, protocol.JobStatus) {
 	e.mu.Lock()
 	job := e.jobs[jobID]
-	var before userJob // the job as the user knew it when the request was sent
+	var before userJob // the job's state before the request was sent
 	if job != nil {
 		before = *job
 	}
@@ -96,7 +96,8 @@
 	return status, jobStatus
 }
 
-// Cancel cancels a job, retries until the outcome is known, and checks the answer.
+// Cancel cancels a job, retries until the outcome is known or 120 seconds have passed, and checks
+// the answer.
 func (e *Environment) Cancel(jobID protocol.JobID) (int, protocol.JobStatus) {
 	e.mu.Lock()
 	job := e.jobs[jobID]
@@ -112,8 +113,8 @@
 	return status, jobStatus
 }
 
-// Refused submits a job that must not be accepted, and checks that it gets the status that the
-// protocol requires. The argument change makes the job unacceptable.
+// Refused submits a job that must not be accepted, and checks that the answer has the status
+// that the protocol requires. The argument change makes the job invalid.
 func (e *Environment) Refused(job protocol.Job, change func(fields map[string]any), want int) {
 	fields := JobMap(&job)
 	change(fields)
@@ -130,7 +131,7 @@
 type userClient struct {
 	env        *Environment
 	nodeAddrs  []string // addresses of the controllers' nodes
-	askedAddrs []string // the nodes that users ask; nil: all
+	askedAddrs []string // addresses of the nodes that users send requests to; nil: all nodes
 }
 
 // NodeAddrs returns the addresses of the controllers' nodes.
@@ -140,14 +141,14 @@
 	return slices.Clone(u.nodeAddrs)
 }
 
-// SetAskedNodes sets the addresses of the nodes that users ask; without any, they ask all nodes.
+// SetAskedNodes sets the addresses of the nodes that users send requests to; none: all nodes.
 func (u *userClient) SetAskedNodes(addrs ...string) {
 	u.env.mu.Lock()
 	defer u.env.mu.Unlock()
 	u.askedAddrs = addrs
 }
 
-// askedNodes returns the addresses of the nodes that users ask.
+// askedNodes returns the addresses of the nodes that users send requests to.
 func (u *userClient) askedNodes() []string {
 	u.env.mu.Lock()
 	defer u.env.mu.Unlock()
@@ -157,8 +158,8 @@
 	return u.nodeAddrs
 }
 
-// sendRequest sends a request to a random node, and retries until it gets an answer other than "try
-// again" or the total time is over.
+// sendRequest sends a request to a random node, and retries until it gets a final answer or
+// retryTimeout has passed. Throttling and server errors are not final.
 func (u *userClient) sendRequest(method, path string, body any, attemptTimeout, retryTimeout time.Duration) (int, protocol.JobStatus) {
 	start := time.Now()
 	for {
@@ -180,8 +181,8 @@
 	}
 }
 
-// JobMap returns a job in the users' spelling, with a field of an unknown name, which the
-// controllers must ignore. Fields without a value are left out or null, as the protocol allows.
+// JobMap returns a job in the form in which users submit it, with a field of an unknown name, which
+// the controllers must ignore. Fields without a value are left out or null, as the protocol allows.
 func JobMap(job *protocol.Job) map[string]any {
 	fields := map[string]any{"ref": job.ID, "workload": job.Class, "owner": job.Team, "shape": job.Kind, "rank": job.Priority,
 		"pieces": job.Tasks, "cores": job.Cores, "cards": job.GPUs, "memGb": job.MemGB, "bundle": job.Image,
