--- a/internal/fake/network_faults.go
+++ b/internal/fake/network_faults.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Cut is what a cut link does to messages.
+// Cut selects what a cut link does to messages.
 type Cut int
 
 const (
-	// Hold delivers messages after the cut is healed, even if the sender gave up.
+	// Hold delays messages until the cut is healed and then delivers them, even if the sender
+	// has given up.
 	Hold Cut = iota + 1
-	// Reset fails messages at once.
+	// Reset makes messages fail at once.
 	Reset
 )
 
-// linkCut is a cut of a link, or of everything to one host, until it is healed.
+// linkCut is a cut of one link, or of all messages to one host.
 type linkCut struct {
 	mode   Cut
-	healed chan struct{}
+	healed chan struct{} // closed when the cut is healed
 }
 
 // linkKey returns the same key for both directions of a link.
@@ -45,8 +46,8 @@
 	}
 }
 
-// DropInbound starts a one-way partition: nothing reaches the host until the returned function
-// is called, while the messages that it sends arrive.
+// DropInbound starts a one-way partition: all messages to the host, answers included, are held
+// until the returned function is called, while the messages that the host sends arrive.
 func (n *Network) DropInbound(host string) (heal func()) {
 	cut := &linkCut{Hold, make(chan struct{})}
 	n.mu.Lock()
@@ -61,7 +62,7 @@
 }
 
 // BlockOutbound starts a one-way partition: the host cannot open connections until the returned
-// function is called, while requests of others to it arrive and are answered.
+// function is called, while requests from other hosts arrive and are answered.
 func (n *Network) BlockOutbound(host string) (heal func()) {
 	set := func(blocked bool) {
 		n.mu.Lock()
@@ -73,29 +74,29 @@
 }
 
 // SetDelay sets a function that returns how much longer than usual a message takes; nil: no
-// longer. It is called without the network's mutex.
+// longer. The function is called without the network's mutex.
 func (n *Network) SetDelay(delay func(from, to string) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = delay
 }
 
-// currentDelay returns the function that SetDelay has set, or nil.
+// currentDelay returns the function for the additional delay of messages, or nil.
 func (n *Network) currentDelay() func(from, to string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.delay
 }
 
-// SetRepeat makes some requests on the given paths arrive twice, the second time later by up
-// to the duration given for the path.
+// SetRepeat makes some requests on the given paths arrive twice, the second time after a random
+// delay of up to the duration given for the path.
 func (n *Network) SetRepeat(maxDelays map[string]time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.maxDuplicateDelays = maxDelays
 }
 
-// cut returns the cut that a message from one host to another meets, or nil.
+// cut returns the cut that applies to messages from one host to another, or nil.
 func (n *Network) cut(from, to string) *linkCut {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/network_transport.go
+++ b/internal/fake/network_transport.go
@@ -3,15 +3,15 @@
 import (
 	"bytes"
 	"context"
-	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
 	"time"
 )
 
-// From returns the HTTP transport of a host. The host stops sending when life ends, but a
-// request that was sent before arrives all the same.
+// From returns the HTTP transport of a host. The host sends nothing after hostCtx has ended, but
+// requests that were sent before are still delivered.
 func (n *Network) From(hostCtx context.Context, host string) http.RoundTripper {
 	return transport{n, hostCtx, host}
 }
@@ -29,8 +29,8 @@
 	err      error
 }
 
-// RoundTrip implements http.RoundTripper. If the caller gives up, the request is delivered
-// all the same, which is what makes the outcome of a request unknown.
+// RoundTrip implements http.RoundTripper. If the caller gives up, the request is still delivered,
+// so its outcome is unknown to the caller.
 func (t transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if t.hostCtx.Err() != nil {
 		return nil, t.hostCtx.Err()
@@ -56,28 +56,29 @@
 	}
 }
 
-// connect returns the host at an address, if this host can open connections.
+// connect returns the host of an address, or an error if there is none or the transport's own
+// host cannot open connections.
 func (t transport) connect(addr string) (host string, err error) {
 	t.network.mu.Lock()
 	defer t.network.mu.Unlock()
 	host, known := t.network.hosts[addr]
 	switch {
 	case !known:
-		return "", errors.New("no such host")
+		return "", fmt.Errorf("no host at address %s", addr)
 	case t.network.outboundBlocked[t.host]:
-		return "", errors.New("no connection")
+		return "", fmt.Errorf("host %s cannot open connections", t.host)
 	}
 	return host, nil
 }
 
-// exchange delivers a request, lets the handler carry it out, and delivers the answer.
+// exchange delivers a request, passes it to the handler, and delivers the answer.
 func (t transport) exchange(req *http.Request, body []byte, to string) roundTripResult {
 	if err := t.network.awaitDelivery(t.host, to); err != nil {
 		return roundTripResult{nil, err}
 	}
 	handler, duplicated, maxDelay := t.network.receive(req)
 	if handler == nil {
-		return roundTripResult{nil, errors.New("connection refused")}
+		return roundTripResult{nil, fmt.Errorf("connection to %s refused", req.URL.Host)}
 	}
 	recorder := t.network.serve(handler, req, body, t.host)
 	if duplicated && recorder.Code == http.StatusOK { // only a request that was carried out is repeated
@@ -89,12 +90,13 @@
 	return roundTripResult{recorder.Result(), nil}
 }
 
-// duplicateProbability is the probability that a request on a path of SetRepeat arrives twice.
+// duplicateProbability is the probability that a request arrives twice if its path is in
+// maxDuplicateDelays.
 const duplicateProbability = 0.2
 
 // receive returns the handler of a request, and decides whether the request will arrive a
 // second time and how much later at most. The random number is drawn even without a handler,
-// which keeps the sequence of fixed seeds.
+// so that the sequence of a fixed seed stays the same.
 func (n *Network) receive(req *http.Request) (handler http.Handler, duplicated bool, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,18 +105,18 @@
 	return n.handlers[req.URL.Host], duplicated, maxDelay
 }
 
-// deliverDuplicate delivers a request a second time, to the handler that listens by then.
+// deliverDuplicate delivers a request a second time, to the handler that listens at that time.
 func (t transport) deliverDuplicate(req *http.Request, body []byte, maxDelay time.Duration) {
 	time.Sleep(time.Duration(t.network.randomFloat() * float64(maxDelay)))
 	t.network.mu.Lock()
-	handler := t.network.handlers[req.URL.Host] // a new process may listen by now
+	handler := t.network.handlers[req.URL.Host] // another process may have started to listen
 	t.network.mu.Unlock()
 	if handler != nil {
 		t.network.serve(handler, req, body, t.host)
 	}
 }
 
-// serve lets a handler answer a request that has arrived from a host.
+// serve passes a request that has arrived from a host to a handler, and returns the answer.
 func (n *Network) serve(handler http.Handler, request *http.Request, body []byte, from string) *httptest.ResponseRecorder {
 	delivered := httptest.NewRequest(request.Method, request.URL.String(), bytes.NewReader(body))
 	delivered.RemoteAddr = from
