--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -11,14 +11,14 @@
 	"marblehaven/internal/protocol"
 )
 
-// storeEntry is the value of a key with its version, and the lease it is bound to, if any.
+// storeEntry is the value of a key with its version, and the lease that the key is bound to, if any.
 type storeEntry struct {
 	value   msgpack.RawMessage
 	version protocol.Version
 	lease   protocol.LeaseID
 }
 
-// storeChange is a change of one key, as watches see it.
+// storeChange is a change of one key, as watches report it.
 type storeChange struct {
 	key   string
 	event protocol.WatchEvent
@@ -27,7 +27,7 @@
 // Store simulates the key-value store: versioned keys, transactions with preconditions, leases
 // and watches, over the HTTP interface of the protocol.
 type Store struct {
-	mu sync.Mutex // guards all that follows
+	mu sync.Mutex // guards all fields below
 	storeLimits
 	storeFaults
 	onCommit  func(transaction *protocol.Transaction)
@@ -39,7 +39,7 @@
 	changed   chan struct{} // closed and replaced at each change
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{
 		storeLimits: storeLimits{refusals: map[int]int{}},
@@ -50,15 +50,15 @@
 	}
 }
 
-// SetOnCommit sets a function that is called after every transaction that was carried out. It
-// is called with the store's mutex held, so it must not call the store.
+// SetOnCommit sets a function that is called after every transaction that was carried out. The
+// function is called with the store's mutex held, so it must not call the store.
 func (s *Store) SetOnCommit(onCommit func(transaction *protocol.Transaction)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onCommit = onCommit
 }
 
-// Put stores a record directly, as an earlier process would have left it.
+// Put sets a key without a transaction, as if an earlier process had stored the value.
 func (s *Store) Put(key string, value any) {
 	raw, err := codec.Marshal(value)
 	if err != nil {
@@ -71,7 +71,7 @@
 	s.wakeWatches()
 }
 
-// Remove deletes a key directly.
+// Remove deletes a key without a transaction.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// wakeWatches makes open watches look for new changes.
+// wakeWatches makes open watches check for new changes.
 func (s *Store) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -6,8 +6,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// storeFaults is what a test makes go wrong with the store's calls. All functions but slow are
-// called with the store's mutex held, so they must not call the store.
+// storeFaults holds the faults that a test injects into the store's calls. All functions except
+// callDelay are called with the store's mutex held, so they must not call the store.
 type storeFaults struct {
 	loseReply        func() bool
 	fault            func(transaction *protocol.Transaction) Fault
@@ -17,52 +17,54 @@
 	unavailableHosts map[string]bool // hosts that get 503; "" stands for all hosts
 }
 
-// SetLoseReply sets a function that picks transactions that are carried out and not answered.
+// SetLoseReply sets a function that selects transactions that are carried out but whose answers
+// are lost.
 func (s *Store) SetLoseReply(loseReply func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseReply = loseReply
 }
 
-// SetFault sets a function that picks what goes wrong with a transaction, before its
-// preconditions are checked.
+// SetFault sets a function that returns the fault of a transaction. The function is called before
+// the transaction's preconditions are checked.
 func (s *Store) SetFault(fault func(transaction *protocol.Transaction) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = fault
 }
 
-// SetLate sets a function that returns by how much a transaction, which then gets no answer, is
-// carried out late; 0: not late.
+// SetLate sets a function that returns the delay after which a transaction is carried out; 0: no
+// delay. A delayed transaction is answered at once with a gateway error, so that its sender
+// cannot determine the outcome.
 func (s *Store) SetLate(commitDelay func() time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commitDelay = commitDelay
 }
 
-// SetSlow sets a function that returns how long a call on a path waits before it is handled. It
-// is called without the store's mutex, and by several goroutines at a time.
+// SetSlow sets a function that returns how long a call on a path waits before it is handled. The
+// function is called without the store's mutex, and by several goroutines at the same time.
 func (s *Store) SetSlow(callDelay func(path string) time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.callDelay = callDelay
 }
 
-// currentCallDelay returns the function that SetSlow has set, or nil.
+// currentCallDelay returns the function for the delay of calls, or nil.
 func (s *Store) currentCallDelay() func(path string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.callDelay
 }
 
-// SetLoseEvent sets a function that picks keys whose changes watches do not see.
+// SetLoseEvent sets a function that selects the keys whose changes watches do not report.
 func (s *Store) SetLoseEvent(loseEvent func(key string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseEvent = loseEvent
 }
 
-// Fault is what goes wrong with a transaction.
+// Fault is a fault that a test injects into a transaction.
 type Fault int
 
 // The faults of a transaction.
@@ -74,9 +76,9 @@
 	Throttled         // the transaction is refused with 429
 )
 
-// Refuse makes the store answer 503 to a host, or to all hosts with "", until it is called
-// again with false. When an outage for all hosts ends, every lease has its full time to live
-// again, as the protocol promises.
+// Refuse starts an outage, or ends it if unavailable is false. During an outage the store answers
+// 503 to a host, or to all hosts if host is "". When an outage for all hosts ends, every lease
+// gets its full time to live again, as the protocol guarantees.
 func (s *Store) Refuse(host string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +94,7 @@
 	}
 }
 
-// isUnavailableTo tells whether the store answers 503 to a host.
+// isUnavailableTo reports whether the store answers 503 to a host.
 func (f *storeFaults) isUnavailableTo(host string) bool {
 	return f.unavailableHosts[""] || f.unavailableHosts[host]
 }
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -17,8 +17,8 @@
 	Revision protocol.Revision `msgpack:"epoch"`
 }
 
-// ServeHTTP implements the protocol of the key-value store, after the faults and limits that a
-// test has set.
+// ServeHTTP implements the protocol of the key-value store. It first applies the delays, outages
+// and rate limits that a test has set.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if delay := s.currentCallDelay(); delay != nil {
 		time.Sleep(delay(r.URL.Path))
@@ -38,7 +38,7 @@
 	s.route(w, r, body)
 }
 
-// route hands a call to its handler. The caller holds the mutex.
+// route answers a call with the handler for its path. The caller holds the mutex.
 func (s *Store) route(w http.ResponseWriter, r *http.Request, body []byte) {
 	switch path := r.URL.Path; {
 	case path == "/keys":
@@ -46,12 +46,12 @@
 	case strings.HasPrefix(path, "/keys/"):
 		s.readKey(w, strings.TrimPrefix(path, "/keys/"))
 	case path == "/commit":
-		s.commitNowOrLate(w, body)
+		s.commitNowOrDelayed(w, body)
 	case path == "/grants":
 		s.grantLease(w, body)
 	case strings.HasSuffix(path, "/touch"):
 		s.keepLeaseAlive(w, parseLeaseID(strings.Split(path, "/")[2]))
-	case strings.HasPrefix(path, "/grants/"): // DELETE
+	case strings.HasPrefix(path, "/grants/"): // the method is DELETE
 		s.revokeLease(w, parseLeaseID(strings.TrimPrefix(path, "/grants/")))
 	case path == "/follow":
 		s.watch(w, r)
@@ -90,16 +90,16 @@
 	writeReply(w, http.StatusOK, s.keyValue(key))
 }
 
-// keyValue returns a key as it appears in answers.
+// keyValue returns a key with its value and version, in the form that answers contain.
 func (s *Store) keyValue(key string) protocol.KeyValue {
 	entry := s.keys[key]
 	return protocol.KeyValue{Key: key, Value: entry.value, Version: entry.version}
 }
 
-// defaultPageSize is how many keys a page holds at most by the protocol.
+// defaultPageSize is the most keys that the protocol allows in a page.
 const defaultPageSize = 1000
 
-// pageSize returns how many keys a page holds if the caller asks for the given number.
+// pageSize returns how many keys a page holds at most if the caller asks for the given number.
 func (s *Store) pageSize(limit int) int {
 	if s.maxPageSize > 0 {
 		return min(limit, s.maxPageSize)
--- a/internal/fake/store_lease.go
+++ b/internal/fake/store_lease.go
@@ -9,14 +9,14 @@
 	"marblehaven/internal/protocol"
 )
 
-// storeLease binds keys to a client that keeps it alive.
+// storeLease is a lease, which its client keeps alive. The keys bound to the lease end with it.
 type storeLease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// expireLeases ends the leases whose time is over, with the keys that are bound to them. No
-// lease expires during an outage for all hosts, because no keep-alive could arrive.
+// expireLeases ends the leases that have expired, and deletes the keys bound to them. No lease
+// expires during an outage for all hosts, because no keep-alive could arrive.
 func (s *Store) expireLeases() {
 	if s.unavailableHosts[""] {
 		return
@@ -40,8 +40,8 @@
 	s.wakeWatches()
 }
 
-// expireLeaseOnTime looks for expired leases until the given one has ended, so that a lease
-// expires on time even if no call arrives.
+// expireLeaseOnTime periodically ends expired leases until the given lease has ended, so that a
+// lease expires on time even if no call arrives.
 func (s *Store) expireLeaseOnTime(id protocol.LeaseID, ttl time.Duration) {
 	for {
 		time.Sleep(ttl / 10)
@@ -55,7 +55,7 @@
 	}
 }
 
-// parseLeaseID reads a lease ID from a path. An unreadable ID becomes 0, which no lease has.
+// parseLeaseID reads a lease ID from a path. An invalid ID becomes 0, which no lease has.
 func parseLeaseID(text string) protocol.LeaseID {
 	number, _ := strconv.ParseUint(text, 10, 64)
 	return protocol.LeaseID(number)
@@ -86,7 +86,7 @@
 	writeReply(w, http.StatusOK, protocol.Lease{ID: id})
 }
 
-// revokeLease ends a lease before its time.
+// revokeLease ends a lease before it expires.
 func (s *Store) revokeLease(w http.ResponseWriter, id protocol.LeaseID) {
 	if s.leases[id] != nil {
 		s.endLease(id)
--- a/internal/fake/store_limits.go
+++ b/internal/fake/store_limits.go
@@ -8,13 +8,13 @@
 	"marblehaven/internal/config"
 )
 
-// storeLimits is what the store accepts at most, and counts what it refused.
+// storeLimits holds the store's limits, and counts the requests that the store refused.
 type storeLimits struct {
 	// maxOps and maxValue limit a transaction's mutations and the bytes of a value; 0: no limit.
 	maxOps, maxValue int
 	// maxPageSize is how many keys a page of a list has at most; 0: as many as the protocol allows.
 	maxPageSize int
-	// refusals counts the transactions that the limits refused, by status.
+	// refusals counts the transactions that were refused because of a limit, by status.
 	refusals map[int]int
 
 	// limitsLowered is set once the limits were lowered without notice. From then on a
@@ -27,7 +27,7 @@
 	requestCount, throttledCount int
 }
 
-// Limit lowers the limits from now on, without notice to the controllers.
+// Limit lowers the limits while the test runs, without notice to the controllers.
 func (s *Store) Limit(limits config.StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +44,7 @@
 	s.maxPageSize = size
 }
 
-// Refusals returns how many transactions the limits refused with a status.
+// Refusals returns how many transactions were refused with a status because of a limit.
 func (s *Store) Refusals(status int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,14 +58,14 @@
 	s.requestRate = rate.NewLimiter(rate.Limit(rps), int(rps))
 }
 
-// Asked returns how many requests there were, and how many of them were throttled.
+// Asked returns how many requests the store received, and how many of them it throttled.
 func (s *Store) Asked() (requests, throttled int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requestCount, s.throttledCount
 }
 
-// admitRequest counts a request and tells whether it is within the rate limit.
+// admitRequest counts a request and reports whether it is within the rate limit.
 func (l *storeLimits) admitRequest() bool {
 	l.requestCount++
 	if l.requestRate != nil && !l.requestRate.Allow() {
@@ -75,7 +75,7 @@
 	return true
 }
 
-// admitMutations tells whether the given number of mutations is within the rate limit of writes.
+// admitMutations reports whether the given number of mutations is within the rate limit of writes.
 func (l *storeLimits) admitMutations(count int) bool {
 	return l.writeRate == nil || l.writeRate.AllowN(time.Now(), count)
 }
--- a/internal/fake/store_transaction.go
+++ b/internal/fake/store_transaction.go
@@ -34,9 +34,10 @@
 	return stripped
 }
 
-// commitNowOrLate carries a transaction out, or leaves it unanswered and carries it out after
-// the delay that the hook late returns. Newer transactions may overtake it.
-func (s *Store) commitNowOrLate(w http.ResponseWriter, body []byte) {
+// commitNowOrDelayed carries a transaction out at once, or after the delay that the hook
+// commitDelay returns. A delayed transaction is answered at once with a gateway error, and newer
+// transactions can be carried out before it.
+func (s *Store) commitNowOrDelayed(w http.ResponseWriter, body []byte) {
 	var delay time.Duration
 	if s.commitDelay != nil {
 		delay = s.commitDelay()
@@ -83,7 +84,7 @@
 	writeReply(w, http.StatusOK, protocol.TransactionReply{Revision: s.revision})
 }
 
-// refusedByFault answers a transaction that its fault prevents, and tells whether it did.
+// refusedByFault answers a transaction that its fault prevents, and reports whether it did.
 func refusedByFault(w http.ResponseWriter, fault Fault) bool {
 	switch fault {
 	case NotExecuted:
@@ -98,9 +99,10 @@
 	return true
 }
 
-// refusedByLimits answers a transaction that breaks a limit or names an expired lease, and
-// tells whether it did. Breaking a limit that the controllers were told of is a bug of theirs,
-// so it panics unless the limits were lowered without notice.
+// refusedByLimits answers a transaction that exceeds a limit or names an expired lease, and
+// reports whether it did. The controllers have the limits in their settings, so exceeding one is
+// a bug of the controllers and makes the store panic, unless the limits were lowered without
+// notice.
 func (s *Store) refusedByLimits(w http.ResponseWriter, transaction *storeTransaction, encodedBytes int) bool {
 	violation := s.limitViolation(transaction, encodedBytes)
 	switch {
@@ -121,12 +123,13 @@
 }
 
 const (
+	// maxTransactionBytes is the size of the largest transaction that the store accepts.
 	maxTransactionBytes = 64 << 10
-	// overheadPerKey is the size of the field names, brackets and the version around a key.
+	// overheadPerKey is the estimated size of the field names, brackets and the version around a key.
 	overheadPerKey = 60
 )
 
-// limitViolation describes the limit that a transaction breaks, or returns "".
+// limitViolation describes the limit that a transaction exceeds, or returns "".
 func (s *Store) limitViolation(transaction *storeTransaction, encodedBytes int) string {
 	violation := ""
 	preconditions, mutations := len(transaction.Preconditions), len(transaction.Mutations)
@@ -150,7 +153,7 @@
 	return violation
 }
 
-// namesExpiredLease tells whether a mutation binds its key to a lease that has ended.
+// namesExpiredLease reports whether a mutation binds its key to a lease that has ended.
 func (s *Store) namesExpiredLease(transaction *storeTransaction) bool {
 	for _, mutation := range transaction.Mutations {
 		if mutation.Lease != 0 && s.leases[mutation.Lease] == nil {
@@ -187,8 +190,8 @@
 	s.wakeWatches()
 }
 
-// jsonSize returns the size of a value as JSON. It uses the standard library's encoder, to be
-// independent of the controllers' own measure of the size.
+// jsonSize returns the size of a value as JSON. It uses the standard library's encoder, so that
+// it does not depend on the controllers' own calculation of the size.
 func jsonSize(raw msgpack.RawMessage) int {
 	if raw == nil {
 		return 0
--- a/internal/fake/store_watch.go
+++ b/internal/fake/store_watch.go
@@ -9,11 +9,12 @@
 	"marblehaven/internal/protocol"
 )
 
-// outageRetryInterval is how often a watch that has timed out looks whether an outage is over.
+// outageRetryInterval is the interval at which a watch that has timed out checks whether an outage
+// is over.
 const outageRetryInterval = 100 * time.Millisecond
 
-// watch answers with the changes after a revision as soon as there are any, or with none when
-// the time that the caller is ready to wait is over.
+// watch answers with the changes after a revision as soon as there are any, or with none once the
+// waiting time that the caller has set is over.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	number, _ := strconv.ParseUint(query.Get("after"), 10, 64)
@@ -47,8 +48,8 @@
 	return reply
 }
 
-// awaitChange releases the mutex until a key changes or the timer ends. It returns whether the
-// timer has ended.
+// awaitChange releases the mutex until a key changes or the timer fires. If the timer has fired
+// before, it releases the mutex for outageRetryInterval. It reports whether the timer has fired.
 func (s *Store) awaitChange(timer *time.Timer, timedOut bool) bool {
 	changed := s.changed
 	s.mu.Unlock()
