--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -16,24 +16,24 @@
 	checkpointed bool
 	stateSince   time.Time // when the state began
 	remainingS   float64   // seconds of work left, while running
-	// unrecorded is set once the checker has found that no run record names the task.
-	unrecorded bool
+	// reportedUnrecorded is set once the checker has reported that no run record names the task.
+	reportedUnrecorded bool
 }
 
-// onMachine tells whether the task occupies the machine for the checker's rules, which is
-// from the end of the image's fetching to the exit.
-func (t *agentTask) onMachine() bool {
+// occupiesMachine reports whether the checker's rules count the task as being on its
+// machine: from the time its image has been fetched until the task exits.
+func (t *agentTask) occupiesMachine() bool {
 	return t.state != protocol.TaskExited && t.state != protocol.TaskFetching
 }
 
-// advanceTasks moves each task on by the elapsed time, through the states of the protocol.
+// advanceTasks advances each task by the elapsed time through the task states of the protocol.
 func (m *machineAgent) advanceTasks(elapsedS float64) {
 	for _, task := range m.tasks {
 		job := m.env.jobs[task.jobID]
 		age := time.Since(task.stateSince).Seconds()
 		switch task.state {
 		case protocol.TaskFetching:
-			if m.imageCache[job.job.Image] || age >= job.job.ImageGB/m.machineType.FetchGBps {
+			if m.imageCache[job.spec.Image] || age >= job.spec.ImageGB/m.machineType.FetchGBps {
 				m.endFetching(task, job)
 			}
 		case protocol.TaskWaiting:
@@ -43,35 +43,36 @@
 		case protocol.TaskRunning:
 			m.advanceRunning(task, job, elapsedS)
 		case protocol.TaskSaving:
-			if age >= job.job.CheckpointSaveS {
+			if age >= job.spec.CheckpointSaveS {
 				task.checkpointed = true
-				m.env.saved++
+				m.env.savedCheckpoints++
 				m.exit(task, protocol.ExitStopped)
 			}
 		}
 	}
 }
 
-// endFetching starts a task whose image has arrived. A task of a gang waits for the others.
+// endFetching starts a task whose image has been fetched. A task that is already done exits, and
+// a task of a gang waits for the others.
 func (m *machineAgent) endFetching(task *agentTask, job *userJob) {
-	m.imageCache[job.job.Image] = true
+	m.imageCache[job.spec.Image] = true
 	switch {
 	case job.finished[task.index]:
 		m.exit(task, protocol.ExitDone)
-	case job.job.Kind == protocol.KindGang:
+	case job.spec.Kind == protocol.KindGang:
 		m.setState(task, protocol.TaskWaiting)
 	default:
-		task.remainingS = job.runS * (1 + m.env.uneven*float64(task.index))
+		task.remainingS = job.runS * (1 + m.env.runtimeIncrement*float64(task.index))
 		m.setState(task, protocol.TaskRunning)
 	}
 	m.env.checkStart(m, task)
 	m.env.updateGangs()
 }
 
-// advanceRunning lets a running task work, and ends it when its work is done. A service
-// never ends by itself.
+// advanceRunning reduces the remaining work of a running task, and ends the task when the work
+// is done. A task of a service runs until it is stopped.
 func (m *machineAgent) advanceRunning(task *agentTask, job *userJob, elapsedS float64) {
-	if job.job.Kind == protocol.KindService {
+	if job.spec.Kind == protocol.KindService {
 		return
 	}
 	task.remainingS -= elapsedS
@@ -80,8 +81,8 @@
 	}
 	job.finished[task.index] = true
 	m.exit(task, protocol.ExitDone)
-	if m.env.onDone != nil && len(job.finished) == job.job.Tasks {
-		go m.env.onDone(task.jobID)
+	if m.env.onJobDone != nil && len(job.finished) == job.spec.Tasks {
+		go m.env.onJobDone(task.jobID)
 	}
 }
 
@@ -90,11 +91,11 @@
 	task.state, task.stateSince, m.statusChanged = state, time.Now(), true
 }
 
-// exit ends a task for a reason. A gang that lost a task ends with it.
+// exit ends a task with a reason. The other running tasks of its gang, if it has one, end too.
 func (m *machineAgent) exit(task *agentTask, reason protocol.ExitReason) {
 	task.exitReason = reason
 	m.setState(task, protocol.TaskExited)
-	if m.env.jobs[task.jobID].job.Kind == protocol.KindGang {
+	if m.env.jobs[task.jobID].spec.Kind == protocol.KindGang {
 		m.env.updateGangs()
 	}
 }
--- a/internal/fake/checker_waiting.go
+++ b/internal/fake/checker_waiting.go
@@ -6,8 +6,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// EndTroubles tells the checker that the test causes no more faults. From now on no job may be
-// left waiting beside free capacity.
+// EndTroubles declares that the test causes no more faults. From then on the checker reports
+// jobs that wait for too long although there is capacity for them.
 func (c *checker) EndTroubles() {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -18,8 +18,8 @@
 // operators require.
 const maxWaitWithCapacity = 90 * time.Second
 
-// checkWaiting guards that no job starves while a machine has capacity for it. It leaves out
-// gangs, which need capacity for all their tasks at the same time.
+// checkWaiting checks that no job waits for longer than maxWaitWithCapacity while a machine has
+// capacity for it. It skips gangs, which need capacity for all their tasks at the same time.
 func (c *checker) checkWaiting() {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
@@ -27,7 +27,7 @@
 		return
 	}
 	for _, job := range c.env.jobs {
-		if !job.accepted || job.job.Kind == protocol.KindGang || !c.isStartable(job) || !c.hasCapacityFor(job) {
+		if !job.accepted || job.spec.Kind == protocol.KindGang || !c.isStartable(job) || !c.hasCapacityFor(job) {
 			job.waitingSince = time.Time{}
 			continue
 		}
@@ -35,17 +35,17 @@
 			job.waitingSince = time.Now()
 		}
 		if waited := time.Since(job.waitingSince); waited > maxWaitWithCapacity {
-			c.addViolation("left waiting: %s beside room for %v", job.job.ID, waited)
+			c.addViolation("left waiting: %s beside room for %v", job.spec.ID, waited)
 			job.waitingSince = time.Now()
 		}
 	}
 }
 
-// hasCapacityFor tells whether a task of the job is not placed although its team's quota limits
-// and a machine allow it.
+// hasCapacityFor reports whether a task of the job is not placed although its team's quota and
+// the free capacity of a machine allow it.
 func (c *checker) hasCapacityFor(job *userJob) bool {
-	spec := &job.job
-	placed := c.surveyPlaced(spec)
+	spec := &job.spec
+	placed := c.sumPlacements(spec)
 	if placed.jobTasks+len(job.finished) >= spec.Tasks {
 		return false
 	}
@@ -55,36 +55,36 @@
 		}
 	}
 	for _, machine := range c.env.machines {
-		if machine.isUsable() && machine.isAllowedFor(spec) && placed.allowZone(spec, machine.zone) && machine.hasCapacityFor(spec) {
+		if machine.isUsable() && machine.isAllowedFor(spec) && placed.allowsZone(spec, machine.zone) && machine.hasCapacityFor(spec) {
 			return true
 		}
 	}
 	return false
 }
 
-// isUsable tells whether the machine can take tasks: it is up, does not hang, and has no
+// isUsable reports whether the machine can take tasks: it is up, does not hang, and has no
 // preemption notice.
 func (m *machineAgent) isUsable() bool {
 	return m.up && !m.hung && m.preemptionAt.IsZero()
 }
 
-// placedTasks sums up the tasks of a job and of its team that have not exited. Unlike
+// placementTotals sums up the tasks of a job and of its team that have not exited. Unlike
 // otherTasks it includes those whose image is still being fetched.
-type placedTasks struct {
+type placementTotals struct {
 	jobTasks            int
 	jobZones            map[string]int // tasks of the job by zone
 	teamCores, teamGPUs float64
 }
 
-// surveyPlaced looks at the tasks of all machines once.
-func (c *checker) surveyPlaced(spec *protocol.Job) placedTasks {
-	placed := placedTasks{jobZones: map[string]int{}}
+// sumPlacements sums up the tasks of all machines for one job in a single pass.
+func (c *checker) sumPlacements(spec *protocol.Job) placementTotals {
+	placed := placementTotals{jobZones: map[string]int{}}
 	for _, machine := range c.env.machines {
 		for _, task := range machine.tasks {
 			if task.state == protocol.TaskExited {
 				continue
 			}
-			if other := &c.env.jobs[task.jobID].job; other.Team == spec.Team {
+			if other := &c.env.jobs[task.jobID].spec; other.Team == spec.Team {
 				placed.teamCores += other.Cores
 				placed.teamGPUs += other.GPUs
 			}
@@ -97,8 +97,8 @@
 	return placed
 }
 
-// allowZone tells whether one more task of the job may be in a zone.
-func (p *placedTasks) allowZone(spec *protocol.Job, zone string) bool {
+// allowsZone reports whether one more task of the job may be placed in a zone.
+func (p *placementTotals) allowsZone(spec *protocol.Job, zone string) bool {
 	if spec.OneZone && len(p.jobZones) > 0 && p.jobZones[zone] == 0 {
 		return false
 	}
