--- a/internal/server/controller.go
+++ b/internal/server/controller.go
@@ -58,14 +58,14 @@
 	if err != nil {
 		return fmt.Errorf("field peer_bind: %w", err)
 	}
-	local, err := newController(cfg, log, networkTransports(cfg))
+	c, err := newController(cfg, log, networkTransports(cfg))
 	if err != nil {
 		return fmt.Errorf("field peers: %w", err)
 	}
-	go local.servePeers(ctx, peerListener)
-	local.start(ctx)
+	go c.servePeers(ctx, peerListener)
+	c.start(ctx)
 	log.Info("serving", "node", cfg.Node, "address", cfg.APIAddr)
-	if err := local.api.Serve(ctx, apiListener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	if err := c.api.Serve(ctx, apiListener); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
@@ -87,16 +87,16 @@
 }
 
 // newController wires a controller to the other parts of the system; start starts it.
-func newController(cfg *config.Config, log *slog.Logger, via transports) (*controller, error) {
+func newController(cfg *config.Config, log *slog.Logger, conns transports) (*controller, error) {
 	c := &controller{cfg: cfg, log: log, supportedFormat: records.FormatSupported}
 	malformed := httpclient.NewMalformedLog(log)
-	c.store = kvstore.New(cfg.Services.State, via.store, malformed, cfg.Deployment.State)
-	c.cloud = cloud.New(cfg.Services.Cloud, via.cloud, malformed, cfg.Deployment.Cloud.RPS*cfg.Operator.CloudCallShare)
-	c.agents = agent.New(via.agents, malformed, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
+	c.store = kvstore.New(cfg.Services.State, conns.store, malformed, cfg.Deployment.State)
+	c.cloud = cloud.New(cfg.Services.Cloud, conns.cloud, malformed, cfg.Deployment.Cloud.RPS*cfg.Operator.CloudCallShare)
+	c.agents = agent.New(conns.agents, malformed, cfg.Deployment.Sockets(len(cfg.Peers)).Commands/2)
 	c.candidate = election.New(c.store, cfg.Node, log)
 	c.users = api.NewUsers(cfg, c.store, log)
 	var err error
-	if c.peers, err = peer.NewGroup(cfg.Peers, via.peer, c, log); err != nil {
+	if c.peers, err = peer.NewGroup(cfg.Peers, conns.peer, c, log); err != nil {
 		return nil, err
 	}
 	c.api = api.NewServer(cfg, c.users, c, c.peers, log, malformed)
--- a/internal/server/leadership.go
+++ b/internal/server/leadership.go
@@ -17,7 +17,7 @@
 		OnNewerTerm:               func(term protocol.Term) { c.candidate.ObserveTerm(records.LeaderRecord{Term: term}) },
 		Resign:                    c.candidate.Resign,
 		RedirectedHeartbeats:      c.peers.Redirected,
-		AcknowledgedCancellations: c.acknowledged,
+		AcknowledgedCancellations: c.acknowledgedCancellations,
 	}, leadership)
 	termLeader.Bind(ctx)
 	c.activeLeader.Store(termLeader)
--- a/internal/server/peer_calls.go
+++ b/internal/server/peer_calls.go
@@ -21,19 +21,19 @@
 	if !known {
 		return summary, false
 	}
-	raw := c.peers.Summary(ctx, record.Node)
-	return summary, raw != nil && codec.Unmarshal(raw, &summary) == nil
+	encoded := c.peers.Summary(ctx, record.Node)
+	return summary, encoded != nil && codec.Unmarshal(encoded, &summary) == nil
 }
 
-// acknowledged returns the jobs that controllers, this one included, have told users
+// acknowledgedCancellations returns the jobs that controllers, this one included, have told users
 // are cancelled. The list is complete for all that were told after since and up to
 // asOf; ok is false if one of the controllers cannot vouch for that.
-func (c *controller) acknowledged(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
+func (c *controller) acknowledgedCancellations(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
 	// The clock is read before the list: what this controller tells users from here
 	// on is later than asOf.
 	now := time.Now()
-	own, complete := c.users.AcknowledgedCancellations()
-	if !complete.Before(since) {
+	own, completeSince := c.users.AcknowledgedCancellations()
+	if !completeSince.Before(since) {
 		return asOf, nil, false
 	}
 	asOf, jobIDs, ok = c.peers.AcknowledgedCancellations(since)
@@ -48,9 +48,9 @@
 	status := peer.Status{SinceStoreServedMS: c.store.SinceServed().Milliseconds(), Redirected: c.api.Redirected()}
 	status.Leader, _ = c.candidate.Leader()
 	if request.Acknowledged {
-		var since time.Time
-		status.Acknowledged, since = c.users.AcknowledgedCancellations()
-		status.AcknowledgedCompleteMS = time.Since(since).Milliseconds()
+		var completeSince time.Time
+		status.Acknowledged, completeSince = c.users.AcknowledgedCancellations()
+		status.AcknowledgedCompleteMS = time.Since(completeSince).Milliseconds()
 	}
 	if local := c.activeLeader.Load(); request.Summary && local != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), tuning.PeerTimeout)
--- a/internal/server/transports.go
+++ b/internal/server/transports.go
@@ -22,16 +22,16 @@
 // networkTransports returns the transports of a process on a real network.
 func networkTransports(cfg *config.Config) transports {
 	return transports{
-		store:  transport(tuning.StoreIdleConns),
-		cloud:  transport(tuning.CloudIdleConns),
-		agents: agentTransport(cfg.Deployment.Sockets(len(cfg.Peers)).Commands),
+		store:  newTransport(tuning.StoreIdleConns),
+		cloud:  newTransport(tuning.CloudIdleConns),
+		agents: newAgentTransport(cfg.Deployment.Sockets(len(cfg.Peers)).Commands),
 		peer:   peer.Dial,
 	}
 }
 
-// transport returns an HTTP transport that keeps up to idleConns connections to each
+// newTransport returns an HTTP newTransport that keeps up to idleConns connections to each
 // host for reuse.
-func transport(idleConns int) *http.Transport {
+func newTransport(idleConns int) *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: tuning.DialTimeout, KeepAlive: -1}).DialContext,
 		MaxIdleConnsPerHost: idleConns,
@@ -40,11 +40,11 @@
 	}
 }
 
-// agentTransport returns an HTTP transport that keeps one connection to each agent, as
+// newAgentTransport returns an HTTP transport that keeps one connection to each agent, as
 // far as the sockets go: half of them may be idle while half are in use.
-func agentTransport(sockets int) *http.Transport {
-	agents := transport(1)
-	agents.MaxIdleConns = max(1, sockets/2)
-	agents.IdleConnTimeout = tuning.IncomingIdleTimeoutMin
-	return agents
+func newAgentTransport(sockets int) *http.Transport {
+	transport := newTransport(1)
+	transport.MaxIdleConns = max(1, sockets/2)
+	transport.IdleConnTimeout = tuning.IncomingIdleTimeoutMin
+	return transport
 }
