--- a/internal/server/cluster_deployments_test.go
+++ b/internal/server/cluster_deployments_test.go
@@ -34,15 +34,15 @@
 func largeArrayDeployment() config.Deployment {
 	d := testDeployment()
 	d.Teams[0].CoresMax = 400
-	value, ops, rps := 2.0, 6, 30.0
-	d.State.Next = config.NextLimits{ValueKB: &value, TxnOps: &ops, WriteRPS: &rps}
+	valueKB, txnOps, writeRPS := 2.0, 6, 30.0
+	d.State.Next = config.NextLimits{ValueKB: &valueKB, TxnOps: &txnOps, WriteRPS: &writeRPS}
 	return d
 }
 
-// productionSize is a deployment with five controllers in which hundreds of machines are
+// productionSizeDeployment is a deployment with five controllers in which hundreds of machines are
 // provisioned, with the rates of a key-value store that serves as many, and smaller limits
 // announced.
-func productionSize() ([]string, config.Deployment) {
+func productionSizeDeployment() ([]string, config.Deployment) {
 	d := largeArrayDeployment()
 	d.Teams = []config.Team{{Name: "red", Cores: 1000, CoresMax: 4000, GPUs: 4, GPUsMax: 16}, {Name: "blue", Cores: 1000, CoresMax: 4000}}
 	return []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, d
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -10,48 +10,48 @@
 	"marblehaven/internal/protocol"
 )
 
-// load is what users submit at production size, and what they cancel.
-type load struct {
+// productionLoad is what users submit at production size, and what they cancel.
+type productionLoad struct {
 	*testCluster
-	rng       *rand.Rand
-	jobs      int
-	pipelines int
-	keptMu    sync.Mutex
-	kept      []protocol.JobID // must be done in the end, unless one that they need is cancelled; guarded by keptMu
+	rng                *rand.Rand
+	arraysSubmitted    int
+	pipelinesSubmitted int
+	mustFinishMu       sync.Mutex
+	mustFinish         []protocol.JobID // must be done in the end, unless one that they need is cancelled; guarded by mustFinishMu
 }
 
-// keep adds jobs that must be done in the end.
-func (l *load) keep(jobIDs ...protocol.JobID) {
-	l.keptMu.Lock()
-	defer l.keptMu.Unlock()
-	l.kept = append(l.kept, jobIDs...)
+// addMustFinish adds jobs that must be done in the end.
+func (l *productionLoad) addMustFinish(jobIDs ...protocol.JobID) {
+	l.mustFinishMu.Lock()
+	defer l.mustFinishMu.Unlock()
+	l.mustFinish = append(l.mustFinish, jobIDs...)
 }
 
-// keptJobs returns the jobs that must be done in the end.
-func (l *load) keptJobs() []protocol.JobID {
-	l.keptMu.Lock()
-	defer l.keptMu.Unlock()
-	return slices.Clone(l.kept)
+// mustFinishJobs returns the jobs that must be done in the end.
+func (l *productionLoad) mustFinishJobs() []protocol.JobID {
+	l.mustFinishMu.Lock()
+	defer l.mustFinishMu.Unlock()
+	return slices.Clone(l.mustFinish)
 }
 
-// arrays submits large arrays of both teams.
-func (l *load) arrays(count int) {
+// submitArrays submits large arrays of both teams.
+func (l *productionLoad) submitArrays(count int) {
 	for range count {
-		l.jobs++
-		job := arrayJob(l.jobs, "check", 60+l.rng.IntN(60))
-		job.Team, job.EstimateS = []string{"red", "blue"}[l.jobs%2], 60
+		l.arraysSubmitted++
+		job := arrayJob(l.arraysSubmitted, "check", 60+l.rng.IntN(60))
+		job.Team, job.EstimateS = []string{"red", "blue"}[l.arraysSubmitted%2], 60
 		l.submit(job, 40)
-		l.keep(job.ID)
+		l.addMustFinish(job.ID)
 	}
 }
 
-// chains submits pipelines, and cancels one job in every second of them some time later.
-func (l *load) chains(count int) {
+// submitPipelines submits pipelines, and cancels one job in every second of them some time later.
+func (l *productionLoad) submitPipelines(count int) {
 	for range count {
-		l.pipelines++
-		jobIDs := l.pipeline(10000 + 10*l.pipelines)
-		l.keep(jobIDs...)
-		if l.pipelines%2 == 0 {
+		l.pipelinesSubmitted++
+		jobIDs := l.pipeline(10000 + 10*l.pipelinesSubmitted)
+		l.addMustFinish(jobIDs...)
+		if l.pipelinesSubmitted%2 == 0 {
 			continue
 		}
 		pause, stage := time.Duration(l.rng.IntN(30))*time.Second, l.rng.IntN(4)
@@ -64,60 +64,60 @@
 	}
 }
 
-// ask lets users ask about jobs as long as the scenario lasts.
-func (l *load) ask() {
+// pollInBackground lets users ask about jobs as long as the scenario lasts.
+func (l *productionLoad) pollInBackground() {
 	go func() {
 		for l.ctx.Err() == nil {
-			kept := l.keptJobs()
-			jobID := kept[int(l.env.Random()*float64(len(kept)))]
+			jobIDs := l.mustFinishJobs()
+			jobID := jobIDs[int(l.env.Random()*float64(len(jobIDs)))]
 			go l.env.Poll(jobID)
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
 }
 
-// some picks a share of the machines.
-func (l *load) some(share float64) []string {
+// randomMachines picks a share of the machines.
+func (l *productionLoad) randomMachines(share float64) []string {
 	return slices.DeleteFunc(l.env.Machines(), func(string) bool { return l.env.Random() >= share })
 }
 
-// trouble begins one of the troubles that the operators expect, and returns what ends it.
-func (l *load) trouble(kind int) (over func()) {
-	var ends []func()
+// startFailure begins one of the troubles that the operators expect, and returns what ends it.
+func (l *productionLoad) startFailure(kind int) (end func()) {
+	var endFuncs []func()
 	leader := l.leader()
 	switch kind {
 	case 0: // answers are lost, transactions are throttled and refused
 		l.env.Store.SetFault(l.faultyCommits())
-		ends = append(ends, func() { l.env.Store.SetFault(nil) })
+		endFuncs = append(endFuncs, func() { l.env.Store.SetFault(nil) })
 	case 1: // transactions are carried out late
 		l.env.Store.SetLate(l.lateCommits(0.15))
-		ends = append(ends, func() { l.env.Store.SetLate(nil) })
+		endFuncs = append(endFuncs, func() { l.env.Store.SetLate(nil) })
 	case 2: // the leader is refused, and then everybody, while users cancel
 		l.env.Store.Refuse(leader, true)
-		l.chains(2)
+		l.submitPipelines(2)
 		time.Sleep(time.Second)
 		l.env.Store.Refuse("", true)
-		ends = append(ends, func() {
+		endFuncs = append(endFuncs, func() {
 			l.env.Store.Refuse("", false)
 			l.env.Store.Refuse(leader, false)
 		})
 	case 3: // the leader keeps its agents and users only
 		if leader != "" {
-			ends = append(ends, l.isolateFromStoreAndPeers(leader))
+			endFuncs = append(endFuncs, l.isolateFromStoreAndPeers(leader))
 		}
 	case 4: // machines reach no controller, others hear none
-		for _, m := range l.some(0.1) {
-			ends = append(ends, l.network.BlockOutbound(m))
+		for _, machine := range l.randomMachines(0.1) {
+			endFuncs = append(endFuncs, l.network.BlockOutbound(machine))
 		}
-		for _, m := range l.some(0.1) {
-			ends = append(ends, l.network.DropInbound(m))
+		for _, machine := range l.randomMachines(0.1) {
+			endFuncs = append(endFuncs, l.network.DropInbound(machine))
 		}
 	case 5: // machines hang, and some die
-		for _, m := range l.some(0.05) {
-			ends = append(ends, l.env.Hang(m))
+		for _, machine := range l.randomMachines(0.05) {
+			endFuncs = append(endFuncs, l.env.Hang(machine))
 		}
-		for _, m := range l.some(0.05) {
-			l.env.Kill(m)
+		for _, machine := range l.randomMachines(0.05) {
+			l.env.Kill(machine)
 		}
 	case 6: // leaders end one after another, and are back at once
 		for range 3 {
@@ -128,7 +128,7 @@
 		}
 	}
 	return func() {
-		for _, end := range ends {
+		for _, end := range endFuncs {
 			end()
 		}
 	}
@@ -139,15 +139,15 @@
 // kinds of trouble in pairs. The fakes judge it.
 func TestProductionSize(t *testing.T) {
 	t.Parallel()
-	const kinds = 7
+	const failureKinds = 7
 	for seed := range seedCount(1) {
-		names, dep := productionSize()
+		names, dep := productionSizeDeployment()
 		runUpgradeIn(t, 810+seed, names, dep, func(c *testCluster) {
-			l := &load{testCluster: c, rng: rand.New(rand.NewPCG(seed, 13))}
+			l := &productionLoad{testCluster: c, rng: rand.New(rand.NewPCG(seed, 13))}
 			c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 20 * time.Second})
 			c.env.Store.SetMaxPageSize(40)
 			c.env.SetCloudMaxPageSize(70)
-			l.arrays(12)
+			l.submitArrays(12)
 			c.until("hundreds run", 3*time.Minute, func() bool { return len(c.env.Machines()) >= 200 })
 			for _, name := range names {
 				c.restartAs(false, name)
@@ -156,15 +156,15 @@
 			c.untilUpgraded(time.Minute)
 			c.env.Store.Limit(dep.State.Smaller())
 			c.env.Store.LimitRequests(dep.State.RPS)
-			l.ask()
+			l.pollInBackground()
 			for range 5 {
-				l.chains(4)
-				l.arrays(2)
-				first := l.rng.IntN(kinds)
-				second := (first + 1 + l.rng.IntN(kinds-1)) % kinds
-				endFirst := l.trouble(first)
+				l.submitPipelines(4)
+				l.submitArrays(2)
+				first := l.rng.IntN(failureKinds)
+				second := (first + 1 + l.rng.IntN(failureKinds-1)) % failureKinds
+				endFirst := l.startFailure(first)
 				time.Sleep(time.Duration(l.rng.IntN(5000)) * time.Millisecond)
-				endSecond := l.trouble(second)
+				endSecond := l.startFailure(second)
 				time.Sleep(time.Duration(10+l.rng.IntN(35)) * time.Second)
 				endFirst()
 				endSecond()
@@ -172,12 +172,12 @@
 			}
 			time.Sleep(30 * time.Second)
 			c.env.EndTroubles()
-			kept := slices.DeleteFunc(l.keptJobs(), func(jobID protocol.JobID) bool { return !c.env.MayFinish(jobID) })
-			c.expectAnswers(kept...)
-			c.untilDone(10*time.Minute, kept...)
-			for _, jobID := range l.keptJobs() {
-				if got := c.phase(jobID); got != protocol.PhaseDone && got != protocol.PhaseCancelled {
-					t.Errorf("%s is %s in the end", jobID, got)
+			mustFinish := slices.DeleteFunc(l.mustFinishJobs(), func(jobID protocol.JobID) bool { return !c.env.MayFinish(jobID) })
+			c.expectAnswers(mustFinish...)
+			c.untilDone(10*time.Minute, mustFinish...)
+			for _, jobID := range l.mustFinishJobs() {
+				if phase := c.phase(jobID); phase != protocol.PhaseDone && phase != protocol.PhaseCancelled {
+					t.Errorf("%s is %s in the end", jobID, phase)
 				}
 			}
 		})
