--- a/internal/server/chaos_failures_test.go
+++ b/internal/server/chaos_failures_test.go
@@ -5,40 +5,40 @@
 // restartController ends a controller and starts it some seconds later.
 func (r *chaosRun) restartController(target chaosTarget) {
 	r.kill(target.controller)
-	r.later(r.seconds(1, 6), func() { r.boot(target.controller) })
+	r.runAfter(r.seconds(1, 6), func() { r.boot(target.controller) })
 	time.Sleep(6 * time.Second)
 }
 
 // partitionFromStore cuts a controller off from the key-value store.
 func (r *chaosRun) partitionFromStore(target chaosTarget) {
-	r.later(r.seconds(3, 40), r.cut(target.controller, "state", target.cut))
+	r.runAfter(r.seconds(3, 40), r.cut(target.controller, "state", target.cutMode))
 }
 
 // refuseController makes the key-value store refuse one controller.
 func (r *chaosRun) refuseController(target chaosTarget) {
 	r.env.Store.Refuse(target.controller, true)
-	r.later(r.seconds(3, 40), func() { r.env.Store.Refuse(target.controller, false) })
+	r.runAfter(r.seconds(3, 40), func() { r.env.Store.Refuse(target.controller, false) })
 }
 
 // refuseEverybody makes the key-value store refuse all controllers, one time in three.
 func (r *chaosRun) refuseEverybody(chaosTarget) {
 	if r.rng.IntN(3) == 0 {
 		r.env.Store.Refuse("", true)
-		r.later(r.seconds(3, 40), func() { r.env.Store.Refuse("", false) })
+		r.runAfter(r.seconds(3, 40), func() { r.env.Store.Refuse("", false) })
 	}
 }
 
 // partitionMachine cuts a machine off from all controllers.
 func (r *chaosRun) partitionMachine(target chaosTarget) {
 	if target.machine != "" {
-		r.later(r.seconds(3, 40), r.isolate(target.machine, target.cut, r.names...))
+		r.runAfter(r.seconds(3, 40), r.isolate(target.machine, target.cutMode, r.names...))
 	}
 }
 
 // hangMachine stops a machine for some time.
 func (r *chaosRun) hangMachine(target chaosTarget) {
 	if target.machine != "" {
-		r.later(r.seconds(3, 40), r.env.Hang(target.machine))
+		r.runAfter(r.seconds(3, 40), r.env.Hang(target.machine))
 	}
 }
 
@@ -52,7 +52,7 @@
 // partitionControllerFromMachine cuts one controller and one machine off each other.
 func (r *chaosRun) partitionControllerFromMachine(target chaosTarget) {
 	if target.machine != "" {
-		r.later(r.seconds(3, 40), r.cut(target.controller, target.machine, target.cut))
+		r.runAfter(r.seconds(3, 40), r.cut(target.controller, target.machine, target.cutMode))
 	}
 }
 
@@ -71,16 +71,16 @@
 // answers and commands to it do not.
 func (r *chaosRun) dropInboundOfMachine(target chaosTarget) {
 	if target.machine != "" {
-		r.later(r.seconds(3, 40), r.network.DropInbound(target.machine))
+		r.runAfter(r.seconds(3, 40), r.network.DropInbound(target.machine))
 	}
 }
 
 // partitionFromStoreAndPeers leaves a controller with its agents and users only.
 func (r *chaosRun) partitionFromStoreAndPeers(target chaosTarget) {
-	r.later(r.seconds(3, 60), r.cut(target.controller, "state", target.cut))
+	r.runAfter(r.seconds(3, 60), r.cut(target.controller, "state", target.cutMode))
 	for _, other := range r.names {
 		if other != target.controller {
-			r.later(r.seconds(3, 60), r.cut(target.controller, other, target.cut))
+			r.runAfter(r.seconds(3, 60), r.cut(target.controller, other, target.cutMode))
 		}
 	}
 }
@@ -89,7 +89,7 @@
 func (r *chaosRun) partitionFromPeers(target chaosTarget) {
 	for _, other := range r.names {
 		if other != target.controller {
-			r.later(r.seconds(3, 40), r.cut(target.controller, other, target.cut))
+			r.runAfter(r.seconds(3, 40), r.cut(target.controller, other, target.cutMode))
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	if leader := r.leader(); leader != "" && r.rng.IntN(3) > 0 {
 		target.controller = leader
 	}
-	r.later(r.seconds(3, 60), r.isolate(target.controller, target.cut, target.machines...))
+	r.runAfter(r.seconds(3, 60), r.isolate(target.controller, target.cutMode, target.machines...))
 }
 
 // partitionZone cuts zone a off from everything, with the controllers in it.
@@ -120,12 +120,12 @@
 		}
 	}
 	outside = append(outside, "state", "cloud", "users")
-	var heals []func()
+	var healFuncs []func()
 	for _, host := range inside {
-		heals = append(heals, r.isolate(host, target.cut, outside...))
+		healFuncs = append(healFuncs, r.isolate(host, target.cutMode, outside...))
 	}
-	r.later(r.seconds(3, 40), func() {
-		for _, heal := range heals {
+	r.runAfter(r.seconds(3, 40), func() {
+		for _, heal := range healFuncs {
 			heal()
 		}
 	})
@@ -135,7 +135,7 @@
 // open no connections.
 func (r *chaosRun) blockOutboundOfMachine(target chaosTarget) {
 	if target.machine != "" {
-		r.later(r.seconds(3, 40), r.network.BlockOutbound(target.machine))
+		r.runAfter(r.seconds(3, 40), r.network.BlockOutbound(target.machine))
 	}
 }
 
@@ -143,7 +143,7 @@
 // than an agent's lease.
 func (r *chaosRun) blockOutboundOfAllMachines(target chaosTarget) {
 	for _, machine := range target.machines {
-		r.later(r.seconds(13, 25), r.network.BlockOutbound(machine))
+		r.runAfter(r.seconds(13, 25), r.network.BlockOutbound(machine))
 	}
 }
 
@@ -151,7 +151,7 @@
 // senders have given up waiting for the answer.
 func (r *chaosRun) commitLate(chaosTarget) {
 	r.env.Store.SetLate(r.lateCommits(0.15))
-	r.later(r.seconds(5, 30), func() { r.env.Store.SetLate(nil) })
+	r.runAfter(r.seconds(5, 30), func() { r.env.Store.SetLate(nil) })
 }
 
 // hangMachineInCommand stops a machine between a command and its answer.
@@ -171,7 +171,7 @@
 	r.cancelLastJob()
 	time.Sleep(time.Second)
 	r.env.Store.Refuse("", true)
-	r.later(r.seconds(38, 60), func() {
+	r.runAfter(r.seconds(38, 60), func() {
 		r.env.Store.Refuse("", false)
 		r.env.Store.Refuse(target.controller, false)
 	})
@@ -199,5 +199,5 @@
 // that are sent again.
 func (r *chaosRun) failCommits(chaosTarget) {
 	r.env.Store.SetFault(r.faultyCommits())
-	r.later(r.seconds(5, 40), func() { r.env.Store.SetFault(nil) })
+	r.runAfter(r.seconds(5, 40), func() { r.env.Store.SetFault(nil) })
 }
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -23,7 +23,7 @@
 			for i := range 3 + 2*(seed%3) {
 				names = append(names, fmt.Sprint("marble-", i))
 			}
-			runWith(t, 1000+seed, names, func(c *testCluster) { chaos(c, seed) })
+			runWithNodes(t, 1000+seed, names, func(c *testCluster) { chaos(c, seed) })
 		})
 	}
 }
@@ -49,7 +49,7 @@
 // chaosTarget is what a step's failure hits.
 type chaosTarget struct {
 	controller string
-	cut        fake.Cut
+	cutMode    fake.Cut
 	machines   []string
 	machine    string // one of machines, empty if there is none
 }
@@ -120,8 +120,8 @@
 	return time.Duration(low+r.rng.IntN(high-low)) * time.Second
 }
 
-// later calls f after a delay, unless the scenario is over by then.
-func (r *chaosRun) later(delay time.Duration, f func()) {
+// runAfter calls f after a delay, unless the scenario is over by then.
+func (r *chaosRun) runAfter(delay time.Duration, f func()) {
 	go func() {
 		time.Sleep(delay)
 		if r.ctx.Err() == nil {
@@ -197,7 +197,7 @@
 func (r *chaosRun) randomTarget() chaosTarget {
 	var target chaosTarget
 	target.controller = r.names[r.rng.IntN(len(r.names))]
-	target.cut = fake.Cut(1 + r.rng.IntN(2))
+	target.cutMode = fake.Cut(1 + r.rng.IntN(2))
 	target.machines = r.env.Machines()
 	if len(target.machines) > 0 {
 		target.machine = target.machines[r.rng.IntN(len(target.machines))]
--- a/internal/server/cluster_checks_test.go
+++ b/internal/server/cluster_checks_test.go
@@ -12,14 +12,14 @@
 // records they change as preconditions, an open job's its own version; otherwise a
 // late copy could undo what came after it.
 func (c *testCluster) checkPreconditions(txn *protocol.Transaction) {
-	guarded := map[string]bool{}
+	hasPrecondition := map[string]bool{}
 	for _, precondition := range txn.Preconditions {
-		guarded[precondition.Key] = true
+		hasPrecondition[precondition.Key] = true
 	}
 	for _, mutation := range txn.Mutations {
 		key := mutation.Set + mutation.Delete
-		leaders := isRunSegment(key) || strings.HasPrefix(key, "d/") || strings.HasPrefix(key, "r/") || key == "catalog"
-		if (leaders && !guarded["term"]) || (strings.HasPrefix(key, "o/") && !guarded[key]) {
+		writtenByLeader := isRunSegment(key) || strings.HasPrefix(key, "d/") || strings.HasPrefix(key, "r/") || key == "catalog"
+		if (writtenByLeader && !hasPrecondition["term"]) || (strings.HasPrefix(key, "o/") && !hasPrecondition[key]) {
 			c.t.Errorf("change of %s without its precondition", key)
 		}
 	}
@@ -31,7 +31,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, mutation := range txn.Mutations {
-		if isFurtherSegment(mutation.Set) && slices.ContainsFunc(c.names, func(n string) bool { return c.previous[n] }) {
+		if isFurtherSegment(mutation.Set) && slices.ContainsFunc(c.names, func(name string) bool { return c.previous[name] }) {
 			c.t.Errorf("%s is written while not all can read it", mutation.Set)
 		}
 	}
--- a/internal/server/cluster_jobs_test.go
+++ b/internal/server/cluster_jobs_test.go
@@ -46,8 +46,8 @@
 // submit submits a job that must be accepted; each of its tasks runs for runS seconds.
 func (c *testCluster) submit(job protocol.Job, runS float64) {
 	c.t.Helper()
-	if st := c.env.Submit(job, runS); st != 200 && st != 201 {
-		c.t.Fatalf("%s: submission got %d", job.ID, st)
+	if status := c.env.Submit(job, runS); status != 200 && status != 201 {
+		c.t.Fatalf("%s: submission got %d", job.ID, status)
 	}
 	c.jobs = append(c.jobs, job.ID)
 }
@@ -62,14 +62,14 @@
 		jobIDs[i] = job.ID
 		c.submit(job, 0)
 	}
-	on := func() (all []string) {
+	machines := func() (running []string) {
 		for _, jobID := range jobIDs {
-			all = append(all, c.env.MachinesOf(jobID)...)
+			running = append(running, c.env.MachinesOf(jobID)...)
 		}
-		return all
+		return running
 	}
-	c.until("all run", 2*time.Minute, func() bool { return len(on()) == 2*n })
-	return on
+	c.until("all run", 2*time.Minute, func() bool { return len(machines()) == 2*n })
+	return machines
 }
 
 // startWorkload submits two services and two arrays and waits until they run.
@@ -91,20 +91,20 @@
 // after another, and returns their ids. Numbers count from first.
 func (c *testCluster) pipeline(first int) []protocol.JobID {
 	c.t.Helper()
-	small := func(i, tasks int, priority protocol.Priority) protocol.Job {
-		job := arrayJob(first+i, "stage", tasks)
+	arrayStage := func(offset, tasks int, priority protocol.Priority) protocol.Job {
+		job := arrayJob(first+offset, "stage", tasks)
 		job.Priority, job.Cores, job.EstimateS = priority, 1, 8
 		return job
 	}
-	join := gangJob(first+3, 2)
-	join.GPUs, join.Cores, join.Priority = 0, 2, protocol.PriorityStandard
-	last := small(4, 2, protocol.PriorityHigh)
+	gang := gangJob(first+3, 2)
+	gang.GPUs, gang.Cores, gang.Priority = 0, 2, protocol.PriorityStandard
+	last := arrayStage(4, 2, protocol.PriorityHigh)
 	last.DeadlineS = 200
 	jobs := []protocol.Job{
-		small(0, 4, protocol.PriorityIdle),
-		dependingOn(small(1, 6, protocol.PriorityIdle), testJobID(first)),
-		dependingOn(small(2, 3, protocol.PriorityIdle), testJobID(first)),
-		dependingOn(join, testJobID(first), testJobID(first+1)),
+		arrayStage(0, 4, protocol.PriorityIdle),
+		dependingOn(arrayStage(1, 6, protocol.PriorityIdle), testJobID(first)),
+		dependingOn(arrayStage(2, 3, protocol.PriorityIdle), testJobID(first)),
+		dependingOn(gang, testJobID(first), testJobID(first+1)),
 		dependingOn(last, testJobID(first+2), testJobID(first+3)),
 	}
 	var jobIDs []protocol.JobID
@@ -119,14 +119,14 @@
 func (c *testCluster) cancelAt(name string, jobID protocol.JobID) {
 	c.t.Helper()
 	c.env.SetAskedNodes(c.addressOf(name))
-	if st, s := c.env.Cancel(jobID); st != 200 || s.Phase != protocol.PhaseCancelled {
-		c.t.Errorf("cancelling %s: %d %q", jobID, st, s.Phase)
+	if status, jobStatus := c.env.Cancel(jobID); status != 200 || jobStatus.Phase != protocol.PhaseCancelled {
+		c.t.Errorf("cancelling %s: %d %q", jobID, status, jobStatus.Phase)
 	}
 	c.env.SetAskedNodes()
 }
 
 // phase returns the phase that a user of the job is told.
 func (c *testCluster) phase(jobID protocol.JobID) protocol.JobPhase {
-	_, st := c.env.Poll(jobID)
-	return st.Phase
+	_, jobStatus := c.env.Poll(jobID)
+	return jobStatus.Phase
 }
--- a/internal/server/cluster_network_test.go
+++ b/internal/server/cluster_network_test.go
@@ -7,21 +7,21 @@
 )
 
 // cut partitions two hosts until the returned function or heal is called.
-func (c *testCluster) cut(a, b string, mode fake.Cut) func() {
-	heal := sync.OnceFunc(c.network.Cut(a, b, mode))
+func (c *testCluster) cut(hostA, hostB string, mode fake.Cut) func() {
+	heal := sync.OnceFunc(c.network.Cut(hostA, hostB, mode))
 	c.heals = append(c.heals, heal)
 	return heal
 }
 
 // isolate partitions a host from all the others given.
-func (c *testCluster) isolate(a string, mode fake.Cut, others ...string) func() {
-	var heals []func()
-	for _, b := range others {
-		heals = append(heals, c.cut(a, b, mode))
+func (c *testCluster) isolate(host string, mode fake.Cut, others ...string) func() {
+	var healFuncs []func()
+	for _, other := range others {
+		healFuncs = append(healFuncs, c.cut(host, other, mode))
 	}
 	return func() {
-		for _, m := range heals {
-			m()
+		for _, heal := range healFuncs {
+			heal()
 		}
 	}
 }
@@ -34,15 +34,15 @@
 // blockOutbound is a one-way partition: machines receive commands, but cannot open
 // connections.
 func (c *testCluster) blockOutbound(machines ...string) {
-	for _, m := range machines {
-		c.heals = append(c.heals, c.network.BlockOutbound(m))
+	for _, machine := range machines {
+		c.heals = append(c.heals, c.network.BlockOutbound(machine))
 	}
 }
 
 // dropInbound is a one-way partition: machines send, but receive nothing.
 func (c *testCluster) dropInbound(machines ...string) {
-	for _, m := range machines {
-		c.heals = append(c.heals, c.network.DropInbound(m))
+	for _, machine := range machines {
+		c.heals = append(c.heals, c.network.DropInbound(machine))
 	}
 }
 
--- a/internal/server/cluster_peers_test.go
+++ b/internal/server/cluster_peers_test.go
@@ -14,32 +14,32 @@
 
 // peerConn carries gRPC calls between the controllers through the simulated network.
 type peerConn struct {
-	c        *testCluster
+	cluster  *testCluster
 	from, to string
 }
 
 func (p *peerConn) Invoke(ctx context.Context, method string, args, reply any, _ ...grpc.CallOption) error {
-	raw, err := codec.Marshal(args)
+	encodedArgs, err := codec.Marshal(args)
 	if err != nil {
 		return err
 	}
-	var out []byte
-	err = p.c.network.Call(ctx, p.from, p.to, func() {
-		p.c.mu.Lock()
-		node := p.c.controllers[p.to]
-		p.c.mu.Unlock()
-		for _, m := range peer.Service.Methods {
-			if node != nil && strings.HasSuffix(method, "/"+m.MethodName) {
-				if v, err := m.Handler(node, context.Background(), func(in any) error { return codec.Unmarshal(raw, in) }, nil); err == nil {
-					out, _ = codec.Marshal(v)
+	var encodedReply []byte
+	err = p.cluster.network.Call(ctx, p.from, p.to, func() {
+		p.cluster.mu.Lock()
+		node := p.cluster.controllers[p.to]
+		p.cluster.mu.Unlock()
+		for _, methodDesc := range peer.Service.Methods {
+			if node != nil && strings.HasSuffix(method, "/"+methodDesc.MethodName) {
+				if response, err := methodDesc.Handler(node, context.Background(), func(in any) error { return codec.Unmarshal(encodedArgs, in) }, nil); err == nil {
+					encodedReply, _ = codec.Marshal(response)
 				}
 			}
 		}
 	})
-	if err != nil || out == nil {
+	if err != nil || encodedReply == nil {
 		return status.Error(codes.Unavailable, "no answer")
 	}
-	return codec.Unmarshal(out, reply)
+	return codec.Unmarshal(encodedReply, reply)
 }
 
 func (p *peerConn) NewStream(context.Context, *grpc.StreamDesc, string, ...grpc.CallOption) (grpc.ClientStream, error) {
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -42,11 +42,11 @@
 // run plays a scenario with three controllers; the fakes judge it by the rules that hold
 // for every scenario.
 func run(t *testing.T, seed uint64, scenario func(c *testCluster)) {
-	runWith(t, seed, controllerNames, scenario)
+	runWithNodes(t, seed, controllerNames, scenario)
 }
 
-// runWith is run with controllers of the given names.
-func runWith(t *testing.T, seed uint64, names []string, scenario func(c *testCluster)) {
+// runWithNodes is run with controllers of the given names.
+func runWithNodes(t *testing.T, seed uint64, names []string, scenario func(c *testCluster)) {
 	runIn(t, seed, names, testDeployment(), scenario)
 }
 
@@ -88,9 +88,9 @@
 	i := slices.Index(c.names, name)
 	cfg := &config.Config{Node: name, APIAddr: fmt.Sprintf("10.0.0.%d:80", i+1), Deployment: c.deployment, Operator: config.DefaultOperator()}
 	cfg.Services.Cloud, cfg.Services.State = "cloud:1", "state:1"
-	for _, p := range c.names {
-		if p != name {
-			cfg.Peers = append(cfg.Peers, config.Peer{Node: p})
+	for _, peerName := range c.names {
+		if peerName != name {
+			cfg.Peers = append(cfg.Peers, config.Peer{Node: peerName})
 		}
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
@@ -121,37 +121,37 @@
 
 // killLeader ends the leader, if there is one, and returns its name.
 func (c *testCluster) killLeader() string {
-	l := c.leader()
-	if l != "" {
-		c.kill(l)
+	leader := c.leader()
+	if leader != "" {
+		c.kill(leader)
 	}
-	return l
+	return leader
 }
 
 // restartAll ends every controller; each is back at once.
 func (c *testCluster) restartAll() {
-	for _, n := range c.names {
-		c.kill(n)
-		c.boot(n)
+	for _, name := range c.names {
+		c.kill(name)
+		c.boot(name)
 	}
 }
 
-// alive tells whether a controller runs.
-func (c *testCluster) alive(name string) bool {
+// isRunning tells whether a controller runs.
+func (c *testCluster) isRunning(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.controllers[name] != nil
 }
 
 // latestTerm returns the highest term that any controller knows of.
-func (c *testCluster) latestTerm() (n protocol.Term) {
+func (c *testCluster) latestTerm() (latest protocol.Term) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, nd := range c.controllers {
-		t, _ := nd.Leader()
-		n = max(n, t.Term)
+	for _, node := range c.controllers {
+		record, _ := node.Leader()
+		latest = max(latest, record.Term)
 	}
-	return n
+	return latest
 }
 
 // leader returns a controller that takes itself for the leader, empty if none does.
@@ -173,14 +173,14 @@
 
 // others returns all controllers but one.
 func (c *testCluster) others(name string) []string {
-	return slices.DeleteFunc(slices.Clone(c.names), func(n string) bool { return n == name })
+	return slices.DeleteFunc(slices.Clone(c.names), func(other string) bool { return other == name })
 }
 
 // seedCount returns how many seeds a scenario is played with: least, or more if the
 // environment variable CHAOS_SEEDS says so.
 func seedCount(least uint64) uint64 {
-	if n, err := strconv.ParseUint(os.Getenv("CHAOS_SEEDS"), 10, 32); err == nil {
-		return max(least, n)
+	if requested, err := strconv.ParseUint(os.Getenv("CHAOS_SEEDS"), 10, 32); err == nil {
+		return max(least, requested)
 	}
 	return least
 }
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -9,11 +9,11 @@
 )
 
 // until waits for a condition, and ends the test if it does not hold within the limit.
-func (c *testCluster) until(what string, limit time.Duration, cond func() bool) {
+func (c *testCluster) until(description string, limit time.Duration, condition func() bool) {
 	c.t.Helper()
-	for start := time.Now(); !cond(); time.Sleep(50 * time.Millisecond) {
+	for start := time.Now(); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Since(start) > limit {
-			c.t.Fatalf("not within %v: %s", limit, what)
+			c.t.Fatalf("not within %v: %s", limit, description)
 		}
 	}
 }
@@ -22,8 +22,8 @@
 func (c *testCluster) untilElsewhere(jobID protocol.JobID, replicas int, machine string, limit time.Duration) {
 	c.t.Helper()
 	c.until("the replica runs elsewhere", limit, func() bool {
-		on := c.env.MachinesOf(jobID)
-		return len(on) == replicas && !slices.Contains(on, machine)
+		machines := c.env.MachinesOf(jobID)
+		return len(machines) == replicas && !slices.Contains(machines, machine)
 	})
 }
 
@@ -68,7 +68,7 @@
 	for _, jobID := range jobIDs {
 		wg.Go(func() {
 			for start := time.Now(); ; time.Sleep(5 * time.Second) {
-				if st, _ := c.env.Poll(jobID); st == 200 {
+				if status, _ := c.env.Poll(jobID); status == 200 {
 					return
 				}
 				if time.Since(start) > 75*time.Second {
@@ -87,10 +87,10 @@
 func (c *testCluster) expectRecovery() {
 	c.t.Helper()
 	c.env.Store.Refuse("", false)
-	for _, n := range c.names {
-		c.env.Store.Refuse(n, false)
-		if !c.alive(n) {
-			c.boot(n)
+	for _, name := range c.names {
+		c.env.Store.Refuse(name, false)
+		if !c.isRunning(name) {
+			c.boot(name)
 		}
 	}
 	c.env.Store.SetSlow(nil)
@@ -107,8 +107,8 @@
 		switch {
 		case c.env.Cancelled(jobID):
 			c.until(string(jobID)+" is over", time.Minute, func() bool {
-				p := c.phase(jobID)
-				return (p == protocol.PhaseCancelled || p == protocol.PhaseDone) && len(c.env.MachinesOf(jobID)) == 0
+				phase := c.phase(jobID)
+				return (phase == protocol.PhaseCancelled || phase == protocol.PhaseDone) && len(c.env.MachinesOf(jobID)) == 0
 			})
 		case job.Kind == protocol.KindService:
 			c.until(string(jobID)+" runs", 3*time.Minute, func() bool { return len(c.env.MachinesOf(jobID)) == job.Tasks })
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -34,10 +34,10 @@
 			c.submit(arrayJob(1, "check", 12), 40)
 			<-placed
 			time.Sleep(time.Duration(seed) * 4 * time.Millisecond)
-			old := c.leader()
-			c.kill(old)
+			oldLeader := c.leader()
+			c.kill(oldLeader)
 			c.until("another leads", 15*time.Second, func() bool { return c.leader() != "" })
-			c.boot(old)
+			c.boot(oldLeader)
 			c.untilDone(5*time.Minute, "req-000001")
 		})
 	}
@@ -50,11 +50,11 @@
 	run(t, 30, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
-		old := slices.Index(controllerNames, c.leader())
-		c.kill(controllerNames[old])
-		c.env.SetAskedNodes(c.env.NodeAddrs()[(old+1)%3]) // the dead one would cost a second
-		if st, s := c.env.Cancel("req-000001"); st != 200 || s.Phase != protocol.PhaseCancelled {
-			t.Fatalf("cancel: %d %q", st, s.Phase)
+		oldIndex := slices.Index(controllerNames, c.leader())
+		c.kill(controllerNames[oldIndex])
+		c.env.SetAskedNodes(c.env.NodeAddrs()[(oldIndex+1)%3]) // the dead one would cost a second
+		if status, jobStatus := c.env.Cancel("req-000001"); status != 200 || jobStatus.Phase != protocol.PhaseCancelled {
+			t.Fatalf("cancel: %d %q", status, jobStatus.Phase)
 		}
 		if c.leader() != "" {
 			t.Fatal("a leader was there already")
@@ -77,17 +77,17 @@
 		c.until("it runs", 2*time.Minute, func() bool {
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) > 0
 		})
-		old := c.leader()
-		c.env.Store.Refuse(old, true)
+		oldLeader := c.leader()
+		c.env.Store.Refuse(oldLeader, true)
 		// Its peers cannot warn it, and the agents stay with it.
-		heal := c.isolate(old, fake.Hold, c.others(old)...)
-		c.untilAnotherLeads(old, 20*time.Second)
+		heal := c.isolate(oldLeader, fake.Hold, c.others(oldLeader)...)
+		c.untilAnotherLeads(oldLeader, 20*time.Second)
 		c.env.Cancel("req-000001")
 		time.Sleep(50 * time.Second)
 		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 			t.Errorf("cancelled, still on %v", on)
 		}
-		c.env.Store.Refuse(old, false)
+		c.env.Store.Refuse(oldLeader, false)
 		heal()
 		c.untilDone(4*time.Minute, "req-000002")
 	})
@@ -100,7 +100,7 @@
 	t.Parallel()
 	run(t, 141, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
-		old := c.latestTerm()
+		termBefore := c.latestTerm()
 		var calls atomic.Int64
 		c.env.Store.SetSlow(func(path string) time.Duration {
 			if strings.HasSuffix(path, "/touch") && calls.Add(1)%5 == 0 {
@@ -109,8 +109,8 @@
 			return 60 * time.Millisecond
 		})
 		time.Sleep(2 * time.Minute)
-		if terms := c.latestTerm(); terms != old {
-			t.Errorf("the term changed %d times", terms-old)
+		if termAfter := c.latestTerm(); termAfter != termBefore {
+			t.Errorf("the term changed %d times", termAfter-termBefore)
 		}
 		c.submit(arrayJob(2, "check", 8), 10)
 		c.untilDone(2*time.Minute, "req-000002")
@@ -147,12 +147,12 @@
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000003")) > 0
 		})
 		before := c.env.MachinesOf("req-000001")
-		for _, n := range controllerNames {
-			c.kill(n)
+		for _, name := range controllerNames {
+			c.kill(name)
 		}
 		time.Sleep(5 * time.Second)
-		for _, n := range controllerNames {
-			c.boot(n)
+		for _, name := range controllerNames {
+			c.boot(name)
 		}
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
 		if on := c.env.MachinesOf("req-000001"); !slices.Equal(on, before) {
@@ -166,34 +166,34 @@
 // it, and answers its agents no longer than the leader lease; another leads meanwhile.
 func TestLeaderReachesOnlyAgents(t *testing.T) {
 	t.Parallel()
-	runWith(t, 133, []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, func(c *testCluster) {
+	runWithNodes(t, 133, []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, func(c *testCluster) {
 		c.submit(serviceJob(1, 4), 0)
 		c.submit(arrayJob(2, "check", 20), 30)
 		c.until("they run", 2*time.Minute, func() bool {
 			return len(c.env.MachinesOf("req-000001")) == 4 && len(c.env.MachinesOf("req-000002")) > 0
 		})
-		old := c.leader()
-		heal := c.isolateFromStoreAndPeers(old)
+		oldLeader := c.leader()
+		heal := c.isolateFromStoreAndPeers(oldLeader)
 		c.env.SetCloudDown(true) // so that only the leases can end what runs there
 		time.Sleep(8 * time.Second)
 		c.env.Cancel("req-000001")
 		c.mu.Lock()
-		cut := c.controllers[old]
+		isolated := c.controllers[oldLeader]
 		c.mu.Unlock()
-		if cut.Healthy() {
+		if isolated.Healthy() {
 			t.Error("users are still sent to the node that can ask nobody")
 		}
-		rec := httptest.NewRecorder()
-		cut.api.ServeHTTP(rec, httptest.NewRequest("GET", "/v1/jobs/req-000002", nil))
-		if rec.Code != 503 || rec.Header().Get("Connection") != "close" || rec.Header().Get("Retry-After") == "" {
-			t.Errorf("its users get %d, %v", rec.Code, rec.Header())
+		response := httptest.NewRecorder()
+		isolated.api.ServeHTTP(response, httptest.NewRequest("GET", "/v1/jobs/req-000002", nil))
+		if response.Code != 503 || response.Header().Get("Connection") != "close" || response.Header().Get("Retry-After") == "" {
+			t.Errorf("its users get %d, %v", response.Code, response.Header())
 		}
-		d := testDeployment().Workers
-		time.Sleep(time.Duration((d.CancelS - d.LeaseS) * float64(time.Second)))
-		r, _ := codec.Marshal(protocol.Heartbeat{Machine: "m-000001", Addr: "m-000001:9000", MachineType: "small", Zone: "a", Incarnation: 1, Sequence: 1 << 40})
-		rec = httptest.NewRecorder()
-		cut.api.ServeHTTP(rec, httptest.NewRequest("POST", "/hello", bytes.NewReader(r)))
-		if rec.Code == 200 {
+		workers := testDeployment().Workers
+		time.Sleep(time.Duration((workers.CancelS - workers.LeaseS) * float64(time.Second)))
+		heartbeat, _ := codec.Marshal(protocol.Heartbeat{Machine: "m-000001", Addr: "m-000001:9000", MachineType: "small", Zone: "a", Incarnation: 1, Sequence: 1 << 40})
+		response = httptest.NewRecorder()
+		isolated.api.ServeHTTP(response, httptest.NewRequest("POST", "/hello", bytes.NewReader(heartbeat)))
+		if response.Code == 200 {
 			t.Error("it still answers heartbeats")
 		}
 		c.env.SetCloudDown(false)
@@ -210,25 +210,25 @@
 func TestLeaderWithoutAgents(t *testing.T) {
 	t.Parallel()
 	run(t, 139, func(c *testCluster) {
-		on := c.runServicePairs(12)
+		replicaMachines := c.runServicePairs(12)
 		time.Sleep(5 * time.Second)
-		before, expiriesBefore := on(), c.env.LeaseExpiries()
-		old := c.leader()
-		heal := c.isolate(old, fake.Hold, c.env.Machines()...)
+		before, leaseExpiriesBefore := replicaMachines(), c.env.LeaseExpiries()
+		oldLeader := c.leader()
+		heal := c.isolate(oldLeader, fake.Hold, c.env.Machines()...)
 		time.Sleep(25 * time.Second) // twice a lease
-		if c.leader() == old {
+		if c.leader() == oldLeader {
 			t.Error("a leader without agents keeps its term")
 		}
-		if c.env.LeaseExpiries() > expiriesBefore || !slices.Equal(on(), before) {
-			t.Errorf("%d leases expired; ran on %s, now on %s", c.env.LeaseExpiries()-expiriesBefore, before, on())
+		if c.env.LeaseExpiries() > leaseExpiriesBefore || !slices.Equal(replicaMachines(), before) {
+			t.Errorf("%d leases expired; ran on %s, now on %s", c.env.LeaseExpiries()-leaseExpiriesBefore, before, replicaMachines())
 		}
 		heal()
 		c.submit(arrayJob(21, "check", 6), 10)
 		c.untilDone(3*time.Minute, "req-000021")
 		// With no other controller the term comes back to the one that left it.
-		for _, n := range controllerNames {
-			if n != c.leader() {
-				c.kill(n)
+		for _, name := range controllerNames {
+			if name != c.leader() {
+				c.kill(name)
 			}
 		}
 		heal = c.isolate(c.leader(), fake.Hold, c.env.Machines()...)
@@ -246,16 +246,16 @@
 	t.Parallel()
 	run(t, 135, func(c *testCluster) {
 		c.network.SetRepeat(map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second})
-		n := 0
-		c.env.Store.SetLoseReply(func() bool { n++; return n%4 == 0 })
+		transactions := 0
+		c.env.Store.SetLoseReply(func() bool { transactions++; return transactions%4 == 0 })
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 20), 20)
 		c.submit(gangJob(3, 3), 30)
 		for i := range 25 {
-			if l := c.leader(); l != "" {
-				c.kill(l)
+			if leader := c.leader(); leader != "" {
+				c.kill(leader)
 				time.Sleep(time.Duration(i%5) * 90 * time.Millisecond)
-				c.boot(l)
+				c.boot(leader)
 			}
 			time.Sleep(time.Duration(40+i*37) * time.Millisecond)
 		}
--- a/internal/server/normal_operation_test.go
+++ b/internal/server/normal_operation_test.go
@@ -22,14 +22,14 @@
 		c.submit(arrayJob(4, "check", 1), 5)
 		c.untilDone(6*time.Minute, c.jobs[1:]...)
 		c.until("replicas run in both zones", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
-		if st, s := c.env.Cancel("req-000002"); st != 200 || s.Phase != protocol.PhaseDone {
-			t.Errorf("cancelling a finished job: %d %q", st, s.Phase)
+		if status, jobStatus := c.env.Cancel("req-000002"); status != 200 || jobStatus.Phase != protocol.PhaseDone {
+			t.Errorf("cancelling a finished job: %d %q", status, jobStatus.Phase)
 		}
-		if st := c.env.Submit(arrayJob(2, "check", 30), 15); st != 200 {
-			t.Errorf("late repeat of a finished job: %d", st)
+		if status := c.env.Submit(arrayJob(2, "check", 30), 15); status != 200 {
+			t.Errorf("late repeat of a finished job: %d", status)
 		}
-		if st, _ := c.env.Poll("req-999999"); st != 404 {
-			t.Errorf("unknown job: %d", st)
+		if status, _ := c.env.Poll("req-999999"); status != 404 {
+			t.Errorf("unknown job: %d", status)
 		}
 		c.env.Cancel("req-000001")
 		c.until("idle machines go back and records are cleared", 4*time.Minute, func() bool {
@@ -81,21 +81,21 @@
 			{"malformed report", "POST", "/hello", []byte("x"), 400},
 			{"health", "GET", "/up", nil, 200},
 		} {
-			r := httptest.NewRequest(tc.method, tc.path, bytes.NewReader(tc.body))
-			rec := httptest.NewRecorder()
-			c.controllers[controllerNames[0]].api.ServeHTTP(rec, r)
-			if rec.Code != tc.want {
-				t.Errorf("%s: %d, not %d", tc.what, rec.Code, tc.want)
+			request := httptest.NewRequest(tc.method, tc.path, bytes.NewReader(tc.body))
+			response := httptest.NewRecorder()
+			c.controllers[controllerNames[0]].api.ServeHTTP(response, request)
+			if response.Code != tc.want {
+				t.Errorf("%s: %d, not %d", tc.what, response.Code, tc.want)
 			}
 		}
 		c.env.SetCloudDown(true)
 		c.submit(serviceJob(5, 1), 0)
 		time.Sleep(10 * time.Second)
 		for _, node := range c.controllers {
-			rec := httptest.NewRecorder()
-			node.api.ServeHTTP(rec, httptest.NewRequest("GET", "/", nil))
-			if p := rec.Body.String(); !strings.Contains(p, "work is behind") || !strings.Contains(p, "req-000005") || !strings.Contains(p, c.leader()+" leads") {
-				t.Errorf("status page of %s: %s", node.cfg.Node, p)
+			response := httptest.NewRecorder()
+			node.api.ServeHTTP(response, httptest.NewRequest("GET", "/", nil))
+			if page := response.Body.String(); !strings.Contains(page, "work is behind") || !strings.Contains(page, "req-000005") || !strings.Contains(page, c.leader()+" leads") {
+				t.Errorf("status page of %s: %s", node.cfg.Node, page)
 			}
 		}
 		c.env.SetCloudDown(false)
