--- a/internal/server/controller.go
+++ b/internal/server/controller.go
@@ -26,8 +26,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// controller is one controller process. It serves users and peers all the time,
-// and runs the leader while it holds the term.
+// controller is one controller process. It serves users and peers for as long as the
+// process runs, and runs a leader while it holds a term.
 type controller struct {
 	cfg       *config.Config
 	log       *slog.Logger
@@ -38,16 +38,17 @@
 	agents    *agent.Client
 	peers     *peer.Group
 	api       *api.Server
-	// activeLeader is the leader of this controller's term, nil while another
-	// controller leads.
+	// activeLeader is the leader that runs in this process, nil while this controller
+	// does not lead.
 	activeLeader atomic.Pointer[leader.Leader]
 	// supportedFormat is the latest version of the record formats that this
 	// controller reads and writes.
 	supportedFormat int
 }
 
-// Run runs a controller until ctx ends. It returns an error only if the controller
-// cannot start: failures after that are retried.
+// Run runs a controller until ctx ends. It returns an error if the controller cannot
+// start or its HTTP server for users and agents fails. Other failures do not end the
+// process: failed calls are retried.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
 	limitMemory(cfg.Deployment.Limits.MemoryMB)
 	apiListener, err := net.Listen("tcp", cfg.APIAddr)
@@ -78,15 +79,17 @@
 	debug.SetMemoryLimit(int64(limitMB * tuning.MemoryShare * bytesPerMB))
 }
 
-// servePeers answers the other controllers until ctx ends. A failure before that leaves
-// the controller useful to users, so the process goes on.
+// servePeers answers the other controllers until ctx ends. If the server fails before
+// that, the failure is logged and the process keeps running, because the controller can
+// still serve users.
 func (c *controller) servePeers(ctx context.Context, listener net.Listener) {
 	if err := peer.Serve(ctx, listener, c); err != nil && ctx.Err() == nil {
-		c.log.Error("serving peers failed; going on without answering them", "err", err)
+		c.log.Error("serving peers failed; other controllers get no answers from this one", "err", err)
 	}
 }
 
-// newController wires a controller to the other parts of the system; start starts it.
+// newController creates a controller that reaches the other parts of the system through
+// the given connections. Its background work begins with start.
 func newController(cfg *config.Config, log *slog.Logger, conns transports) (*controller, error) {
 	c := &controller{cfg: cfg, log: log, supportedFormat: records.FormatSupported}
 	malformed := httpclient.NewMalformedLog(log)
@@ -103,13 +106,15 @@
 	return c, nil
 }
 
-// start begins all background work but serving. Each goroutine ends with ctx, or
-// earlier when its one task is done; nobody waits for them, since what they leave
-// unfinished in the key-value store is what a crash at that moment would leave.
+// start begins all background work except serving requests. Each goroutine ends when ctx
+// ends, or earlier when its one task is done. Nothing waits for the goroutines: what an
+// interrupted one leaves unfinished in the key-value store is no worse than what a crash
+// at that moment would leave.
 func (c *controller) start(ctx context.Context) {
 	c.peers.Run(ctx)
 	go c.loadMachineTypes(ctx)
-	// Whole records are the formats of the first version, which recorded none.
+	// FormatWhole is the format of the first version of this program, which recorded no
+	// format version.
 	if c.supportedFormat > records.FormatWhole {
 		go c.recordFormatVersion(ctx)
 	}
--- a/internal/server/format_version.go
+++ b/internal/server/format_version.go
@@ -12,10 +12,10 @@
 	"marblehaven/internal/tuning"
 )
 
-// recordFormatVersion retries until the key-value store says which record formats this
-// controller reads. The leader writes a new format only when all controllers have
-// recorded that they read it. A controller never goes back to an earlier version, so
-// the record is written once.
+// recordFormatVersion retries until the key-value store holds the version of the record
+// formats that this controller supports. The leader writes records in a new format only
+// when all controllers have recorded that they support it. A controller is never
+// downgraded to an earlier version, so the record is written once.
 func (c *controller) recordFormatVersion(ctx context.Context) {
 	for {
 		err := c.writeFormatVersion(ctx)
@@ -29,9 +29,9 @@
 	}
 }
 
-// writeFormatVersion writes this controller's format version unless the store has it
-// or a later one. A record that cannot be decoded is overwritten. The precondition on
-// the key's version keeps a delayed write from undoing a newer one.
+// writeFormatVersion writes this controller's format version unless the store has this
+// version or a later one. A record that cannot be decoded is overwritten. The
+// precondition on the key's version keeps a delayed write from overwriting a newer one.
 func (c *controller) writeFormatVersion(ctx context.Context) error {
 	key := records.NodeVersionKey(c.cfg.Node)
 	entry, err := c.store.Get(ctx, key)
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -6,29 +6,33 @@
 	"marblehaven/internal/tuning"
 )
 
-// StoreReachable tells whether the key-value store has served this controller lately.
+// StoreReachable reports whether the key-value store has served this controller within
+// the last tuning.StoreServedAge.
 func (c *controller) StoreReachable() bool { return c.store.SinceServed() < tuning.StoreServedAge }
 
-// StoreRefusesOnlyThisNode tells whether the key-value store serves other controllers but not this
-// one, or this one is isolated. Another controller counts as served only if it was
-// served StoreRefusesOnlyThisNodeLag later than this one: at the edges of an outage of the whole
-// store, controllers notice it at slightly different times, and one taken for refused
-// alone would leave the load balancer, which takes it back later with each removal.
+// StoreRefusesOnlyThisNode reports whether the key-value store serves another controller
+// but not this one, or this controller is isolated.
+//
+// Another controller counts as served only if the store served it more than
+// tuning.StoreRefusesOnlyThisNodeLag after it last served this one. When an outage of the
+// whole store begins or ends, controllers notice the change at slightly different times.
+// Without the lag, the load balancer would remove a controller in such an outage, and it
+// waits longer before it takes a controller back with each removal.
 func (c *controller) StoreRefusesOnlyThisNode() bool {
 	return !c.StoreReachable() && (c.peers.StoreServedAfter(time.Now().Add(tuning.StoreRefusesOnlyThisNodeLag-c.store.SinceServed())) || c.isolated())
 }
 
-// isolated tells whether neither the key-value store nor any other controller has
-// answered for a while. Then it is most likely this controller that is partitioned
-// from the rest, so users must not be sent to it.
+// isolated reports whether neither the key-value store nor any other controller has
+// answered for tuning.IsolatedAfter. Most likely this controller is then partitioned from
+// the rest of the cluster, so users must not be sent to it.
 func (c *controller) isolated() bool {
 	return c.store.SinceServed() > tuning.IsolatedAfter && c.peers.Unreachable(tuning.IsolatedAfter)
 }
 
-// Healthy tells the load balancer whether to send users to this controller: not before
-// it knows the machine types, and not while it is refused alone. While the key-value
-// store serves nobody it stays healthy, since removing all controllers would only add
-// to the outage.
+// Healthy reports whether the load balancer should send users to this controller. A
+// controller is unhealthy until it has loaded the machine types, and while
+// StoreRefusesOnlyThisNode holds. It stays healthy while the key-value store serves no
+// controller: removing all controllers from the load balancer would make the outage worse.
 func (c *controller) Healthy() bool {
 	return c.users.HasMachineTypes() && !c.StoreRefusesOnlyThisNode()
 }
--- a/internal/server/leadership.go
+++ b/internal/server/leadership.go
@@ -9,8 +9,8 @@
 	"marblehaven/internal/records"
 )
 
-// lead runs the leader for one term. The candidate calls it when it has won the term,
-// and ends ctx when the term is over.
+// lead runs the leader for one term. The candidate calls lead when it has won the term,
+// and cancels ctx when the term ends.
 func (c *controller) lead(ctx context.Context, leadership election.Leadership) {
 	termLeader := leader.New(leader.Options{
 		Config: c.cfg, Store: c.store, Cloud: c.cloud, Agents: c.agents, Log: c.log,
@@ -25,21 +25,22 @@
 	termLeader.Run()
 }
 
-// LocalLeader returns the leader of this controller's term, nil if it does not lead.
+// LocalLeader returns the leader that runs in this process, or nil if this controller
+// does not lead.
 func (c *controller) LocalLeader() *leader.Leader { return c.activeLeader.Load() }
 
-// Leader returns the last leader that this controller has learned of, and whether it
-// has learned of one. That leader's term may be over by now.
+// Leader returns the leader of the highest term that this controller has observed, and
+// reports whether that leader is known. The term may have ended since.
 func (c *controller) Leader() (records.LeaderRecord, bool) {
 	record, ok := c.candidate.Leader()
 	return record, ok && record.Node != ""
 }
 
-// IsLeader tells whether this controller leads.
+// IsLeader reports whether this controller leads.
 func (c *controller) IsLeader() bool { return c.activeLeader.Load() != nil }
 
-// ObserveTerm takes note of a term that a peer has named. A peer that has seen no term
-// names term zero, which says nothing.
+// ObserveTerm hands the term and the leader that a peer has reported to the election. A
+// peer that has observed no term reports term zero, which is ignored.
 func (c *controller) ObserveTerm(record records.LeaderRecord) {
 	if record.Term > 0 {
 		c.candidate.ObserveTerm(record)
--- a/internal/server/machine_types.go
+++ b/internal/server/machine_types.go
@@ -10,9 +10,10 @@
 	"marblehaven/internal/tuning"
 )
 
-// loadMachineTypes retries until this controller knows the machine types, which it
-// needs to check what users submit. The leader's copy in the key-value store comes
-// first, so that not every controller spends some of the cloud's call budget.
+// loadMachineTypes retries until it has loaded the machine types, which this controller
+// needs to check the jobs that users submit. It reads the leader's copy in the key-value
+// store first and calls the cloud only if that fails, so that not every controller spends
+// part of the cloud's call budget.
 func (c *controller) loadMachineTypes(ctx context.Context) {
 	for !c.users.HasMachineTypes() {
 		var types []protocol.MachineType
--- a/internal/server/peer_calls.go
+++ b/internal/server/peer_calls.go
@@ -11,8 +11,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// Summary returns the leader's status, asking the leader's controller if this one does
-// not lead; ok is false if the leader is unknown or does not answer.
+// Summary returns the leader's status. If another controller leads, Summary asks that
+// controller; ok is false if the leader is unknown or does not answer.
 func (c *controller) Summary(ctx context.Context) (summary leader.Status, ok bool) {
 	if local := c.activeLeader.Load(); local != nil {
 		return local.Status(ctx)
@@ -25,12 +25,13 @@
 	return summary, encoded != nil && codec.Unmarshal(encoded, &summary) == nil
 }
 
-// acknowledgedCancellations returns the jobs that controllers, this one included, have told users
-// are cancelled. The list is complete for all that were told after since and up to
-// asOf; ok is false if one of the controllers cannot vouch for that.
+// acknowledgedCancellations returns the jobs whose cancellation the controllers, this one
+// included, have acknowledged to users. The list contains every acknowledgment made after
+// since and up to asOf; ok is false if the list of one of the controllers may be incomplete
+// for that time.
 func (c *controller) acknowledgedCancellations(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
-	// The clock is read before the list: what this controller tells users from here
-	// on is later than asOf.
+	// The clock is read before the list, so an acknowledgment that the list lacks is
+	// later than asOf.
 	now := time.Now()
 	own, completeSince := c.users.AcknowledgedCancellations()
 	if !completeSince.Before(since) {
@@ -43,7 +44,8 @@
 	return asOf, append(own, jobIDs...), ok
 }
 
-// Status returns what this controller tells a peer that asks for its status.
+// Status returns this controller's status for a peer, with the parts that the request
+// asks for.
 func (c *controller) Status(request *peer.StatusRequest) peer.Status {
 	status := peer.Status{SinceStoreServedMS: c.store.SinceServed().Milliseconds(), Redirected: c.api.Redirected()}
 	status.Leader, _ = c.candidate.Leader()
--- a/internal/server/transports.go
+++ b/internal/server/transports.go
@@ -11,11 +11,11 @@
 	"marblehaven/internal/tuning"
 )
 
-// transports are a controller's connections to the other parts of the system. Tests
-// give it connections through a simulated network.
+// transports holds the connections through which a controller reaches the other parts of
+// the system. Tests pass connections through a simulated network.
 type transports struct {
 	store, cloud, agents http.RoundTripper
-	// peer connects to another controller.
+	// peer returns a gRPC connection to another controller.
 	peer func(config.Peer) (grpc.ClientConnInterface, error)
 }
 
@@ -40,8 +40,9 @@
 	}
 }
 
-// newAgentTransport returns an HTTP transport that keeps one connection to each agent, as
-// far as the sockets go: half of them may be idle while half are in use.
+// newAgentTransport returns an HTTP transport that keeps up to one idle connection to each
+// agent for reuse. Idle connections take at most half of the sockets, because commands in
+// flight may use the other half.
 func newAgentTransport(sockets int) *http.Transport {
 	transport := newTransport(1)
 	transport.MaxIdleConns = max(1, sockets/2)
