--- a/internal/server/chaos_failures_test.go
+++ b/internal/server/chaos_failures_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// restartController ends a controller and starts it some seconds later.
+// restartController kills a controller and starts it again 1 to 5 s later.
 func (r *chaosRun) restartController(target chaosTarget) {
 	r.kill(target.controller)
 	r.runAfter(r.seconds(1, 6), func() { r.boot(target.controller) })
@@ -20,7 +20,7 @@
 	r.runAfter(r.seconds(3, 40), func() { r.env.Store.Refuse(target.controller, false) })
 }
 
-// refuseEverybody makes the key-value store refuse all controllers, one time in three.
+// refuseEverybody makes the key-value store refuse all controllers, in one of three calls.
 func (r *chaosRun) refuseEverybody(chaosTarget) {
 	if r.rng.IntN(3) == 0 {
 		r.env.Store.Refuse("", true)
@@ -35,29 +35,29 @@
 	}
 }
 
-// hangMachine stops a machine for some time.
+// hangMachine makes a machine hang for some time.
 func (r *chaosRun) hangMachine(target chaosTarget) {
 	if target.machine != "" {
 		r.runAfter(r.seconds(3, 40), r.env.Hang(target.machine))
 	}
 }
 
-// killMachine ends a machine for good.
+// killMachine removes a machine without notice. The machine does not come back.
 func (r *chaosRun) killMachine(target chaosTarget) {
 	if target.machine != "" {
 		r.env.Kill(target.machine)
 	}
 }
 
-// partitionControllerFromMachine cuts one controller and one machine off each other.
+// partitionControllerFromMachine cuts the link between one controller and one machine.
 func (r *chaosRun) partitionControllerFromMachine(target chaosTarget) {
 	if target.machine != "" {
 		r.runAfter(r.seconds(3, 40), r.cut(target.controller, target.machine, target.cutMode))
 	}
 }
 
-// restartControllerRepeatedly restarts a controller within less than a second, which
-// may be while others take the term.
+// restartControllerRepeatedly restarts a controller up to three times, each time within
+// less than a second. Another controller may be winning the term meanwhile.
 func (r *chaosRun) restartControllerRepeatedly(target chaosTarget) {
 	for range 1 + r.rng.IntN(3) {
 		r.kill(target.controller)
@@ -67,15 +67,16 @@
 	}
 }
 
-// dropInboundOfMachine is a one-way partition: heartbeats of the machine arrive,
-// answers and commands to it do not.
+// dropInboundOfMachine starts a one-way partition: the controllers receive the machine's
+// heartbeats, but the machine receives neither replies nor commands.
 func (r *chaosRun) dropInboundOfMachine(target chaosTarget) {
 	if target.machine != "" {
 		r.runAfter(r.seconds(3, 40), r.network.DropInbound(target.machine))
 	}
 }
 
-// partitionFromStoreAndPeers leaves a controller with its agents and users only.
+// partitionFromStoreAndPeers cuts a controller off from the key-value store and all other
+// controllers, so that it reaches only agents, users and the cloud.
 func (r *chaosRun) partitionFromStoreAndPeers(target chaosTarget) {
 	r.runAfter(r.seconds(3, 60), r.cut(target.controller, "state", target.cutMode))
 	for _, other := range r.names {
@@ -94,7 +95,8 @@
 	}
 }
 
-// partitionFromMachines cuts a controller, mostly the leader, off from all machines.
+// partitionFromMachines cuts a controller off from all machines: the leader in two of
+// three calls, otherwise the step's target.
 func (r *chaosRun) partitionFromMachines(target chaosTarget) {
 	if leader := r.leader(); leader != "" && r.rng.IntN(3) > 0 {
 		target.controller = leader
@@ -102,7 +104,7 @@
 	r.runAfter(r.seconds(3, 60), r.isolate(target.controller, target.cutMode, target.machines...))
 }
 
-// partitionZone cuts zone a off from everything, with the controllers in it.
+// partitionZone cuts zone a, with every second controller in it, off from everything else.
 func (r *chaosRun) partitionZone(target chaosTarget) {
 	var inside, outside []string
 	for i, name := range r.names {
@@ -131,38 +133,39 @@
 	})
 }
 
-// blockOutboundOfMachine is a one-way partition: commands reach the machine, but it can
-// open no connections.
+// blockOutboundOfMachine starts a one-way partition: commands reach the machine and are
+// answered, but the machine cannot open connections.
 func (r *chaosRun) blockOutboundOfMachine(target chaosTarget) {
 	if target.machine != "" {
 		r.runAfter(r.seconds(3, 40), r.network.BlockOutbound(target.machine))
 	}
 }
 
-// blockOutboundOfAllMachines keeps all machines from opening connections, for longer
-// than an agent's lease.
+// blockOutboundOfAllMachines keeps all machines from opening connections for 13 to 24 s,
+// which is longer than an agent's lease.
 func (r *chaosRun) blockOutboundOfAllMachines(target chaosTarget) {
 	for _, machine := range target.machines {
 		r.runAfter(r.seconds(13, 25), r.network.BlockOutbound(machine))
 	}
 }
 
-// commitLate makes the key-value store execute some transactions late, after their
-// senders have given up waiting for the answer.
+// commitLate makes the key-value store execute some transactions late and without an
+// answer, after their senders have stopped waiting for one.
 func (r *chaosRun) commitLate(chaosTarget) {
 	r.env.Store.SetLate(r.lateCommits(0.15))
 	r.runAfter(r.seconds(5, 30), func() { r.env.Store.SetLate(nil) })
 }
 
-// hangMachineInCommand stops a machine between a command and its answer.
+// hangMachineInCommand makes a machine hang after it has executed a command and before it
+// answers.
 func (r *chaosRun) hangMachineInCommand(target chaosTarget) {
 	if target.machine != "" {
 		r.env.HangInCommand(target.machine, r.seconds(1, 25))
 	}
 }
 
-// cancelAsStoreRefusesLeader cancels a job at the moment at which the key-value store
-// refuses the leader; a second later it refuses everybody.
+// cancelAsStoreRefusesLeader cancels a job right after the key-value store has begun to
+// refuse the leader. A second later the store refuses all controllers.
 func (r *chaosRun) cancelAsStoreRefusesLeader(target chaosTarget) {
 	if leader := r.leader(); leader != "" {
 		target.controller = leader
@@ -177,7 +180,7 @@
 	})
 }
 
-// cancelLastJob cancels the last of the jobs that must finish; it need not any more.
+// cancelLastJob cancels the last of the jobs that must finish, and removes it from them.
 func (r *chaosRun) cancelLastJob() {
 	r.jobsMu.Lock()
 	defer r.jobsMu.Unlock()
@@ -195,8 +198,8 @@
 	go r.env.Refused(invalid, func(m map[string]any) { m["cores"] = 17 }, 422)
 }
 
-// failCommits makes the key-value store lose answers of transactions, and refuse some
-// that are sent again.
+// failCommits makes the key-value store lose some transactions or their answers, and
+// refuse others.
 func (r *chaosRun) failCommits(chaosTarget) {
 	r.env.Store.SetFault(r.faultyCommits())
 	r.runAfter(r.seconds(5, 40), func() { r.env.Store.SetFault(nil) })
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -12,8 +12,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// Chaos: failures at random, several at once, with late copies of heartbeats,
-// commands, commits and provisioning requests, with 3, 5 and 7 controllers.
+// TestChaos causes random failures, several at a time, in clusters of 3, 5 and 7
+// controllers. The network also delivers late copies of heartbeats, commands, commits and
+// provisioning requests.
 func TestChaos(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(6) {
@@ -28,34 +29,37 @@
 	}
 }
 
-// chaosSteps is how many jobs, and as many failures, a chaos run brings about.
+// chaosSteps is the number of steps of a chaos run. Each step submits one job and causes
+// one failure.
 const chaosSteps = 70
 
-// chaosRun is one run of random failures against a test cluster. The random numbers of
-// a seed are drawn in the order of the statements, so each step draws what it may need
-// even where the failure that it then picks needs less.
+// chaosRun is one run of random failures against a test cluster. The order of the
+// statements decides which random numbers of a seed they draw, so every step draws a
+// complete target even if the failure that it then picks uses only part of the target.
 type chaosRun struct {
 	*testCluster
 	rng       *rand.Rand
-	submitted int // jobs so far; also the number of the last one
+	submitted int // number of jobs submitted so far, and the number in the last one's ID
 
 	jobsMu sync.Mutex
-	// mustFinish are jobs that must be done in the end, unless one they need is cancelled.
+	// mustFinish lists the jobs that must be done at the end of the run, unless one of
+	// their dependencies is cancelled.
 	mustFinish []protocol.JobID
-	// dependencies are jobs that others may wait for.
+	// dependencies lists the accepted jobs that later jobs may depend on.
 	dependencies []protocol.JobID
 }
 
-// chaosTarget is what a step's failure hits.
+// chaosTarget holds the controller, the machine and the kind of cut that a step's failure
+// may use.
 type chaosTarget struct {
 	controller string
 	cutMode    fake.Cut
 	machines   []string
-	machine    string // one of machines, empty if there is none
+	machine    string // one of machines; empty if no machine is up
 }
 
-// chaosFailures are the failures that a step draws from; one that is listed twice is
-// twice as likely.
+// chaosFailures lists the failures from which each step picks one at random. A failure
+// that is listed twice is twice as likely.
 var chaosFailures = [...]func(*chaosRun, chaosTarget){
 	0:  (*chaosRun).restartController,
 	1:  (*chaosRun).partitionFromStore,
@@ -81,12 +85,12 @@
 	21: (*chaosRun).failCommits,
 }
 
-// chaos submits and cancels jobs of all kinds while controllers die, links are cut,
-// machines hang and vanish and the key-value store refuses one controller or all.
+// chaos submits and cancels jobs of all kinds while controllers crash, links are cut,
+// machines hang or disappear, and the key-value store refuses one controller or all.
 func chaos(c *testCluster, seed uint64) { chaosDuring(c, seed, func(int) bool { return true }) }
 
-// chaosDuring is chaos with a step of the scenario's own before each of its steps;
-// beforeStep returns whether jobs may wait for others by then.
+// chaosDuring runs chaos and calls the scenario's beforeStep before each step. The result
+// of beforeStep says whether jobs submitted in that step may depend on others.
 func chaosDuring(c *testCluster, seed uint64, beforeStep func(step int) bool) {
 	r := &chaosRun{testCluster: c, rng: rand.New(rand.NewPCG(seed, 7))}
 	r.configure()
@@ -103,8 +107,8 @@
 	r.expectJobsDone()
 }
 
-// configure lets the network repeat requests, the cloud run out of machines, and lists
-// have several pages, as at production size.
+// configure makes the network repeat requests, the cloud run out of machines, and lists
+// take several pages, as they do at production size.
 func (r *chaosRun) configure() {
 	r.network.SetRepeat(map[string]time.Duration{"/do": 20 * time.Second, "/hello": 40 * time.Second, "/commit": 20 * time.Second,
 		"/rentals": 20 * time.Second, "/rentals/return": 20 * time.Second, "/v1/jobs": 60 * time.Second})
@@ -115,12 +119,12 @@
 	r.env.SetCloudMaxPageSize(1 + r.rng.IntN(5))
 }
 
-// seconds draws a number of whole seconds from low up to, but without, high.
+// seconds draws a random number of whole seconds in the range [low, high).
 func (r *chaosRun) seconds(low, high int) time.Duration {
 	return time.Duration(low+r.rng.IntN(high-low)) * time.Second
 }
 
-// runAfter calls f after a delay, unless the scenario is over by then.
+// runAfter calls f after a delay, unless the scenario has ended by then.
 func (r *chaosRun) runAfter(delay time.Duration, f func()) {
 	go func() {
 		time.Sleep(delay)
@@ -130,7 +134,8 @@
 	}()
 }
 
-// submitRandomJob submits a job, and cancels services and some others later.
+// submitRandomJob submits a random job. It cancels the job 1 to 59 s after the submission
+// if the job is a service, and otherwise in one of four cases.
 func (r *chaosRun) submitRandomJob(mayDepend bool) {
 	r.submitted++
 	runS := float64(5 + r.rng.IntN(40))
@@ -149,7 +154,7 @@
 	}()
 }
 
-// randomJob draws a job of either team.
+// randomJob draws a job of a random kind and team.
 func (r *chaosRun) randomJob() protocol.Job {
 	var job protocol.Job
 	switch r.rng.IntN(4) {
@@ -166,7 +171,7 @@
 	return job
 }
 
-// addDependencies makes a job wait for up to two others.
+// addDependencies makes a job depend on up to two others, unless it is a service.
 func (r *chaosRun) addDependencies(job *protocol.Job, mayDepend bool) {
 	r.jobsMu.Lock()
 	defer r.jobsMu.Unlock()
@@ -177,8 +182,9 @@
 	}
 }
 
-// submitJob submits a job and notes what was promised with it. A submission that was
-// not accepted in its time is no promise.
+// submitJob submits a job. If the job is accepted, submitJob records that the job must
+// finish, unless it will be cancelled, and that later jobs may depend on it, unless it is
+// a service. A job that was not accepted within the time limit need not finish.
 func (r *chaosRun) submitJob(job protocol.Job, runS float64, cancel bool) {
 	if status := r.env.Submit(job, runS); status != 200 && status != 201 {
 		return
@@ -193,7 +199,7 @@
 	}
 }
 
-// randomTarget draws what the step's failure hits.
+// randomTarget draws the target of a step's failure.
 func (r *chaosRun) randomTarget() chaosTarget {
 	var target chaosTarget
 	target.controller = r.names[r.rng.IntN(len(r.names))]
@@ -205,7 +211,7 @@
 	return target
 }
 
-// pollSomeJobs lets users ask about an eighth of the jobs that must finish.
+// pollSomeJobs polls about an eighth of the jobs that must finish, as their users do.
 func (r *chaosRun) pollSomeJobs() {
 	r.jobsMu.Lock()
 	defer r.jobsMu.Unlock()
@@ -216,9 +222,10 @@
 	}
 }
 
-// expectJobsDone waits until all jobs are done that no cancellation stops.
+// expectJobsDone waits until all jobs are done that neither a cancellation of their own
+// nor one of a dependency stops.
 func (r *chaosRun) expectJobsDone() {
-	r.env.EndTroubles() // whatever was under way is over
+	r.env.EndTroubles() // every failure has ended by now
 	r.jobsMu.Lock()
 	jobIDs := slices.DeleteFunc(slices.Clone(r.mustFinish), func(jobID protocol.JobID) bool { return !r.env.MayFinish(jobID) })
 	r.jobsMu.Unlock()
--- a/internal/server/cluster_deployments_test.go
+++ b/internal/server/cluster_deployments_test.go
@@ -26,11 +26,11 @@
 	return d
 }
 
-// testLease is the lease of the agents in deployment.
+// testLease is the length of an agent's lease in testDeployment.
 var testLease = time.Duration(testDeployment().Workers.LeaseS * float64(time.Second))
 
-// largeArrayDeployment is a deployment in which hundreds of tasks of a job run at once, with smaller
-// limits of the key-value store announced.
+// largeArrayDeployment returns a deployment in which hundreds of tasks of a job run at
+// once, and for which smaller limits of the key-value store are announced.
 func largeArrayDeployment() config.Deployment {
 	d := testDeployment()
 	d.Teams[0].CoresMax = 400
@@ -39,20 +39,20 @@
 	return d
 }
 
-// productionSizeDeployment is a deployment with five controllers in which hundreds of machines are
-// provisioned, with the rates of a key-value store that serves as many, and smaller limits
-// announced.
+// productionSizeDeployment returns five controller names and a deployment in which hundreds
+// of machines are provisioned. The key-value store's rates suffice for that many machines,
+// and smaller limits are announced.
 func productionSizeDeployment() ([]string, config.Deployment) {
 	d := largeArrayDeployment()
 	d.Teams = []config.Team{{Name: "red", Cores: 1000, CoresMax: 4000, GPUs: 4, GPUsMax: 16}, {Name: "blue", Cores: 1000, CoresMax: 4000}}
 	return []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, d
 }
 
-// fleetSize is how many machines the operators run.
+// fleetSize is the number of machines that the operators run.
 const fleetSize = 4000
 
-// atFleetSize is a deployment in which that many machines are provisioned, with agents that
-// send heartbeats every ten seconds and the rates of a small key-value store.
+// atFleetSize returns a deployment in which fleetSize machines are provisioned. Agents send
+// heartbeats every ten seconds, and the rates are those of a small key-value store.
 func atFleetSize() config.Deployment {
 	d := testDeployment()
 	d.Teams = []config.Team{{Name: "red", Cores: 20000, CoresMax: 100000}, {Name: "blue", Cores: 20000, CoresMax: 100000}}
--- a/internal/server/cluster_jobs_test.go
+++ b/internal/server/cluster_jobs_test.go
@@ -7,37 +7,37 @@
 	"marblehaven/internal/protocol"
 )
 
-// testJobID returns the ID of the nth job of a scenario.
+// testJobID returns the ID of the job with number n.
 func testJobID(n int) protocol.JobID { return protocol.JobID(fmt.Sprintf("req-%06d", n)) }
 
-// arrayJob is an array of tasks on spot instances.
+// arrayJob returns an array job whose tasks may run on spot instances.
 func arrayJob(n int, class string, tasks int) protocol.Job {
 	return protocol.Job{ID: testJobID(n), Class: class, Team: "red", Kind: protocol.KindArray, Priority: protocol.PriorityStandard, Tasks: tasks,
 		Cores: 2, MemGB: 4, Image: "img-1", ImageGB: 1, Spot: true, EstimateS: 20}
 }
 
-// largeArray is a large array of small tasks.
+// largeArray returns an array job of small tasks, so that many of them run at once.
 func largeArray(n, tasks int) protocol.Job {
 	job := arrayJob(n, "check", tasks)
 	job.Cores, job.MemGB = 1, 2
 	return job
 }
 
-// serviceJob is a production service whose replicas are spread over the zones.
+// serviceJob returns a production service whose replicas are spread over the zones.
 func serviceJob(n, tasks int) protocol.Job {
 	job := arrayJob(n, "front", tasks)
 	job.Kind, job.Priority, job.Spread, job.Spot, job.EstimateS, job.Cores = protocol.KindService, protocol.PriorityProduction, true, false, 0, 1
 	return job
 }
 
-// gangJob is a gang with checkpoints, in one zone.
+// gangJob returns a gang with checkpoints whose tasks run in one zone.
 func gangJob(n, tasks int) protocol.Job {
 	job := arrayJob(n, "train", tasks)
 	job.Kind, job.Priority, job.OneZone, job.GPUs, job.Cores, job.CheckpointIntervalS, job.CheckpointSaveS = protocol.KindGang, protocol.PriorityHigh, true, 2, 4, 10, 2
 	return job
 }
 
-// dependingOn makes a job wait for others.
+// dependingOn returns the job with the given jobs as its dependencies.
 func dependingOn(job protocol.Job, jobIDs ...protocol.JobID) protocol.Job {
 	job.DependsOn = jobIDs
 	return job
@@ -47,13 +47,13 @@
 func (c *testCluster) submit(job protocol.Job, runS float64) {
 	c.t.Helper()
 	if status := c.env.Submit(job, runS); status != 200 && status != 201 {
-		c.t.Fatalf("%s: submission got %d", job.ID, status)
+		c.t.Fatalf("submission of %s: status %d, want 200 or 201", job.ID, status)
 	}
 	c.jobs = append(c.jobs, job.ID)
 }
 
-// runServicePairs submits services of two replicas each and waits until all run; the result
-// lists the machines that they are on.
+// runServicePairs submits n services of two replicas each and waits until all replicas run.
+// The returned function lists the machines on which the replicas run at the time of its call.
 func (c *testCluster) runServicePairs(n int) func() []string {
 	c.t.Helper()
 	jobIDs := make([]protocol.JobID, n)
@@ -68,11 +68,11 @@
 		}
 		return running
 	}
-	c.until("all run", 2*time.Minute, func() bool { return len(machines()) == 2*n })
+	c.until("all replicas run", 2*time.Minute, func() bool { return len(machines()) == 2*n })
 	return machines
 }
 
-// startWorkload submits two services and two arrays and waits until they run.
+// startWorkload submits two services and two arrays and waits until all their tasks run.
 func (c *testCluster) startWorkload() {
 	c.t.Helper()
 	c.submit(serviceJob(1, 2), 0)
@@ -81,14 +81,15 @@
 	zoned := arrayJob(4, "check", 4)
 	zoned.Zone, zoned.OneZone = "a", true
 	c.submit(zoned, 60)
-	c.until("all run", 2*time.Minute, func() bool {
+	c.until("all tasks of the workload run", 2*time.Minute, func() bool {
 		return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) == 2 && len(c.env.MachinesOf("req-000003")) == 6 && len(c.env.MachinesOf("req-000004")) == 4
 	})
 	time.Sleep(5 * time.Second)
 }
 
-// pipeline submits a chain of four stages, the third of which is a gang, one job
-// after another, and returns their ids. Numbers count from first.
+// pipeline submits, one after another, the five jobs of a pipeline of four stages, and
+// returns their IDs. The second stage has two jobs, and the third is a gang. The IDs are
+// numbered from first.
 func (c *testCluster) pipeline(first int) []protocol.JobID {
 	c.t.Helper()
 	arrayStage := func(offset, tasks int, priority protocol.Priority) protocol.Job {
@@ -115,17 +116,17 @@
 	return jobIDs
 }
 
-// cancelAt cancels a job at one controller and checks that it is told so.
+// cancelAt cancels a job through one controller and checks that the answer confirms it.
 func (c *testCluster) cancelAt(name string, jobID protocol.JobID) {
 	c.t.Helper()
 	c.env.SetAskedNodes(c.addressOf(name))
 	if status, jobStatus := c.env.Cancel(jobID); status != 200 || jobStatus.Phase != protocol.PhaseCancelled {
-		c.t.Errorf("cancelling %s: %d %q", jobID, status, jobStatus.Phase)
+		c.t.Errorf("cancellation of %s: status %d and phase %q, want 200 and cancelled", jobID, status, jobStatus.Phase)
 	}
 	c.env.SetAskedNodes()
 }
 
-// phase returns the phase that a user of the job is told.
+// phase returns the job's phase in the answer to a user's status request.
 func (c *testCluster) phase(jobID protocol.JobID) protocol.JobPhase {
 	_, jobStatus := c.env.Poll(jobID)
 	return jobStatus.Phase
--- a/internal/server/cluster_network_test.go
+++ b/internal/server/cluster_network_test.go
@@ -6,14 +6,15 @@
 	"marblehaven/internal/fake"
 )
 
-// cut partitions two hosts until the returned function or heal is called.
+// cut cuts the link between two hosts until the returned function or heal is called.
 func (c *testCluster) cut(hostA, hostB string, mode fake.Cut) func() {
 	heal := sync.OnceFunc(c.network.Cut(hostA, hostB, mode))
 	c.heals = append(c.heals, heal)
 	return heal
 }
 
-// isolate partitions a host from all the others given.
+// isolate cuts the links between a host and each of the others until the returned function
+// or heal is called.
 func (c *testCluster) isolate(host string, mode fake.Cut, others ...string) func() {
 	var healFuncs []func()
 	for _, other := range others {
@@ -26,27 +27,29 @@
 	}
 }
 
-// isolateFromStoreAndPeers cuts a controller off from the key-value store and all other controllers.
+// isolateFromStoreAndPeers cuts a controller off from the key-value store and from all other
+// controllers, so that it reaches only agents, users and the cloud.
 func (c *testCluster) isolateFromStoreAndPeers(name string) func() {
 	return c.isolate(name, fake.Hold, append(c.others(name), "state")...)
 }
 
-// blockOutbound is a one-way partition: machines receive commands, but cannot open
-// connections.
+// blockOutbound starts a one-way partition until heal is called: the machines receive and
+// answer commands, but cannot open connections.
 func (c *testCluster) blockOutbound(machines ...string) {
 	for _, machine := range machines {
 		c.heals = append(c.heals, c.network.BlockOutbound(machine))
 	}
 }
 
-// dropInbound is a one-way partition: machines send, but receive nothing.
+// dropInbound starts a one-way partition until heal is called: messages of the machines
+// arrive, but the machines receive nothing.
 func (c *testCluster) dropInbound(machines ...string) {
 	for _, machine := range machines {
 		c.heals = append(c.heals, c.network.DropInbound(machine))
 	}
 }
 
-// heal ends the partitions made so far.
+// heal ends all partitions that cut, isolate, blockOutbound and dropInbound have started.
 func (c *testCluster) heal() {
 	for _, heal := range c.heals {
 		heal()
--- a/internal/server/cluster_peers_test.go
+++ b/internal/server/cluster_peers_test.go
@@ -12,7 +12,8 @@
 	"marblehaven/internal/peer"
 )
 
-// peerConn carries gRPC calls between the controllers through the simulated network.
+// peerConn carries the gRPC calls of one controller to another through the simulated
+// network.
 type peerConn struct {
 	cluster  *testCluster
 	from, to string
@@ -43,5 +44,5 @@
 }
 
 func (p *peerConn) NewStream(context.Context, *grpc.StreamDesc, string, ...grpc.CallOption) (grpc.ClientStream, error) {
-	return nil, status.Error(codes.Unimplemented, "no streams")
+	return nil, status.Error(codes.Unimplemented, "the controllers' protocol has no streaming methods")
 }
--- a/internal/server/cluster_store_failures_test.go
+++ b/internal/server/cluster_store_failures_test.go
@@ -8,7 +8,8 @@
 	"marblehaven/internal/records"
 )
 
-// lateCommits picks a share of the commits to be carried out 2 to 12 s late.
+// lateCommits returns a function for Store.SetLate that makes the given share of the
+// transactions execute 2 to 12 s late.
 func (c *testCluster) lateCommits(share float64) func() time.Duration {
 	return func() time.Duration {
 		if c.env.Random() < share {
@@ -18,8 +19,9 @@
 	}
 }
 
-// faultyCommits makes transactions fail in every way that leaves their outcome unknown,
-// or says nothing of an earlier try.
+// faultyCommits returns a function for Store.SetFault that makes transactions fail at random
+// in every way that leaves their outcome unknown to the sender. A refusal leaves the outcome
+// of an earlier attempt at the same transaction unknown.
 func (c *testCluster) faultyCommits() func(*protocol.Transaction) fake.Fault {
 	return func(*protocol.Transaction) fake.Fault {
 		switch p := c.env.Random(); {
@@ -36,16 +38,17 @@
 	}
 }
 
-// installAbsentLeader makes all controllers believe that a controller leads that does not
-// exist, so that nobody leads.
+// installAbsentLeader writes a leader record for a controller that does not exist, so that
+// the running controllers do not campaign and no controller leads.
 func (c *testCluster) installAbsentLeader() {
 	c.t.Helper()
 	c.env.Store.Put(records.KeyTerm, records.LeaderRecord{Term: 99, Node: "gone"})
 	c.env.Store.Put(records.KeyLeader, records.LeaderRecord{Term: 99, Node: "gone"})
-	c.until("nobody leads", time.Minute, func() bool { return c.leader() == "" })
+	c.until("no controller leads", time.Minute, func() bool { return c.leader() == "" })
 }
 
-// exhaustCapacity makes the cloud refuse all provisioning requests.
+// exhaustCapacity sets the capacity of all pools to zero, so that the cloud refuses all
+// provisioning requests.
 func (c *testCluster) exhaustCapacity() {
 	for _, typ := range testTypes {
 		for _, zone := range typ.Zones {
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -21,7 +21,8 @@
 	"marblehaven/internal/records"
 )
 
-// testCluster is three real controllers in a simulated environment, in synthetic time.
+// testCluster runs real controllers, three unless a test says otherwise, in a simulated
+// environment and in synthetic time.
 type testCluster struct {
 	t           *testing.T
 	ctx         context.Context
@@ -33,27 +34,28 @@
 	stops       map[string]func()
 	heals       []func()
 	jobs        []protocol.JobID
-	names       []string // of all controllers
+	names       []string // of all controllers, running or not
 	deployment  config.Deployment
-	// previous names the controllers that run the previous version of the formats.
+	// previous holds, by controller name, whether the controller runs the previous version
+	// of the record formats.
 	previous map[string]bool
 }
 
-// run plays a scenario with three controllers; the fakes judge it by the rules that hold
-// for every scenario.
+// run runs a scenario with three controllers. The environment's checker reports violations
+// of the rules that hold for every scenario, which fail the test.
 func run(t *testing.T, seed uint64, scenario func(c *testCluster)) {
 	runWithNodes(t, seed, controllerNames, scenario)
 }
 
-// runWithNodes is run with controllers of the given names.
+// runWithNodes is like run, with controllers of the given names.
 func runWithNodes(t *testing.T, seed uint64, names []string, scenario func(c *testCluster)) {
 	runIn(t, seed, names, testDeployment(), scenario)
 }
 
-// runIn is runWith in a deployment of the scenario's own. Time is synthetic: the scenario
-// and all controllers run in one synctest bubble, which owns the network, the fakes and
-// the log, so that scenarios share nothing and may run in parallel. SCENARIO_LOG writes
-// the log to standard error; -parallel 1 keeps the lines of a scenario together.
+// runIn is like runWithNodes, in the given deployment. The scenario and all controllers run
+// in one synctest bubble with synthetic time. The network, the fakes and the log belong to
+// the bubble, so that scenarios share nothing and may run in parallel. With SCENARIO_LOG
+// set, the log goes to standard error; -parallel 1 keeps the lines of a scenario together.
 func runIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -72,18 +74,18 @@
 		time.Sleep(2 * time.Second)
 		scenario(c)
 		for _, rule := range c.env.Violations() {
-			t.Error("rule broken:", rule)
+			t.Error("rule violated:", rule)
 		}
 		c.heal()
 		for _, stop := range c.stops {
 			stop()
 		}
 		cancel()
-		time.Sleep(time.Minute) // what is under way comes to its end
+		time.Sleep(time.Minute) // calls and messages in flight end
 	})
 }
 
-// boot starts a controller, as a new process would.
+// boot starts a controller with empty memory, as a new process does.
 func (c *testCluster) boot(name string) {
 	i := slices.Index(c.names, name)
 	cfg := &config.Config{Node: name, APIAddr: fmt.Sprintf("10.0.0.%d:80", i+1), Deployment: c.deployment, Operator: config.DefaultOperator()}
@@ -110,7 +112,8 @@
 	c.network.Listen(name, cfg.APIAddr, node.api)
 }
 
-// kill ends a controller at once, as a crash does; what it has sent may still arrive.
+// kill ends a controller at once, as a crash does. Messages that it has sent may still
+// arrive.
 func (c *testCluster) kill(name string) {
 	c.network.Listen(name, fmt.Sprintf("10.0.0.%d:80", slices.Index(c.names, name)+1), nil)
 	c.mu.Lock()
@@ -119,7 +122,7 @@
 	delete(c.controllers, name)
 }
 
-// killLeader ends the leader, if there is one, and returns its name.
+// killLeader kills the leader and returns its name, or "" if no controller leads.
 func (c *testCluster) killLeader() string {
 	leader := c.leader()
 	if leader != "" {
@@ -128,7 +131,7 @@
 	return leader
 }
 
-// restartAll ends every controller; each is back at once.
+// restartAll kills each controller in turn and boots it again at once.
 func (c *testCluster) restartAll() {
 	for _, name := range c.names {
 		c.kill(name)
@@ -136,14 +139,14 @@
 	}
 }
 
-// isRunning tells whether a controller runs.
+// isRunning reports whether a controller runs.
 func (c *testCluster) isRunning(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.controllers[name] != nil
 }
 
-// latestTerm returns the highest term that any controller knows of.
+// latestTerm returns the highest term that any controller has observed.
 func (c *testCluster) latestTerm() (latest protocol.Term) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,7 +157,8 @@
 	return latest
 }
 
-// leader returns a controller that takes itself for the leader, empty if none does.
+// leader returns the name of a controller that runs a leader, or "" if none does. A
+// controller whose term another one has taken may still run its leader.
 func (c *testCluster) leader() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,13 +175,13 @@
 	return c.env.NodeAddrs()[slices.Index(c.names, name)]
 }
 
-// others returns all controllers but one.
+// others returns the names of all controllers except the given one.
 func (c *testCluster) others(name string) []string {
 	return slices.DeleteFunc(slices.Clone(c.names), func(other string) bool { return other == name })
 }
 
-// seedCount returns how many seeds a scenario is played with: least, or more if the
-// environment variable CHAOS_SEEDS says so.
+// seedCount returns the number of seeds that a scenario runs with: least, or the value of
+// the environment variable CHAOS_SEEDS if that is larger.
 func seedCount(least uint64) uint64 {
 	if requested, err := strconv.ParseUint(os.Getenv("CHAOS_SEEDS"), 10, 32); err == nil {
 		return max(least, requested)
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -8,26 +8,28 @@
 	"marblehaven/internal/protocol"
 )
 
-// until waits for a condition, and ends the test if it does not hold within the limit.
+// until waits until a condition holds, and fails the test if the condition does not hold
+// within the limit.
 func (c *testCluster) until(description string, limit time.Duration, condition func() bool) {
 	c.t.Helper()
 	for start := time.Now(); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Since(start) > limit {
-			c.t.Fatalf("not within %v: %s", limit, description)
+			c.t.Fatalf("did not hold within %v: %s", limit, description)
 		}
 	}
 }
 
-// untilElsewhere waits until all replicas of a service run, none of them on a machine.
+// untilElsewhere waits until all replicas of a service run, none of them on the given
+// machine.
 func (c *testCluster) untilElsewhere(jobID protocol.JobID, replicas int, machine string, limit time.Duration) {
 	c.t.Helper()
-	c.until("the replica runs elsewhere", limit, func() bool {
+	c.until("all replicas run on other machines", limit, func() bool {
 		machines := c.env.MachinesOf(jobID)
 		return len(machines) == replicas && !slices.Contains(machines, machine)
 	})
 }
 
-// untilDone waits until the users of all jobs are told that they are done.
+// untilDone waits until status requests for all the jobs answer that they are done.
 func (c *testCluster) untilDone(limit time.Duration, jobIDs ...protocol.JobID) {
 	c.t.Helper()
 	for _, jobID := range jobIDs {
@@ -35,7 +37,8 @@
 	}
 }
 
-// untilCancelled waits until the users of all jobs are told that they are cancelled.
+// untilCancelled waits until status requests for all the jobs answer that they are
+// cancelled.
 func (c *testCluster) untilCancelled(limit time.Duration, jobIDs ...protocol.JobID) {
 	c.t.Helper()
 	for _, jobID := range jobIDs {
@@ -43,11 +46,11 @@
 	}
 }
 
-// untilAnotherLeads waits for a leader beside a controller, which may still take itself for
-// one, and returns its name.
+// untilAnotherLeads waits until a controller other than old leads, and returns its name. The
+// old controller may still run its own leader.
 func (c *testCluster) untilAnotherLeads(old string, limit time.Duration) (next string) {
 	c.t.Helper()
-	c.until("another leads", limit, func() bool {
+	c.until("a controller other than the old leader leads", limit, func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for name, node := range c.controllers {
@@ -60,8 +63,9 @@
 	return next
 }
 
-// expectAnswers checks that each accepted job gets an answer within 75 s, however the
-// others fare, as the operators' rule says.
+// expectAnswers checks that status requests for each accepted job are answered within 75 s,
+// as the operators require. It asks about all the jobs at the same time, so one without an
+// answer does not delay the others.
 func (c *testCluster) expectAnswers(jobIDs ...protocol.JobID) {
 	c.t.Helper()
 	var wg sync.WaitGroup
@@ -72,7 +76,7 @@
 					return
 				}
 				if time.Since(start) > 75*time.Second {
-					c.t.Errorf("%s is forgotten", jobID)
+					c.t.Errorf("no status of %s within 75 s", jobID)
 					return
 				}
 			}
@@ -81,9 +85,10 @@
 	wg.Wait()
 }
 
-// expectRecovery ends all failures and judges what must hold then: every accepted job is
-// known, cancelled ones have nothing left, the others run and end,
-// and none is left waiting beside free capacity.
+// expectRecovery ends all failures and checks that the cluster recovers: status requests for
+// every accepted job are answered, cancelled jobs have no tasks on machines, services run,
+// and other jobs get done. From the end of the failures on, the environment's checker also
+// reports jobs that are left waiting although a machine has capacity for them.
 func (c *testCluster) expectRecovery() {
 	c.t.Helper()
 	c.env.Store.Refuse("", false)
@@ -106,12 +111,12 @@
 		job := c.env.Job(jobID)
 		switch {
 		case c.env.Cancelled(jobID):
-			c.until(string(jobID)+" is over", time.Minute, func() bool {
+			c.until(string(jobID)+" is cancelled or done and has no tasks", time.Minute, func() bool {
 				phase := c.phase(jobID)
 				return (phase == protocol.PhaseCancelled || phase == protocol.PhaseDone) && len(c.env.MachinesOf(jobID)) == 0
 			})
 		case job.Kind == protocol.KindService:
-			c.until(string(jobID)+" runs", 3*time.Minute, func() bool { return len(c.env.MachinesOf(jobID)) == job.Tasks })
+			c.until(string(jobID)+" runs all its replicas", 3*time.Minute, func() bool { return len(c.env.MachinesOf(jobID)) == job.Tasks })
 		default:
 			c.untilDone(6*time.Minute, jobID)
 		}
