--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -15,8 +15,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// A leader that dies between recording placements and learning how their
-// starts went must not lead to a second copy.
+// TestFailoverDuringPlacement kills the leader after it has recorded placements and before
+// it has received the results of their starts. The next leader must not start a second copy
+// of a task.
 func TestFailoverDuringPlacement(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -36,56 +37,59 @@
 			time.Sleep(time.Duration(seed) * 4 * time.Millisecond)
 			oldLeader := c.leader()
 			c.kill(oldLeader)
-			c.until("another leads", 15*time.Second, func() bool { return c.leader() != "" })
+			c.until("a controller leads again", 15*time.Second, func() bool { return c.leader() != "" })
 			c.boot(oldLeader)
 			c.untilDone(5*time.Minute, "req-000001")
 		})
 	}
 }
 
-// A job cancelled while nobody leads has no event that tells the next leader:
-// the record alone must stop its tasks. (Found on the bench.)
+// TestCancellationWithoutLeader cancels a job while no controller leads. The next leader
+// receives no watch event of the cancellation, so it must stop the tasks because of the
+// job's record alone.
 func TestCancellationWithoutLeader(t *testing.T) {
 	t.Parallel()
 	run(t, 30, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
+		c.until("both replicas run", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 		oldIndex := slices.Index(controllerNames, c.leader())
 		c.kill(controllerNames[oldIndex])
-		c.env.SetAskedNodes(c.env.NodeAddrs()[(oldIndex+1)%3]) // the dead one would cost a second
+		c.env.SetAskedNodes(c.env.NodeAddrs()[(oldIndex+1)%3]) // a request to the killed controller would take a second
 		if status, jobStatus := c.env.Cancel("req-000001"); status != 200 || jobStatus.Phase != protocol.PhaseCancelled {
-			t.Fatalf("cancel: %d %q", status, jobStatus.Phase)
+			t.Fatalf("cancellation of req-000001: status %d and phase %q, want 200 and cancelled", status, jobStatus.Phase)
 		}
 		if c.leader() != "" {
-			t.Fatal("a leader was there already")
+			t.Fatal("a controller leads already, so the cancellation may not have been without a leader")
 		}
 		c.env.SetAskedNodes()
 		time.Sleep(time.Minute)
 		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
-			t.Errorf("still on %v", on)
+			t.Errorf("req-000001 is cancelled and still has tasks on %v", on)
 		}
 	})
 }
 
-// The key-value store refuses the leader alone: another takes over, and the old
-// one stops answering heartbeats in time.
+// TestStoreRefusesLeader makes the key-value store refuse only the leader, which is cut off
+// from its peers too. Another controller must take over, and the old leader must stop
+// answering heartbeats in time for a cancelled job's tasks to stop.
 func TestStoreRefusesLeader(t *testing.T) {
 	t.Parallel()
 	run(t, 50, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 20), 20)
-		c.until("it runs", 2*time.Minute, func() bool {
+		c.until("both replicas and a task of the array run", 2*time.Minute, func() bool {
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) > 0
 		})
 		oldLeader := c.leader()
 		c.env.Store.Refuse(oldLeader, true)
-		// Its peers cannot warn it, and the agents stay with it.
+		// The old leader's peers cannot report a newer term to it, and agents can still send
+		// it their heartbeats.
 		heal := c.isolate(oldLeader, fake.Hold, c.others(oldLeader)...)
 		c.untilAnotherLeads(oldLeader, 20*time.Second)
 		c.env.Cancel("req-000001")
 		time.Sleep(50 * time.Second)
 		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
-			t.Errorf("cancelled, still on %v", on)
+			t.Errorf("the cancelled service still has replicas on %v", on)
 		}
 		c.env.Store.Refuse(oldLeader, false)
 		heal()
@@ -93,9 +97,10 @@
 	})
 }
 
-// Now and then a renewal of the leader's lease takes as long as the lease lasts.
-// The next ones go out all the same, so the term does not change. (Found on the
-// fleets: a slow key-value store cost a term every eight seconds.)
+// TestSlowKeepAlives makes every fifth keep-alive of the leader's lease take almost as long
+// as the lease lasts. The leader must send the next keep-alives without waiting for a slow
+// one, so the term does not change. A leader that waited lost its term every eight seconds
+// with a slow key-value store.
 func TestSlowKeepAlives(t *testing.T) {
 	t.Parallel()
 	run(t, 141, func(c *testCluster) {
@@ -110,27 +115,28 @@
 		})
 		time.Sleep(2 * time.Minute)
 		if termAfter := c.latestTerm(); termAfter != termBefore {
-			t.Errorf("the term changed %d times", termAfter-termBefore)
+			t.Errorf("the term changed %d times, want no change", termAfter-termBefore)
 		}
 		c.submit(arrayJob(2, "check", 8), 10)
 		c.untilDone(2*time.Minute, "req-000002")
 	})
 }
 
-// In a full outage the leader keeps leases alive, and loses nothing.
+// TestStoreOutage makes the key-value store refuse all controllers. The leader must keep
+// renewing the agents' leases, so that no replica stops or moves.
 func TestStoreOutage(t *testing.T) {
 	t.Parallel()
 	run(t, 60, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 6), 60)
-		c.until("all run", 2*time.Minute, func() bool {
+		c.until("both replicas and more than two tasks of the array run", 2*time.Minute, func() bool {
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) > 2
 		})
 		before := c.env.MachinesOf("req-000001")
 		c.env.Store.Refuse("", true)
-		time.Sleep(60 * time.Second) // much longer than cancel_s - lease_s
+		time.Sleep(60 * time.Second) // much longer than the leader lease, cancel_s - lease_s
 		if on := c.env.MachinesOf("req-000001"); !slices.Equal(on, before) {
-			t.Errorf("replicas were on %v, now on %v", before, on)
+			t.Errorf("replicas ran on %v and now run on %v, want no change", before, on)
 		}
 		c.env.Store.Refuse("", false)
 		c.untilDone(3*time.Minute, "req-000002")
@@ -143,7 +149,7 @@
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "check", 20), 30)
 		c.submit(gangJob(3, 2), 60)
-		c.until("they run", 2*time.Minute, func() bool {
+		c.until("both replicas and a task of the gang run", 2*time.Minute, func() bool {
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000003")) > 0
 		})
 		before := c.env.MachinesOf("req-000001")
@@ -156,37 +162,38 @@
 		}
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
 		if on := c.env.MachinesOf("req-000001"); !slices.Equal(on, before) {
-			t.Errorf("replicas were on %v, now on %v", before, on)
+			t.Errorf("replicas ran on %v and now run on %v, want no change", before, on)
 		}
 	})
 }
 
-// A controller that has lost the key-value store and the other controllers, but
-// neither users nor agents, sends users away instead of keeping them asking
-// it, and answers its agents no longer than the leader lease; another leads meanwhile.
+// TestLeaderReachesOnlyAgents cuts the leader off from the key-value store and the other
+// controllers, but not from users and agents. It must become unhealthy and refuse users'
+// requests, so that users ask another controller, and it must stop answering heartbeats
+// when its leader lease ends. Another controller leads meanwhile.
 func TestLeaderReachesOnlyAgents(t *testing.T) {
 	t.Parallel()
 	runWithNodes(t, 133, []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, func(c *testCluster) {
 		c.submit(serviceJob(1, 4), 0)
 		c.submit(arrayJob(2, "check", 20), 30)
-		c.until("they run", 2*time.Minute, func() bool {
+		c.until("all replicas and a task of the array run", 2*time.Minute, func() bool {
 			return len(c.env.MachinesOf("req-000001")) == 4 && len(c.env.MachinesOf("req-000002")) > 0
 		})
 		oldLeader := c.leader()
 		heal := c.isolateFromStoreAndPeers(oldLeader)
-		c.env.SetCloudDown(true) // so that only the leases can end what runs there
+		c.env.SetCloudDown(true) // no machine can be deprovisioned, so only the agents' leases can end tasks
 		time.Sleep(8 * time.Second)
 		c.env.Cancel("req-000001")
 		c.mu.Lock()
 		isolated := c.controllers[oldLeader]
 		c.mu.Unlock()
 		if isolated.Healthy() {
-			t.Error("users are still sent to the node that can ask nobody")
+			t.Error("the controller that reaches neither the store nor its peers is still healthy")
 		}
 		response := httptest.NewRecorder()
 		isolated.api.ServeHTTP(response, httptest.NewRequest("GET", "/v1/jobs/req-000002", nil))
 		if response.Code != 503 || response.Header().Get("Connection") != "close" || response.Header().Get("Retry-After") == "" {
-			t.Errorf("its users get %d, %v", response.Code, response.Header())
+			t.Errorf("the isolated controller answers a user with status %d and headers %v, want 503, Connection: close and Retry-After", response.Code, response.Header())
 		}
 		workers := testDeployment().Workers
 		time.Sleep(time.Duration((workers.CancelS - workers.LeaseS) * float64(time.Second)))
@@ -194,7 +201,7 @@
 		response = httptest.NewRecorder()
 		isolated.api.ServeHTTP(response, httptest.NewRequest("POST", "/hello", bytes.NewReader(heartbeat)))
 		if response.Code == 200 {
-			t.Error("it still answers heartbeats")
+			t.Error("the isolated controller still answers heartbeats after its leader lease has ended")
 		}
 		c.env.SetCloudDown(false)
 		c.expectAnswers("req-000001", "req-000002")
@@ -203,10 +210,11 @@
 	})
 }
 
-// A leader that loses all agents and nothing else keeps its term, so that every
-// machine would lose its lease with all that is on it: it must leave the term to
-// another controller while the leases last. (Found on the fleets: 0.7 of the replicas
-// were down for half a minute.) Where nobody else can lead it goes on itself.
+// TestLeaderWithoutAgents cuts the leader off from all agents and from nothing else, so
+// that the store lets it keep its term. It must leave the term to another controller
+// before the agents' leases end; otherwise every lease would expire and all tasks would
+// stop. That failure took down 0.7 of the replicas for half a minute. If no other
+// controller runs, the controller that left the term must lead again.
 func TestLeaderWithoutAgents(t *testing.T) {
 	t.Parallel()
 	run(t, 139, func(c *testCluster) {
@@ -215,17 +223,17 @@
 		before, leaseExpiriesBefore := replicaMachines(), c.env.LeaseExpiries()
 		oldLeader := c.leader()
 		heal := c.isolate(oldLeader, fake.Hold, c.env.Machines()...)
-		time.Sleep(25 * time.Second) // twice a lease
+		time.Sleep(25 * time.Second) // more than twice the length of an agent's lease
 		if c.leader() == oldLeader {
-			t.Error("a leader without agents keeps its term")
+			t.Error("the leader that reaches no agent keeps its term")
 		}
 		if c.env.LeaseExpiries() > leaseExpiriesBefore || !slices.Equal(replicaMachines(), before) {
-			t.Errorf("%d leases expired; ran on %s, now on %s", c.env.LeaseExpiries()-leaseExpiriesBefore, before, replicaMachines())
+			t.Errorf("%d leases expired, want none; replicas ran on %s and now run on %s", c.env.LeaseExpiries()-leaseExpiriesBefore, before, replicaMachines())
 		}
 		heal()
 		c.submit(arrayJob(21, "check", 6), 10)
 		c.untilDone(3*time.Minute, "req-000021")
-		// With no other controller the term comes back to the one that left it.
+		// Without another controller, the one that left the term must take the next one.
 		for _, name := range controllerNames {
 			if name != c.leader() {
 				c.kill(name)
@@ -239,9 +247,10 @@
 	})
 }
 
-// A process that is back within a fraction of a second, also while a term is
-// being taken, finds its previous process's lease, requests and half-taken terms,
-// some of them carried out late or twice; each term is held once.
+// TestControllerRestartsAtOnce restarts leaders within a fraction of a second, also while a
+// term is being taken. A new process finds the lease, the requests and the unfinished
+// campaigns of its predecessor, and some of these requests are executed late or twice. Each
+// term may be held only once.
 func TestControllerRestartsAtOnce(t *testing.T) {
 	t.Parallel()
 	run(t, 135, func(c *testCluster) {
@@ -262,6 +271,6 @@
 		c.env.Store.SetLoseReply(nil)
 		c.expectAnswers("req-000001", "req-000002", "req-000003")
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
-		c.until("the service runs", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
+		c.until("both replicas of the service run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 	})
 }
--- a/internal/server/normal_operation_test.go
+++ b/internal/server/normal_operation_test.go
@@ -21,28 +21,29 @@
 		c.submit(gangJob(3, 3), 30)
 		c.submit(arrayJob(4, "check", 1), 5)
 		c.untilDone(6*time.Minute, c.jobs[1:]...)
-		c.until("replicas run in both zones", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
+		c.until("both replicas run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 		if status, jobStatus := c.env.Cancel("req-000002"); status != 200 || jobStatus.Phase != protocol.PhaseDone {
-			t.Errorf("cancelling a finished job: %d %q", status, jobStatus.Phase)
+			t.Errorf("cancellation of a finished job: status %d and phase %q, want 200 and done", status, jobStatus.Phase)
 		}
 		if status := c.env.Submit(arrayJob(2, "check", 30), 15); status != 200 {
-			t.Errorf("late repeat of a finished job: %d", status)
+			t.Errorf("repeated submission of a finished job: status %d, want 200", status)
 		}
 		if status, _ := c.env.Poll("req-999999"); status != 404 {
-			t.Errorf("unknown job: %d", status)
+			t.Errorf("status request for an unknown job: status %d, want 404", status)
 		}
 		c.env.Cancel("req-000001")
-		c.until("idle machines go back and records are cleared", 4*time.Minute, func() bool {
+		c.until("idle machines are deprovisioned and open records are deleted", 4*time.Minute, func() bool {
 			return len(c.env.Machines()) == 0 && len(c.env.Store.Keys("o/")) == 0
 		})
 		if n := len(c.env.Store.Keys("d/")); n != 4 {
-			t.Errorf("%d final records of 4", n)
+			t.Errorf("%d final records, want 4", n)
 		}
 	})
 }
 
-// The users' address answers what is wrong with a call, and shows the status
-// page with player-facing work that is behind on top.
+// TestUserAPI checks the HTTP status that valid and invalid requests get. It also checks
+// that the status page of every controller shows the leader and the player-facing work that
+// is behind.
 func TestUserAPI(t *testing.T) {
 	t.Parallel()
 	run(t, 97, func(c *testCluster) {
@@ -85,7 +86,7 @@
 			response := httptest.NewRecorder()
 			c.controllers[controllerNames[0]].api.ServeHTTP(response, request)
 			if response.Code != tc.want {
-				t.Errorf("%s: %d, not %d", tc.what, response.Code, tc.want)
+				t.Errorf("%s: status %d, want %d", tc.what, response.Code, tc.want)
 			}
 		}
 		c.env.SetCloudDown(true)
@@ -95,22 +96,23 @@
 			response := httptest.NewRecorder()
 			node.api.ServeHTTP(response, httptest.NewRequest("GET", "/", nil))
 			if page := response.Body.String(); !strings.Contains(page, "work is behind") || !strings.Contains(page, "req-000005") || !strings.Contains(page, c.leader()+" leads") {
-				t.Errorf("status page of %s: %s", node.cfg.Node, page)
+				t.Errorf("the status page of %s lacks req-000005, the warning that work is behind, or the leader: %s", node.cfg.Node, page)
 			}
 		}
 		c.env.SetCloudDown(false)
 	})
 }
 
-// An array of thousands of tasks, hundreds at a time, keeps its records and
-// commits within the key-value store's limits, also over a change of leader.
+// TestLargeArray runs an array of thousands of tasks, hundreds at a time, and kills the
+// leader meanwhile. The array's records and commits must stay within the key-value store's
+// limits, and all tasks must get done.
 func TestLargeArray(t *testing.T) {
 	t.Parallel()
 	run(t, 96, func(c *testCluster) {
 		job := arrayJob(1, "many", 3000)
 		job.Cores, job.MemGB, job.EstimateS = 0.05, 0.1, 5
 		c.submit(job, 4)
-		c.until("many run", 2*time.Minute, func() bool { _, st := c.env.Poll(job.ID); return st.Running > 200 && st.Done > 300 })
+		c.until("more than 200 tasks run and more than 300 are done", 2*time.Minute, func() bool { _, st := c.env.Poll(job.ID); return st.Running > 200 && st.Done > 300 })
 		c.kill(c.leader())
 		c.untilDone(10*time.Minute, job.ID)
 	})
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -10,31 +10,34 @@
 	"marblehaven/internal/protocol"
 )
 
-// productionLoad is what users submit at production size, and what they cancel.
+// productionLoad submits and cancels jobs in a test cluster of production size, as users do,
+// and starts failures in it.
 type productionLoad struct {
 	*testCluster
 	rng                *rand.Rand
 	arraysSubmitted    int
 	pipelinesSubmitted int
 	mustFinishMu       sync.Mutex
-	mustFinish         []protocol.JobID // must be done in the end, unless one that they need is cancelled; guarded by mustFinishMu
+	// mustFinish lists the jobs that must be done at the end, unless one of them or of their
+	// dependencies is cancelled; guarded by mustFinishMu.
+	mustFinish []protocol.JobID
 }
 
-// addMustFinish adds jobs that must be done in the end.
+// addMustFinish adds jobs to mustFinish.
 func (l *productionLoad) addMustFinish(jobIDs ...protocol.JobID) {
 	l.mustFinishMu.Lock()
 	defer l.mustFinishMu.Unlock()
 	l.mustFinish = append(l.mustFinish, jobIDs...)
 }
 
-// mustFinishJobs returns the jobs that must be done in the end.
+// mustFinishJobs returns a copy of mustFinish.
 func (l *productionLoad) mustFinishJobs() []protocol.JobID {
 	l.mustFinishMu.Lock()
 	defer l.mustFinishMu.Unlock()
 	return slices.Clone(l.mustFinish)
 }
 
-// submitArrays submits large arrays of both teams.
+// submitArrays submits large array jobs, alternately for both teams.
 func (l *productionLoad) submitArrays(count int) {
 	for range count {
 		l.arraysSubmitted++
@@ -45,7 +48,8 @@
 	}
 }
 
-// submitPipelines submits pipelines, and cancels one job in every second of them some time later.
+// submitPipelines submits pipelines. In every second pipeline it cancels one job, up to 29 s
+// later.
 func (l *productionLoad) submitPipelines(count int) {
 	for range count {
 		l.pipelinesSubmitted++
@@ -64,7 +68,7 @@
 	}
 }
 
-// pollInBackground lets users ask about jobs as long as the scenario lasts.
+// pollInBackground polls random jobs, as their users do, until the scenario ends.
 func (l *productionLoad) pollInBackground() {
 	go func() {
 		for l.ctx.Err() == nil {
@@ -76,23 +80,24 @@
 	}()
 }
 
-// randomMachines picks a share of the machines.
+// randomMachines returns a random selection of about the given share of the machines.
 func (l *productionLoad) randomMachines(share float64) []string {
 	return slices.DeleteFunc(l.env.Machines(), func(string) bool { return l.env.Random() >= share })
 }
 
-// startFailure begins one of the troubles that the operators expect, and returns what ends it.
+// startFailure starts one of the kinds of failure that the operators expect, and returns a
+// function that ends it.
 func (l *productionLoad) startFailure(kind int) (end func()) {
 	var endFuncs []func()
 	leader := l.leader()
 	switch kind {
-	case 0: // answers are lost, transactions are throttled and refused
+	case 0: // transactions or their answers are lost, or transactions are throttled or refused
 		l.env.Store.SetFault(l.faultyCommits())
 		endFuncs = append(endFuncs, func() { l.env.Store.SetFault(nil) })
-	case 1: // transactions are carried out late
+	case 1: // some transactions are executed late
 		l.env.Store.SetLate(l.lateCommits(0.15))
 		endFuncs = append(endFuncs, func() { l.env.Store.SetLate(nil) })
-	case 2: // the leader is refused, and then everybody, while users cancel
+	case 2: // the store refuses the leader and then all controllers, while users cancel jobs
 		l.env.Store.Refuse(leader, true)
 		l.submitPipelines(2)
 		time.Sleep(time.Second)
@@ -101,25 +106,25 @@
 			l.env.Store.Refuse("", false)
 			l.env.Store.Refuse(leader, false)
 		})
-	case 3: // the leader keeps its agents and users only
+	case 3: // the leader is cut off from the store and all other controllers
 		if leader != "" {
 			endFuncs = append(endFuncs, l.isolateFromStoreAndPeers(leader))
 		}
-	case 4: // machines reach no controller, others hear none
+	case 4: // one-way partitions: some machines cannot open connections, others receive nothing
 		for _, machine := range l.randomMachines(0.1) {
 			endFuncs = append(endFuncs, l.network.BlockOutbound(machine))
 		}
 		for _, machine := range l.randomMachines(0.1) {
 			endFuncs = append(endFuncs, l.network.DropInbound(machine))
 		}
-	case 5: // machines hang, and some die
+	case 5: // some machines hang, and others are removed without notice
 		for _, machine := range l.randomMachines(0.05) {
 			endFuncs = append(endFuncs, l.env.Hang(machine))
 		}
 		for _, machine := range l.randomMachines(0.05) {
 			l.env.Kill(machine)
 		}
-	case 6: // leaders end one after another, and are back at once
+	case 6: // leaders are killed one after another, and boot again at once
 		for range 3 {
 			if old := l.killLeader(); old != "" {
 				l.boot(old)
@@ -134,9 +139,10 @@
 	}
 }
 
-// At production size: hundreds of machines, lists of several pages, run records in
-// segments and chains of jobs, through an upgrade, the smaller limits that follow, and all
-// kinds of trouble in pairs. The fakes judge it.
+// TestProductionSize runs a cluster with hundreds of machines, lists of several pages, run
+// records in segments and pipelines of jobs. The controllers are upgraded, the key-value
+// store's limits become smaller, and random pairs of failures follow. Every job that is not
+// cancelled must get done without a violation of the checker's rules.
 func TestProductionSize(t *testing.T) {
 	t.Parallel()
 	const failureKinds = 7
@@ -148,7 +154,7 @@
 			c.env.Store.SetMaxPageSize(40)
 			c.env.SetCloudMaxPageSize(70)
 			l.submitArrays(12)
-			c.until("hundreds run", 3*time.Minute, func() bool { return len(c.env.Machines()) >= 200 })
+			c.until("at least 200 machines are up", 3*time.Minute, func() bool { return len(c.env.Machines()) >= 200 })
 			for _, name := range names {
 				c.restartAs(false, name)
 				time.Sleep(2 * time.Second)
@@ -177,7 +183,7 @@
 			c.untilDone(10*time.Minute, mustFinish...)
 			for _, jobID := range l.mustFinishJobs() {
 				if phase := c.phase(jobID); phase != protocol.PhaseDone && phase != protocol.PhaseCancelled {
-					t.Errorf("%s is %s in the end", jobID, phase)
+					t.Errorf("%s is %s at the end, want done or cancelled", jobID, phase)
 				}
 			}
 		})
