--- a/internal/server/compound_failures_test.go
+++ b/internal/server/compound_failures_test.go
@@ -15,30 +15,30 @@
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
-		// play brings the failures about, in one of three variants.
-		play func(c *testCluster, variant uint64)
+		// causeFailures brings the failures about, in one of three variants.
+		causeFailures func(c *testCluster, variant uint64)
 	}{
 		{"no agent can open connections", agentsCannotConnect},
 		{"work bound to a zone loses its machines", zoneLosesMachines},
-		{"all controllers are away for longer than a lease", allControllersAway},
-		{"slow answers, then the leader alone is refused, then all, while users cancel and ask", slowAnswersThenRefusals},
+		{"all controllers are away for longer than a lease", allControllersDown},
+		{"slow answers, then the leader alone is refused, then all, while users cancel and ask", slowStoreThenRefusals},
 		{"a team at its limit, machines that can't be asked, a cancellation and a new leader", quotaLimitAndNewLeader},
-		{"ten leaders in two minutes, also inside an outage", tenLeaders},
+		{"ten leaders in two minutes, also inside an outage", tenFailovers},
 		{"more work than room, urgent and not, over slow links", moreWorkThanCapacity},
-		{"the leader ends while machines with long tasks can't be reached or hear nothing", leaderEndsBesidePartitions},
+		{"the leader ends while machines with long tasks can't be reached or hear nothing", leaderKilledDuringPartitions},
 		{"a machine hangs in the middle of a command and goes on", machinesHangInCommand},
 		{"tasks end far apart across a change of leader", tasksEndFarApart},
-		{"a cancellation, a question and a repeat meet the end of the last task", requestsMeetLastTask},
-		{"controllers hand over and back, all end, one returns within a second", leadersRestartThenAllEnd},
+		{"a cancellation, a question and a repeat meet the end of the last task", requestsAsLastTaskEnds},
+		{"controllers hand over and back, all end, one returns within a second", leadersRestartThenAllKilled},
 		{"transactions without an answer are carried out late", commitsExecutedLate},
-		{"copies of old heartbeats come from machines that died", oldHeartbeatsOfDeadMachines},
-		{"heartbeats are held until a new leader has acted", heartbeatsHeldBack},
+		{"copies of old heartbeats come from machines that died", repeatedHeartbeatsOfKilledMachines},
+		{"heartbeats are held until a new leader has acted", delayedHeartbeats},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range seedCount(3) {
 				run(t, 300+seed, func(c *testCluster) {
-					tc.play(c, seed%3)
+					tc.causeFailures(c, seed%3)
 					c.expectRecovery()
 					if c.env.LateStart() > lateStartLimit {
 						t.Errorf("a task started %v after its cancellation was confirmed", c.env.LateStart())
--- a/internal/server/compound_leader_cases_test.go
+++ b/internal/server/compound_leader_cases_test.go
@@ -6,9 +6,9 @@
 	"marblehaven/internal/fake"
 )
 
-// allControllersAway ends all controllers for a time around the lease of the agents, with
+// allControllersDown ends all controllers for a time around the lease of the agents, with
 // one machine partitioned, and starts a single one again.
-func allControllersAway(c *testCluster, variant uint64) {
+func allControllersDown(c *testCluster, variant uint64) {
 	c.startWorkload()
 	machines := c.env.Machines()
 	c.isolate(machines[0], fake.Hold, c.names...)
@@ -21,9 +21,9 @@
 	time.Sleep(8 * time.Second)
 }
 
-// tenLeaders kills ten leaders in two minutes, four of them while the key-value store
+// tenFailovers kills ten leaders in two minutes, four of them while the key-value store
 // refuses everybody.
-func tenLeaders(c *testCluster, variant uint64) {
+func tenFailovers(c *testCluster, variant uint64) {
 	c.startWorkload()
 	c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 10 * time.Second})
 	for i := range 10 {
@@ -39,9 +39,9 @@
 	}
 }
 
-// leaderEndsBesidePartitions kills the leader while three machines with tasks are
+// leaderKilledDuringPartitions kills the leader while three machines with tasks are
 // partitioned, each in another way.
-func leaderEndsBesidePartitions(c *testCluster, variant uint64) {
+func leaderKilledDuringPartitions(c *testCluster, variant uint64) {
 	c.startWorkload()
 	on := c.env.MachinesOf("req-000003")
 	c.isolate(on[0], fake.Hold, c.names...)
@@ -78,9 +78,9 @@
 	go c.env.Cancel("req-000003")
 }
 
-// leadersRestartThenAllEnd restarts two leaders within a second, then ends all controllers
+// leadersRestartThenAllKilled restarts two leaders within a second, then ends all controllers
 // and starts a single one again.
-func leadersRestartThenAllEnd(c *testCluster, variant uint64) {
+func leadersRestartThenAllKilled(c *testCluster, variant uint64) {
 	c.startWorkload()
 	first := c.killLeader()
 	time.Sleep(time.Duration(100+variant*300) * time.Millisecond)
--- a/internal/server/compound_machine_cases_test.go
+++ b/internal/server/compound_machine_cases_test.go
@@ -55,8 +55,8 @@
 	time.Sleep(25 * time.Second)
 }
 
-// oldHeartbeatsOfDeadMachines kills machines whose heartbeats the network delivers again.
-func oldHeartbeatsOfDeadMachines(c *testCluster, variant uint64) {
+// repeatedHeartbeatsOfKilledMachines kills machines whose heartbeats the network delivers again.
+func repeatedHeartbeatsOfKilledMachines(c *testCluster, variant uint64) {
 	c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second})
 	c.submit(arrayJob(1, "check", 8), 200)
 	c.submit(arrayJob(2, "check", 8), 50) // leaves free capacity behind
@@ -73,9 +73,9 @@
 	c.until("what the dead machines had runs elsewhere", testLease+4*time.Second, func() bool { return len(c.env.MachinesOf("req-000001")) == 8 })
 }
 
-// heartbeatsHeldBack delays the heartbeats of half of the machines until a new leader has
+// delayedHeartbeats delays the heartbeats of half of the machines until a new leader has
 // acted, with three changes of the leader.
-func heartbeatsHeldBack(c *testCluster, variant uint64) {
+func delayedHeartbeats(c *testCluster, variant uint64) {
 	c.startWorkload()
 	machines := c.env.Machines()
 	c.network.SetDelay(func(from, _ string) time.Duration {
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -8,9 +8,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// slowAnswersThenRefusals slows the key-value store down, then lets it refuse the leader
+// slowStoreThenRefusals slows the key-value store down, then lets it refuse the leader
 // and a second later everybody, while users cancel and ask.
-func slowAnswersThenRefusals(c *testCluster, variant uint64) {
+func slowStoreThenRefusals(c *testCluster, variant uint64) {
 	c.startWorkload()
 	c.env.Store.SetSlow(func(string) time.Duration { return time.Duration(200+variant*500) * time.Millisecond })
 	for range 3 {
@@ -71,8 +71,8 @@
 	time.Sleep(30 * time.Second)
 }
 
-// requestsMeetLastTask cancels, asks about and submits again a job as its last task ends.
-func requestsMeetLastTask(c *testCluster, variant uint64) {
+// requestsAsLastTaskEnds cancels, asks about and submits again a job as its last task ends.
+func requestsAsLastTaskEnds(c *testCluster, variant uint64) {
 	c.env.SetOnDone(func(jobID protocol.JobID) {
 		n := int(jobID[len(jobID)-1] - '0')
 		time.Sleep(time.Duration(c.env.Random()*float64(variant+1)*700) * time.Millisecond)
