--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -8,13 +8,13 @@
 	"marblehaven/internal/protocol"
 )
 
-// outageCase is an order of a cancellation's confirmation and the events around it.
-type outageCase struct {
+// cancellationOutage is an order of a cancellation's confirmation and the events around it.
+type cancellationOutage struct {
 	name string
-	// before leads up to the outage, in which job 1 must be confirmed as cancelled.
-	before func(c *testCluster, leader string)
-	// during is what else happens after the outage began.
-	during func(c *testCluster, leader string)
+	// cancel leads up to the outage, in which job 1 must be confirmed as cancelled.
+	cancel func(c *testCluster, leader string)
+	// duringOutage is what else happens after the outage began.
+	duringOutage func(c *testCluster, leader string)
 	// goesOn says that all controllers can name the cancelled jobs, so that
 	// the other jobs go on.
 	othersContinue bool
@@ -29,18 +29,18 @@
 // else runs on.
 func TestCancellationBeforeOutage(t *testing.T) {
 	t.Parallel()
-	for _, tc := range []outageCase{
-		{name: "by the leader itself", before: cancelAtLeader, othersContinue: true},
-		{name: "by another", before: cancelAtFollower, othersContinue: true},
-		{name: "read at the leader", before: readCancellationAtLeader},
-		{name: "by one that restarts at once", before: cancelAtRestartedController},
-		{name: "by one that restarts twice", before: cancelAtControllerRestartedTwice, during: restartFollowerInOutage},
-		{name: "by one whose answers come late", before: cancelAtControllerWithLateAnswers, othersContinue: true},
-		{name: "by one that is cut off then", before: cancelAtPartitionedController},
-		{name: "carried out late and read elsewhere", before: cancelByLateCommit, othersContinue: true},
-		{name: "while the leader alone is refused", before: cancelAsStoreRefusesLeader, othersContinue: true},
-		{name: "while the leader alone is refused and hears no peer", before: cancelAsLeaderIsPartitioned},
-		{name: "by the next leader before the outage", before: cancelAtNextLeader, othersContinue: true},
+	for _, tc := range []cancellationOutage{
+		{name: "by the leader itself", cancel: cancelAtLeader, othersContinue: true},
+		{name: "by another", cancel: cancelAtFollower, othersContinue: true},
+		{name: "read at the leader", cancel: readCancellationAtLeader},
+		{name: "by one that restarts at once", cancel: cancelAtRestartedController},
+		{name: "by one that restarts twice", cancel: cancelAtControllerRestartedTwice, duringOutage: restartFollowerInOutage},
+		{name: "by one whose answers come late", cancel: cancelAtControllerWithLateAnswers, othersContinue: true},
+		{name: "by one that is cut off then", cancel: cancelAtPartitionedController},
+		{name: "carried out late and read elsewhere", cancel: cancelByLateCommit, othersContinue: true},
+		{name: "while the leader alone is refused", cancel: cancelAsStoreRefusesLeader, othersContinue: true},
+		{name: "while the leader alone is refused and hears no peer", cancel: cancelAsLeaderIsPartitioned},
+		{name: "by the next leader before the outage", cancel: cancelAtNextLeader, othersContinue: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -52,7 +52,7 @@
 }
 
 // play cancels the first of three jobs around the start of an outage of 70 s.
-func (tc outageCase) play(c *testCluster, seed uint64) {
+func (tc cancellationOutage) play(c *testCluster, seed uint64) {
 	c.submit(serviceJob(1, 2), 0)
 	c.submit(serviceJob(2, 2), 0)
 	c.submit(arrayJob(3, "check", 6), 400)
@@ -63,11 +63,11 @@
 	keep := c.env.MachinesOf("req-000002")
 	expiriesBefore := c.env.LeaseExpiries()
 	leader := c.leader()
-	tc.before(c, leader)
+	tc.cancel(c, leader)
 	c.env.Store.Refuse("", true)
 	c.env.Store.SetSlow(nil)
-	if tc.during != nil {
-		tc.during(c, leader)
+	if tc.duringOutage != nil {
+		tc.duringOutage(c, leader)
 	}
 	termBefore := c.latestTerm()
 	time.Sleep(70 * time.Second)
@@ -81,7 +81,7 @@
 
 // checkDuringOutage judges that the cancelled job is gone and, where the leader could
 // know which job that is, that the other service was left alone on its machines.
-func (tc outageCase) checkDuringOutage(c *testCluster, keep []string, expiriesBefore int) {
+func (tc cancellationOutage) checkDuringOutage(c *testCluster, keep []string, expiriesBefore int) {
 	c.t.Helper()
 	if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 		c.t.Errorf("cancelled, still on %v", on)
@@ -94,7 +94,7 @@
 // checkAfterOutage judges that all jobs are known and the other service runs. Records
 // that are behind what the controllers say must not make the leader's writes fail until
 // it gives up the term.
-func (tc outageCase) checkAfterOutage(c *testCluster, termBefore protocol.Term) {
+func (tc cancellationOutage) checkAfterOutage(c *testCluster, termBefore protocol.Term) {
 	c.t.Helper()
 	if n := c.latestTerm() - termBefore; tc.othersContinue && n > 0 {
 		c.t.Errorf("%d terms more", n)
