--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -51,7 +51,7 @@
 			c.submit(dependingOn(largeArray(3, 70), testJobID(1)), 5)
 			c.untilDone(15*time.Minute, testJobID(1), testJobID(2), testJobID(3))
 			c.env.Store.SetLate(nil)
-			c.until("the segments are removed", 3*time.Minute, func() bool { return c.furtherSegments() == 0 })
+			c.until("the segments are removed", 3*time.Minute, func() bool { return c.countFurtherSegments() == 0 })
 			if killed < 3 {
 				t.Errorf("only %d leaders died", killed)
 			}
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -16,7 +16,7 @@
 	longest map[protocol.JobID]time.Duration
 }
 
-func (g *pollGaps) watch(ctx context.Context, c *testCluster, jobID protocol.JobID) {
+func (g *pollGaps) pollJob(ctx context.Context, c *testCluster, jobID protocol.JobID) {
 	answered := time.Now()
 	for ctx.Err() == nil {
 		status, _ := c.env.Poll(jobID)
@@ -61,7 +61,7 @@
 		for i, jobID := range c.jobs {
 			go func() {
 				time.Sleep(time.Duration(i) * 5 * time.Second / jobs)
-				gaps.watch(ctx, c, jobID)
+				gaps.pollJob(ctx, c, jobID)
 			}()
 		}
 		<-ctx.Done()
--- a/internal/server/upgrade_failures_test.go
+++ b/internal/server/upgrade_failures_test.go
@@ -30,7 +30,7 @@
 		c.submit(largeArray(2, 100), 10)
 		c.submit(serviceJob(3, 3), 0)
 		c.untilDone(8*time.Minute, testJobID(1), testJobID(2))
-		if c.upgraded() || c.furtherSegments() > 0 {
+		if c.usesNewFormat() || c.countFurtherSegments() > 0 {
 			t.Error("the cluster uses the new format without a node")
 		}
 		// The leader learns of the limits by the first.
@@ -51,18 +51,18 @@
 		c.env.Store.Corrupt(records.NodeVersionKey(controllerNames[2]))
 		c.restartAs(false, controllerNames[0], controllerNames[1])
 		time.Sleep(20 * time.Second)
-		if c.upgraded() {
+		if c.usesNewFormat() {
 			t.Error("the cluster uses the new format")
 		}
-		c.untilStatusShows("version 1 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>1</td>")
+		c.untilStatusPageShows("version 1 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>1</td>")
 		c.restartAs(false, controllerNames[2]) // it writes its record anew
 		c.untilUpgraded(30 * time.Second)
-		c.untilStatusShows("version 2 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>2</td>")
+		c.untilStatusPageShows("version 2 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>2</td>")
 	})
 }
 
-// untilStatusShows waits until the status page of every controller holds some texts.
-func (c *testCluster) untilStatusShows(texts ...string) {
+// untilStatusPageShows waits until the status page of every controller holds some texts.
+func (c *testCluster) untilStatusPageShows(texts ...string) {
 	c.t.Helper()
 	for _, name := range c.names {
 		c.until(name+" shows "+texts[0], 20*time.Second, func() bool {
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// furtherSegments counts the segments of run records beyond the first of each job.
-func (c *testCluster) furtherSegments() (n int) {
+// countFurtherSegments counts the segments of run records beyond the first of each job.
+func (c *testCluster) countFurtherSegments() (n int) {
 	for _, key := range c.env.Store.Keys(records.PrefixOpen) {
 		if isFurtherSegment(key) {
 			n++
@@ -55,8 +55,8 @@
 	return n
 }
 
-// upgraded tells whether the cluster uses the new version of the formats.
-func (c *testCluster) upgraded() bool {
+// usesNewFormat tells whether the cluster uses the new version of the formats.
+func (c *testCluster) usesNewFormat() bool {
 	var v records.FormatVersion
 	raw := c.env.Store.Value(records.KeyClusterVersion)
 	return raw != nil && codec.Unmarshal(raw, &v) == nil && v.Format == records.FormatSegmented
@@ -64,7 +64,7 @@
 
 func (c *testCluster) untilUpgraded(limit time.Duration) {
 	c.t.Helper()
-	c.until("the cluster uses the new format", limit, c.upgraded)
+	c.until("the cluster uses the new format", limit, c.usesNewFormat)
 }
 
 // Controllers are upgraded one after the other while a large array runs, whose record
@@ -76,7 +76,7 @@
 		c.submit(serviceJob(2, 3), 0)
 		c.until("hundreds run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) > 200 })
 		for i, name := range controllerNames {
-			if c.upgraded() {
+			if c.usesNewFormat() {
 				t.Errorf("%d of 3 are upgraded, and the cluster uses the new format", i)
 			}
 			c.restartAs(false, name)
@@ -85,11 +85,11 @@
 		c.untilUpgraded(20 * time.Second)
 		c.env.Store.Limit(c.deployment.State.Smaller())
 		c.submit(largeArray(3, 340), 20)
-		c.until("segments are written", 2*time.Minute, func() bool { return c.furtherSegments() > 3 })
+		c.until("segments are written", 2*time.Minute, func() bool { return c.countFurtherSegments() > 3 })
 		whole := c.pipeline(100)
 		c.killLeader()
 		c.untilDone(10*time.Minute, append(whole, testJobID(1), testJobID(3))...)
-		c.until("the segments are removed", 2*time.Minute, func() bool { return c.furtherSegments() == 0 })
+		c.until("the segments are removed", 2*time.Minute, func() bool { return c.countFurtherSegments() == 0 })
 		if n := c.env.Store.Refusals(400); n > 0 {
 			t.Errorf("%d writes beyond the limits", n)
 		}
