--- a/internal/server/cancellation_outage_cases_test.go
+++ b/internal/server/cancellation_outage_cases_test.go
@@ -7,8 +7,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// slowWatch makes the leader's watch calls slow, as calls now and then are, so that
-// they do not bring it a confirmation any more until nothing is served.
+// slowWatch delays the watch calls at the key-value store, as a loaded store does, so
+// that they bring the leader no further confirmation before the outage begins.
 func slowWatch(c *testCluster) {
 	c.env.Store.SetSlow(func(path string) time.Duration {
 		if path == "/follow" {
@@ -19,116 +19,125 @@
 	time.Sleep(2 * time.Second)
 }
 
-// cancelAtLeader cancels at the leader, whose watch does not bring the cancellation.
+// cancelAtLeader cancels at the leader, whose watch does not report the cancellation.
 func cancelAtLeader(c *testCluster, leader string) {
 	slowWatch(c)
 	c.cancelAt(leader, "req-000001")
 }
 
-// cancelAtFollower cancels at a controller that does not lead.
+// cancelAtFollower cancels at a follower.
 func cancelAtFollower(c *testCluster, leader string) {
 	slowWatch(c)
 	c.cancelAt(c.others(leader)[0], "req-000001")
 }
 
-// readCancellationAtLeader lets a user learn of the cancellation from the leader's reading:
-// the controller that committed it ends before it can answer.
+// readCancellationAtLeader makes the leader confirm a cancellation that another controller
+// committed. That controller is killed before it can reply to the user, who then asks the
+// leader, and the leader reads the cancelled record from the store.
 func readCancellationAtLeader(c *testCluster, leader string) {
 	slowWatch(c)
-	// The one that committed it ends before it can answer.
-	other := c.others(leader)[0]
+	// Without a reply from the store, this controller does not confirm the cancellation.
+	follower := c.others(leader)[0]
 	c.env.Store.SetLoseReply(func() bool { return true })
-	c.env.SetAskedNodes(c.addressOf(other))
+	c.env.SetAskedNodes(c.addressOf(follower))
 	go c.env.Cancel("req-000001")
 	time.Sleep(30 * time.Millisecond)
 	c.env.Store.SetLoseReply(nil)
-	c.kill(other)
+	c.kill(follower)
 	c.env.SetAskedNodes(c.addressOf(leader))
-	c.until("it is called cancelled", time.Second, func() bool { return c.phase("req-000001") == protocol.PhaseCancelled })
+	c.until("the leader reports req-000001 as cancelled", time.Second, func() bool { return c.phase("req-000001") == protocol.PhaseCancelled })
 	c.env.SetAskedNodes()
-	c.boot(other)
+	c.boot(follower)
 }
 
-// cancelAtRestartedController restarts the controller that confirmed, which forgets it.
+// cancelAtRestartedController cancels at a follower and restarts it at once. The list of
+// the cancellations that it confirmed is in memory only and is lost.
 func cancelAtRestartedController(c *testCluster, leader string) {
 	slowWatch(c)
-	other := c.others(leader)[0]
-	c.cancelAt(other, "req-000001")
-	c.kill(other)
-	c.boot(other)
+	follower := c.others(leader)[0]
+	c.cancelAt(follower, "req-000001")
+	c.kill(follower)
+	c.boot(follower)
 }
 
-// cancelAtControllerRestartedTwice restarts that controller once before the outage;
-// restartFollowerInOutage does so again during it.
+// cancelAtControllerRestartedTwice cancels at a follower and restarts it once before the
+// outage. restartFollowerInOutage restarts the same follower again during the outage.
 func cancelAtControllerRestartedTwice(c *testCluster, leader string) {
 	slowWatch(c)
-	other := c.others(leader)[0]
-	c.cancelAt(other, "req-000001")
-	c.kill(other)
+	follower := c.others(leader)[0]
+	c.cancelAt(follower, "req-000001")
+	c.kill(follower)
 	time.Sleep(200 * time.Millisecond)
-	c.boot(other)
+	c.boot(follower)
 }
 
-// restartFollowerInOutage restarts the controller that confirmed, during the outage.
+// restartFollowerInOutage restarts, during the outage, the follower that confirmed the
+// cancellation.
 func restartFollowerInOutage(c *testCluster, leader string) {
-	other := c.others(leader)[0]
+	follower := c.others(leader)[0]
 	time.Sleep(5 * time.Second)
-	c.kill(other)
+	c.kill(follower)
 	time.Sleep(1500 * time.Millisecond)
-	c.boot(other)
+	c.boot(follower)
 }
 
-// cancelAtControllerWithLateAnswers delays the answers of the controller that confirms: it
-// answers the leader's question before it confirms.
+// cancelAtControllerWithLateAnswers cancels at a follower whose messages to the leader are
+// delayed. When the leader asks for the confirmed cancellations, the follower answers
+// before it confirms this one, and its answer arrives afterwards.
 func cancelAtControllerWithLateAnswers(c *testCluster, leader string) {
 	slowWatch(c)
-	other := c.others(leader)[0]
+	follower := c.others(leader)[0]
 	c.network.SetDelay(func(from, to string) time.Duration {
-		if from == other && to == leader {
+		if from == follower && to == leader {
 			return 900 * time.Millisecond
 		}
 		return 0
 	})
-	time.Sleep(500 * time.Millisecond) // it is asked, and answers before it confirms
-	c.cancelAt(other, "req-000001")
+	time.Sleep(500 * time.Millisecond) // the leader asks and the follower answers, both before the cancellation
+	c.cancelAt(follower, "req-000001")
 }
 
-// cancelAtPartitionedController cuts the controller that confirmed off from its peers.
+// cancelAtPartitionedController cancels at a follower and then partitions it from all
+// other controllers.
 func cancelAtPartitionedController(c *testCluster, leader string) {
 	slowWatch(c)
-	other := c.others(leader)[0]
-	c.cancelAt(other, "req-000001")
-	c.isolate(other, fake.Hold, c.others(other)...)
+	follower := c.others(leader)[0]
+	c.cancelAt(follower, "req-000001")
+	c.isolate(follower, fake.Hold, c.others(follower)...)
 }
 
-// cancelByLateCommit makes the store execute the cancellation late and lose its event.
+// cancelByLateCommit cancels at a follower while the store executes one transaction late and
+// loses the watch event of the cancellation.
 func cancelByLateCommit(c *testCluster, leader string) {
-	other := c.others(leader)[0]
-	n := 0
+	follower := c.others(leader)[0]
+	transactions := 0
 	c.env.Store.SetLate(func() time.Duration {
-		if n++; n == 1 {
+		if transactions++; transactions == 1 {
 			return 3 * time.Second
 		}
 		return 0
 	})
 	c.env.Store.SetLoseEvent(func(key string) bool { return key == "o/req-000001" })
-	c.cancelAt(other, "req-000001")
+	c.cancelAt(follower, "req-000001")
 }
 
-// cancelAsStoreRefusesLeader cancels while the key-value store refuses the leader only.
+// cancelAsStoreRefusesLeader cancels at a follower while the key-value store refuses the
+// leader only.
 func cancelAsStoreRefusesLeader(c *testCluster, leader string) {
 	c.env.Store.Refuse(leader, true)
 	c.cancelAt(c.others(leader)[0], "req-000001")
 }
 
-// cancelAsLeaderIsPartitioned cancels while the leader reaches neither store nor peers.
+// cancelAsLeaderIsPartitioned cancels at a follower while the leader reaches neither the
+// key-value store nor the other controllers.
 func cancelAsLeaderIsPartitioned(c *testCluster, leader string) {
 	c.env.Store.Refuse(leader, true)
 	c.isolate(leader, fake.Hold, c.others(leader)...)
 	c.cancelAt(c.others(leader)[0], "req-000001")
 }
 
-// cancelAtNextLeader cancels at the leader that took over before the outage.
+// cancelAtNextLeader cancels at the leader that takes over before the outage, after the
+// key-value store has refused the previous one.
 func cancelAtNextLeader(c *testCluster, leader string) {
 	c.env.Store.Refuse(leader, true)
 	next := c.untilAnotherLeads(leader, 10*time.Second)
--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -8,25 +8,28 @@
 	"marblehaven/internal/protocol"
 )
 
-// cancellationOutage is an order of a cancellation's confirmation and the events around it.
+// cancellationOutage is one order of the events around an outage of the key-value store: a
+// job is cancelled just before the outage, with other failures before or during it.
 type cancellationOutage struct {
 	name string
-	// cancel leads up to the outage, in which job 1 must be confirmed as cancelled.
+	// cancel runs just before the outage. When it returns, a controller has confirmed to
+	// the user that job 1 is cancelled.
 	cancel func(c *testCluster, leader string)
-	// duringOutage is what else happens after the outage began.
+	// duringOutage causes further failures after the outage has begun; nil: none.
 	duringOutage func(c *testCluster, leader string)
-	// goesOn says that all controllers can name the cancelled jobs, so that
-	// the other jobs go on.
+	// othersContinue tells that the leader can get the confirmed cancellations from all
+	// controllers during the outage, so that the other jobs must keep running.
 	othersContinue bool
 }
 
-// A cancellation is confirmed to its user around the time at which the key-value store
-// is lost, for longer than cancel_s, while the agents go on sending heartbeats to the
-// leader of before. In every order of these events the job's tasks are gone
-// within cancel_s: the leader may answer heartbeats only for the length of the leader
-// lease after a time up to which it knows every cancellation that any controller, itself included, has
-// confirmed. Where the controllers can name the jobs, it stops just those and all
-// else runs on.
+// TestCancellationBeforeOutage checks that no task of a job runs for longer than cancel_s
+// after its cancellation was confirmed to the user, although the key-value store fails for
+// longer than cancel_s at that time and the agents keep sending heartbeats to the same leader.
+//
+// An answered heartbeat renews the agent's lease. The leader may answer heartbeats only for
+// the length of the leader lease, which counts from the last time up to which the leader has
+// every cancellation that any controller, itself included, confirmed. Where it can get these
+// from all controllers, it stops just the cancelled jobs, and all others keep running.
 func TestCancellationBeforeOutage(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []cancellationOutage{
@@ -51,16 +54,17 @@
 	}
 }
 
-// play cancels the first of three jobs around the start of an outage of 70 s.
+// play cancels the first of three jobs just before an outage of the key-value store of 70 s,
+// and checks the machines and the users' view during and after the outage.
 func (tc cancellationOutage) play(c *testCluster, seed uint64) {
 	c.submit(serviceJob(1, 2), 0)
 	c.submit(serviceJob(2, 2), 0)
 	c.submit(arrayJob(3, "check", 6), 400)
-	c.until("all run", 2*time.Minute, func() bool {
+	c.until("all tasks of the three jobs run", 2*time.Minute, func() bool {
 		return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) == 2 && len(c.env.MachinesOf("req-000003")) == 6
 	})
 	time.Sleep(20*time.Second + time.Duration(seed)*370*time.Millisecond)
-	keep := c.env.MachinesOf("req-000002")
+	machinesBefore := c.env.MachinesOf("req-000002")
 	expiriesBefore := c.env.LeaseExpiries()
 	leader := c.leader()
 	tc.cancel(c, leader)
@@ -71,7 +75,7 @@
 	}
 	termBefore := c.latestTerm()
 	time.Sleep(70 * time.Second)
-	tc.checkDuringOutage(c, keep, expiriesBefore)
+	tc.checkDuringOutage(c, machinesBefore, expiriesBefore)
 	c.env.Store.Refuse(leader, false)
 	c.env.Store.Refuse("", false)
 	c.heal()
@@ -79,26 +83,29 @@
 	tc.checkAfterOutage(c, termBefore)
 }
 
-// checkDuringOutage judges that the cancelled job is gone and, where the leader could
-// know which job that is, that the other service was left alone on its machines.
-func (tc cancellationOutage) checkDuringOutage(c *testCluster, keep []string, expiriesBefore int) {
+// checkDuringOutage checks that no machine runs the cancelled job. If othersContinue is set,
+// it also checks that the other service is still on the same machines and that no lease of
+// an agent with tasks has expired.
+func (tc cancellationOutage) checkDuringOutage(c *testCluster, machinesBefore []string, expiriesBefore int) {
 	c.t.Helper()
-	if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
-		c.t.Errorf("cancelled, still on %v", on)
+	if machines := c.env.MachinesOf("req-000001"); len(machines) > 0 {
+		c.t.Errorf("the cancelled job req-000001 still has tasks on %v", machines)
 	}
-	if on := c.env.MachinesOf("req-000002"); tc.othersContinue && (!slices.Equal(on, keep) || c.env.LeaseExpiries() > expiriesBefore) {
-		c.t.Errorf("%d leases expired; the other service was on %v and is on %v", c.env.LeaseExpiries()-expiriesBefore, keep, on)
+	if machines := c.env.MachinesOf("req-000002"); tc.othersContinue && (!slices.Equal(machines, machinesBefore) || c.env.LeaseExpiries() > expiriesBefore) {
+		c.t.Errorf("%d leases expired in the outage; the service req-000002 ran on %v before it and now runs on %v", c.env.LeaseExpiries()-expiriesBefore, machinesBefore, machines)
 	}
 }
 
-// checkAfterOutage judges that all jobs are known and the other service runs. Records
-// that are behind what the controllers say must not make the leader's writes fail until
-// it gives up the term.
+// checkAfterOutage checks that users get answers about all jobs and that the other service
+// runs. If othersContinue is set, it also checks that the term has not changed. During the
+// outage the leader cancels jobs by what the controllers report, before it reads the changed
+// records. Its writes after the outage must not keep failing on these records, since it
+// gives up its term when they do.
 func (tc cancellationOutage) checkAfterOutage(c *testCluster, termBefore protocol.Term) {
 	c.t.Helper()
 	if n := c.latestTerm() - termBefore; tc.othersContinue && n > 0 {
-		c.t.Errorf("%d terms more", n)
+		c.t.Errorf("%d new terms since the start of the outage, want none", n)
 	}
 	c.expectAnswers(c.jobs...)
-	c.until("the other service runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000002")) == 2 })
+	c.until("both replicas of the service req-000002 run", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000002")) == 2 })
 }
--- a/internal/server/chain_cancellation_test.go
+++ b/internal/server/chain_cancellation_test.go
@@ -7,12 +7,13 @@
 	"marblehaven/internal/protocol"
 )
 
-// No controller calls a job queued that waits for a cancelled one, although there is
-// no leader to close it.
+// TestCancelledDependenciesWithoutLeader checks that every controller reports a job as
+// cancelled that depends, directly or indirectly, on a cancelled job. There is no leader
+// that could close the dependent jobs.
 func TestCancelledDependenciesWithoutLeader(t *testing.T) {
 	t.Parallel()
 	dep := testDeployment()
-	dep.Teams[0].CoresMax = 2 // the first job never begins beside another
+	dep.Teams[0].CoresMax = 2 // one task at a time, so that no job starts beside the first
 	runIn(t, 62, controllerNames, dep, func(c *testCluster) {
 		jobIDs := []protocol.JobID{testJobID(1), testJobID(2), testJobID(3)}
 		c.submit(arrayJob(1, "stage", 2), 1000)
@@ -25,39 +26,40 @@
 			c.env.SetAskedNodes(addr)
 			for _, jobID := range jobIDs {
 				if got := c.phase(jobID); got != protocol.PhaseCancelled {
-					t.Errorf("%s is %s at %s", jobID, got, addr)
+					t.Errorf("job %s is %s at the controller %s, want cancelled", jobID, got, addr)
 				}
 			}
 		}
 		if c.leader() != "" {
-			t.Error("somebody led")
+			t.Error("a controller leads, but the test requires that none does")
 		}
 	})
 }
 
-// The same at the end of a chain that is far longer, and of one far wider, than what is
-// read job by job for an answer.
+// TestCancelledLongDependenciesWithoutLeader checks the same for the last job of a chain that
+// is far longer, and of one that is far wider, than the number of dependencies that a
+// controller reads one by one for a reply (tuning.DependencyReads).
 func TestCancelledLongDependenciesWithoutLeader(t *testing.T) {
 	t.Parallel()
 	dep := testDeployment()
-	dep.Teams[0].CoresMax = 2 // no job begins beside the first
+	dep.Teams[0].CoresMax = 2 // one task at a time, so that no job starts beside the first
 	runIn(t, 65, controllerNames, dep, func(c *testCluster) {
 		c.submit(arrayJob(1, "stage", 2), 1000)
-		deep, wide := 150, 3
-		for i := 2; i <= deep; i++ {
+		chainLength, levels := 150, 3
+		for i := 2; i <= chainLength; i++ {
 			c.submit(dependingOn(arrayJob(i, "stage", 1), testJobID(i-1)), 5)
 		}
-		before := []protocol.JobID{testJobID(1)}
-		for level := range wide {
-			var names []protocol.JobID
+		dependencies := []protocol.JobID{testJobID(1)}
+		for level := range levels {
+			var jobIDs []protocol.JobID
 			for i := range 32 {
-				job := dependingOn(arrayJob(1000+100*level+i, "stage", 1), before...)
+				job := dependingOn(arrayJob(1000+100*level+i, "stage", 1), dependencies...)
 				c.submit(job, 5)
-				names = append(names, job.ID)
+				jobIDs = append(jobIDs, job.ID)
 			}
-			before = names
+			dependencies = jobIDs
 		}
-		last := dependingOn(arrayJob(2000, "stage", 1), before...)
+		last := dependingOn(arrayJob(2000, "stage", 1), dependencies...)
 		c.submit(last, 5)
 		c.env.Store.SetMaxPageSize(40)
 		c.installAbsentLeader()
@@ -65,9 +67,9 @@
 		time.Sleep(time.Duration(dep.Workers.CancelS) * time.Second)
 		for _, addr := range c.env.NodeAddrs() {
 			c.env.SetAskedNodes(addr)
-			for _, jobID := range []protocol.JobID{testJobID(deep), last.ID, testJobID(deep / 2), before[5]} {
+			for _, jobID := range []protocol.JobID{testJobID(chainLength), last.ID, testJobID(chainLength / 2), dependencies[5]} {
 				if got := c.phase(jobID); got != protocol.PhaseCancelled {
-					t.Errorf("%s is %s at %s", jobID, got, addr)
+					t.Errorf("job %s is %s at the controller %s, want cancelled", jobID, got, addr)
 				}
 			}
 		}
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -10,7 +10,7 @@
 	"marblehaven/internal/records"
 )
 
-// changesAll tells whether a transaction changes all the keys.
+// changesAll reports whether a transaction sets or deletes all the given keys.
 func changesAll(txn *protocol.Transaction, keys ...string) bool {
 	for _, key := range keys {
 		if !slices.ContainsFunc(txn.Mutations, func(mutation protocol.Mutation) bool { return mutation.Set == key || mutation.Delete == key }) {
@@ -20,31 +20,32 @@
 	return true
 }
 
-// loseThenRefuseCommit makes the leader's transaction that changes the key first be carried out
-// without an answer, and the same be refused as beyond the limits when it is sent
-// again, as when these have become smaller in between. After that the first that
-// changes both keys is lost on its way. The channel is closed when the first
-// transaction is refused.
-func (c *testCluster) loseThenRefuseCommit(first, second string) (refused <-chan struct{}) {
-	const ( // what has come about
-		nothing = iota
-		carriedOut
-		refusedOnce
-		lostOnce
+// loseThenRefuseCommit makes two of the leader's transactions fail:
+//   - The first one that changes firstKey is executed without an answer. When the leader
+//     sends it again, it is refused as beyond the limits, as if these had become smaller
+//     in between. The returned channel is closed when this first transaction is refused.
+//   - The first one after that which changes both firstKey and secondKey is lost and not
+//     executed.
+func (c *testCluster) loseThenRefuseCommit(firstKey, secondKey string) (refused <-chan struct{}) {
+	const ( // the fault that was injected last
+		noFault = iota
+		firstExecuted
+		firstRefused
+		secondLost
 	)
-	at := nothing
+	progress := noFault
 	ch := make(chan struct{})
 	c.env.Store.SetFault(func(txn *protocol.Transaction) fake.Fault {
 		switch {
-		case at == nothing && changesAll(txn, first):
-			at = carriedOut
+		case progress == noFault && changesAll(txn, firstKey):
+			progress = firstExecuted
 			return fake.AnswerLost
-		case at == carriedOut && changesAll(txn, first):
-			at = refusedOnce
+		case progress == firstExecuted && changesAll(txn, firstKey):
+			progress = firstRefused
 			close(ch)
 			return fake.OverLimit
-		case at == refusedOnce && changesAll(txn, first, second):
-			at = lostOnce
+		case progress == firstRefused && changesAll(txn, firstKey, secondKey):
+			progress = secondLost
 			return fake.NotExecuted
 		}
 		return fake.None
@@ -52,23 +53,24 @@
 	return ch
 }
 
-// cancelWithoutEvent cancels a job without the leader's hearing of it by an event.
+// cancelWithoutEvent cancels a job while the watch loses the event of the cancellation, so
+// that the leader does not receive it.
 func (c *testCluster) cancelWithoutEvent(jobID protocol.JobID) protocol.JobStatus {
 	c.env.Store.SetLoseEvent(func(key string) bool { return key == records.OpenKey(jobID) })
 	_, status := c.env.Cancel(jobID)
 	return status
 }
 
-// A transaction whose answer was lost is refused when it is sent again, though it was
-// carried out. What the leader then takes for the outcome of its next transaction must
-// be true: believing that one to be carried out it sent starts that no record names,
-// which the next leader knows nothing of.
+// TestStartsWithoutRecord checks the leader's conclusion about a transaction that is lost,
+// after the transaction before it was executed without an answer and then refused when it
+// was sent again. The leader once took the lost transaction for executed and sent starts
+// that no record names, so that the next leader had no information about the tasks.
 func TestStartsWithoutRecord(t *testing.T) {
 	t.Parallel()
 	runIn(t, 901, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
-		c.submit(arrayJob(1, "warm", 2), 300) // so that there is a machine
-		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 2 })
+		c.submit(arrayJob(1, "warm", 2), 300) // so that a machine is provisioned
+		c.until("both warm-up tasks run", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 2 })
 		refused := c.loseThenRefuseCommit(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
 		c.submit(largeArray(2, 1), 30)
 		<-refused
@@ -79,26 +81,26 @@
 	})
 }
 
-// The same with a job that is cancelled before its start is recorded: it is not
-// started after its user was told.
+// TestStartsAfterCancellation checks the same for a job that is cancelled before its start is
+// recorded: no task of it starts after the cancellation was confirmed to the user.
 func TestStartsAfterCancellation(t *testing.T) {
 	t.Parallel()
 	runIn(t, 902, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		c.submit(arrayJob(1, "warm", 2), 300)
-		c.until("a machine runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 2 })
+		c.until("both warm-up tasks run", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 2 })
 		refused := c.loseThenRefuseCommit(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
 		c.submit(largeArray(2, 1), 30)
 		<-refused
 		c.submit(largeArray(3, 1), 300)
-		time.Sleep(100 * time.Millisecond) // its start is about to be recorded
-		if st := c.cancelWithoutEvent(testJobID(3)); st.Phase != protocol.PhaseCancelled {
-			t.Fatalf("a job cancelled at its start is %s", st.Phase)
+		time.Sleep(100 * time.Millisecond) // so that its start is about to be recorded
+		if jobStatus := c.cancelWithoutEvent(testJobID(3)); jobStatus.Phase != protocol.PhaseCancelled {
+			t.Fatalf("the job was cancelled just before its start was recorded, and is reported as %s", jobStatus.Phase)
 		}
 		for range 200 {
 			time.Sleep(50 * time.Millisecond)
-			if on := c.env.MachinesOf(testJobID(3)); len(on) > 0 {
-				t.Errorf("a cancelled job is started on %s", on)
+			if machines := c.env.MachinesOf(testJobID(3)); len(machines) > 0 {
+				t.Errorf("tasks of a cancelled job were started on %s", machines)
 				break
 			}
 		}
@@ -106,9 +108,9 @@
 	})
 }
 
-// The same with the transaction that closes a job: believing it to be carried out the
-// leader took a job for done that its user was told is cancelled, and started the job
-// that waits for it.
+// TestJobClosedWithoutRecord checks the same for a lost transaction that closes a job. The
+// leader once took it for executed and the job for done, although its cancellation had been
+// confirmed to the user, and started the job that depends on it.
 func TestJobClosedWithoutRecord(t *testing.T) {
 	t.Parallel()
 	runIn(t, 903, controllerNames, largeArrayDeployment(), func(c *testCluster) {
@@ -117,13 +119,13 @@
 		c.submit(largeArray(1, 1), 10)
 		c.submit(largeArray(2, 1), 10.5)
 		c.submit(dependingOn(arrayJob(3, "stage", 2), testJobID(2)), 60)
-		<-refused // and the second job ends in a moment
-		if st := c.cancelWithoutEvent(testJobID(2)); st.Phase != protocol.PhaseCancelled {
-			t.Fatalf("a job cancelled at its end is %s", st.Phase)
+		<-refused // the second job ends shortly afterwards
+		if jobStatus := c.cancelWithoutEvent(testJobID(2)); jobStatus.Phase != protocol.PhaseCancelled {
+			t.Fatalf("the job was cancelled as its last task ended, and is reported as %s", jobStatus.Phase)
 		}
 		time.Sleep(time.Minute)
-		if on := c.env.MachinesOf(testJobID(3)); len(on) > 0 {
-			t.Errorf("a job that waits for a cancelled one is started on %s", on)
+		if machines := c.env.MachinesOf(testJobID(3)); len(machines) > 0 {
+			t.Errorf("tasks of a job that depends on a cancelled one were started on %s", machines)
 		}
 		c.untilCancelled(10*time.Second, testJobID(2), testJobID(3))
 	})
