--- a/internal/server/compound_failures_test.go
+++ b/internal/server/compound_failures_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// lateStartLimit is how long after a confirmed cancellation a start that was on its way
-// may still begin: a direct command in flight, then the fetch of its image.
+// lateStartLimit is how long after a confirmed cancellation a task may still start: its
+// direct command may be in flight, and its image is fetched after that.
 const lateStartLimit = 8 * time.Second
 
-// Two failures at once, one case for each pair that the operators expect and that no
-// other scenario brings about; docs/compound-failures.md names them all.
+// TestCompoundFailures checks recovery from two failures at once, with one case for each pair
+// that the operators expect and that no other scenario covers; docs/compound-failures.md
+// lists all pairs.
 func TestCompoundFailures(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
-		// causeFailures brings the failures about, in one of three variants.
+		// causeFailures starts jobs and causes the failures, in one of three variants.
 		causeFailures func(c *testCluster, variant uint64)
 	}{
 		{"no agent can open connections", agentsCannotConnect},
@@ -41,7 +42,7 @@
 					tc.causeFailures(c, seed%3)
 					c.expectRecovery()
 					if c.env.LateStart() > lateStartLimit {
-						t.Errorf("a task started %v after its cancellation was confirmed", c.env.LateStart())
+						t.Errorf("a task started %v after the cancellation of its job was confirmed", c.env.LateStart())
 					}
 				})
 			}
--- a/internal/server/compound_machine_cases_test.go
+++ b/internal/server/compound_machine_cases_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// agentsCannotConnect is a one-way partition of all machines for more than two leases:
-// commands reach the agents, which can open no connections.
+// agentsCannotConnect blocks outbound connections of all machines for more than two leases:
+// commands reach the agents, but the agents cannot open connections for their heartbeats.
 func agentsCannotConnect(c *testCluster, variant uint64) {
 	c.startWorkload()
 	c.blockOutbound(c.env.Machines()...)
@@ -27,9 +27,9 @@
 	if variant == 1 {
 		c.env.SetCloudDown(true)
 	}
-	for _, m := range c.env.Machines() {
-		if c.env.Zone(m) == "a" {
-			c.env.Kill(m)
+	for _, machine := range c.env.Machines() {
+		if c.env.Zone(machine) == "a" {
+			c.env.Kill(machine)
 		}
 	}
 	if variant == 2 {
@@ -38,11 +38,12 @@
 	time.Sleep(15 * time.Second)
 }
 
-// machinesHangInCommand hangs every machine between a command and its answer.
+// machinesHangInCommand makes every machine hang for a few seconds after it has executed its
+// next command and before it answers.
 func machinesHangInCommand(c *testCluster, variant uint64) {
 	c.startWorkload()
-	for i, m := range c.env.Machines() {
-		c.env.HangInCommand(m, time.Duration(2+3*i)*time.Second)
+	for i, machine := range c.env.Machines() {
+		c.env.HangInCommand(machine, time.Duration(2+3*i)*time.Second)
 	}
 	c.submit(arrayJob(5, "check", 8), 20)
 	c.submit(gangJob(6, 2), 20)
@@ -55,26 +56,28 @@
 	time.Sleep(25 * time.Second)
 }
 
-// repeatedHeartbeatsOfKilledMachines kills machines whose heartbeats the network delivers again.
+// repeatedHeartbeatsOfKilledMachines kills two machines while the network delivers copies of
+// earlier heartbeats, theirs included.
 func repeatedHeartbeatsOfKilledMachines(c *testCluster, variant uint64) {
 	c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second})
 	c.submit(arrayJob(1, "check", 8), 200)
-	c.submit(arrayJob(2, "check", 8), 50) // leaves free capacity behind
+	c.submit(arrayJob(2, "check", 8), 50) // its end leaves free capacity
 	c.untilDone(2*time.Minute, "req-000002")
-	c.env.SetCloudDown(true) // no return proves anything, so only the leases can
-	for _, m := range slices.Compact(c.env.MachinesOf("req-000001"))[:2] {
-		c.env.Kill(m)
+	c.env.SetCloudDown(true) // no machine can be deprovisioned, so only an expired lease proves that its tasks ended
+	for _, machine := range slices.Compact(c.env.MachinesOf("req-000001"))[:2] {
+		c.env.Kill(machine)
 	}
 	if variant == 1 {
 		c.killLeader()
 		return
 	}
-	// A copy that counted as a sign of life would renew a dead machine's lease.
-	c.until("what the dead machines had runs elsewhere", testLease+4*time.Second, func() bool { return len(c.env.MachinesOf("req-000001")) == 8 })
+	// If the copy of a heartbeat counted as contact, it would extend the time for which
+	// the leader takes a killed machine's lease for valid.
+	c.until("the tasks of the killed machines run elsewhere", testLease+4*time.Second, func() bool { return len(c.env.MachinesOf("req-000001")) == 8 })
 }
 
-// delayedHeartbeats delays the heartbeats of half of the machines until a new leader has
-// acted, with three changes of the leader.
+// delayedHeartbeats delays all messages of half of the machines, heartbeats included, until
+// a new leader has acted, and changes the leader three times.
 func delayedHeartbeats(c *testCluster, variant uint64) {
 	c.startWorkload()
 	machines := c.env.Machines()
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -8,8 +8,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// slowStoreThenRefusals slows the key-value store down, then lets it refuse the leader
-// and a second later everybody, while users cancel and ask.
+// slowStoreThenRefusals slows the key-value store down, then makes it refuse the leader and
+// a second later all hosts, while users cancel jobs and ask about them.
 func slowStoreThenRefusals(c *testCluster, variant uint64) {
 	c.startWorkload()
 	c.env.Store.SetSlow(func(string) time.Duration { return time.Duration(200+variant*500) * time.Millisecond })
@@ -26,22 +26,23 @@
 	time.Sleep(50 * time.Second)
 }
 
-// quotaLimitAndNewLeader kills the leader while a team is at its quota limit and machines
-// with its tasks are partitioned, receive nothing or hang, and a user cancels.
+// quotaLimitAndNewLeader kills the leader while a team is at its quota limit and, by variant,
+// a machine with tasks of the team is partitioned, two receive nothing, or one hangs. A user
+// then cancels a job.
 func quotaLimitAndNewLeader(c *testCluster, variant uint64) {
 	c.submit(arrayJob(1, "check", 12), 90)
 	c.submit(arrayJob(2, "check", 8), 90)
-	c.submit(arrayJob(3, "check", 10), 20) // waits for the limit
-	c.until("the limit is reached", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001"))+len(c.env.MachinesOf("req-000002")) == 20 })
-	on := slices.Compact(c.env.MachinesOf("req-000001"))
+	c.submit(arrayJob(3, "check", 10), 20) // waits, since its team is at the limit
+	c.until("20 tasks run, as many as the quota limit allows", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001"))+len(c.env.MachinesOf("req-000002")) == 20 })
+	machines := slices.Compact(c.env.MachinesOf("req-000001"))
 	c.env.SetCloudDown(true)
 	switch variant {
 	case 0:
-		c.isolate(on[0], fake.Hold, c.names...)
+		c.isolate(machines[0], fake.Hold, c.names...)
 	case 1:
-		c.dropInbound(on[:2]...)
+		c.dropInbound(machines[:2]...)
 	case 2:
-		c.heals = append(c.heals, c.env.Hang(on[0]))
+		c.heals = append(c.heals, c.env.Hang(machines[0]))
 	}
 	c.killLeader()
 	go c.env.Cancel("req-000001")
@@ -71,12 +72,13 @@
 	time.Sleep(30 * time.Second)
 }
 
-// requestsAsLastTaskEnds cancels, asks about and submits again a job as its last task ends.
+// requestsAsLastTaskEnds makes users cancel a job, ask about it and submit it again as its
+// last task ends.
 func requestsAsLastTaskEnds(c *testCluster, variant uint64) {
 	c.env.SetOnDone(func(jobID protocol.JobID) {
-		n := int(jobID[len(jobID)-1] - '0')
+		number := int(jobID[len(jobID)-1] - '0')
 		time.Sleep(time.Duration(c.env.Random()*float64(variant+1)*700) * time.Millisecond)
-		if n%2 == 0 {
+		if number%2 == 0 {
 			go c.env.Cancel(jobID)
 		}
 		go c.env.Poll(jobID)
@@ -91,8 +93,8 @@
 	}
 }
 
-// commitsExecutedLate makes a fifth of the transactions be executed after their senders
-// have given up waiting.
+// commitsExecutedLate makes the key-value store execute a fifth of the transactions only after
+// their senders have given up waiting.
 func commitsExecutedLate(c *testCluster, variant uint64) {
 	c.startWorkload()
 	c.env.Store.SetLate(c.lateCommits(0.2))
