--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -10,78 +10,81 @@
 	"marblehaven/internal/records"
 )
 
-// A pipeline runs in its order; cancelling one of its jobs cancels those behind it
-// and no others; what the rules say is judged by the fakes.
+// TestPipeline checks that the jobs of a pipeline run in the order of their dependencies, and
+// that cancelling one of them cancels the jobs that depend on it and no others. The checker
+// of package fake compares the order of the starts with the dependencies.
 func TestPipeline(t *testing.T) {
 	t.Parallel()
 	run(t, 60, func(c *testCluster) {
-		whole := c.pipeline(100)
-		cut := c.pipeline(200)
-		c.untilDone(3*time.Minute, cut[0])
-		c.env.Cancel(cut[1])
-		c.untilCancelled(10*time.Second, cut[1], cut[3], cut[4])
-		c.untilDone(3*time.Minute, cut[2])
-		c.untilDone(5*time.Minute, whole...)
-		// Named when that was long ago: accepted, and called cancelled at once.
+		completed := c.pipeline(100)
+		partlyCancelled := c.pipeline(200)
+		c.untilDone(3*time.Minute, partlyCancelled[0])
+		c.env.Cancel(partlyCancelled[1])
+		c.untilCancelled(10*time.Second, partlyCancelled[1], partlyCancelled[3], partlyCancelled[4])
+		c.untilDone(3*time.Minute, partlyCancelled[2])
+		c.untilDone(5*time.Minute, completed...)
+		// A job that depends on one cancelled long before is accepted and cancelled at once.
 		time.Sleep(time.Duration(c.deployment.Workers.CancelS) * time.Second)
-		late := dependingOn(arrayJob(300, "stage", 2), cut[0], cut[3])
-		c.submit(late, 5)
-		c.untilCancelled(time.Second, late.ID)
-		// A cancellation that is answered with done stops nothing.
-		if _, st := c.env.Cancel(whole[1]); st.Phase != protocol.PhaseDone {
-			t.Errorf("a finished job that is cancelled is %s", st.Phase)
+		lateJob := dependingOn(arrayJob(300, "stage", 2), partlyCancelled[0], partlyCancelled[3])
+		c.submit(lateJob, 5)
+		c.untilCancelled(time.Second, lateJob.ID)
+		// Cancelling a finished job changes nothing; the reply reports the job as done.
+		if _, jobStatus := c.env.Cancel(completed[1]); jobStatus.Phase != protocol.PhaseDone {
+			t.Errorf("a finished job is reported as %s after a cancellation, want done", jobStatus.Phase)
 		}
-		// That one of the jobs named is cancelled doesn't make up for one that nobody
-		// submitted. (Found on the bench, just after an outage.)
-		for _, names := range [][]protocol.JobID{{cut[3], testJobID(999)}, {testJobID(99), cut[3]}, {testJobID(99), whole[0], cut[1]}} {
-			c.env.Refused(arrayJob(302, "stage", 1), func(m map[string]any) { m["awaits"] = names }, 422)
+		// A job with a dependency that nobody submitted is refused, even if another of its
+		// dependencies is cancelled. This rule was once broken just after an outage.
+		for _, dependencies := range [][]protocol.JobID{{partlyCancelled[3], testJobID(999)}, {testJobID(99), partlyCancelled[3]}, {testJobID(99), completed[0], partlyCancelled[1]}} {
+			c.env.Refused(arrayJob(302, "stage", 1), func(fields map[string]any) { fields["awaits"] = dependencies }, 422)
 		}
-		next := dependingOn(arrayJob(301, "stage", 2), whole[1], whole[4])
+		next := dependingOn(arrayJob(301, "stage", 2), completed[1], completed[4])
 		c.submit(next, 5)
 		c.untilDone(2*time.Minute, next.ID)
-		if st := c.env.Submit(late, 5); st != 200 {
-			t.Errorf("a cancelled job submitted again gets %d", st)
+		if status := c.env.Submit(lateJob, 5); status != 200 {
+			t.Errorf("submitting a cancelled job again got status %d, want 200", status)
 		}
-		c.until("records are cleared", time.Minute, func() bool { return len(c.env.Store.Keys("o/")) == 0 })
+		c.until("the open records of all jobs are deleted", time.Minute, func() bool { return len(c.env.Store.Keys("o/")) == 0 })
 	})
 }
 
-// What can't be accepted: jobs that were never submitted, names of another form, the
-// job itself, lists that are none, and more names than a record holds. A chain can
-// hold no cycle, since a job must be accepted before it is named.
+// TestDependenciesRefused checks that a job is refused if its dependencies name a job that
+// was never submitted or the job itself, are malformed IDs or no list of IDs, or are more
+// than a record holds. Dependencies cannot form a cycle, since a job can name only jobs that
+// were accepted before it.
 func TestDependenciesRefused(t *testing.T) {
 	t.Parallel()
 	run(t, 61, func(c *testCluster) {
 		first := arrayJob(1, "stage", 1)
 		c.submit(first, 5)
-		many := make([]protocol.JobID, 40)
-		for i := range many {
-			many[i] = testJobID(1000 + i)
+		tooMany := make([]protocol.JobID, 40)
+		for i := range tooMany {
+			tooMany[i] = testJobID(1000 + i)
 		}
-		for _, b := range []struct {
+		for _, tc := range []struct {
 			awaits any
 			want   int
 		}{
 			{[]protocol.JobID{testJobID(999)}, 422}, {[]protocol.JobID{first.ID, testJobID(999)}, 422}, {[]protocol.JobID{testJobID(2)}, 400}, {"req-000001", 400},
-			{[]string{"job-1"}, 400}, {[]any{1}, 400}, {[]string{""}, 400}, {map[string]int{}, 400}, {many, 400},
+			{[]string{"job-1"}, 400}, {[]any{1}, 400}, {[]string{""}, 400}, {map[string]int{}, 400}, {tooMany, 400},
 		} {
-			c.env.Refused(arrayJob(2, "stage", 1), func(m map[string]any) { m["awaits"] = b.awaits }, b.want)
+			c.env.Refused(arrayJob(2, "stage", 1), func(fields map[string]any) { fields["awaits"] = tc.awaits }, tc.want)
 		}
 		second := dependingOn(arrayJob(2, "stage", 1), first.ID, first.ID)
 		c.submit(second, 5)
-		// Naming the one behind it now: it is known, so its first description stands.
-		if st := c.env.Submit(dependingOn(first, second.ID), 5); st != 200 {
-			t.Errorf("an accepted job submitted again gets %d", st)
+		// The first job submitted again, now depending on the second, is already accepted:
+		// its first description remains in force, so no cycle arises.
+		if status := c.env.Submit(dependingOn(first, second.ID), 5); status != 200 {
+			t.Errorf("submitting an accepted job again got status %d, want 200", status)
 		}
-		none := arrayJob(3, "stage", 1)
-		none.DependsOn = []protocol.JobID{}
-		c.submit(none, 5)
-		c.untilDone(3*time.Minute, first.ID, second.ID, none.ID)
+		independent := arrayJob(3, "stage", 1)
+		independent.DependsOn = []protocol.JobID{}
+		c.submit(independent, 5)
+		c.untilDone(3*time.Minute, first.ID, second.ID, independent.ID)
 	})
 }
 
-// A dependency whose records can't be read leaves the job waiting: it neither starts
-// nor is forgotten nor called done.
+// TestUnreadableDependency checks that a job stays queued while the final record of a job that
+// it depends on cannot be decoded: it neither starts nor is reported as unknown or done.
 func TestUnreadableDependency(t *testing.T) {
 	t.Parallel()
 	run(t, 63, func(c *testCluster) {
@@ -89,23 +92,24 @@
 		c.submit(arrayJob(2, "stage", 1), 5)
 		c.untilDone(2*time.Minute, testJobID(1), testJobID(2))
 		c.env.Store.Corrupt(records.FinalKey(testJobID(1)))
-		c.restartAll() // nobody remembers it
-		c.until("a node leads", time.Minute, func() bool { return c.leader() != "" })
+		c.restartAll() // so that no controller has the final status in memory
+		c.until("a controller leads", time.Minute, func() bool { return c.leader() != "" })
 		c.submit(dependingOn(arrayJob(3, "stage", 1), testJobID(1)), 5)
 		c.submit(dependingOn(arrayJob(4, "stage", 1), testJobID(2)), 5)
 		c.untilDone(2*time.Minute, testJobID(4))
 		for range 20 {
 			time.Sleep(5 * time.Second)
-			if status, st := c.env.Poll(testJobID(3)); status != 200 || st.Phase != protocol.PhaseQueued {
-				t.Fatalf("%d %s", status, st.Phase)
+			if status, jobStatus := c.env.Poll(testJobID(3)); status != 200 || jobStatus.Phase != protocol.PhaseQueued {
+				t.Fatalf("the job with the unreadable dependency got status %d, phase %q; want 200, queued", status, jobStatus.Phase)
 			}
 		}
 		c.env.Cancel(testJobID(3))
 	})
 }
 
-// The watch misses that a job was submitted, but not the one that waits for it:
-// that the leader does not know the first says nothing of its being done.
+// TestDependencyEventLost checks that a job waits for its dependency although the watch lost
+// the event of the dependency's submission, and not that of the job: that the leader has no
+// entry for a job does not prove that the job is done.
 func TestDependencyEventLost(t *testing.T) {
 	t.Parallel()
 	run(t, 64, func(c *testCluster) {
@@ -116,8 +120,9 @@
 	})
 }
 
-// Chains go on, and are cancelled, while leaders change at any moment, events are
-// lost and transactions are carried out late.
+// TestDependenciesThroughFailovers checks that pipelines run to their end, and that some are
+// cancelled, while leaders are killed at random times, watch events are lost and
+// transactions are executed late.
 func TestDependenciesThroughFailovers(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(3) {
@@ -125,11 +130,11 @@
 			rng := rand.New(rand.NewPCG(seed, 9))
 			c.env.Store.SetLoseEvent(func(string) bool { return c.env.Random() < 0.1 })
 			c.env.Store.SetLate(c.lateCommits(0.05))
-			var whole []protocol.JobID
+			var uncancelled []protocol.JobID
 			for i := range 4 {
 				jobIDs := c.pipeline(100 * (i + 1))
 				if i%2 == 0 {
-					whole = append(whole, jobIDs...)
+					uncancelled = append(uncancelled, jobIDs...)
 				} else {
 					stage := rng.IntN(4)
 					pause := time.Duration(rng.IntN(20)) * time.Second
@@ -145,11 +150,11 @@
 			}
 			c.env.Store.SetLoseEvent(nil)
 			c.env.Store.SetLate(nil)
-			c.untilDone(8*time.Minute, whole...)
-			c.until("nothing is open", 5*time.Minute, func() bool {
+			c.untilDone(8*time.Minute, uncancelled...)
+			c.until("no job is queued or running", 5*time.Minute, func() bool {
 				return !slices.ContainsFunc(c.jobs, func(jobID protocol.JobID) bool {
-					p := c.phase(jobID)
-					return p == protocol.PhaseQueued || p == protocol.PhaseRunning
+					phase := c.phase(jobID)
+					return phase == protocol.PhaseQueued || phase == protocol.PhaseRunning
 				})
 			})
 		})
--- a/internal/server/fleet_partition_test.go
+++ b/internal/server/fleet_partition_test.go
@@ -10,16 +10,17 @@
 	"marblehaven/internal/protocol"
 )
 
-// The same troubles at the size of the grown deployments: hundreds of machines,
-// many of them in a one-way partition that drops what is sent to them, the leader left
-// with its agents only, late copies of heartbeats, and every controller back at once.
+// TestFleetInboundPartition checks the recovery of a large deployment with hundreds of
+// machines: many of them are in a one-way partition that drops what is sent to them, the
+// leader reaches only the agents, copies of heartbeats arrive late, and in the end all
+// controllers restart at once.
 func TestFleetInboundPartition(t *testing.T) {
 	t.Parallel()
-	runFleet(t, 138, func(c *testCluster, up func([]protocol.JobID) func() bool) {
+	runFleet(t, 138, func(c *testCluster, replicasUp func([]protocol.JobID) func() bool) {
 		var heals []func()
-		for i, m := range c.env.Machines() {
+		for i, machine := range c.env.Machines() {
 			if i%8 == 0 {
-				heals = append(heals, c.network.DropInbound(m))
+				heals = append(heals, c.network.DropInbound(machine))
 			}
 		}
 		heals = append(heals, c.isolateFromStoreAndPeers(c.leader()))
@@ -30,40 +31,41 @@
 		}
 		c.restartAll()
 		c.expectAnswers(c.jobs...)
-		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
-			t.Errorf("cancelled, still on %v", on)
+		if machines := c.env.MachinesOf("req-000001"); len(machines) > 0 {
+			t.Errorf("the cancelled job req-000001 still has tasks on %v", machines)
 		}
 		c.untilDone(6*time.Minute, c.jobs[20:]...)
-		c.until("the other services run", time.Minute, up(c.jobs[1:20]))
+		c.until("all replicas of the services that were not cancelled run", time.Minute, replicasUp(c.jobs[1:20]))
 	})
 }
 
-// A zone with the leader in it is cut off from everything, what is on the way is
-// held and comes late, dozens of machines die meanwhile, and as it is over every
-// controller ends: no rule is broken, and all runs again soon.
+// TestFleetZonePartition checks that no rule is broken and all jobs run again soon after a
+// zone with the leader in it was partitioned from all other hosts. Messages across the
+// partition are held and arrive late, dozens of machines are killed meanwhile, and all
+// controllers restart when it ends.
 func TestFleetZonePartition(t *testing.T) {
 	t.Parallel()
-	runFleet(t, 142, func(c *testCluster, up func([]protocol.JobID) func() bool) {
+	runFleet(t, 142, func(c *testCluster, replicasUp func([]protocol.JobID) func() bool) {
 		inside := map[string]bool{c.leader(): true, c.names[4]: true}
-		for _, m := range c.env.Machines() {
-			inside[m] = c.env.Zone(m) == "a"
+		for _, machine := range c.env.Machines() {
+			inside[machine] = c.env.Zone(machine) == "a"
 		}
-		var in, out []string
-		for _, h := range slices.Concat(c.names, c.env.Machines(), []string{"state", "cloud", "users"}) {
-			if inside[h] {
-				in = append(in, h)
+		var insideHosts, outsideHosts []string
+		for _, host := range slices.Concat(c.names, c.env.Machines(), []string{"state", "cloud", "users"}) {
+			if inside[host] {
+				insideHosts = append(insideHosts, host)
 			} else {
-				out = append(out, h)
+				outsideHosts = append(outsideHosts, host)
 			}
 		}
 		var heals []func()
-		for _, h := range in {
-			heals = append(heals, c.isolate(h, fake.Hold, out...))
+		for _, host := range insideHosts {
+			heals = append(heals, c.isolate(host, fake.Hold, outsideHosts...))
 		}
 		time.Sleep(5 * time.Second)
-		for i, m := range c.env.Machines() {
+		for i, machine := range c.env.Machines() {
 			if i%9 == 0 {
-				c.env.Kill(m)
+				c.env.Kill(machine)
 			}
 		}
 		c.env.Cancel("req-000001")
@@ -74,16 +76,17 @@
 		}
 		c.expectAnswers(c.jobs...)
 		c.untilDone(6*time.Minute, c.jobs[20:]...)
-		c.until("the other services run", time.Minute, up(c.jobs[1:20]))
-		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
-			t.Errorf("cancelled, still on %v", on)
+		c.until("all replicas of the services that were not cancelled run", time.Minute, replicasUp(c.jobs[1:20]))
+		if machines := c.env.MachinesOf("req-000001"); len(machines) > 0 {
+			t.Errorf("the cancelled job req-000001 still has tasks on %v", machines)
 		}
 	})
 }
 
-// runFleet plays a scenario with five controllers and hundreds of machines: twenty
-// services, given to up, and eight arrays run.
-func runFleet(t *testing.T, seed uint64, scenario func(c *testCluster, up func([]protocol.JobID) func() bool)) {
+// runFleet plays a scenario with five controllers and hundreds of machines, on which twenty
+// services and eight arrays run. The scenario gets replicasUp, which returns a condition: all
+// four replicas of each given service are placed on machines.
+func runFleet(t *testing.T, seed uint64, scenario func(c *testCluster, replicasUp func([]protocol.JobID) func() bool)) {
 	dep := testDeployment()
 	dep.Teams = []config.Team{{Name: "red", Cores: 500, CoresMax: 2000, GPUs: 4, GPUsMax: 8}, {Name: "blue", Cores: 500, CoresMax: 2000}}
 	names := []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}
@@ -97,13 +100,13 @@
 			job.Team, job.EstimateS = []string{"red", "blue"}[i%2], 60
 			c.submit(job, 60)
 		}
-		c.until("hundreds run", 2*time.Minute, func() bool { return len(c.env.Machines()) >= 250 })
-		up := func(jobIDs []protocol.JobID) func() bool {
+		c.until("at least 250 machines are up", 2*time.Minute, func() bool { return len(c.env.Machines()) >= 250 })
+		replicasUp := func(jobIDs []protocol.JobID) func() bool {
 			return func() bool {
 				return !slices.ContainsFunc(jobIDs, func(jobID protocol.JobID) bool { return len(c.env.MachinesOf(jobID)) != 4 })
 			}
 		}
-		c.until("all services run", time.Minute, up(c.jobs[:20]))
-		scenario(c, up)
+		c.until("all replicas of the twenty services run", time.Minute, replicasUp(c.jobs[:20]))
+		scenario(c, replicasUp)
 	})
 }
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// With 4,000 machines, whose list has nine pages, work runs on all of them, and goes on
-// through a change of leader with a tenth of the machines hanging, and an outage of the
-// key-value store that is as long as a leader answers heartbeats in it. The fakes judge it.
+// TestFourThousandMachines checks that tasks run on all of 4,000 machines, whose list has
+// nine pages. The tasks keep running through a change of the leader with a tenth of the
+// machines hanging, and through an outage of the key-value store that is as long as the
+// leader lease, within which a leader answers heartbeats. The checker of package fake
+// compares what happens with the rules.
 func TestFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	const arrays, tasks = 40, 100
 	runIn(t, 901, controllerNames, atFleetSize(), func(c *testCluster) {
-		c.env.SetStep(250 * time.Millisecond) // steps of 4,000 machines are most of what the test takes
+		c.env.SetStep(250 * time.Millisecond) // advancing the tasks of 4,000 machines takes most of the time of the test
 		c.env.Store.LimitRequests(c.deployment.State.RPS)
 		for i := range arrays {
-			job := largeArray(1+i, tasks) // a machine for each task
+			job := largeArray(1+i, tasks) // each task needs a whole machine
 			job.MachineTypes, job.Cores, job.MemGB, job.EstimateS = []string{"big"}, 16, 60, 120
 			job.DeadlineS = 180
 			job.Team = c.deployment.Teams[i%2].Name
 			c.submit(job, 120)
 		}
-		c.until("all machines run", 4*time.Minute, func() bool { return len(c.env.Machines()) >= fleetSize })
-		var ends []func()
-		for i, m := range c.env.Machines() {
+		c.until("all machines are up", 4*time.Minute, func() bool { return len(c.env.Machines()) >= fleetSize })
+		var resumes []func()
+		for i, machine := range c.env.Machines() {
 			if i%10 == 0 {
-				ends = append(ends, c.env.Hang(m))
+				resumes = append(resumes, c.env.Hang(machine))
 			}
 		}
 		c.boot(c.killLeader())
-		c.until("another node leads", time.Minute, func() bool { return c.leader() != "" })
+		c.until("another controller leads", time.Minute, func() bool { return c.leader() != "" })
 		time.Sleep(15 * time.Second)
 		c.env.Store.Refuse("", true)
 		time.Sleep(18 * time.Second)
 		c.env.Store.Refuse("", false)
-		for _, end := range ends {
-			end()
+		for _, resume := range resumes {
+			resume()
 		}
 		expiriesBefore := c.env.LeaseExpiries()
 		time.Sleep(time.Minute)
 		if more := c.env.LeaseExpiries() - expiriesBefore; more > 0 {
-			t.Errorf("%d leases expired after the outage", more)
+			t.Errorf("%d leases of agents with tasks expired after the outage, want none", more)
 		}
 		c.env.EndTroubles()
 		c.expectAnswers(c.jobs...)
--- a/internal/server/one_way_partition_test.go
+++ b/internal/server/one_way_partition_test.go
@@ -8,49 +8,49 @@
 	"marblehaven/internal/protocol"
 )
 
-// An agent that reaches no controller, though commands reach it, cannot renew its lease:
-// tasks that are started there are lost again, so none are placed on the machine until
-// heartbeats arrive.
+// TestMachineOutboundPartition checks that no task is placed on a machine whose agent reaches
+// no controller, although commands reach it, until its heartbeats arrive. The agent cannot
+// renew its lease, so tasks started there would be lost.
 func TestMachineOutboundPartition(t *testing.T) {
 	t.Parallel()
 	run(t, 340, func(c *testCluster) {
-		c.exhaustCapacity() // but some: there is more work
+		c.exhaustCapacity() // except for three small machines in each zone, fewer than the tasks need
 		c.env.Limit("small", "a", false, 3)
 		c.env.Limit("small", "b", false, 3)
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "fill", 400), 3)
-		c.until("all run", 2*time.Minute, func() bool {
+		c.until("tasks of both jobs run", 2*time.Minute, func() bool {
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) >= 5
 		})
 		partitioned := c.env.MachinesOf("req-000001")[0]
 		c.blockOutbound(partitioned)
-		// It answers commands, but after some heartbeat intervals gets nothing more.
+		// The machine answers commands, but gets no new tasks after some heartbeat intervals.
 		time.Sleep(10500 * time.Millisecond)
 		if slices.Contains(c.env.MachinesOf("req-000002"), partitioned) {
-			t.Error("work is still put on a machine that has fallen silent")
+			t.Error("new tasks are still placed on a machine that has sent no heartbeat for 10.5 s")
 		}
 		c.untilElsewhere("req-000001", 2, partitioned, testLease+10*time.Second)
 		for range 60 {
 			time.Sleep(time.Second)
 			if slices.Contains(c.env.MachinesOf("req-000002"), partitioned) || slices.Contains(c.env.MachinesOf("req-000001"), partitioned) {
-				t.Fatal("work was put on a machine that cannot say that it lives")
+				t.Fatal("a task was placed on a machine whose agent cannot send heartbeats")
 			}
 		}
 		c.expectRecovery()
 	})
 }
 
-// No agent can open a connection for much longer than a lease and the wait after it:
-// the machines answer commands, so they are there, and are not given back. (Found on the
-// bench by days/mute.toml: all machines went back at once and were provisioned anew.)
+// TestFleetOutboundPartition checks that machines that answer commands are not deprovisioned
+// while no agent can open a connection for much longer than a lease and the grace period
+// after it. All machines were once deprovisioned at the same time and provisioned again.
 func TestFleetOutboundPartition(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(2) {
 		run(t, 350+seed, func(c *testCluster) {
 			c.startWorkload()
-			time.Sleep(25 * time.Second) // what was provisioned beyond need is up
+			time.Sleep(25 * time.Second) // the machines provisioned beyond the need are up
 			c.exhaustCapacity()
-			machines, expiriesBefore, terms := c.env.Machines(), c.env.LeaseExpiries(), c.latestTerm()
+			machines, expiriesBefore, termBefore := c.env.Machines(), c.env.LeaseExpiries(), c.latestTerm()
 			c.blockOutbound(machines...)
 			time.Sleep(20 * time.Second)
 			if seed%2 == 1 {
@@ -58,19 +58,20 @@
 			}
 			time.Sleep(80 * time.Second)
 			if left := c.env.Machines(); !slices.Equal(left[:min(len(left), len(machines))], machines) {
-				t.Errorf("of %v only %v are left", machines, left)
+				t.Errorf("of the machines %v only %v are up, want all of them", machines, left)
 			}
-			// Each loses what it had, and nothing is put there to be lost again, but by a
-			// new leader, which cannot know before some heartbeat intervals are over.
+			// Each machine loses its tasks once. No task is placed there and lost again, except
+			// by a new leader, which finds out only after some heartbeat intervals.
 			if n := c.env.LeaseExpiries() - expiriesBefore; n > len(machines)*int(1+seed%2) {
 				t.Errorf("%d leases of %d machines expired with tasks", n, len(machines))
 			}
-			// One leader may leave the term to another, which can do no better.
-			if n := c.latestTerm() - terms; n > protocol.Term(1+seed%2) {
-				t.Errorf("%d terms", n)
+			// One leader may give up its term. The next one receives no heartbeats either and
+			// must keep the term.
+			if n := c.latestTerm() - termBefore; n > protocol.Term(1+seed%2) {
+				t.Errorf("%d new terms since the partition began, which is too many", n)
 			}
 			c.heal()
-			c.until("the services run", 15*time.Second, func() bool {
+			c.until("all replicas of both services run", 15*time.Second, func() bool {
 				return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) == 2
 			})
 			c.expectRecovery()
@@ -78,14 +79,15 @@
 	}
 }
 
-// A machine whose heartbeats arrive while nothing reaches it loses its tasks by
-// its lease, and they run elsewhere soon; nothing more is placed on it.
+// TestMachineInboundPartition checks that a machine whose heartbeats arrive, but which
+// receives nothing, loses its tasks when its lease expires. The tasks soon run elsewhere, and
+// no further task is placed on the machine.
 func TestMachineInboundPartition(t *testing.T) {
 	t.Parallel()
 	run(t, 134, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "fill", 10), 60)
-		c.until("all run", 2*time.Minute, func() bool {
+		c.until("tasks of both jobs run", 2*time.Minute, func() bool {
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) >= 5
 		})
 		partitioned := c.env.MachinesOf("req-000001")[0]
@@ -95,7 +97,7 @@
 		for range 60 {
 			time.Sleep(time.Second)
 			if slices.Contains(c.env.MachinesOf("req-000002"), partitioned) {
-				t.Fatal("work was put on a machine that hears nothing")
+				t.Fatal("a task was placed on a machine that receives nothing")
 			}
 		}
 	})
