--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -12,57 +12,59 @@
 	"marblehaven/internal/records"
 )
 
-// What has ended goes from the records even if the job waits for capacity and nothing of it
-// is started: a new leader takes what they hold for running until the leader lease and an
-// agent lease are over, counts it in the team's limit and starts it no sooner. (Found on the bench by
-// days/mute.toml.)
+// TestRunRecordDropsEndedTasks checks that ended tasks are removed from the run record even if
+// the job waits for capacity and none of its tasks is started. A new leader takes every
+// recorded task for running until a leader lease and an agent lease have passed: until then
+// it counts the task in the team's quota limit and does not start it again.
 func TestRunRecordDropsEndedTasks(t *testing.T) {
 	t.Parallel()
 	run(t, 360, func(c *testCluster) {
 		c.exhaustCapacity()
 		c.env.Limit("small", "a", true, 2)
 		c.submit(arrayJob(1, "check", 4), 100)
-		c.until("all run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 4 })
+		c.until("all four tasks run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 4 })
 		time.Sleep(3 * time.Second)
-		c.env.SetCloudDown(true) // no return, no provisioning request
+		c.env.SetCloudDown(true) // no machine can be deprovisioned or provisioned
 		c.env.Kill(c.env.MachinesOf("req-000001")[0])
-		time.Sleep(20 * time.Second) // its lease is over
-		var r records.RunRecord
-		if err := codec.Unmarshal(c.env.Store.Value("o/req-000001/t"), &r); err != nil || len(r.Placements) != 2 || len(c.env.MachinesOf("req-000001")) != 2 {
-			t.Errorf("%d run, recorded as running: %v (%v)", len(c.env.MachinesOf("req-000001")), r.Placements, err)
+		time.Sleep(20 * time.Second) // the lease of the killed machine has expired
+		var record records.RunRecord
+		if err := codec.Unmarshal(c.env.Store.Value("o/req-000001/t"), &record); err != nil || len(record.Placements) != 2 || len(c.env.MachinesOf("req-000001")) != 2 {
+			t.Errorf("%d tasks are on machines and the run record places %v, want 2 of both (decoding error: %v)", len(c.env.MachinesOf("req-000001")), record.Placements, err)
 		}
 		c.expectRecovery()
 	})
 }
 
-// Submissions and cancellations delayed beyond their answers are settled by the
-// preconditions of their commits, not guessed.
+// TestLateSubmitAndCancel checks submissions and cancellations whose commits are delayed
+// until after the reply to the user: the preconditions of the commits decide whether they
+// take effect, and no controller guesses the outcome.
 func TestLateSubmitAndCancel(t *testing.T) {
 	t.Parallel()
 	run(t, 40, func(c *testCluster) {
-		other := controllerNames[(slices.Index(controllerNames, c.leader())+1)%3]
-		heal := c.cut(other, "state", fake.Hold)
-		for i := range 6 { // some reach the controller that is cut off
+		follower := controllerNames[(slices.Index(controllerNames, c.leader())+1)%3]
+		heal := c.cut(follower, "state", fake.Hold)
+		for i := range 6 { // some are sent to the follower that is partitioned from the store
 			c.submit(arrayJob(1+i, "check", 2), 10)
 		}
 		c.env.Cancel("req-000001")
 		c.untilDone(3*time.Minute, "req-000002", "req-000003")
-		heal() // held commits arrive now
+		heal() // the commits that the network held arrive now
 		time.Sleep(5 * time.Second)
-		if p := c.phase("req-000001"); p != protocol.PhaseCancelled {
-			t.Errorf("cancelled job is %s", p)
+		if phase := c.phase("req-000001"); phase != protocol.PhaseCancelled {
+			t.Errorf("the cancelled job req-000001 is reported as %s", phase)
 		}
 		c.untilDone(3*time.Minute, c.jobs[1:]...)
 	})
 }
 
-// Commits whose answers are lost were applied: they are settled by reading, by
-// the leader as well as by the controllers that serve users.
+// TestCommitOutcomeUnknown checks that the leader and the controllers that serve users read
+// the store to determine the outcome of commits whose answers are lost. Each of these
+// commits was executed.
 func TestCommitOutcomeUnknown(t *testing.T) {
 	t.Parallel()
 	run(t, 98, func(c *testCluster) {
-		n := 0
-		c.env.Store.SetLoseReply(func() bool { n++; return n%3 == 0 })
+		transactions := 0
+		c.env.Store.SetLoseReply(func() bool { transactions++; return transactions%3 == 0 })
 		for i := range 4 {
 			c.submit(arrayJob(1+i, "check", 5), 15)
 		}
@@ -71,8 +73,9 @@
 	})
 }
 
-// A provisioning request whose answer is lost is asked for again with the same request ID, also
-// by the next leader, and provisions once.
+// TestProvisioningOutcomeUnknown checks that a provisioning request whose answer is lost is
+// sent again with the same request ID, also by the next leader, and that its machines are
+// provisioned only once.
 func TestProvisioningOutcomeUnknown(t *testing.T) {
 	t.Parallel()
 	run(t, 100, func(c *testCluster) {
@@ -92,20 +95,20 @@
 		c.boot(old)
 		c.untilDone(4*time.Minute, "req-000001")
 		if n := c.env.MachinesProvisioned(); n > 2 {
-			t.Errorf("%d machines were provisioned for 4 tasks of half a machine", n)
+			t.Errorf("%d machines were provisioned for 4 tasks that need half a machine each, want at most 2", n)
 		}
 	})
 }
 
-// A run record that cannot be read says nothing of what may run: taken for an
-// empty one, its tasks would be started a second time.
+// TestUnreadableRunRecord checks that a new leader does not take a run record that cannot be
+// decoded for an empty one: tasks of the job may run, and would be started a second time.
 func TestUnreadableRunRecord(t *testing.T) {
 	t.Parallel()
 	run(t, 130, func(c *testCluster) {
 		c.submit(arrayJob(1, "check", 8), 40)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) >= 2 })
+		c.until("at least two tasks run", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) >= 2 })
 		old := c.leader()
-		// A machine that the next leader does not hear goes on running its part.
+		// This machine continues its tasks, but no heartbeat of it reaches the next leader.
 		heal := c.isolate(c.env.MachinesOf("req-000001")[0], fake.Hold, c.names...)
 		c.kill(old)
 		c.env.Store.Corrupt("o/req-000001/t")
@@ -117,22 +120,24 @@
 	})
 }
 
-// A record that changes behind the leader's back makes all of its commits fail,
-// also those of other jobs: it must not go on like that for ever. (Found by the
-// chaos test when its network repeated requests that had been refused.)
+// TestRecordChangedBehindLeader checks that the cluster recovers from a run record that
+// something other than the leader has changed. The precondition on that record makes all of
+// the leader's commits fail, those of other jobs included, and must not do so without end.
+// This once happened when the network repeated requests that had been refused.
 func TestRecordChangedBehindLeader(t *testing.T) {
 	t.Parallel()
 	run(t, 137, func(c *testCluster) {
 		c.submit(arrayJob(1, "check", 8), 30)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) >= 2 })
+		c.until("at least two tasks run", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) >= 2 })
 		c.env.Store.Corrupt("o/req-000001/t")
 		c.submit(arrayJob(2, "check", 4), 10)
 		c.untilDone(3*time.Minute, "req-000001", "req-000002")
 	})
 }
 
-// A job whose own record cannot be read was accepted all the same: its user is
-// not told that nobody knows it, nor refused for ever.
+// TestUnreadableJobRecord checks that users get an answer about a job whose open record
+// cannot be decoded. The record proves that the job was accepted, so the reply must not be
+// that the job is unknown, and the query must not be refused each time.
 func TestUnreadableJobRecord(t *testing.T) {
 	t.Parallel()
 	run(t, 131, func(c *testCluster) {
@@ -142,17 +147,17 @@
 	})
 }
 
-// An event that never comes must not leave an accepted job waiting, nor a
-// cancelled one running.
+// TestLostWatchEvents checks that a lost watch event neither leaves an accepted job queued
+// nor a cancelled job running.
 func TestLostWatchEvents(t *testing.T) {
 	t.Parallel()
 	run(t, 132, func(c *testCluster) {
 		c.submit(serviceJob(1, 2), 0)
-		c.until("it runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
+		c.until("both replicas run", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 		c.env.Store.SetLoseEvent(func(key string) bool { return strings.HasPrefix(key, "o/") })
 		c.submit(arrayJob(2, "check", 2), 5)
 		c.env.Cancel("req-000001")
 		c.untilDone(2*time.Minute, "req-000002")
-		c.until("the cancelled job is gone", 10*time.Second, func() bool { return len(c.env.MachinesOf("req-000001")) == 0 })
+		c.until("no machine has tasks of the cancelled job", 10*time.Second, func() bool { return len(c.env.MachinesOf("req-000001")) == 0 })
 	})
 }
--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -10,8 +10,9 @@
 	"marblehaven/internal/records"
 )
 
-// A leader that dies after any transaction with which it writes, divides or removes a
-// run record leaves a state that the next one reads rightly.
+// TestLeaderDiesBetweenRecordSegments checks that a leader that is killed after any
+// transaction that writes, splits or removes segments of a run record leaves records that
+// the next leader reads correctly.
 func TestLeaderDiesBetweenRecordSegments(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(4) {
@@ -19,16 +20,16 @@
 			c.untilUpgraded(20 * time.Second)
 			c.env.Store.Limit(c.deployment.State.Smaller())
 			var transactions, killed uint64
-			die := make(chan struct{}, 12)
+			killRequests := make(chan struct{}, 12)
 			c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
 				c.checkPreconditions(txn)
-				further := func(mutation protocol.Mutation) bool { return isFurtherSegment(mutation.Set + mutation.Delete) }
-				if !slices.ContainsFunc(txn.Mutations, further) {
+				isFurther := func(mutation protocol.Mutation) bool { return isFurtherSegment(mutation.Set + mutation.Delete) }
+				if !slices.ContainsFunc(txn.Mutations, isFurther) {
 					return
 				}
 				if transactions++; transactions%3 == seed%3 && killed < 12 {
 					killed++
-					die <- struct{}{}
+					killRequests <- struct{}{}
 				}
 			})
 			c.env.Store.SetLate(c.lateCommits(0.03))
@@ -37,7 +38,7 @@
 					select {
 					case <-c.ctx.Done():
 						return
-					case <-die:
+					case <-killRequests:
 					}
 					if old := c.killLeader(); old != "" {
 						time.Sleep(time.Second)
@@ -45,7 +46,7 @@
 					}
 				}
 			}()
-			c.env.SetUneven(0.02) // so segments are written again and again
+			c.env.SetUneven(0.02) // tasks end one after another, so that segments are written many times
 			c.submit(largeArray(1, 200), 10)
 			c.submit(largeArray(2, 150), 10)
 			c.submit(dependingOn(largeArray(3, 70), testJobID(1)), 5)
@@ -53,20 +54,21 @@
 			c.env.Store.SetLate(nil)
 			c.until("the segments are removed", 3*time.Minute, func() bool { return c.countFurtherSegments() == 0 })
 			if killed < 3 {
-				t.Errorf("only %d leaders died", killed)
+				t.Errorf("only %d leaders were killed, want at least 3", killed)
 			}
 		})
 	}
 }
 
-// A segment that can't be read: nothing of the job is started before all that it may
-// have named is surely over, and then the job goes on to its end.
+// TestUnreadableRecordSegment checks a job with a segment of its run record that cannot be
+// decoded: none of its tasks is started before all tasks that the segment may have named
+// have certainly ended, and the job completes after that.
 func TestUnreadableRecordSegment(t *testing.T) {
 	t.Parallel()
 	runIn(t, 73, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		c.untilUpgraded(20 * time.Second)
 		c.submit(largeArray(1, 120), 60)
-		c.until("all run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 120 })
+		c.until("all 120 tasks run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 120 })
 		c.env.Store.Corrupt(records.SegmentKey(testJobID(1), 2))
 		c.killLeader()
 		c.expectAnswers(testJobID(1))
@@ -74,8 +76,8 @@
 	})
 }
 
-// Of jobs that were accepted under larger limits, those with long records too can be
-// cancelled and are closed.
+// TestCancelLargeRecord checks that a job that was accepted under larger limits of the
+// key-value store can be cancelled and is closed, although its open record is now too long.
 func TestCancelLargeRecord(t *testing.T) {
 	t.Parallel()
 	runIn(t, 75, controllerNames, largeArrayDeployment(), func(c *testCluster) {
@@ -86,10 +88,10 @@
 		c.env.Register(job)
 		c.env.Store.Put(records.OpenKey(job.ID), records.OpenJob{Job: job, AcceptedMS: time.Now().UnixMilli()})
 		c.env.Store.Limit(c.deployment.State.Smaller())
-		if st := c.env.Submit(job, 5); st != 200 {
-			t.Errorf("an accepted job submitted again gets %d", st)
+		if status := c.env.Submit(job, 5); status != 200 {
+			t.Errorf("submitting an accepted job again got status %d, want 200", status)
 		}
 		c.env.Cancel(job.ID)
-		c.until("it is closed", time.Minute, func() bool { return c.env.Store.Value(records.FinalKey(job.ID)) != nil })
+		c.until("the final record of the job is written", time.Minute, func() bool { return c.env.Store.Value(records.FinalKey(job.ID)) != nil })
 	})
 }
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -8,22 +8,23 @@
 	"marblehaven/internal/tuning"
 )
 
-// A deployment with one zone, one type of machine, none of them cheap, a guarantee beyond
-// all capacity, a team that nobody uses, and the shortest times that are accepted: what
-// users submit runs, through an end of the leader, and what they cancel is gone in time.
+// TestSmallestSettings checks a deployment with one zone, one machine type without spot
+// instances, a quota beyond all capacity, a team that nobody uses, and the shortest times
+// that the settings accept: submitted jobs run while the leader is killed and restarted, and
+// the tasks of a cancelled job end within cancel_s.
 func TestSmallestSettings(t *testing.T) {
 	t.Parallel()
-	d := testDeployment()
-	d.Zones = []string{"a"}
-	d.Teams = []config.Team{{Name: "red", Cores: 1e6}, {Name: "unused", Cores: 10, CoresMax: 20}}
-	d.Workers.ReportS = d.Workers.LeaseS / 3
-	d.Workers.CancelS = d.Workers.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
-	runIn(t, 902, controllerNames, d, func(c *testCluster) {
-		for _, typ := range testTypes {
-			for _, zone := range typ.Zones {
+	dep := testDeployment()
+	dep.Zones = []string{"a"}
+	dep.Teams = []config.Team{{Name: "red", Cores: 1e6}, {Name: "unused", Cores: 10, CoresMax: 20}}
+	dep.Workers.ReportS = dep.Workers.LeaseS / 3
+	dep.Workers.CancelS = dep.Workers.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
+	runIn(t, 902, controllerNames, dep, func(c *testCluster) {
+		for _, machineType := range testTypes {
+			for _, zone := range machineType.Zones {
 				for _, spot := range []bool{false, true} {
-					if spot || zone != "a" || typ.Name != "big" {
-						c.env.Limit(typ.Name, zone, spot, 0)
+					if spot || zone != "a" || machineType.Name != "big" {
+						c.env.Limit(machineType.Name, zone, spot, 0)
 					}
 				}
 			}
@@ -31,12 +32,12 @@
 		for i := range 4 {
 			c.submit(arrayJob(1+i, "check", 40), 20)
 		}
-		c.until("some run", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(4))) > 0 })
+		c.until("a task of the last job runs", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(4))) > 0 })
 		c.boot(c.killLeader())
 		c.env.Cancel(testJobID(4))
 		c.untilDone(5*time.Minute, c.jobs[:3]...)
 		if c.env.LeaseExpiries() > 0 {
-			t.Errorf("%d leases expired", c.env.LeaseExpiries())
+			t.Errorf("%d leases of agents with tasks expired, want none", c.env.LeaseExpiries())
 		}
 	})
 }
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -9,13 +9,14 @@
 	"marblehaven/internal/protocol"
 )
 
-// pollGaps asks about jobs every five seconds, as their users do, until the context ends,
-// and notes the longest time for which no question about a job was answered.
+// pollGaps records for each job the longest time between two successful status queries.
 type pollGaps struct {
 	mu      sync.Mutex
 	longest map[protocol.JobID]time.Duration
 }
 
+// pollJob queries the status of a job every five seconds, as its user does, until the context
+// ends.
 func (g *pollGaps) pollJob(ctx context.Context, c *testCluster, jobID protocol.JobID) {
 	answered := time.Now()
 	for ctx.Err() == nil {
@@ -30,7 +31,7 @@
 	}
 }
 
-// countLonger returns for how many jobs no question was answered for longer than a limit.
+// countLonger returns for how many jobs no status query succeeded for longer than a limit.
 func (g *pollGaps) countLonger(limit time.Duration) (count int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,10 +43,10 @@
 	return count
 }
 
-// More questions a second than the key-value store answers requests: every accepted job
-// stays known all the same. Each question is a read of its own, so that some jobs are
-// answered for while others are not for minutes. (Found on the bench, with 4,000
-// machines and the key-value store of a smaller deployment.)
+// TestStatusQueriesBeyondRequestLimit checks that users get answers about every accepted job
+// while they send more status queries per second than the key-value store serves requests.
+// If each query is a read of its own, some jobs get answers while others get none for
+// minutes, as happened with 4,000 machines and the key-value store of a smaller deployment.
 func TestStatusQueriesBeyondRequestLimit(t *testing.T) {
 	t.Parallel()
 	const jobs = 700
@@ -66,32 +67,33 @@
 		}
 		<-ctx.Done()
 		time.Sleep(10 * time.Second)
-		if forgotten := gaps.countLonger(75 * time.Second); forgotten > 0 {
-			t.Errorf("%d of %d jobs had no answer for 75 s", forgotten, jobs)
+		if unanswered := gaps.countLonger(75 * time.Second); unanswered > 0 {
+			t.Errorf("%d of %d jobs had no answer for 75 s", unanswered, jobs)
 		}
 	})
 }
 
-// Users ask about hundreds of jobs that wait for others, at a rate that the key-value
-// store can just answer, and an outage lets the questions pile up. It is answering
-// them all soon after, and throttles few requests: calls that were throttled and made
-// again and again, each with all that it had read before, kept it busy for minutes, and
-// jobs were forgotten. (Found on the bench, at production size.)
+// TestStatusQueriesAfterOutage checks that users soon get answers about all jobs again, and
+// that few requests are throttled, after an outage of the key-value store in which status
+// queries accumulated. Hundreds of jobs wait for others, and the rate of the queries is just
+// within the store's limit. Throttled calls that were repeated time after time, each with all
+// its earlier reads, once kept the store busy for minutes, and some jobs got no answer for
+// longer than users wait.
 func TestStatusQueriesAfterOutage(t *testing.T) {
 	t.Parallel()
 	dep := testDeployment()
-	dep.Teams[0].CoresMax = 2 // no job begins beside the first
+	dep.Teams[0].CoresMax = 2 // one task at a time, so that no job starts beside the first
 	runIn(t, 66, controllerNames, dep, func(c *testCluster) {
 		const jobs = 300
 		c.submit(arrayJob(1, "stage", 2), 1000)
-		var names, jobIDs []protocol.JobID
+		var dependencies, jobIDs []protocol.JobID
 		for i := range 12 {
 			job := dependingOn(arrayJob(2+i, "stage", 1), testJobID(1))
 			c.submit(job, 5)
-			names = append(names, job.ID)
+			dependencies = append(dependencies, job.ID)
 		}
 		for i := range jobs {
-			job := dependingOn(arrayJob(100+i, "stage", 1), names[i%4], names[4+i%4], names[8+i%4])
+			job := dependingOn(arrayJob(100+i, "stage", 1), dependencies[i%4], dependencies[4+i%4], dependencies[8+i%4])
 			c.submit(job, 5)
 			jobIDs = append(jobIDs, job.ID)
 		}
@@ -117,7 +119,7 @@
 		requests, throttled := c.env.Store.Asked()
 		requests, throttled = requests-requestsBefore, throttled-throttledBefore
 		if throttled > requests/20 {
-			t.Errorf("%d of %d requests were throttled long after the outage", throttled, requests)
+			t.Errorf("%d of %d requests were throttled long after the outage, want at most a twentieth", throttled, requests)
 		}
 		stop()
 		time.Sleep(10 * time.Second)
