--- a/internal/api/jobrecord.go
+++ b/internal/api/jobrecord.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	if size > limits.Smaller().ValueBytes() {
+	if size > limits.StricterLimits().ValueBytes() {
 		return errRecordTooLarge
 	}
 	return nil
--- a/internal/api/sharedreads.go
+++ b/internal/api/sharedreads.go
@@ -47,7 +47,7 @@
 	controllers := float64(len(cfg.Peers) + 1)
 	return &sharedReads{
 		store:    store,
-		rate:     cfg.Deployment.State.Smaller().RPS * tuning.SharedReadsShare / controllers,
+		rate:     cfg.Deployment.State.StricterLimits().RPS * tuning.SharedReadsShare / controllers,
 		readLock: make(chan struct{}, 1),
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -79,7 +79,7 @@
 			return fmt.Errorf("field deployment.teams[%d].name: missing or repeated", i)
 		}
 		seen[team.Name] = true
-		if team.Cores < 0 || team.CoresMax < 0 || team.GPUs < 0 || team.GPUsMax < 0 {
+		if team.GuaranteedCores < 0 || team.CoresMax < 0 || team.GuaranteedGPUs < 0 || team.GPUsMax < 0 {
 			return fmt.Errorf("field deployment.teams[%d]: negative quota or quota limit", i)
 		}
 	}
@@ -150,7 +150,7 @@
 	if err := state.check("deployment.state"); err != nil {
 		return err
 	}
-	return state.Smaller().check("deployment.state.next")
+	return state.StricterLimits().check("deployment.state.next")
 }
 
 // check refuses limits with which the service cannot write its records.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,11 +24,11 @@
 // Team holds a team's guaranteed quota and quota limit of each resource. A limit of 0 means
 // that the resource is not limited.
 type Team struct {
-	Name     string  `json:"name"`
-	Cores    float64 `json:"cpus"`
-	CoresMax float64 `json:"cpus_max"`
-	GPUs     float64 `json:"gpus"`
-	GPUsMax  float64 `json:"gpus_max"`
+	Name            string  `json:"name"`
+	GuaranteedCores float64 `json:"cpus"`
+	CoresMax        float64 `json:"cpus_max"`
+	GuaranteedGPUs  float64 `json:"gpus"`
+	GPUsMax         float64 `json:"gpus_max"`
 }
 
 // ObjectiveKind is the kind of a service-level objective. Unknown kinds are ignored.
@@ -53,10 +53,10 @@
 	Kind    ObjectiveKind `json:"kind"`
 	Class   string        `json:"class"`
 	WithinS float64       `json:"within_s"`
-	// Times is the multiple of its deadline within which a job should be complete, for
-	// objectives of kind "deadline".
-	Times float64 `json:"times"`
-	Share float64 `json:"share"`
+	// DeadlineMultiple is the multiple of its deadline within which a job should be
+	// complete, for objectives of kind "deadline".
+	DeadlineMultiple float64 `json:"times"`
+	Share            float64 `json:"share"`
 }
 
 // Workers holds the timings of agents, in seconds. The type is named after its field in the
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -84,11 +84,11 @@
 // present one, and that the present limits are used if none are announced.
 func TestSmallerLimits(t *testing.T) {
 	present := StateLimits{RPS: 250, WriteRPS: 25, ValueKB: 32, TxnOps: 20}
-	if got := (State{StateLimits: present}).Smaller(); got != present {
+	if got := (State{StateLimits: present}).StricterLimits(); got != present {
 		t.Errorf("without announced limits: got %+v, want the present limits", got)
 	}
 	rps, value, ops := 400.0, 2.0, 6
-	got := State{StateLimits: present, Next: NextLimits{RPS: &rps, ValueKB: &value, TxnOps: &ops}}.Smaller()
+	got := State{StateLimits: present, Next: NextLimits{RPS: &rps, ValueKB: &value, TxnOps: &ops}}.StricterLimits()
 	if want := (StateLimits{RPS: 250, WriteRPS: 25, ValueKB: 2, TxnOps: 6}); got != want {
 		t.Errorf("got limits %+v, want %+v", got, want)
 	}
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -25,9 +25,9 @@
 	Next NextLimits `json:"next"`
 }
 
-// Smaller returns for each limit the smaller of the present and the announced one. A
+// StricterLimits returns for each limit the smaller of the present and the announced one. A
 // request within these limits is accepted before and after the change.
-func (s State) Smaller() StateLimits {
+func (s State) StricterLimits() StateLimits {
 	return StateLimits{
 		RPS:      smaller(s.RPS, s.Next.RPS),
 		WriteRPS: smaller(s.WriteRPS, s.Next.WriteRPS),
--- a/internal/kvstore/limits.go
+++ b/internal/kvstore/limits.go
@@ -21,7 +21,7 @@
 }
 
 func newLimits(state config.State) *limits {
-	return &limits{present: state.StateLimits, stricter: state.Smaller()}
+	return &limits{present: state.StateLimits, stricter: state.StricterLimits()}
 }
 
 func (l *limits) valueBytes() int {
--- a/internal/leader/deadlines.go
+++ b/internal/leader/deadlines.go
@@ -72,8 +72,8 @@
 	notBegun := len(j.placements) == 0
 	switch objective.Kind {
 	case config.ObjectiveDeadline:
-		applies = ofClass && j.spec.DeadlineS > 0 && objective.Times > 1
-		return jobDeadline{j.ownDeadlineS(objective.Times), false}, applies
+		applies = ofClass && j.spec.DeadlineS > 0 && objective.DeadlineMultiple > 1
+		return jobDeadline{j.ownDeadlineS(objective.DeadlineMultiple), false}, applies
 	case config.ObjectiveFinished:
 		return jobDeadline{objective.WithinS, false}, ofClass && objective.WithinS > 0
 	case config.ObjectiveWait:
--- a/internal/leader/deadlines_test.go
+++ b/internal/leader/deadlines_test.go
@@ -13,7 +13,7 @@
 // next later deadline.
 func TestDeadlineFor(t *testing.T) {
 	leader, now := newLoadedLeader(0, 1)
-	leader.Config.Deployment.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 1.5},
+	leader.Config.Deployment.Objectives = []config.Objective{{Kind: "deadline", Class: "c", DeadlineMultiple: 1}, {Kind: "deadline", Class: "c", DeadlineMultiple: 1.5},
 		{Kind: "finished", Class: "c", WithinS: 500}, {Kind: "finished", Class: "other", WithinS: 1}}
 	job := leader.jobs.open["req-000000"]
 	job.spec.DeadlineS = 100
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -82,7 +82,7 @@
 	d.Cloud = config.Cloud{RPS: 4, ListLagS: 10}
 	d.Limits = config.Limits{CPUShare: 0.1, MemoryMB: 200, Sockets: 4000}
 	for i := range 10 {
-		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprint("t", i), Cores: 900, CoresMax: 10000})
+		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprint("t", i), GuaranteedCores: 900, CoresMax: 10000})
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	store := kvstore.New("state:1", &recordingTransport{}, httpclient.NewMalformedLog(log), d.State)
--- a/internal/leader/image_inventory.go
+++ b/internal/leader/image_inventory.go
@@ -37,7 +37,7 @@
 	if l.images.nextMachine >= len(l.machines.sorted) {
 		l.images.nextMachine, l.images.nextPart = 0, 0
 	}
-	maxBytes := l.Config.Deployment.State.Smaller().ValueBytes()
+	maxBytes := l.Config.Deployment.State.StricterLimits().ValueBytes()
 	inventory, count := newImageInventory(l.machines.sorted[l.images.nextMachine:], maxBytes)
 	key := fmt.Sprint(records.PrefixImageInventory, l.images.nextPart)
 	l.images.nextMachine += count
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -101,7 +101,7 @@
 		lease:        newLeaderLease(deployment.Workers),
 		jobs:         newJobTable(),
 		dependencies: newDependencyTable(),
-		writer:       newRecordWriter(deployment.State.Smaller()),
+		writer:       newRecordWriter(deployment.State.StricterLimits()),
 		formats:      newFormatVersions(),
 		machines:     newMachineTable(leadership.Term.FirstToken()),
 		dispatcher:   newDispatcher(),
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -201,7 +201,7 @@
 
 func (b *snapshotBuilder) guaranteedQuota(team int) scheduler.Resources {
 	t := b.leader.Config.Deployment.Teams[team]
-	return scheduler.Resources{Cores: t.Cores, GPUs: t.GPUs}
+	return scheduler.Resources{Cores: t.GuaranteedCores, GPUs: t.GuaranteedGPUs}
 }
 
 // withinGuarantee reports whether a demand is within a guaranteed quota. Only the
--- a/internal/server/cluster_deployments_test.go
+++ b/internal/server/cluster_deployments_test.go
@@ -18,7 +18,7 @@
 func testDeployment() config.Deployment {
 	var d config.Deployment
 	d.Count, d.Zones = 3, []string{"a", "b"}
-	d.Teams = []config.Team{{Name: "red", Cores: 16, CoresMax: 40, GPUs: 4, GPUsMax: 8}, {Name: "blue", Cores: 16, CoresMax: 40}}
+	d.Teams = []config.Team{{Name: "red", GuaranteedCores: 16, CoresMax: 40, GuaranteedGPUs: 4, GPUsMax: 8}, {Name: "blue", GuaranteedCores: 16, CoresMax: 40}}
 	d.Workers = config.Workers{ReportS: 2.5, LeaseS: 12, GangWaitS: 35, GangPeerS: 4, CancelS: 37}
 	d.State = config.State{StateLimits: config.StateLimits{RPS: 250, WriteRPS: 50, ValueKB: 32, TxnOps: 20}}
 	d.Cloud = config.Cloud{RPS: 4, ListLagS: 10}
@@ -44,7 +44,7 @@
 // and smaller limits are announced.
 func productionSizeDeployment() ([]string, config.Deployment) {
 	d := largeArrayDeployment()
-	d.Teams = []config.Team{{Name: "red", Cores: 1000, CoresMax: 4000, GPUs: 4, GPUsMax: 16}, {Name: "blue", Cores: 1000, CoresMax: 4000}}
+	d.Teams = []config.Team{{Name: "red", GuaranteedCores: 1000, CoresMax: 4000, GuaranteedGPUs: 4, GPUsMax: 16}, {Name: "blue", GuaranteedCores: 1000, CoresMax: 4000}}
 	return []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, d
 }
 
@@ -55,7 +55,7 @@
 // heartbeats every ten seconds, and the rates are those of a small key-value store.
 func atFleetSize() config.Deployment {
 	d := testDeployment()
-	d.Teams = []config.Team{{Name: "red", Cores: 20000, CoresMax: 100000}, {Name: "blue", Cores: 20000, CoresMax: 100000}}
+	d.Teams = []config.Team{{Name: "red", GuaranteedCores: 20000, CoresMax: 100000}, {Name: "blue", GuaranteedCores: 20000, CoresMax: 100000}}
 	d.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 30, GangPeerS: 4, CancelS: 65}
 	d.State = config.State{StateLimits: config.StateLimits{RPS: 70, WriteRPS: 25, ValueKB: 8, TxnOps: 12}}
 	d.Cloud = config.Cloud{RPS: 4, ListLagS: 6}
--- a/internal/server/fleet_partition_test.go
+++ b/internal/server/fleet_partition_test.go
@@ -88,7 +88,7 @@
 // four replicas of each given service are placed on machines.
 func runFleet(t *testing.T, seed uint64, scenario func(c *testCluster, replicasUp func([]protocol.JobID) func() bool)) {
 	dep := testDeployment()
-	dep.Teams = []config.Team{{Name: "red", Cores: 500, CoresMax: 2000, GPUs: 4, GPUsMax: 8}, {Name: "blue", Cores: 500, CoresMax: 2000}}
+	dep.Teams = []config.Team{{Name: "red", GuaranteedCores: 500, CoresMax: 2000, GuaranteedGPUs: 4, GPUsMax: 8}, {Name: "blue", GuaranteedCores: 500, CoresMax: 2000}}
 	names := []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}
 	runIn(t, seed, names, dep, func(c *testCluster) {
 		c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second})
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -160,7 +160,7 @@
 				time.Sleep(2 * time.Second)
 			}
 			c.untilUpgraded(time.Minute)
-			c.env.Store.Limit(dep.State.Smaller())
+			c.env.Store.Limit(dep.State.StricterLimits())
 			c.env.Store.LimitRequests(dep.State.RPS)
 			l.pollInBackground()
 			for range 5 {
--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -18,7 +18,7 @@
 	for seed := range seedCount(4) {
 		runIn(t, 720+seed, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 			c.untilUpgraded(20 * time.Second)
-			c.env.Store.Limit(c.deployment.State.Smaller())
+			c.env.Store.Limit(c.deployment.State.StricterLimits())
 			var transactions, killed uint64
 			killRequests := make(chan struct{}, 12)
 			c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
@@ -87,7 +87,7 @@
 		}
 		c.env.Register(job)
 		c.env.Store.Put(records.OpenKey(job.ID), records.OpenJob{Job: job, AcceptedMS: time.Now().UnixMilli()})
-		c.env.Store.Limit(c.deployment.State.Smaller())
+		c.env.Store.Limit(c.deployment.State.StricterLimits())
 		if status := c.env.Submit(job, 5); status != 200 {
 			t.Errorf("submitting an accepted job again got status %d, want 200", status)
 		}
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	dep := testDeployment()
 	dep.Zones = []string{"a"}
-	dep.Teams = []config.Team{{Name: "red", Cores: 1e6}, {Name: "unused", Cores: 10, CoresMax: 20}}
+	dep.Teams = []config.Team{{Name: "red", GuaranteedCores: 1e6}, {Name: "unused", GuaranteedCores: 10, CoresMax: 20}}
 	dep.Workers.ReportS = dep.Workers.LeaseS / 3
 	dep.Workers.CancelS = dep.Workers.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
 	runIn(t, 902, controllerNames, dep, func(c *testCluster) {
