--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -59,12 +59,12 @@
 // heartbeats to. The name is empty if this controller has no record of another leader.
 func (s *Server) redirectHeartbeat(w http.ResponseWriter) {
 	var redirect protocol.Redirect
-	if current, ok := s.node.Leader(); ok && current.Node != s.name {
+	if current, ok := s.node.KnownLeader(); ok && current.Node != s.name {
 		redirect.Leader = current.Node
 	}
 	s.redirected.Add(1)
 	writeMessage(w, http.StatusMisdirectedRequest, redirect)
 }
 
-// Redirected returns the number of heartbeats that this controller has redirected.
-func (s *Server) Redirected() uint64 { return s.redirected.Load() }
+// RedirectedHeartbeats returns the number of heartbeats that this controller has redirected.
+func (s *Server) RedirectedHeartbeats() uint64 { return s.redirected.Load() }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -21,19 +21,19 @@
 	// LocalLeader returns the leader that runs in this process, or nil if the controller
 	// does not lead.
 	LocalLeader() *leader.Leader
-	// Leader returns the newest record of a leader and its term that this controller has
+	// KnownLeader returns the newest record of a leader and its term that this controller has
 	// received, or false if it has received none.
-	Leader() (records.LeaderRecord, bool)
+	KnownLeader() (records.LeaderRecord, bool)
 	// Healthy reports whether the controller can take requests. It is the answer to health
 	// checks.
 	Healthy() bool
 	// Summary returns the leader's status, from this process or from a peer, or false if
 	// the leader does not answer.
 	Summary(ctx context.Context) (leader.Status, bool)
-	// StoreRefusesOnlyThisNode reports whether the key-value store serves some peer but not
+	// StoreFailureIsLocal reports whether the key-value store serves some peer but not
 	// this controller, or whether this controller reaches neither the store nor any peer.
 	// Users' calls are then forwarded to a peer that the store serves, if there is one.
-	StoreRefusesOnlyThisNode() bool
+	StoreFailureIsLocal() bool
 	// StoreReachable reports whether the key-value store serves this controller.
 	StoreReachable() bool
 }
--- a/internal/api/statuspage.go
+++ b/internal/api/statuspage.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.PeerTimeout)
 	defer cancel()
 	page := statusPage{Name: s.name, StoreReachable: s.node.StoreReachable()}
-	if current, ok := s.node.Leader(); ok {
+	if current, ok := s.node.KnownLeader(); ok {
 		page.Leader = current.Node
 	}
 	page.Summary, page.HasSummary = s.node.Summary(ctx)
--- a/internal/api/usercalls.go
+++ b/internal/api/usercalls.go
@@ -23,7 +23,7 @@
 		return
 	}
 	reply := storeRefusedReply
-	if !s.node.StoreRefusesOnlyThisNode() {
+	if !s.node.StoreFailureIsLocal() {
 		reply = s.users.answer(r.Context(), call)
 	}
 	if reply.storeRefused {
--- a/internal/peer/compatible_test.go
+++ b/internal/peer/compatible_test.go
@@ -44,7 +44,7 @@
 		"catalog": &[]protocol.MachineType{{Name: "g8", Cores: 96, GPUs: 8, MemGB: 768, CacheGB: 200, FetchGBps: 1, Price: 12, SpotPrice: 4.5,
 			BootS: 45, Zones: []string{"a", "b"}}},
 		"statusRequest": &StatusRequest{Leader: term, Acknowledged: true},
-		"status": &Status{Leader: term, SinceStoreServedMS: 120, Acknowledged: []protocol.JobID{"req-000412"}, AcknowledgedCompleteMS: 9000, Redirected: 3,
+		"status": &Status{Leader: term, SinceStoreServedMS: 120, AcknowledgedCancellations: []protocol.JobID{"req-000412"}, AcknowledgedCompleteMS: 9000, RedirectedHeartbeats: 3,
 			Summary: []byte{1}},
 		"userCall":   &UserCall{Operation: "poll", JobID: "req-000412", Body: []byte{0x80}},
 		"userAnswer": &UserAnswer{Status: 200, Body: []byte{0x80}},
--- a/internal/peer/exchange.go
+++ b/internal/peer/exchange.go
@@ -100,7 +100,7 @@
 	g.local.ObserveTerm(current.status.Leader)
 	g.mu.Lock()
 	link.last = current
-	link.redirected.observe(current.status.Redirected, current.receivedAt)
+	link.redirected.observe(current.status.RedirectedHeartbeats, current.receivedAt)
 	g.mu.Unlock()
 	return current.status, true
 }
@@ -117,7 +117,7 @@
 		if !link.last.completed() || !link.last.acknowledgedCompleteSince().Before(since) {
 			return time.Time{}, nil, false
 		}
-		jobIDs = append(jobIDs, link.last.status.Acknowledged...)
+		jobIDs = append(jobIDs, link.last.status.AcknowledgedCancellations...)
 		if asOf.IsZero() || link.last.sentAt.Before(asOf) {
 			asOf = link.last.sentAt
 		}
@@ -125,15 +125,15 @@
 	return asOf, jobIDs, true
 }
 
-// Redirected returns how many heartbeats the reachable peers have redirected to other
+// RedirectedHeartbeats returns how many heartbeats the reachable peers have redirected to other
 // controllers within the last one to two periods of tuning.PeerWindow.
-func (g *Group) Redirected() int {
+func (g *Group) RedirectedHeartbeats() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	total := uint64(0)
 	for _, link := range g.links {
 		if time.Since(link.last.receivedAt) <= tuning.PeerStatusMaxAge {
-			total += link.redirected.count(link.last.status.Redirected)
+			total += link.redirected.count(link.last.status.RedirectedHeartbeats)
 		}
 	}
 	return int(total)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -44,7 +44,7 @@
 	}
 	time.Sleep(requestDelay)
 	p.mu.Lock()
-	*reply.(*Status) = Status{Acknowledged: slices.Clone(p.jobIDs), AcknowledgedCompleteMS: time.Since(p.since).Milliseconds()}
+	*reply.(*Status) = Status{AcknowledgedCancellations: slices.Clone(p.jobIDs), AcknowledgedCompleteMS: time.Since(p.since).Milliseconds()}
 	p.mu.Unlock()
 	time.Sleep(replyDelay)
 	return nil
--- a/internal/peer/protocol.go
+++ b/internal/peer/protocol.go
@@ -28,19 +28,20 @@
 	// SinceStoreServedMS is the time in milliseconds since the key-value store last served
 	// the controller.
 	SinceStoreServedMS int64 `msgpack:"s"`
-	// Acknowledged lists the jobs whose cancellation the controller has acknowledged to
-	// users, if the request asks for them. The list is complete for the last
-	// AcknowledgedCompleteMS milliseconds.
-	Acknowledged           []protocol.JobID `msgpack:"k,omitempty"`
-	AcknowledgedCompleteMS int64            `msgpack:"c,omitempty"`
-	// Redirected counts the heartbeats that the controller redirected to others.
-	Redirected uint64 `msgpack:"t"`
+	// AcknowledgedCancellations lists the jobs whose cancellation the controller has
+	// acknowledged to users, if the request asks for them. The list is complete for the
+	// last AcknowledgedCompleteMS milliseconds.
+	AcknowledgedCancellations []protocol.JobID `msgpack:"k,omitempty"`
+	AcknowledgedCompleteMS    int64            `msgpack:"c,omitempty"`
+	// RedirectedHeartbeats counts the heartbeats that the controller redirected to others.
+	RedirectedHeartbeats uint64 `msgpack:"t"`
 	// Summary is the leader's status page data, encoded, if the request asks for it.
 	Summary []byte `msgpack:"y,omitempty"`
 }
 
 // StatusRequest requests a controller's status. Leader is the newest leader record of the
-// sender; Summary and Acknowledged request the fields of Status with these names.
+// sender. Summary requests the field of Status with this name, and Acknowledged requests
+// AcknowledgedCancellations.
 type StatusRequest struct {
 	Leader       records.LeaderRecord `msgpack:"l"`
 	Summary      bool                 `msgpack:"y,omitempty"`
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -151,7 +151,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, node := range c.controllers {
-		record, _ := node.Leader()
+		record, _ := node.KnownLeader()
 		latest = max(latest, record.Term)
 	}
 	return latest
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -10,16 +10,16 @@
 // the last tuning.StoreServedAge.
 func (c *controller) StoreReachable() bool { return c.store.SinceServed() < tuning.StoreServedAge }
 
-// StoreRefusesOnlyThisNode reports whether the key-value store serves another controller
-// but not this one, or this controller is isolated.
+// StoreFailureIsLocal reports whether the key-value store serves another controller but
+// not this one, or this controller is isolated.
 //
 // Another controller counts as served only if the store served it more than
-// tuning.StoreRefusesOnlyThisNodeLag after it last served this one. When an outage of the
+// tuning.LocalStoreFailureLag after it last served this one. When an outage of the
 // whole store begins or ends, controllers notice the change at slightly different times.
 // Without the lag, the load balancer would remove a controller in such an outage, and it
 // waits longer before it takes a controller back with each removal.
-func (c *controller) StoreRefusesOnlyThisNode() bool {
-	return !c.StoreReachable() && (c.peers.StoreServedAfter(time.Now().Add(tuning.StoreRefusesOnlyThisNodeLag-c.store.SinceServed())) || c.isolated())
+func (c *controller) StoreFailureIsLocal() bool {
+	return !c.StoreReachable() && (c.peers.StoreServedAfter(time.Now().Add(tuning.LocalStoreFailureLag-c.store.SinceServed())) || c.isolated())
 }
 
 // isolated reports whether neither the key-value store nor any other controller has
@@ -31,8 +31,8 @@
 
 // Healthy reports whether the load balancer should send users to this controller. A
 // controller is unhealthy until it has loaded the machine types, and while
-// StoreRefusesOnlyThisNode holds. It stays healthy while the key-value store serves no
+// StoreFailureIsLocal holds. It stays healthy while the key-value store serves no
 // controller: removing all controllers from the load balancer would make the outage worse.
 func (c *controller) Healthy() bool {
-	return c.users.HasMachineTypes() && !c.StoreRefusesOnlyThisNode()
+	return c.users.HasMachineTypes() && !c.StoreFailureIsLocal()
 }
--- a/internal/server/leadership.go
+++ b/internal/server/leadership.go
@@ -16,7 +16,7 @@
 		Config: c.cfg, Store: c.store, Cloud: c.cloud, Agents: c.agents, Log: c.log,
 		OnNewerTerm:               func(term protocol.Term) { c.candidate.ObserveTerm(records.LeaderRecord{Term: term}) },
 		Resign:                    c.candidate.Resign,
-		RedirectedHeartbeats:      c.peers.Redirected,
+		RedirectedHeartbeats:      c.peers.RedirectedHeartbeats,
 		AcknowledgedCancellations: c.acknowledgedCancellations,
 	}, leadership)
 	termLeader.Bind(ctx)
@@ -29,9 +29,9 @@
 // does not lead.
 func (c *controller) LocalLeader() *leader.Leader { return c.activeLeader.Load() }
 
-// Leader returns the leader of the highest term that this controller has observed, and
+// KnownLeader returns the leader of the highest term that this controller has observed, and
 // reports whether that leader is known. The term may have ended since.
-func (c *controller) Leader() (records.LeaderRecord, bool) {
+func (c *controller) KnownLeader() (records.LeaderRecord, bool) {
 	record, ok := c.candidate.Leader()
 	return record, ok && record.Node != ""
 }
--- a/internal/server/peer_calls.go
+++ b/internal/server/peer_calls.go
@@ -17,7 +17,7 @@
 	if local := c.activeLeader.Load(); local != nil {
 		return local.Status(ctx)
 	}
-	record, known := c.Leader()
+	record, known := c.KnownLeader()
 	if !known {
 		return summary, false
 	}
@@ -47,11 +47,11 @@
 // Status returns this controller's status for a peer, with the parts that the request
 // asks for.
 func (c *controller) Status(request *peer.StatusRequest) peer.Status {
-	status := peer.Status{SinceStoreServedMS: c.store.SinceServed().Milliseconds(), Redirected: c.api.Redirected()}
+	status := peer.Status{SinceStoreServedMS: c.store.SinceServed().Milliseconds(), RedirectedHeartbeats: c.api.RedirectedHeartbeats()}
 	status.Leader, _ = c.candidate.Leader()
 	if request.Acknowledged {
 		var completeSince time.Time
-		status.Acknowledged, completeSince = c.users.AcknowledgedCancellations()
+		status.AcknowledgedCancellations, completeSince = c.users.AcknowledgedCancellations()
 		status.AcknowledgedCompleteMS = time.Since(completeSince).Milliseconds()
 	}
 	if local := c.activeLeader.Load(); request.Summary && local != nil {
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -28,11 +28,11 @@
 	// second.
 	StoreServedAge = 2500 * time.Millisecond
 
-	// StoreRefusesOnlyThisNodeLag is how much later than a controller its peers must have
+	// LocalStoreFailureLag is how much later than a controller its peers must have
 	// been served by the store for the store to count as refusing that controller alone. At
 	// the start of a store outage, the times at which the store last served the controllers
 	// differ by less.
-	StoreRefusesOnlyThisNodeLag = 2500 * time.Millisecond
+	LocalStoreFailureLag = 2500 * time.Millisecond
 
 	// IsolatedAfter is how long neither the store nor a peer may have answered before a
 	// controller considers itself isolated. The time covers several calls to either.
