--- a/internal/api/confirmedopen.go
+++ b/internal/api/confirmedopen.go
@@ -33,7 +33,7 @@
 func (c *confirmedOpenJobs) confirm(jobID protocol.JobID, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.confirmedAt) >= tuning.FinalStatusCacheSize {
+	if len(c.confirmedAt) >= tuning.JobCacheSize {
 		clear(c.confirmedAt)
 	}
 	c.confirmedAt[jobID] = at
--- a/internal/api/finalstatuses.go
+++ b/internal/api/finalstatuses.go
@@ -29,7 +29,7 @@
 func (f *finalStatuses) put(status protocol.JobStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.statuses) >= tuning.FinalStatusCacheSize {
+	if len(f.statuses) >= tuning.JobCacheSize {
 		clear(f.statuses)
 	}
 	f.statuses[status.ID] = status
--- a/internal/server/transports.go
+++ b/internal/server/transports.go
@@ -46,6 +46,6 @@
 func newAgentTransport(sockets int) *http.Transport {
 	transport := newTransport(1)
 	transport.MaxIdleConns = max(1, sockets/2)
-	transport.IdleConnTimeout = tuning.IncomingIdleTimeoutMin
+	transport.IdleConnTimeout = tuning.ConnIdleTimeoutMin
 	return transport
 }
--- a/internal/tuning/sockets.go
+++ b/internal/tuning/sockets.go
@@ -12,9 +12,9 @@
 	// kept. An agent that has exited, or sends its heartbeats to another controller, must not
 	// hold a socket for long.
 	IdleHeartbeats = 5
-	// IncomingIdleTimeoutMin is the least time that such a connection is kept idle, since users ask about a
-	// job every 5 s. Idle connections to agents are kept as long.
-	IncomingIdleTimeoutMin = 20 * time.Second
+	// ConnIdleTimeoutMin is the least time that such a connection is kept idle, since users
+	// ask about a job every 5 s. Idle connections to agents are kept as long.
+	ConnIdleTimeoutMin = 20 * time.Second
 
 	// DialTimeout ends an attempt to connect: a partitioned host does not answer.
 	DialTimeout = 1 * time.Second
--- a/internal/tuning/users.go
+++ b/internal/tuning/users.go
@@ -48,9 +48,9 @@
 	// the request: the least time that users wait in any case.
 	RetryAfterS = 1
 
-	// FinalStatusCacheSize is the number of final phases that a controller caches, at about
-	// 100 bytes each.
-	FinalStatusCacheSize = 20000
+	// JobCacheSize is the number of final phases that a controller caches, at about 100
+	// bytes each, and also the number of jobs that it caches as confirmed open.
+	JobCacheSize = 20000
 
 	// AcknowledgedJobs is the number of cancelled jobs that a controller keeps after it has
 	// acknowledged their cancellation to users, for a leader that gets no answer from the
