--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -55,7 +55,7 @@
 	if l.machines.wasRemoved(heartbeat.Machine) {
 		return &protocol.HeartbeatReply{Token: l.termToken(), Commands: []protocol.Command{}}
 	}
-	machine := l.machineByID(heartbeat.Machine, now)
+	machine := l.ensureMachine(heartbeat.Machine, now)
 	if !machine.AcceptHeartbeat(heartbeat) && !machine.DetectRestart(heartbeat) {
 		// The heartbeat is a late copy, or the agent has restarted. A copy is out of
 		// date, and nobody receives the reply to it, so the reply renews no lease. A
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -99,7 +99,7 @@
 		leader.applyOpenRecord(records.OpenKey(open.Job.ID), raw, 1, now)
 	}
 	for i := range machines {
-		machine := leader.machineByID(fmt.Sprintf("m-%06d", i), now)
+		machine := leader.ensureMachine(fmt.Sprintf("m-%06d", i), now)
 		heartbeat := fullHeartbeat(leader, i, 1)
 		for _, t := range heartbeat.Tasks {
 			key, _ := parseTaskName(t.Task)
--- a/internal/leader/image_inventory.go
+++ b/internal/leader/image_inventory.go
@@ -23,7 +23,7 @@
 	nextMachine int                                // index of its first machine among the sorted ones
 }
 
-func newImageInventoryKeeper() imageInventory {
+func newImageInventory() imageInventory {
 	return imageInventory{inherited: map[string]*records.ImageInventory{}}
 }
 
@@ -38,7 +38,7 @@
 		l.images.nextMachine, l.images.nextPart = 0, 0
 	}
 	maxBytes := l.Config.Deployment.State.StricterLimits().ValueBytes()
-	inventory, count := newImageInventory(l.machines.sorted[l.images.nextMachine:], maxBytes)
+	inventory, count := newImageInventoryRecord(l.machines.sorted[l.images.nextMachine:], maxBytes)
 	key := fmt.Sprint(records.PrefixImageInventory, l.images.nextPart)
 	l.images.nextMachine += count
 	l.images.nextPart++
@@ -49,10 +49,10 @@
 	}()
 }
 
-// newImageInventory returns a part of the inventory with the first of the machines, and
+// newImageInventoryRecord returns a part of the inventory with the first of the machines, and
 // how many machines the part describes: as many as fit in a value of maxBytes bytes as
 // JSON by an upper estimate, but at least one.
-func newImageInventory(machines []*cluster.Machine, maxBytes int) (inventory records.ImageInventory, count int) {
+func newImageInventoryRecord(machines []*cluster.Machine, maxBytes int) (inventory records.ImageInventory, count int) {
 	inventory.Machines = map[string][]int{}
 	bytes := tuning.ImageInventoryEntryBytes
 	for count = 0; count < min(len(machines), tuning.ImageInventoryMachines); count++ {
--- a/internal/leader/image_inventory_test.go
+++ b/internal/leader/image_inventory_test.go
@@ -18,7 +18,7 @@
 	for _, name := range []string{"a", "b", "c"} {
 		machine.RecordImageUse(name, 10, 40)
 	}
-	inventory, _ := newImageInventory(leader.machines.sorted, 32<<10)
+	inventory, _ := newImageInventoryRecord(leader.machines.sorted, 32<<10)
 	raw, _ := codec.Marshal(inventory)
 	next, _ := newLoadedLeader(0, 1)
 	var inherited records.ImageInventory
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -15,15 +15,15 @@
 	// closed holds when each job was closed, for as long as a read in flight may still
 	// return the job as open (see pruneClosedJobs).
 	closed map[protocol.JobID]time.Time
-	// gpuPriority is the lowest priority of all jobs with GPUs that were added, -1
-	// without any. gpuRequest is the most of each resource that a task of these jobs
+	// lowestGPUPriority is the lowest priority of all jobs with GPUs that were added, -1
+	// without any. largestGPURequest is the most of each resource that a task of these jobs
 	// requests (see scheduler.Snapshot).
-	gpuPriority protocol.PriorityLevel
-	gpuRequest  scheduler.Resources
+	lowestGPUPriority protocol.PriorityLevel
+	largestGPURequest scheduler.Resources
 }
 
 func newJobTable() jobTable {
-	return jobTable{open: map[protocol.JobID]*jobState{}, closed: map[protocol.JobID]time.Time{}, gpuPriority: -1}
+	return jobTable{open: map[protocol.JobID]*jobState{}, closed: map[protocol.JobID]time.Time{}, lowestGPUPriority: -1}
 }
 
 func (t *jobTable) add(job *jobState) {
@@ -32,11 +32,11 @@
 	if request.GPUs <= 0 {
 		return
 	}
-	t.gpuPriority = max(t.gpuPriority, job.priority())
-	t.gpuRequest = scheduler.Resources{
-		Cores: max(t.gpuRequest.Cores, request.Cores),
-		GPUs:  max(t.gpuRequest.GPUs, request.GPUs),
-		MemGB: max(t.gpuRequest.MemGB, request.MemGB),
+	t.lowestGPUPriority = max(t.lowestGPUPriority, job.priority())
+	t.largestGPURequest = scheduler.Resources{
+		Cores: max(t.largestGPURequest.Cores, request.Cores),
+		GPUs:  max(t.largestGPURequest.GPUs, request.GPUs),
+		MemGB: max(t.largestGPURequest.MemGB, request.MemGB),
 	}
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -107,7 +107,7 @@
 		dispatcher:   newDispatcher(),
 		provisioner:  newProvisioner(),
 		catalog:      newMachineCatalog(),
-		images:       newImageInventoryKeeper(),
+		images:       newImageInventory(),
 		estimator:    newRunTimeEstimator(options.Config.Operator.Estimator),
 	}
 }
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -76,7 +76,7 @@
 // are filled in.
 func (l *Leader) applyListedMachine(entry *protocol.ListedMachine, now time.Time) *cluster.Machine {
 	isNew := l.machines.byID[entry.ID] == nil
-	machine := l.machineByID(entry.ID, now)
+	machine := l.ensureMachine(entry.ID, now)
 	if isNew || machine.Type == "" {
 		machine.Type, machine.Zone, machine.Spot = entry.Type, entry.Zone, entry.Spot
 		machine.ProvisionedAt = now.Add(-seconds(entry.AgeS))
--- a/internal/leader/machine_table.go
+++ b/internal/leader/machine_table.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// machineByID returns the machine with an ID, and adds the machine if it is not in the
+// ensureMachine returns the machine with an ID, and adds the machine if it is not in the
 // table yet.
-func (l *Leader) machineByID(id string, now time.Time) *cluster.Machine {
+func (l *Leader) ensureMachine(id string, now time.Time) *cluster.Machine {
 	if machine := l.machines.byID[id]; machine != nil {
 		return machine
 	}
--- a/internal/leader/provisioner.go
+++ b/internal/leader/provisioner.go
@@ -162,7 +162,7 @@
 		if l.machines.wasRemoved(id) || l.machines.byID[id] != nil {
 			continue
 		}
-		machine := l.machineByID(id, time.UnixMilli(request.RequestedMS))
+		machine := l.ensureMachine(id, time.UnixMilli(request.RequestedMS))
 		machine.Type, machine.Zone, machine.Spot = request.Type, request.Zone, request.Spot
 		machine.ProvisionedAt = now
 	}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -144,7 +144,7 @@
 
 // backOffUnreadable prevents starts of a job with an undecodable segment until every
 // attempt that the segment may name must have ended. That takes as long as for attempts
-// on a machine that has sent this leader no heartbeat (see machineByID). Then the job
+// on a machine that has sent this leader no heartbeat (see ensureMachine). Then the job
 // starts every task that no decodable segment names. A task that was completed before
 // ends at once as done, since agents keep the results.
 func (l *Leader) backOffUnreadable(job *jobState) {
@@ -156,7 +156,7 @@
 // restorePlacement adds a placement from the run record. It counts as sent, since the
 // earlier leader may have sent its start.
 func (l *Leader) restorePlacement(job *jobState, stored records.Placement, now time.Time) {
-	machine := l.machineByID(stored.Machine, now)
+	machine := l.ensureMachine(stored.Machine, now)
 	if machine.Zone == "" {
 		machine.Zone = stored.Zone
 	}
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -64,8 +64,8 @@
 	return &scheduler.Snapshot{
 		Rho:                           l.Config.Operator.Rho,
 		IdleTimeoutBootFactor:         l.Config.Operator.IdleTimeoutBootFactor,
-		LowestGPUPriority:             l.jobs.gpuPriority,
-		LargestGPURequest:             l.jobs.gpuRequest,
+		LowestGPUPriority:             l.jobs.lowestGPUPriority,
+		LargestGPURequest:             l.jobs.largestGPURequest,
 		StarvationShare:               tuning.StarvationShare,
 		StarvationShareLowestPriority: tuning.StarvationShareLowestPriority,
 		ExhaustedPools:                map[scheduler.CapacityPool]bool{},
