--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 4)
 		var keepAlives atomic.Int32
-		c.store.SetSlow(func(path string) time.Duration {
+		c.store.SetCallDelay(func(path string) time.Duration {
 			if strings.HasSuffix(path, keepAlivePath) && keepAlives.Add(1)%2 == 0 {
 				return tuning.StoreTimeout
 			}
--- a/internal/election/faults_test.go
+++ b/internal/election/faults_test.go
@@ -21,13 +21,13 @@
 func newFaults(c *cluster, seed uint64) *faults {
 	f := &faults{cluster: c, rng: rand.New(rand.NewPCG(seed, 9))}
 	c.store.SetLoseReply(func() bool { return f.storeFails(10) })
-	c.store.SetLate(func() time.Duration {
+	c.store.SetExecutionDelay(func() time.Duration {
 		if f.storeFails(6) {
 			return time.Duration(f.intN(10000)) * time.Millisecond
 		}
 		return 0
 	})
-	c.store.SetSlow(func(string) time.Duration {
+	c.store.SetCallDelay(func(string) time.Duration {
 		if f.storeFails(20) {
 			return time.Duration(f.intN(3000)) * time.Millisecond
 		}
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -33,18 +33,19 @@
 	s.fault = fault
 }
 
-// SetLate sets a function that returns the delay after which a transaction is carried out; 0: no
-// delay. A delayed transaction is answered at once with a gateway error, so that its sender
-// cannot determine the outcome.
-func (s *Store) SetLate(commitDelay func() time.Duration) {
+// SetExecutionDelay sets a function that returns the delay after which a transaction is carried
+// out; 0: no delay. A delayed transaction is answered at once with a gateway error, so that its
+// sender cannot determine the outcome.
+func (s *Store) SetExecutionDelay(commitDelay func() time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commitDelay = commitDelay
 }
 
-// SetSlow sets a function that returns how long a call on a path waits before it is handled. The
-// function is called without the store's mutex, and by several goroutines at the same time.
-func (s *Store) SetSlow(callDelay func(path string) time.Duration) {
+// SetCallDelay sets a function that returns how long a call on a path waits before it is
+// handled. The function is called without the store's mutex, and by several goroutines at the
+// same time.
+func (s *Store) SetCallDelay(callDelay func(path string) time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.callDelay = callDelay
@@ -69,17 +70,17 @@
 
 // The faults of a transaction.
 const (
-	None        Fault = iota
+	NoFault     Fault = iota
 	AnswerLost        // the transaction is carried out, and its answer is lost
 	NotExecuted       // the request is lost: the transaction is neither carried out nor answered
 	OverLimit         // the transaction is refused with 400
 	Throttled         // the transaction is refused with 429
 )
 
-// Refuse starts an outage, or ends it if unavailable is false. During an outage the store answers
-// 503 to a host, or to all hosts if host is "". When an outage for all hosts ends, every lease
-// gets its full time to live again, as the protocol guarantees.
-func (s *Store) Refuse(host string, unavailable bool) {
+// SetUnavailable starts an outage, or ends it if unavailable is false. During an outage the
+// store answers 503 to a host, or to all hosts if host is "". When an outage for all hosts
+// ends, every lease gets its full time to live again, as the protocol guarantees.
+func (s *Store) SetUnavailable(host string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if unavailable {
--- a/internal/fake/store_limits.go
+++ b/internal/fake/store_limits.go
@@ -27,8 +27,8 @@
 	requestCount, throttledCount int
 }
 
-// Limit lowers the limits while the test runs, without notice to the controllers.
-func (s *Store) Limit(limits config.StateLimits) {
+// LowerLimits lowers the limits while the test runs, without notice to the controllers.
+func (s *Store) LowerLimits(limits config.StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limitsLowered = true
@@ -58,8 +58,9 @@
 	s.requestRate = rate.NewLimiter(rate.Limit(rps), int(rps))
 }
 
-// Asked returns how many requests the store received, and how many of them it throttled.
-func (s *Store) Asked() (requests, throttled int) {
+// RequestCounts returns how many requests the store received, and how many of them it
+// throttled.
+func (s *Store) RequestCounts() (requests, throttled int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requestCount, s.throttledCount
--- a/internal/fake/store_transaction.go
+++ b/internal/fake/store_transaction.go
@@ -62,7 +62,7 @@
 		writeReply(w, http.StatusBadRequest, protocol.ErrorReply{Error: err.Error()})
 		return
 	}
-	fault := None
+	fault := NoFault
 	if s.fault != nil {
 		fault = s.fault(transaction.withoutValues())
 	}
--- a/internal/kvstore/commit_test.go
+++ b/internal/kvstore/commit_test.go
@@ -176,10 +176,10 @@
 			w := newWriter(t, seed)
 			faults := rand.New(rand.NewPCG(seed, 4)) // needs no lock: the store calls the hooks one at a time
 			w.store.SetFault(func(*protocol.Transaction) fake.Fault {
-				return []fake.Fault{fake.None, fake.None, fake.None, fake.AnswerLost,
+				return []fake.Fault{fake.NoFault, fake.NoFault, fake.NoFault, fake.AnswerLost,
 					fake.NotExecuted, fake.OverLimit, fake.Throttled}[faults.IntN(7)]
 			})
-			w.store.SetLate(func() time.Duration {
+			w.store.SetExecutionDelay(func() time.Duration {
 				if faults.IntN(6) > 0 {
 					return 0
 				}
--- a/internal/server/cancellation_outage_cases_test.go
+++ b/internal/server/cancellation_outage_cases_test.go
@@ -10,7 +10,7 @@
 // slowWatch delays the watch calls at the key-value store, as a loaded store does, so
 // that they bring the leader no further confirmation before the outage begins.
 func slowWatch(c *testCluster) {
-	c.env.Store.SetSlow(func(path string) time.Duration {
+	c.env.Store.SetCallDelay(func(path string) time.Duration {
 		if path == "/follow" {
 			return 1400 * time.Millisecond
 		}
@@ -111,7 +111,7 @@
 func cancelByLateCommit(c *testCluster, leader string) {
 	follower := c.others(leader)[0]
 	transactions := 0
-	c.env.Store.SetLate(func() time.Duration {
+	c.env.Store.SetExecutionDelay(func() time.Duration {
 		if transactions++; transactions == 1 {
 			return 3 * time.Second
 		}
@@ -124,14 +124,14 @@
 // cancelAsStoreRefusesLeader cancels at a follower while the key-value store refuses the
 // leader only.
 func cancelAsStoreRefusesLeader(c *testCluster, leader string) {
-	c.env.Store.Refuse(leader, true)
+	c.env.Store.SetUnavailable(leader, true)
 	c.cancelAt(c.others(leader)[0], "req-000001")
 }
 
 // cancelAsLeaderIsPartitioned cancels at a follower while the leader reaches neither the
 // key-value store nor the other controllers.
 func cancelAsLeaderIsPartitioned(c *testCluster, leader string) {
-	c.env.Store.Refuse(leader, true)
+	c.env.Store.SetUnavailable(leader, true)
 	c.isolate(leader, fake.Hold, c.others(leader)...)
 	c.cancelAt(c.others(leader)[0], "req-000001")
 }
@@ -139,7 +139,7 @@
 // cancelAtNextLeader cancels at the leader that takes over before the outage, after the
 // key-value store has refused the previous one.
 func cancelAtNextLeader(c *testCluster, leader string) {
-	c.env.Store.Refuse(leader, true)
+	c.env.Store.SetUnavailable(leader, true)
 	next := c.untilAnotherLeads(leader, 10*time.Second)
 	slowWatch(c)
 	c.cancelAt(next, "req-000001")
--- a/internal/server/chaos_failures_test.go
+++ b/internal/server/chaos_failures_test.go
@@ -16,15 +16,15 @@
 
 // refuseController makes the key-value store refuse one controller.
 func (r *chaosRun) refuseController(target chaosTarget) {
-	r.env.Store.Refuse(target.controller, true)
-	r.runAfter(r.seconds(3, 40), func() { r.env.Store.Refuse(target.controller, false) })
+	r.env.Store.SetUnavailable(target.controller, true)
+	r.runAfter(r.seconds(3, 40), func() { r.env.Store.SetUnavailable(target.controller, false) })
 }
 
 // refuseEverybody makes the key-value store refuse all controllers, in one of three calls.
 func (r *chaosRun) refuseEverybody(chaosTarget) {
 	if r.rng.IntN(3) == 0 {
-		r.env.Store.Refuse("", true)
-		r.runAfter(r.seconds(3, 40), func() { r.env.Store.Refuse("", false) })
+		r.env.Store.SetUnavailable("", true)
+		r.runAfter(r.seconds(3, 40), func() { r.env.Store.SetUnavailable("", false) })
 	}
 }
 
@@ -152,8 +152,8 @@
 // commitLate makes the key-value store execute some transactions late and without an
 // answer, after their senders have stopped waiting for one.
 func (r *chaosRun) commitLate(chaosTarget) {
-	r.env.Store.SetLate(r.lateCommits(0.15))
-	r.runAfter(r.seconds(5, 30), func() { r.env.Store.SetLate(nil) })
+	r.env.Store.SetExecutionDelay(r.lateCommits(0.15))
+	r.runAfter(r.seconds(5, 30), func() { r.env.Store.SetExecutionDelay(nil) })
 }
 
 // hangMachineInCommand makes a machine hang after it has executed a command and before it
@@ -170,13 +170,13 @@
 	if leader := r.leader(); leader != "" {
 		target.controller = leader
 	}
-	r.env.Store.Refuse(target.controller, true)
+	r.env.Store.SetUnavailable(target.controller, true)
 	r.cancelLastJob()
 	time.Sleep(time.Second)
-	r.env.Store.Refuse("", true)
+	r.env.Store.SetUnavailable("", true)
 	r.runAfter(r.seconds(38, 60), func() {
-		r.env.Store.Refuse("", false)
-		r.env.Store.Refuse(target.controller, false)
+		r.env.Store.SetUnavailable("", false)
+		r.env.Store.SetUnavailable(target.controller, false)
 	})
 }
 
--- a/internal/server/cluster_store_failures_test.go
+++ b/internal/server/cluster_store_failures_test.go
@@ -8,7 +8,7 @@
 	"marblehaven/internal/records"
 )
 
-// lateCommits returns a function for Store.SetLate that makes the given share of the
+// lateCommits returns a function for Store.SetExecutionDelay that makes the given share of the
 // transactions execute 2 to 12 s late.
 func (c *testCluster) lateCommits(share float64) func() time.Duration {
 	return func() time.Duration {
@@ -34,7 +34,7 @@
 		case p < 0.43:
 			return fake.OverLimit
 		}
-		return fake.None
+		return fake.NoFault
 	}
 }
 
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -91,15 +91,15 @@
 // reports jobs that are left waiting although a machine has capacity for them.
 func (c *testCluster) expectRecovery() {
 	c.t.Helper()
-	c.env.Store.Refuse("", false)
+	c.env.Store.SetUnavailable("", false)
 	for _, name := range c.names {
-		c.env.Store.Refuse(name, false)
+		c.env.Store.SetUnavailable(name, false)
 		if !c.isRunning(name) {
 			c.boot(name)
 		}
 	}
-	c.env.Store.SetSlow(nil)
-	c.env.Store.SetLate(nil)
+	c.env.Store.SetCallDelay(nil)
+	c.env.Store.SetExecutionDelay(nil)
 	c.env.Store.SetLoseReply(nil)
 	c.env.Store.SetLoseEvent(nil)
 	c.network.SetDelay(nil)
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -48,7 +48,7 @@
 			progress = secondLost
 			return fake.NotExecuted
 		}
-		return fake.None
+		return fake.NoFault
 	})
 	return ch
 }
--- a/internal/server/compound_leader_cases_test.go
+++ b/internal/server/compound_leader_cases_test.go
@@ -31,7 +31,7 @@
 			time.Sleep(time.Duration(i) * 200 * time.Millisecond)
 			c.boot(old)
 		}
-		c.env.Store.Refuse("", i >= 4 && i < 8)
+		c.env.Store.SetUnavailable("", i >= 4 && i < 8)
 		if i == 3 {
 			go c.env.Cancel("req-000001")
 		}
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -12,17 +12,17 @@
 // a second later all hosts, while users cancel jobs and ask about them.
 func slowStoreThenRefusals(c *testCluster, variant uint64) {
 	c.startWorkload()
-	c.env.Store.SetSlow(func(string) time.Duration { return time.Duration(200+variant*500) * time.Millisecond })
+	c.env.Store.SetCallDelay(func(string) time.Duration { return time.Duration(200+variant*500) * time.Millisecond })
 	for range 3 {
 		go c.env.Cancel("req-000001")
 		go c.env.Cancel("req-000003")
 		go c.env.Poll("req-000002")
 		time.Sleep(700 * time.Millisecond)
 	}
-	c.env.Store.Refuse(c.leader(), true)
+	c.env.Store.SetUnavailable(c.leader(), true)
 	go c.env.Cancel("req-000004")
 	time.Sleep(time.Second)
-	c.env.Store.Refuse("", true)
+	c.env.Store.SetUnavailable("", true)
 	time.Sleep(50 * time.Second)
 }
 
@@ -97,7 +97,7 @@
 // their senders have given up waiting.
 func commitsExecutedLate(c *testCluster, variant uint64) {
 	c.startWorkload()
-	c.env.Store.SetLate(c.lateCommits(0.2))
+	c.env.Store.SetExecutionDelay(c.lateCommits(0.2))
 	for i := range 6 {
 		c.submit(arrayJob(5+i, "check", 3), 8)
 	}
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -129,7 +129,7 @@
 		run(t, 640+seed, func(c *testCluster) {
 			rng := rand.New(rand.NewPCG(seed, 9))
 			c.env.Store.SetLoseEvent(func(string) bool { return c.env.Random() < 0.1 })
-			c.env.Store.SetLate(c.lateCommits(0.05))
+			c.env.Store.SetExecutionDelay(c.lateCommits(0.05))
 			var uncancelled []protocol.JobID
 			for i := range 4 {
 				jobIDs := c.pipeline(100 * (i + 1))
@@ -149,7 +149,7 @@
 				c.boot(old)
 			}
 			c.env.Store.SetLoseEvent(nil)
-			c.env.Store.SetLate(nil)
+			c.env.Store.SetExecutionDelay(nil)
 			c.untilDone(8*time.Minute, uncancelled...)
 			c.until("no job is queued or running", 5*time.Minute, func() bool {
 				return !slices.ContainsFunc(c.jobs, func(jobID protocol.JobID) bool {
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -33,9 +33,9 @@
 		c.boot(c.killLeader())
 		c.until("another controller leads", time.Minute, func() bool { return c.leader() != "" })
 		time.Sleep(15 * time.Second)
-		c.env.Store.Refuse("", true)
+		c.env.Store.SetUnavailable("", true)
 		time.Sleep(18 * time.Second)
-		c.env.Store.Refuse("", false)
+		c.env.Store.SetUnavailable("", false)
 		for _, resume := range resumes {
 			resume()
 		}
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -81,7 +81,7 @@
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) > 0
 		})
 		oldLeader := c.leader()
-		c.env.Store.Refuse(oldLeader, true)
+		c.env.Store.SetUnavailable(oldLeader, true)
 		// The old leader's peers cannot report a newer term to it, and agents can still send
 		// it their heartbeats.
 		heal := c.isolate(oldLeader, fake.Hold, c.others(oldLeader)...)
@@ -91,7 +91,7 @@
 		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 			t.Errorf("the cancelled service still has replicas on %v", on)
 		}
-		c.env.Store.Refuse(oldLeader, false)
+		c.env.Store.SetUnavailable(oldLeader, false)
 		heal()
 		c.untilDone(4*time.Minute, "req-000002")
 	})
@@ -107,7 +107,7 @@
 		c.submit(serviceJob(1, 2), 0)
 		termBefore := c.latestTerm()
 		var calls atomic.Int64
-		c.env.Store.SetSlow(func(path string) time.Duration {
+		c.env.Store.SetCallDelay(func(path string) time.Duration {
 			if strings.HasSuffix(path, "/touch") && calls.Add(1)%5 == 0 {
 				return 1450 * time.Millisecond
 			}
@@ -133,12 +133,12 @@
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) > 2
 		})
 		before := c.env.MachinesOf("req-000001")
-		c.env.Store.Refuse("", true)
+		c.env.Store.SetUnavailable("", true)
 		time.Sleep(60 * time.Second) // much longer than the leader lease, cancel_s - lease_s
 		if on := c.env.MachinesOf("req-000001"); !slices.Equal(on, before) {
 			t.Errorf("replicas ran on %v and now run on %v, want no change", before, on)
 		}
-		c.env.Store.Refuse("", false)
+		c.env.Store.SetUnavailable("", false)
 		c.untilDone(3*time.Minute, "req-000002")
 	})
 }
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -95,16 +95,16 @@
 		l.env.Store.SetFault(l.faultyCommits())
 		endFuncs = append(endFuncs, func() { l.env.Store.SetFault(nil) })
 	case 1: // some transactions are executed late
-		l.env.Store.SetLate(l.lateCommits(0.15))
-		endFuncs = append(endFuncs, func() { l.env.Store.SetLate(nil) })
+		l.env.Store.SetExecutionDelay(l.lateCommits(0.15))
+		endFuncs = append(endFuncs, func() { l.env.Store.SetExecutionDelay(nil) })
 	case 2: // the store refuses the leader and then all controllers, while users cancel jobs
-		l.env.Store.Refuse(leader, true)
+		l.env.Store.SetUnavailable(leader, true)
 		l.submitPipelines(2)
 		time.Sleep(time.Second)
-		l.env.Store.Refuse("", true)
+		l.env.Store.SetUnavailable("", true)
 		endFuncs = append(endFuncs, func() {
-			l.env.Store.Refuse("", false)
-			l.env.Store.Refuse(leader, false)
+			l.env.Store.SetUnavailable("", false)
+			l.env.Store.SetUnavailable(leader, false)
 		})
 	case 3: // the leader is cut off from the store and all other controllers
 		if leader != "" {
@@ -160,7 +160,7 @@
 				time.Sleep(2 * time.Second)
 			}
 			c.untilUpgraded(time.Minute)
-			c.env.Store.Limit(dep.State.StricterLimits())
+			c.env.Store.LowerLimits(dep.State.StricterLimits())
 			c.env.Store.LimitRequests(dep.State.RPS)
 			l.pollInBackground()
 			for range 5 {
--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -18,7 +18,7 @@
 	for seed := range seedCount(4) {
 		runIn(t, 720+seed, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 			c.untilUpgraded(20 * time.Second)
-			c.env.Store.Limit(c.deployment.State.StricterLimits())
+			c.env.Store.LowerLimits(c.deployment.State.StricterLimits())
 			var transactions, killed uint64
 			killRequests := make(chan struct{}, 12)
 			c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
@@ -32,7 +32,7 @@
 					killRequests <- struct{}{}
 				}
 			})
-			c.env.Store.SetLate(c.lateCommits(0.03))
+			c.env.Store.SetExecutionDelay(c.lateCommits(0.03))
 			go func() {
 				for {
 					select {
@@ -51,7 +51,7 @@
 			c.submit(largeArray(2, 150), 10)
 			c.submit(dependingOn(largeArray(3, 70), testJobID(1)), 5)
 			c.untilDone(15*time.Minute, testJobID(1), testJobID(2), testJobID(3))
-			c.env.Store.SetLate(nil)
+			c.env.Store.SetExecutionDelay(nil)
 			c.until("the segments are removed", 3*time.Minute, func() bool { return c.countFurtherSegments() == 0 })
 			if killed < 3 {
 				t.Errorf("only %d leaders were killed, want at least 3", killed)
@@ -87,7 +87,7 @@
 		}
 		c.env.Register(job)
 		c.env.Store.Put(records.OpenKey(job.ID), records.OpenJob{Job: job, AcceptedMS: time.Now().UnixMilli()})
-		c.env.Store.Limit(c.deployment.State.StricterLimits())
+		c.env.Store.LowerLimits(c.deployment.State.StricterLimits())
 		if status := c.env.Submit(job, 5); status != 200 {
 			t.Errorf("submitting an accepted job again got status %d, want 200", status)
 		}
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -109,14 +109,14 @@
 			}()
 		}
 		time.Sleep(20 * time.Second)
-		c.env.Store.Refuse("", true)
+		c.env.Store.SetUnavailable("", true)
 		time.Sleep(25 * time.Second)
-		c.env.Store.Refuse("", false)
+		c.env.Store.SetUnavailable("", false)
 		c.expectAnswers(jobIDs...)
 		time.Sleep(20 * time.Second)
-		requestsBefore, throttledBefore := c.env.Store.Asked()
+		requestsBefore, throttledBefore := c.env.Store.RequestCounts()
 		time.Sleep(time.Minute)
-		requests, throttled := c.env.Store.Asked()
+		requests, throttled := c.env.Store.RequestCounts()
 		requests, throttled = requests-requestsBefore, throttled-throttledBefore
 		if throttled > requests/20 {
 			t.Errorf("%d of %d requests were throttled long after the outage, want at most a twentieth", throttled, requests)
--- a/internal/server/upgrade_failures_test.go
+++ b/internal/server/upgrade_failures_test.go
@@ -27,7 +27,7 @@
 			c.restartAs(false, name)
 			time.Sleep(3 * time.Second)
 		}
-		c.env.Store.Limit(c.deployment.State.StricterLimits())
+		c.env.Store.LowerLimits(c.deployment.State.StricterLimits())
 		c.submit(largeArray(2, 100), 10)
 		c.submit(serviceJob(3, 3), 0)
 		c.untilDone(8*time.Minute, testJobID(1), testJobID(2))
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -87,7 +87,7 @@
 			time.Sleep(8 * time.Second)
 		}
 		c.untilUpgraded(20 * time.Second)
-		c.env.Store.Limit(c.deployment.State.StricterLimits())
+		c.env.Store.LowerLimits(c.deployment.State.StricterLimits())
 		c.submit(largeArray(3, 340), 20)
 		c.until("more than 3 segments beyond the first are written", 2*time.Minute, func() bool { return c.countFurtherSegments() > 3 })
 		pipelineJobs := c.pipeline(100)
@@ -124,7 +124,7 @@
 					limitStep = step + rng.IntN(10)
 				}
 				if len(notUpgraded) == 0 && step == max(limitStep, 1) {
-					c.env.Store.Limit(c.deployment.State.StricterLimits())
+					c.env.Store.LowerLimits(c.deployment.State.StricterLimits())
 				}
 				return len(notUpgraded) == 0
 			})
