--- a/internal/fake/agent_settings.go
+++ b/internal/fake/agent_settings.go
@@ -20,17 +20,17 @@
 	return e.step
 }
 
-// SetUneven sets the share of the job's run time by which each task of an array runs longer than
-// the task before it.
-func (e *Environment) SetUneven(increment float64) {
+// SetRunTimeIncrement sets the share of the job's run time by which each task of an array runs
+// longer than the task before it.
+func (e *Environment) SetRunTimeIncrement(increment float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.runtimeIncrement = increment
 }
 
-// SetOnDone sets a function that is called, in a goroutine of its own, when the last task of a
-// job has completed.
-func (e *Environment) SetOnDone(onJobDone func(jobID protocol.JobID)) {
+// SetOnJobDone sets a function that is called, in a goroutine of its own, when the last task of
+// a job has completed.
+func (e *Environment) SetOnJobDone(onJobDone func(jobID protocol.JobID)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onJobDone = onJobDone
@@ -43,8 +43,8 @@
 	return e.savedCheckpoints
 }
 
-// LeaseExpiries returns how many leases expired while the agent had tasks.
-func (e *Environment) LeaseExpiries() int {
+// LeaseExpiriesWithTasks returns how many leases expired while the agent had tasks.
+func (e *Environment) LeaseExpiriesWithTasks() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leaseExpiries
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -43,8 +43,9 @@
 	return slices.Clone(c.violations)
 }
 
-// LateStart returns the longest time from a job's confirmed cancellation to a start of its tasks.
-func (c *checker) LateStart() time.Duration {
+// MaxStartAfterCancel returns the longest time from a job's confirmed cancellation to a start
+// of its tasks.
+func (c *checker) MaxStartAfterCancel() time.Duration {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
 	return c.maxStartAfterCancel
--- a/internal/fake/checker_waiting.go
+++ b/internal/fake/checker_waiting.go
@@ -6,9 +6,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// EndTroubles declares that the test causes no more faults. From then on the checker reports
+// EndFaults declares that the test causes no more faults. From then on the checker reports
 // jobs that wait for too long although there is capacity for them.
-func (c *checker) EndTroubles() {
+func (c *checker) EndFaults() {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
 	c.faultsEnded = true
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -52,9 +52,9 @@
 	return c
 }
 
-// Limit sets the capacity of a pool: how many machines of a type in a zone, spot instances or not,
-// there may be at a time.
-func (c *cloud) Limit(machineType, zone string, spot bool, count int) {
+// LimitCapacity sets the capacity of a pool: how many machines of a type in a zone, spot
+// instances or not, there may be at a time.
+func (c *cloud) LimitCapacity(machineType, zone string, spot bool, count int) {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
 	c.capacity[fmt.Sprint(machineType, zone, spot)] = count
--- a/internal/fake/network_faults.go
+++ b/internal/fake/network_faults.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Cut selects what a cut link does to messages.
-type Cut int
+// CutMode selects what a cut link does to messages.
+type CutMode int
 
 const (
 	// Hold delays messages until the cut is healed and then delivers them, even if the sender
 	// has given up.
-	Hold Cut = iota + 1
+	Hold CutMode = iota + 1
 	// Reset makes messages fail at once.
 	Reset
 )
 
 // linkCut is a cut of one link, or of all messages to one host.
 type linkCut struct {
-	mode   Cut
+	mode   CutMode
 	healed chan struct{} // closed when the cut is healed
 }
 
@@ -31,7 +31,7 @@
 }
 
 // Cut cuts the link between two hosts until the returned function is called.
-func (n *Network) Cut(hostA, hostB string, mode Cut) (heal func()) {
+func (n *Network) Cut(hostA, hostB string, mode CutMode) (heal func()) {
 	cut := &linkCut{mode, make(chan struct{})}
 	n.mu.Lock()
 	n.cuts[linkKey(hostA, hostB)] = cut
@@ -46,9 +46,9 @@
 	}
 }
 
-// DropInbound starts a one-way partition: all messages to the host, answers included, are held
+// HoldInbound starts a one-way partition: all messages to the host, answers included, are held
 // until the returned function is called, while the messages that the host sends arrive.
-func (n *Network) DropInbound(host string) (heal func()) {
+func (n *Network) HoldInbound(host string) (heal func()) {
 	cut := &linkCut{Hold, make(chan struct{})}
 	n.mu.Lock()
 	n.inboundBlocked[host] = cut
@@ -88,9 +88,9 @@
 	return n.delay
 }
 
-// SetRepeat makes some requests on the given paths arrive twice, the second time after a random
-// delay of up to the duration given for the path.
-func (n *Network) SetRepeat(maxDelays map[string]time.Duration) {
+// SetDuplicates makes some requests on the given paths arrive twice, the second time after a
+// random delay of up to the duration given for the path.
+func (n *Network) SetDuplicates(maxDelays map[string]time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.maxDuplicateDelays = maxDelays
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -72,8 +72,8 @@
 	return status
 }
 
-// Poll queries the status of a job once, without retries, and checks the answer.
-func (e *Environment) Poll(jobID protocol.JobID) (int, protocol.JobStatus) {
+// QueryStatus queries the status of a job once, without retries, and checks the answer.
+func (e *Environment) QueryStatus(jobID protocol.JobID) (int, protocol.JobStatus) {
 	e.mu.Lock()
 	job := e.jobs[jobID]
 	var before userJob // the job's state before the request was sent
@@ -113,9 +113,9 @@
 	return status, jobStatus
 }
 
-// Refused submits a job that must not be accepted, and checks that the answer has the status
-// that the protocol requires. The argument change makes the job invalid.
-func (e *Environment) Refused(job protocol.Job, change func(fields map[string]any), want int) {
+// SubmitInvalid submits a job that must not be accepted, and checks that the answer has the
+// status that the protocol requires. The argument change makes the job invalid.
+func (e *Environment) SubmitInvalid(job protocol.Job, change func(fields map[string]any), want int) {
 	fields := JobMap(&job)
 	change(fields)
 	status, _ := e.sendRequest(http.MethodPost, "/v1/jobs", fields, 5*time.Second, 60*time.Second)
--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -65,7 +65,7 @@
 	})
 	time.Sleep(20*time.Second + time.Duration(seed)*370*time.Millisecond)
 	machinesBefore := c.env.MachinesOf("req-000002")
-	expiriesBefore := c.env.LeaseExpiries()
+	expiriesBefore := c.env.LeaseExpiriesWithTasks()
 	leader := c.leader()
 	tc.cancel(c, leader)
 	c.env.Store.SetUnavailable("", true)
@@ -91,8 +91,8 @@
 	if machines := c.env.MachinesOf("req-000001"); len(machines) > 0 {
 		c.t.Errorf("the cancelled job req-000001 still has tasks on %v", machines)
 	}
-	if machines := c.env.MachinesOf("req-000002"); tc.othersContinue && (!slices.Equal(machines, machinesBefore) || c.env.LeaseExpiries() > expiriesBefore) {
-		c.t.Errorf("%d leases expired in the outage; the service req-000002 ran on %v before it and now runs on %v", c.env.LeaseExpiries()-expiriesBefore, machinesBefore, machines)
+	if machines := c.env.MachinesOf("req-000002"); tc.othersContinue && (!slices.Equal(machines, machinesBefore) || c.env.LeaseExpiriesWithTasks() > expiriesBefore) {
+		c.t.Errorf("%d leases expired in the outage; the service req-000002 ran on %v before it and now runs on %v", c.env.LeaseExpiriesWithTasks()-expiriesBefore, machinesBefore, machines)
 	}
 }
 
--- a/internal/server/chaos_failures_test.go
+++ b/internal/server/chaos_failures_test.go
@@ -71,7 +71,7 @@
 // heartbeats, but the machine receives neither replies nor commands.
 func (r *chaosRun) dropInboundOfMachine(target chaosTarget) {
 	if target.machine != "" {
-		r.runAfter(r.seconds(3, 40), r.network.DropInbound(target.machine))
+		r.runAfter(r.seconds(3, 40), r.network.HoldInbound(target.machine))
 	}
 }
 
@@ -194,8 +194,8 @@
 // submitInvalidJobs submits a job that lacks a field and one that fits no machine type.
 func (r *chaosRun) submitInvalidJobs(chaosTarget) {
 	invalid := arrayJob(900000+r.submitted, "check", 1)
-	go r.env.Refused(invalid, func(m map[string]any) { delete(m, "imageGb") }, 400)
-	go r.env.Refused(invalid, func(m map[string]any) { m["cores"] = 17 }, 422)
+	go r.env.SubmitInvalid(invalid, func(m map[string]any) { delete(m, "imageGb") }, 400)
+	go r.env.SubmitInvalid(invalid, func(m map[string]any) { m["cores"] = 17 }, 422)
 }
 
 // failCommits makes the key-value store lose some transactions or their answers, and
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -53,7 +53,7 @@
 // may use.
 type chaosTarget struct {
 	controller string
-	cutMode    fake.Cut
+	cutMode    fake.CutMode
 	machines   []string
 	machine    string // one of machines; empty if no machine is up
 }
@@ -110,11 +110,11 @@
 // configure makes the network repeat requests, the cloud run out of machines, and lists
 // take several pages, as they do at production size.
 func (r *chaosRun) configure() {
-	r.network.SetRepeat(map[string]time.Duration{"/do": 20 * time.Second, "/hello": 40 * time.Second, "/commit": 20 * time.Second,
+	r.network.SetDuplicates(map[string]time.Duration{"/do": 20 * time.Second, "/hello": 40 * time.Second, "/commit": 20 * time.Second,
 		"/rentals": 20 * time.Second, "/rentals/return": 20 * time.Second, "/v1/jobs": 60 * time.Second})
-	r.env.Limit("small", "a", true, 2)
-	r.env.Limit("big", "a", true, 1)
-	r.env.Limit("big", "b", false, 3)
+	r.env.LimitCapacity("small", "a", true, 2)
+	r.env.LimitCapacity("big", "a", true, 1)
+	r.env.LimitCapacity("big", "b", false, 3)
 	r.env.Store.SetMaxPageSize(1 + r.rng.IntN(20))
 	r.env.SetCloudMaxPageSize(1 + r.rng.IntN(5))
 }
@@ -203,7 +203,7 @@
 func (r *chaosRun) randomTarget() chaosTarget {
 	var target chaosTarget
 	target.controller = r.names[r.rng.IntN(len(r.names))]
-	target.cutMode = fake.Cut(1 + r.rng.IntN(2))
+	target.cutMode = fake.CutMode(1 + r.rng.IntN(2))
 	target.machines = r.env.Machines()
 	if len(target.machines) > 0 {
 		target.machine = target.machines[r.rng.IntN(len(target.machines))]
@@ -217,7 +217,7 @@
 	defer r.jobsMu.Unlock()
 	for _, jobID := range r.mustFinish {
 		if r.rng.IntN(8) == 0 {
-			go r.env.Poll(jobID)
+			go r.env.QueryStatus(jobID)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 // expectJobsDone waits until all jobs are done that neither a cancellation of their own
 // nor one of a dependency stops.
 func (r *chaosRun) expectJobsDone() {
-	r.env.EndTroubles() // every failure has ended by now
+	r.env.EndFaults() // every failure has ended by now
 	r.jobsMu.Lock()
 	jobIDs := slices.DeleteFunc(slices.Clone(r.mustFinish), func(jobID protocol.JobID) bool { return !r.env.MayFinish(jobID) })
 	r.jobsMu.Unlock()
--- a/internal/server/cluster_jobs_test.go
+++ b/internal/server/cluster_jobs_test.go
@@ -128,6 +128,6 @@
 
 // phase returns the job's phase in the answer to a user's status request.
 func (c *testCluster) phase(jobID protocol.JobID) protocol.JobPhase {
-	_, jobStatus := c.env.Poll(jobID)
+	_, jobStatus := c.env.QueryStatus(jobID)
 	return jobStatus.Phase
 }
--- a/internal/server/cluster_network_test.go
+++ b/internal/server/cluster_network_test.go
@@ -7,7 +7,7 @@
 )
 
 // cut cuts the link between two hosts until the returned function or heal is called.
-func (c *testCluster) cut(hostA, hostB string, mode fake.Cut) func() {
+func (c *testCluster) cut(hostA, hostB string, mode fake.CutMode) func() {
 	heal := sync.OnceFunc(c.network.Cut(hostA, hostB, mode))
 	c.heals = append(c.heals, heal)
 	return heal
@@ -15,7 +15,7 @@
 
 // isolate cuts the links between a host and each of the others until the returned function
 // or heal is called.
-func (c *testCluster) isolate(host string, mode fake.Cut, others ...string) func() {
+func (c *testCluster) isolate(host string, mode fake.CutMode, others ...string) func() {
 	var healFuncs []func()
 	for _, other := range others {
 		healFuncs = append(healFuncs, c.cut(host, other, mode))
@@ -45,7 +45,7 @@
 // arrive, but the machines receive nothing.
 func (c *testCluster) dropInbound(machines ...string) {
 	for _, machine := range machines {
-		c.heals = append(c.heals, c.network.DropInbound(machine))
+		c.heals = append(c.heals, c.network.HoldInbound(machine))
 	}
 }
 
--- a/internal/server/cluster_store_failures_test.go
+++ b/internal/server/cluster_store_failures_test.go
@@ -52,8 +52,8 @@
 func (c *testCluster) exhaustCapacity() {
 	for _, typ := range testTypes {
 		for _, zone := range typ.Zones {
-			c.env.Limit(typ.Name, zone, false, 0)
-			c.env.Limit(typ.Name, zone, true, 0)
+			c.env.LimitCapacity(typ.Name, zone, false, 0)
+			c.env.LimitCapacity(typ.Name, zone, true, 0)
 		}
 	}
 }
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -72,7 +72,7 @@
 	for _, jobID := range jobIDs {
 		wg.Go(func() {
 			for start := time.Now(); ; time.Sleep(5 * time.Second) {
-				if status, _ := c.env.Poll(jobID); status == 200 {
+				if status, _ := c.env.QueryStatus(jobID); status == 200 {
 					return
 				}
 				if time.Since(start) > 75*time.Second {
@@ -105,7 +105,7 @@
 	c.network.SetDelay(nil)
 	c.env.SetCloudDown(false)
 	c.heal()
-	c.env.EndTroubles()
+	c.env.EndFaults()
 	c.expectAnswers(c.jobs...)
 	for _, jobID := range c.jobs {
 		job := c.env.Job(jobID)
--- a/internal/server/compound_failures_test.go
+++ b/internal/server/compound_failures_test.go
@@ -41,8 +41,8 @@
 				run(t, 300+seed, func(c *testCluster) {
 					tc.causeFailures(c, seed%3)
 					c.expectRecovery()
-					if c.env.LateStart() > lateStartLimit {
-						t.Errorf("a task started %v after the cancellation of its job was confirmed", c.env.LateStart())
+					if c.env.MaxStartAfterCancel() > lateStartLimit {
+						t.Errorf("a task started %v after the cancellation of its job was confirmed", c.env.MaxStartAfterCancel())
 					}
 				})
 			}
--- a/internal/server/compound_leader_cases_test.go
+++ b/internal/server/compound_leader_cases_test.go
@@ -25,7 +25,7 @@
 // refuses all hosts.
 func tenFailovers(c *testCluster, variant uint64) {
 	c.startWorkload()
-	c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 10 * time.Second})
+	c.network.SetDuplicates(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 10 * time.Second})
 	for i := range 10 {
 		if old := c.killLeader(); old != "" {
 			time.Sleep(time.Duration(i) * 200 * time.Millisecond)
@@ -60,7 +60,7 @@
 // tasksEndFarApart kills the leader three times while the tasks of each job end at times far
 // apart.
 func tasksEndFarApart(c *testCluster, variant uint64) {
-	c.env.SetUneven(2)
+	c.env.SetRunTimeIncrement(2)
 	c.submit(arrayJob(1, "check", 2), 15)
 	c.submit(arrayJob(2, "check", 3), 12)
 	c.submit(arrayJob(3, "check", 3), 14)
--- a/internal/server/compound_machine_cases_test.go
+++ b/internal/server/compound_machine_cases_test.go
@@ -59,7 +59,7 @@
 // repeatedHeartbeatsOfKilledMachines kills two machines while the network delivers copies of
 // earlier heartbeats, theirs included.
 func repeatedHeartbeatsOfKilledMachines(c *testCluster, variant uint64) {
-	c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second})
+	c.network.SetDuplicates(map[string]time.Duration{"/hello": 40 * time.Second})
 	c.submit(arrayJob(1, "check", 8), 200)
 	c.submit(arrayJob(2, "check", 8), 50) // its end leaves free capacity
 	c.untilDone(2*time.Minute, "req-000002")
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -16,7 +16,7 @@
 	for range 3 {
 		go c.env.Cancel("req-000001")
 		go c.env.Cancel("req-000003")
-		go c.env.Poll("req-000002")
+		go c.env.QueryStatus("req-000002")
 		time.Sleep(700 * time.Millisecond)
 	}
 	c.env.Store.SetUnavailable(c.leader(), true)
@@ -56,8 +56,8 @@
 func moreWorkThanCapacity(c *testCluster, _ uint64) {
 	c.exhaustCapacity()
 	for _, zone := range []string{"a", "b"} {
-		c.env.Limit("small", zone, false, 2)
-		c.env.Limit("small", zone, true, 2)
+		c.env.LimitCapacity("small", zone, false, 2)
+		c.env.LimitCapacity("small", zone, true, 2)
 	}
 	c.network.SetDelay(func(_, _ string) time.Duration { return time.Duration(c.env.Random()*300) * time.Millisecond })
 	for i, priority := range []protocol.Priority{protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh, protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh} {
@@ -75,13 +75,13 @@
 // requestsAsLastTaskEnds makes users cancel a job, ask about it and submit it again as its
 // last task ends.
 func requestsAsLastTaskEnds(c *testCluster, variant uint64) {
-	c.env.SetOnDone(func(jobID protocol.JobID) {
+	c.env.SetOnJobDone(func(jobID protocol.JobID) {
 		number := int(jobID[len(jobID)-1] - '0')
 		time.Sleep(time.Duration(c.env.Random()*float64(variant+1)*700) * time.Millisecond)
 		if number%2 == 0 {
 			go c.env.Cancel(jobID)
 		}
-		go c.env.Poll(jobID)
+		go c.env.QueryStatus(jobID)
 		go c.env.Submit(c.env.Job(jobID), 1)
 	})
 	for i := range 8 {
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -35,7 +35,7 @@
 		// A job with a dependency that nobody submitted is refused, even if another of its
 		// dependencies is cancelled. This rule was once broken just after an outage.
 		for _, dependencies := range [][]protocol.JobID{{partlyCancelled[3], testJobID(999)}, {testJobID(99), partlyCancelled[3]}, {testJobID(99), completed[0], partlyCancelled[1]}} {
-			c.env.Refused(arrayJob(302, "stage", 1), func(fields map[string]any) { fields["awaits"] = dependencies }, 422)
+			c.env.SubmitInvalid(arrayJob(302, "stage", 1), func(fields map[string]any) { fields["awaits"] = dependencies }, 422)
 		}
 		next := dependingOn(arrayJob(301, "stage", 2), completed[1], completed[4])
 		c.submit(next, 5)
@@ -67,7 +67,7 @@
 			{[]protocol.JobID{testJobID(999)}, 422}, {[]protocol.JobID{first.ID, testJobID(999)}, 422}, {[]protocol.JobID{testJobID(2)}, 400}, {"req-000001", 400},
 			{[]string{"job-1"}, 400}, {[]any{1}, 400}, {[]string{""}, 400}, {map[string]int{}, 400}, {tooMany, 400},
 		} {
-			c.env.Refused(arrayJob(2, "stage", 1), func(fields map[string]any) { fields["awaits"] = tc.awaits }, tc.want)
+			c.env.SubmitInvalid(arrayJob(2, "stage", 1), func(fields map[string]any) { fields["awaits"] = tc.awaits }, tc.want)
 		}
 		second := dependingOn(arrayJob(2, "stage", 1), first.ID, first.ID)
 		c.submit(second, 5)
@@ -99,7 +99,7 @@
 		c.untilDone(2*time.Minute, testJobID(4))
 		for range 20 {
 			time.Sleep(5 * time.Second)
-			if status, jobStatus := c.env.Poll(testJobID(3)); status != 200 || jobStatus.Phase != protocol.PhaseQueued {
+			if status, jobStatus := c.env.QueryStatus(testJobID(3)); status != 200 || jobStatus.Phase != protocol.PhaseQueued {
 				t.Fatalf("the job with the unreadable dependency got status %d, phase %q; want 200, queued", status, jobStatus.Phase)
 			}
 		}
--- a/internal/server/fleet_partition_test.go
+++ b/internal/server/fleet_partition_test.go
@@ -20,7 +20,7 @@
 		var heals []func()
 		for i, machine := range c.env.Machines() {
 			if i%8 == 0 {
-				heals = append(heals, c.network.DropInbound(machine))
+				heals = append(heals, c.network.HoldInbound(machine))
 			}
 		}
 		heals = append(heals, c.isolateFromStoreAndPeers(c.leader()))
@@ -91,7 +91,7 @@
 	dep.Teams = []config.Team{{Name: "red", GuaranteedCores: 500, CoresMax: 2000, GuaranteedGPUs: 4, GPUsMax: 8}, {Name: "blue", GuaranteedCores: 500, CoresMax: 2000}}
 	names := []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}
 	runIn(t, seed, names, dep, func(c *testCluster) {
-		c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second})
+		c.network.SetDuplicates(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second})
 		for i := range 20 {
 			c.submit(serviceJob(1+i, 4), 0)
 		}
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -39,12 +39,12 @@
 		for _, resume := range resumes {
 			resume()
 		}
-		expiriesBefore := c.env.LeaseExpiries()
+		expiriesBefore := c.env.LeaseExpiriesWithTasks()
 		time.Sleep(time.Minute)
-		if more := c.env.LeaseExpiries() - expiriesBefore; more > 0 {
+		if more := c.env.LeaseExpiriesWithTasks() - expiriesBefore; more > 0 {
 			t.Errorf("%d leases of agents with tasks expired after the outage, want none", more)
 		}
-		c.env.EndTroubles()
+		c.env.EndFaults()
 		c.expectAnswers(c.jobs...)
 		c.untilDone(10*time.Minute, c.jobs...)
 	})
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -220,15 +220,15 @@
 	run(t, 139, func(c *testCluster) {
 		replicaMachines := c.runServicePairs(12)
 		time.Sleep(5 * time.Second)
-		before, leaseExpiriesBefore := replicaMachines(), c.env.LeaseExpiries()
+		before, leaseExpiriesBefore := replicaMachines(), c.env.LeaseExpiriesWithTasks()
 		oldLeader := c.leader()
 		heal := c.isolate(oldLeader, fake.Hold, c.env.Machines()...)
 		time.Sleep(25 * time.Second) // more than twice the length of an agent's lease
 		if c.leader() == oldLeader {
 			t.Error("the leader that reaches no agent keeps its term")
 		}
-		if c.env.LeaseExpiries() > leaseExpiriesBefore || !slices.Equal(replicaMachines(), before) {
-			t.Errorf("%d leases expired, want none; replicas ran on %s and now run on %s", c.env.LeaseExpiries()-leaseExpiriesBefore, before, replicaMachines())
+		if c.env.LeaseExpiriesWithTasks() > leaseExpiriesBefore || !slices.Equal(replicaMachines(), before) {
+			t.Errorf("%d leases expired, want none; replicas ran on %s and now run on %s", c.env.LeaseExpiriesWithTasks()-leaseExpiriesBefore, before, replicaMachines())
 		}
 		heal()
 		c.submit(arrayJob(21, "check", 6), 10)
@@ -254,7 +254,7 @@
 func TestControllerRestartsAtOnce(t *testing.T) {
 	t.Parallel()
 	run(t, 135, func(c *testCluster) {
-		c.network.SetRepeat(map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second})
+		c.network.SetDuplicates(map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second})
 		transactions := 0
 		c.env.Store.SetLoseReply(func() bool { transactions++; return transactions%4 == 0 })
 		c.submit(serviceJob(1, 2), 0)
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -61,7 +61,7 @@
 	run(t, 90, func(c *testCluster) {
 		c.submit(gangJob(1, 3), 60)
 		running := func() bool {
-			_, jobStatus := c.env.Poll("req-000001")
+			_, jobStatus := c.env.QueryStatus("req-000001")
 			return jobStatus.Running == 3 && len(c.env.MachinesOf("req-000001")) >= 2
 		}
 		c.until("the gang runs", 3*time.Minute, running)
@@ -193,8 +193,8 @@
 	t.Parallel()
 	run(t, 140, func(c *testCluster) {
 		for _, zone := range []string{"a", "b"} {
-			c.env.Limit("small", zone, true, 5)
-			c.env.Limit("small", zone, false, 0)
+			c.env.LimitCapacity("small", zone, true, 5)
+			c.env.LimitCapacity("small", zone, false, 0)
 		}
 		for i := range 10 {
 			job := arrayJob(1+i, "check", 1) // each task needs a whole small machine
--- a/internal/server/normal_operation_test.go
+++ b/internal/server/normal_operation_test.go
@@ -28,7 +28,7 @@
 		if status := c.env.Submit(arrayJob(2, "check", 30), 15); status != 200 {
 			t.Errorf("repeated submission of a finished job: status %d, want 200", status)
 		}
-		if status, _ := c.env.Poll("req-999999"); status != 404 {
+		if status, _ := c.env.QueryStatus("req-999999"); status != 404 {
 			t.Errorf("status request for an unknown job: status %d, want 404", status)
 		}
 		c.env.Cancel("req-000001")
@@ -112,7 +112,7 @@
 		job := arrayJob(1, "many", 3000)
 		job.Cores, job.MemGB, job.EstimateS = 0.05, 0.1, 5
 		c.submit(job, 4)
-		c.until("more than 200 tasks run and more than 300 are done", 2*time.Minute, func() bool { _, st := c.env.Poll(job.ID); return st.Running > 200 && st.Done > 300 })
+		c.until("more than 200 tasks run and more than 300 are done", 2*time.Minute, func() bool { _, st := c.env.QueryStatus(job.ID); return st.Running > 200 && st.Done > 300 })
 		c.kill(c.leader())
 		c.untilDone(10*time.Minute, job.ID)
 	})
--- a/internal/server/one_way_partition_test.go
+++ b/internal/server/one_way_partition_test.go
@@ -15,8 +15,8 @@
 	t.Parallel()
 	run(t, 340, func(c *testCluster) {
 		c.exhaustCapacity() // except for three small machines in each zone, fewer than the tasks need
-		c.env.Limit("small", "a", false, 3)
-		c.env.Limit("small", "b", false, 3)
+		c.env.LimitCapacity("small", "a", false, 3)
+		c.env.LimitCapacity("small", "b", false, 3)
 		c.submit(serviceJob(1, 2), 0)
 		c.submit(arrayJob(2, "fill", 400), 3)
 		c.until("tasks of both jobs run", 2*time.Minute, func() bool {
@@ -50,7 +50,7 @@
 			c.startWorkload()
 			time.Sleep(25 * time.Second) // the machines provisioned beyond the need are up
 			c.exhaustCapacity()
-			machines, expiriesBefore, termBefore := c.env.Machines(), c.env.LeaseExpiries(), c.latestTerm()
+			machines, expiriesBefore, termBefore := c.env.Machines(), c.env.LeaseExpiriesWithTasks(), c.latestTerm()
 			c.blockOutbound(machines...)
 			time.Sleep(20 * time.Second)
 			if seed%2 == 1 {
@@ -62,7 +62,7 @@
 			}
 			// Each machine loses its tasks once. No task is placed there and lost again, except
 			// by a new leader, which finds out only after some heartbeat intervals.
-			if n := c.env.LeaseExpiries() - expiriesBefore; n > len(machines)*int(1+seed%2) {
+			if n := c.env.LeaseExpiriesWithTasks() - expiriesBefore; n > len(machines)*int(1+seed%2) {
 				t.Errorf("%d leases of %d machines expired with tasks", n, len(machines))
 			}
 			// One leader may give up its term. The next one receives no heartbeats either and
@@ -91,7 +91,7 @@
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) >= 5
 		})
 		partitioned := c.env.MachinesOf("req-000001")[0]
-		heal := c.network.DropInbound(partitioned)
+		heal := c.network.HoldInbound(partitioned)
 		defer heal()
 		c.untilElsewhere("req-000001", 2, partitioned, testLease+30*time.Second)
 		for range 60 {
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -74,7 +74,7 @@
 		for l.ctx.Err() == nil {
 			jobIDs := l.mustFinishJobs()
 			jobID := jobIDs[int(l.env.Random()*float64(len(jobIDs)))]
-			go l.env.Poll(jobID)
+			go l.env.QueryStatus(jobID)
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
@@ -115,7 +115,7 @@
 			endFuncs = append(endFuncs, l.network.BlockOutbound(machine))
 		}
 		for _, machine := range l.randomMachines(0.1) {
-			endFuncs = append(endFuncs, l.network.DropInbound(machine))
+			endFuncs = append(endFuncs, l.network.HoldInbound(machine))
 		}
 	case 5: // some machines hang, and others are removed without notice
 		for _, machine := range l.randomMachines(0.05) {
@@ -150,7 +150,7 @@
 		names, dep := productionSizeDeployment()
 		runUpgradeIn(t, 810+seed, names, dep, func(c *testCluster) {
 			l := &productionLoad{testCluster: c, rng: rand.New(rand.NewPCG(seed, 13))}
-			c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 20 * time.Second})
+			c.network.SetDuplicates(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 20 * time.Second})
 			c.env.Store.SetMaxPageSize(40)
 			c.env.SetCloudMaxPageSize(70)
 			l.submitArrays(12)
@@ -177,7 +177,7 @@
 				time.Sleep(time.Duration(l.rng.IntN(10)) * time.Second)
 			}
 			time.Sleep(30 * time.Second)
-			c.env.EndTroubles()
+			c.env.EndFaults()
 			mustFinish := slices.DeleteFunc(l.mustFinishJobs(), func(jobID protocol.JobID) bool { return !c.env.MayFinish(jobID) })
 			c.expectAnswers(mustFinish...)
 			c.untilDone(10*time.Minute, mustFinish...)
--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -20,7 +20,7 @@
 	t.Parallel()
 	run(t, 360, func(c *testCluster) {
 		c.exhaustCapacity()
-		c.env.Limit("small", "a", true, 2)
+		c.env.LimitCapacity("small", "a", true, 2)
 		c.submit(arrayJob(1, "check", 4), 100)
 		c.until("all four tasks run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 4 })
 		time.Sleep(3 * time.Second)
--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -46,7 +46,7 @@
 					}
 				}
 			}()
-			c.env.SetUneven(0.02) // tasks end one after another, so that segments are written many times
+			c.env.SetRunTimeIncrement(0.02) // tasks end one after another, so that segments are written many times
 			c.submit(largeArray(1, 200), 10)
 			c.submit(largeArray(2, 150), 10)
 			c.submit(dependingOn(largeArray(3, 70), testJobID(1)), 5)
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -24,7 +24,7 @@
 			for _, zone := range machineType.Zones {
 				for _, spot := range []bool{false, true} {
 					if spot || zone != "a" || machineType.Name != "big" {
-						c.env.Limit(machineType.Name, zone, spot, 0)
+						c.env.LimitCapacity(machineType.Name, zone, spot, 0)
 					}
 				}
 			}
@@ -36,8 +36,8 @@
 		c.boot(c.killLeader())
 		c.env.Cancel(testJobID(4))
 		c.untilDone(5*time.Minute, c.jobs[:3]...)
-		if c.env.LeaseExpiries() > 0 {
-			t.Errorf("%d leases of agents with tasks expired, want none", c.env.LeaseExpiries())
+		if c.env.LeaseExpiriesWithTasks() > 0 {
+			t.Errorf("%d leases of agents with tasks expired, want none", c.env.LeaseExpiriesWithTasks())
 		}
 	})
 }
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -20,7 +20,7 @@
 func (g *pollGaps) pollJob(ctx context.Context, c *testCluster, jobID protocol.JobID) {
 	answered := time.Now()
 	for ctx.Err() == nil {
-		status, _ := c.env.Poll(jobID)
+		status, _ := c.env.QueryStatus(jobID)
 		g.mu.Lock()
 		g.longest[jobID] = max(g.longest[jobID], time.Since(answered))
 		g.mu.Unlock()
@@ -103,7 +103,7 @@
 			go func() {
 				time.Sleep(time.Duration(i) * 5 * time.Second / jobs)
 				for ctx.Err() == nil {
-					c.env.Poll(jobID)
+					c.env.QueryStatus(jobID)
 					time.Sleep(5 * time.Second)
 				}
 			}()
--- a/internal/server/upgrade_failures_test.go
+++ b/internal/server/upgrade_failures_test.go
@@ -18,7 +18,7 @@
 func TestLimitsBeforeFormat(t *testing.T) {
 	t.Parallel()
 	runUpgrade(t, 71, func(c *testCluster) {
-		c.env.SetUneven(0.01) // tasks end one after the other
+		c.env.SetRunTimeIncrement(0.01) // tasks end one after the other
 		c.submit(largeArray(1, 340), 40)
 		c.until("more than 200 tasks run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) > 200 })
 		last := controllerNames[2]
