--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -106,6 +106,6 @@
 	if n := c.latestTerm() - termBefore; tc.othersContinue && n > 0 {
 		c.t.Errorf("%d new terms since the start of the outage, want none", n)
 	}
-	c.expectAnswers(c.jobs...)
+	c.expectStatusAnswers(c.jobs...)
 	c.until("both replicas of the service req-000002 run", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000002")) == 2 })
 }
--- a/internal/server/chain_cancellation_test.go
+++ b/internal/server/chain_cancellation_test.go
@@ -14,7 +14,7 @@
 	t.Parallel()
 	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // one task at a time, so that no job starts beside the first
-	runIn(t, 62, controllerNames, dep, func(c *testCluster) {
+	runInDeployment(t, 62, controllerNames, dep, func(c *testCluster) {
 		jobIDs := []protocol.JobID{testJobID(1), testJobID(2), testJobID(3)}
 		c.submit(arrayJob(1, "stage", 2), 1000)
 		c.submit(dependingOn(arrayJob(2, "stage", 1), jobIDs[0]), 5)
@@ -43,7 +43,7 @@
 	t.Parallel()
 	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // one task at a time, so that no job starts beside the first
-	runIn(t, 65, controllerNames, dep, func(c *testCluster) {
+	runInDeployment(t, 65, controllerNames, dep, func(c *testCluster) {
 		c.submit(arrayJob(1, "stage", 2), 1000)
 		chainLength, levels := 150, 3
 		for i := 2; i <= chainLength; i++ {
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -87,11 +87,11 @@
 
 // chaos submits and cancels jobs of all kinds while controllers crash, links are cut,
 // machines hang or disappear, and the key-value store refuses one controller or all.
-func chaos(c *testCluster, seed uint64) { chaosDuring(c, seed, func(int) bool { return true }) }
+func chaos(c *testCluster, seed uint64) { chaosWithSteps(c, seed, func(int) bool { return true }) }
 
-// chaosDuring runs chaos and calls the scenario's beforeStep before each step. The result
+// chaosWithSteps runs chaos and calls the scenario's beforeStep before each step. The result
 // of beforeStep says whether jobs submitted in that step may depend on others.
-func chaosDuring(c *testCluster, seed uint64, beforeStep func(step int) bool) {
+func chaosWithSteps(c *testCluster, seed uint64, beforeStep func(step int) bool) {
 	r := &chaosRun{testCluster: c, rng: rand.New(rand.NewPCG(seed, 7))}
 	r.configure()
 	for step := range chaosSteps {
@@ -232,7 +232,7 @@
 	if len(jobIDs) == 0 {
 		r.t.Fatal("no job was accepted")
 	}
-	r.expectAnswers(jobIDs...)
+	r.expectStatusAnswers(jobIDs...)
 	r.untilDone(10*time.Minute, jobIDs...)
 	time.Sleep(time.Minute)
 }
--- a/internal/server/cluster_checks_test.go
+++ b/internal/server/cluster_checks_test.go
@@ -8,11 +8,11 @@
 	"marblehaven/internal/records"
 )
 
-// checkPreconditions checks the preconditions of an applied transaction. Changes of keys that
-// only a leader writes need the version of the term key as a precondition. Changes of open
-// records and run records need the version of the changed key. Otherwise a late copy of the
-// transaction could undo newer writes.
-func (c *testCluster) checkPreconditions(txn *protocol.Transaction) {
+// checkRequiredPreconditions checks the preconditions of an applied transaction. Changes
+// of keys that only a leader writes need the version of the term key as a precondition.
+// Changes of open records and run records need the version of the changed key. Otherwise a
+// late copy of the transaction could undo newer writes.
+func (c *testCluster) checkRequiredPreconditions(txn *protocol.Transaction) {
 	hasPrecondition := map[string]bool{}
 	for _, precondition := range txn.Preconditions {
 		hasPrecondition[precondition.Key] = true
@@ -26,13 +26,14 @@
 	}
 }
 
-// checkFormat checks that no record is written in a format that the previous version
-// cannot read while a controller still runs that version, and so may lead.
-func (c *testCluster) checkFormat(txn *protocol.Transaction) {
+// checkReadableByPreviousVersion checks that no record is written in a format that the
+// previous version cannot read while a controller still runs that version, and so may
+// lead.
+func (c *testCluster) checkReadableByPreviousVersion(txn *protocol.Transaction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, mutation := range txn.Mutations {
-		if isFurtherSegment(mutation.Set) && slices.ContainsFunc(c.names, func(name string) bool { return c.previous[name] }) {
+		if isFurtherSegment(mutation.Set) && slices.ContainsFunc(c.names, func(name string) bool { return c.runsPreviousVersion[name] }) {
 			c.t.Errorf("%s is written although a controller of the previous version cannot read it", mutation.Set)
 		}
 	}
--- a/internal/server/cluster_deployments_test.go
+++ b/internal/server/cluster_deployments_test.go
@@ -9,7 +9,7 @@
 
 var controllerNames = []string{"marble-0", "marble-1", "marble-2"}
 
-var testTypes = []protocol.MachineType{
+var testMachineTypes = []protocol.MachineType{
 	{Name: "small", Cores: 4, MemGB: 16, CacheGB: 40, FetchGBps: 1, Price: 0.2, SpotPrice: 0.06, BootS: 20, Zones: []string{"a", "b"}},
 	{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}},
 	{Name: "card", Cores: 16, GPUs: 4, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 9, SpotPrice: 3, BootS: 25, Zones: []string{"a", "b"}},
@@ -51,9 +51,10 @@
 // fleetSize is the number of machines that the operators run.
 const fleetSize = 4000
 
-// atFleetSize returns a deployment in which fleetSize machines are provisioned. Agents send
-// heartbeats every ten seconds, and the rates are those of a small key-value store.
-func atFleetSize() config.Deployment {
+// fleetSizeDeployment returns a deployment in which fleetSize machines are provisioned.
+// Agents send heartbeats every ten seconds, and the rates are those of a small key-value
+// store.
+func fleetSizeDeployment() config.Deployment {
 	d := testDeployment()
 	d.Teams = []config.Team{{Name: "red", GuaranteedCores: 20000, CoresMax: 100000}, {Name: "blue", GuaranteedCores: 20000, CoresMax: 100000}}
 	d.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 30, GangPeerS: 4, CancelS: 65}
--- a/internal/server/cluster_network_test.go
+++ b/internal/server/cluster_network_test.go
@@ -9,7 +9,7 @@
 // cut cuts the link between two hosts until the returned function or heal is called.
 func (c *testCluster) cut(hostA, hostB string, mode fake.CutMode) func() {
 	heal := sync.OnceFunc(c.network.Cut(hostA, hostB, mode))
-	c.heals = append(c.heals, heal)
+	c.healFuncs = append(c.healFuncs, heal)
 	return heal
 }
 
@@ -37,7 +37,7 @@
 // answer commands, but cannot open connections.
 func (c *testCluster) blockOutbound(machines ...string) {
 	for _, machine := range machines {
-		c.heals = append(c.heals, c.network.BlockOutbound(machine))
+		c.healFuncs = append(c.healFuncs, c.network.BlockOutbound(machine))
 	}
 }
 
@@ -45,14 +45,14 @@
 // arrive, but the machines receive nothing.
 func (c *testCluster) dropInbound(machines ...string) {
 	for _, machine := range machines {
-		c.heals = append(c.heals, c.network.HoldInbound(machine))
+		c.healFuncs = append(c.healFuncs, c.network.HoldInbound(machine))
 	}
 }
 
 // heal ends all partitions that cut, isolate, blockOutbound and dropInbound have started.
 func (c *testCluster) heal() {
-	for _, heal := range c.heals {
+	for _, heal := range c.healFuncs {
 		heal()
 	}
-	c.heals = nil
+	c.healFuncs = nil
 }
--- a/internal/server/cluster_store_failures_test.go
+++ b/internal/server/cluster_store_failures_test.go
@@ -50,7 +50,7 @@
 // exhaustCapacity sets the capacity of all pools to zero, so that the cloud refuses all
 // provisioning requests.
 func (c *testCluster) exhaustCapacity() {
-	for _, typ := range testTypes {
+	for _, typ := range testMachineTypes {
 		for _, zone := range typ.Zones {
 			c.env.LimitCapacity(typ.Name, zone, false, 0)
 			c.env.LimitCapacity(typ.Name, zone, true, 0)
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -32,13 +32,13 @@
 	mu          sync.Mutex
 	controllers map[string]*controller
 	stops       map[string]func()
-	heals       []func()
+	healFuncs   []func()
 	jobs        []protocol.JobID
 	names       []string // of all controllers, running or not
 	deployment  config.Deployment
-	// previous holds, by controller name, whether the controller runs the previous version
-	// of the record formats.
-	previous map[string]bool
+	// runsPreviousVersion holds, by controller name, whether the controller runs the
+	// previous version of the record formats.
+	runsPreviousVersion map[string]bool
 }
 
 // run runs a scenario with three controllers. The environment's checker reports violations
@@ -49,24 +49,25 @@
 
 // runWithNodes is like run, with controllers of the given names.
 func runWithNodes(t *testing.T, seed uint64, names []string, scenario func(c *testCluster)) {
-	runIn(t, seed, names, testDeployment(), scenario)
+	runInDeployment(t, seed, names, testDeployment(), scenario)
 }
 
-// runIn is like runWithNodes, in the given deployment. The scenario and all controllers run
-// in one synctest bubble with synthetic time. The network, the fakes and the log belong to
-// the bubble, so that scenarios share nothing and may run in parallel. With SCENARIO_LOG
-// set, the log goes to standard error; -parallel 1 keeps the lines of a scenario together.
-func runIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
+// runInDeployment is like runWithNodes, in the given deployment. The scenario and all
+// controllers run in one synctest bubble with synthetic time. The network, the fakes and
+// the log belong to the bubble, so that scenarios share nothing and may run in parallel.
+// With SCENARIO_LOG set, the log goes to standard error; -parallel 1 keeps the lines of a
+// scenario together.
+func runInDeployment(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		c := &testCluster{t: t, ctx: ctx, network: fake.NewNetwork(seed), controllers: map[string]*controller{}, stops: map[string]func(){}, names: names, deployment: dep, previous: map[string]bool{}}
+		c := &testCluster{t: t, ctx: ctx, network: fake.NewNetwork(seed), controllers: map[string]*controller{}, stops: map[string]func(){}, names: names, deployment: dep, runsPreviousVersion: map[string]bool{}}
 		out := io.Discard
 		if os.Getenv("SCENARIO_LOG") != "" {
 			out = os.Stderr
 		}
 		c.log = slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
-		c.env = fake.NewEnvironment(ctx, c.network, dep, testTypes)
-		c.env.Store.SetOnCommit(c.checkPreconditions)
+		c.env = fake.NewEnvironment(ctx, c.network, dep, testMachineTypes)
+		c.env.Store.SetOnCommit(c.checkRequiredPreconditions)
 		for i, name := range names {
 			c.env.AddNode(name, fmt.Sprintf("10.0.0.%d:80", i+1))
 			c.boot(name)
@@ -102,7 +103,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if c.previous[name] {
+	if c.runsPreviousVersion[name] {
 		node.supportedFormat = records.FormatWhole
 	}
 	node.start(ctx)
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -63,10 +63,10 @@
 	return next
 }
 
-// expectAnswers checks that status requests for each accepted job are answered within 75 s,
-// as the operators require. It asks about all the jobs at the same time, so one without an
-// answer does not delay the others.
-func (c *testCluster) expectAnswers(jobIDs ...protocol.JobID) {
+// expectStatusAnswers checks that status requests for each accepted job are answered
+// within 75 s, as the operators require. It asks about all the jobs at the same time, so
+// one without an answer does not delay the others.
+func (c *testCluster) expectStatusAnswers(jobIDs ...protocol.JobID) {
 	c.t.Helper()
 	var wg sync.WaitGroup
 	for _, jobID := range jobIDs {
@@ -106,7 +106,7 @@
 	c.env.SetCloudDown(false)
 	c.heal()
 	c.env.EndFaults()
-	c.expectAnswers(c.jobs...)
+	c.expectStatusAnswers(c.jobs...)
 	for _, jobID := range c.jobs {
 		job := c.env.Job(jobID)
 		switch {
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -67,8 +67,8 @@
 // that no record names, so that the next leader had no information about the tasks.
 func TestStartsWithoutRecord(t *testing.T) {
 	t.Parallel()
-	runIn(t, 901, controllerNames, largeArrayDeployment(), func(c *testCluster) {
-		c.untilUpgraded(20 * time.Second)
+	runInDeployment(t, 901, controllerNames, largeArrayDeployment(), func(c *testCluster) {
+		c.untilNewFormatUsed(20 * time.Second)
 		c.submit(arrayJob(1, "warm", 2), 300) // so that a machine is provisioned
 		c.until("both warm-up tasks run", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 2 })
 		refused := c.loseThenRefuseCommit(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
@@ -85,8 +85,8 @@
 // recorded: no task of it starts after the cancellation was confirmed to the user.
 func TestStartsAfterCancellation(t *testing.T) {
 	t.Parallel()
-	runIn(t, 902, controllerNames, largeArrayDeployment(), func(c *testCluster) {
-		c.untilUpgraded(20 * time.Second)
+	runInDeployment(t, 902, controllerNames, largeArrayDeployment(), func(c *testCluster) {
+		c.untilNewFormatUsed(20 * time.Second)
 		c.submit(arrayJob(1, "warm", 2), 300)
 		c.until("both warm-up tasks run", 2*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 2 })
 		refused := c.loseThenRefuseCommit(records.SegmentKey(testJobID(2), 0), records.SegmentKey(testJobID(3), 0))
@@ -113,8 +113,8 @@
 // confirmed to the user, and started the job that depends on it.
 func TestJobClosedWithoutRecord(t *testing.T) {
 	t.Parallel()
-	runIn(t, 903, controllerNames, largeArrayDeployment(), func(c *testCluster) {
-		c.untilUpgraded(20 * time.Second)
+	runInDeployment(t, 903, controllerNames, largeArrayDeployment(), func(c *testCluster) {
+		c.untilNewFormatUsed(20 * time.Second)
 		refused := c.loseThenRefuseCommit(records.FinalKey(testJobID(1)), records.FinalKey(testJobID(2)))
 		c.submit(largeArray(1, 1), 10)
 		c.submit(largeArray(2, 1), 10.5)
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -42,7 +42,7 @@
 	case 1:
 		c.dropInbound(machines[:2]...)
 	case 2:
-		c.heals = append(c.heals, c.env.Hang(machines[0]))
+		c.healFuncs = append(c.healFuncs, c.env.Hang(machines[0]))
 	}
 	c.killLeader()
 	go c.env.Cancel("req-000001")
--- a/internal/server/fleet_partition_test.go
+++ b/internal/server/fleet_partition_test.go
@@ -17,20 +17,20 @@
 func TestFleetInboundPartition(t *testing.T) {
 	t.Parallel()
 	runFleet(t, 138, func(c *testCluster, replicasUp func([]protocol.JobID) func() bool) {
-		var heals []func()
+		var healFuncs []func()
 		for i, machine := range c.env.Machines() {
 			if i%8 == 0 {
-				heals = append(heals, c.network.HoldInbound(machine))
+				healFuncs = append(healFuncs, c.network.HoldInbound(machine))
 			}
 		}
-		heals = append(heals, c.isolateFromStoreAndPeers(c.leader()))
+		healFuncs = append(healFuncs, c.isolateFromStoreAndPeers(c.leader()))
 		c.env.Cancel("req-000001")
 		time.Sleep(40 * time.Second)
-		for _, heal := range heals {
+		for _, heal := range healFuncs {
 			heal()
 		}
 		c.restartAll()
-		c.expectAnswers(c.jobs...)
+		c.expectStatusAnswers(c.jobs...)
 		if machines := c.env.MachinesOf("req-000001"); len(machines) > 0 {
 			t.Errorf("the cancelled job req-000001 still has tasks on %v", machines)
 		}
@@ -58,9 +58,9 @@
 				outsideHosts = append(outsideHosts, host)
 			}
 		}
-		var heals []func()
+		var healFuncs []func()
 		for _, host := range insideHosts {
-			heals = append(heals, c.isolate(host, fake.Hold, outsideHosts...))
+			healFuncs = append(healFuncs, c.isolate(host, fake.Hold, outsideHosts...))
 		}
 		time.Sleep(5 * time.Second)
 		for i, machine := range c.env.Machines() {
@@ -71,10 +71,10 @@
 		c.env.Cancel("req-000001")
 		time.Sleep(30 * time.Second)
 		c.restartAll()
-		for _, heal := range heals {
+		for _, heal := range healFuncs {
 			heal()
 		}
-		c.expectAnswers(c.jobs...)
+		c.expectStatusAnswers(c.jobs...)
 		c.untilDone(6*time.Minute, c.jobs[20:]...)
 		c.until("all replicas of the services that were not cancelled run", time.Minute, replicasUp(c.jobs[1:20]))
 		if machines := c.env.MachinesOf("req-000001"); len(machines) > 0 {
@@ -90,7 +90,7 @@
 	dep := testDeployment()
 	dep.Teams = []config.Team{{Name: "red", GuaranteedCores: 500, CoresMax: 2000, GuaranteedGPUs: 4, GPUsMax: 8}, {Name: "blue", GuaranteedCores: 500, CoresMax: 2000}}
 	names := []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}
-	runIn(t, seed, names, dep, func(c *testCluster) {
+	runInDeployment(t, seed, names, dep, func(c *testCluster) {
 		c.network.SetDuplicates(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second})
 		for i := range 20 {
 			c.submit(serviceJob(1+i, 4), 0)
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -13,7 +13,7 @@
 func TestFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	const arrays, tasks = 40, 100
-	runIn(t, 901, controllerNames, atFleetSize(), func(c *testCluster) {
+	runInDeployment(t, 901, controllerNames, fleetSizeDeployment(), func(c *testCluster) {
 		c.env.SetStep(250 * time.Millisecond) // advancing the tasks of 4,000 machines takes most of the time of the test
 		c.env.Store.LimitRequests(c.deployment.State.RPS)
 		for i := range arrays {
@@ -45,7 +45,7 @@
 			t.Errorf("%d leases of agents with tasks expired after the outage, want none", more)
 		}
 		c.env.EndFaults()
-		c.expectAnswers(c.jobs...)
+		c.expectStatusAnswers(c.jobs...)
 		c.untilDone(10*time.Minute, c.jobs...)
 	})
 }
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -25,7 +25,7 @@
 			var once sync.Once
 			placed := make(chan struct{})
 			c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
-				c.checkPreconditions(txn)
+				c.checkRequiredPreconditions(txn)
 				for _, mutation := range txn.Mutations {
 					if strings.HasSuffix(mutation.Set, "/t") {
 						once.Do(func() { close(placed) })
@@ -204,7 +204,7 @@
 			t.Error("the isolated controller still answers heartbeats after its leader lease has ended")
 		}
 		c.env.SetCloudDown(false)
-		c.expectAnswers("req-000001", "req-000002")
+		c.expectStatusAnswers("req-000001", "req-000002")
 		heal()
 		c.untilDone(4*time.Minute, "req-000002")
 	})
@@ -269,7 +269,7 @@
 			time.Sleep(time.Duration(40+i*37) * time.Millisecond)
 		}
 		c.env.Store.SetLoseReply(nil)
-		c.expectAnswers("req-000001", "req-000002", "req-000003")
+		c.expectStatusAnswers("req-000001", "req-000002", "req-000003")
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
 		c.until("both replicas of the service run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 	})
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -162,13 +162,13 @@
 		})
 		old := c.leader()
 		inside := c.env.MachinesOf("req-000001")[0]
-		var heals []func()
+		var healFuncs []func()
 		for _, name := range controllerNames {
 			if name != old {
-				heals = append(heals, c.cut(old, name, fake.Hold), c.cut(inside, name, fake.Hold))
+				healFuncs = append(healFuncs, c.cut(old, name, fake.Hold), c.cut(inside, name, fake.Hold))
 			}
 		}
-		heals = append(heals, c.isolate(old, fake.Hold, "state", "cloud", "users"))
+		healFuncs = append(healFuncs, c.isolate(old, fake.Hold, "state", "cloud", "users"))
 		// With the cloud down the machine cannot be deprovisioned either. Its tasks end only
 		// because the old leader stops answering heartbeats when its leader lease expires.
 		c.env.SetCloudDown(true)
@@ -177,7 +177,7 @@
 		c.submit(serviceJob(3, 2), 0)
 		time.Sleep(45 * time.Second)
 		c.env.SetCloudDown(false)
-		for _, heal := range heals {
+		for _, heal := range healFuncs {
 			heal()
 		}
 		c.untilDone(4*time.Minute, "req-000002")
--- a/internal/server/normal_operation_test.go
+++ b/internal/server/normal_operation_test.go
@@ -112,7 +112,10 @@
 		job := arrayJob(1, "many", 3000)
 		job.Cores, job.MemGB, job.EstimateS = 0.05, 0.1, 5
 		c.submit(job, 4)
-		c.until("more than 200 tasks run and more than 300 are done", 2*time.Minute, func() bool { _, st := c.env.QueryStatus(job.ID); return st.Running > 200 && st.Done > 300 })
+		c.until("more than 200 tasks run and more than 300 are done", 2*time.Minute, func() bool {
+			_, jobStatus := c.env.QueryStatus(job.ID)
+			return jobStatus.Running > 200 && jobStatus.Done > 300
+		})
 		c.kill(c.leader())
 		c.untilDone(10*time.Minute, job.ID)
 	})
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -159,7 +159,7 @@
 				c.restartAs(false, name)
 				time.Sleep(2 * time.Second)
 			}
-			c.untilUpgraded(time.Minute)
+			c.untilNewFormatUsed(time.Minute)
 			c.env.Store.LowerLimits(dep.State.StricterLimits())
 			c.env.Store.LimitRequests(dep.State.RPS)
 			l.pollInBackground()
@@ -179,7 +179,7 @@
 			time.Sleep(30 * time.Second)
 			c.env.EndFaults()
 			mustFinish := slices.DeleteFunc(l.mustFinishJobs(), func(jobID protocol.JobID) bool { return !c.env.MayFinish(jobID) })
-			c.expectAnswers(mustFinish...)
+			c.expectStatusAnswers(mustFinish...)
 			c.untilDone(10*time.Minute, mustFinish...)
 			for _, jobID := range l.mustFinishJobs() {
 				if phase := c.phase(jobID); phase != protocol.PhaseDone && phase != protocol.PhaseCancelled {
--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -115,7 +115,7 @@
 		c.boot(old)
 		time.Sleep(20 * time.Second)
 		heal()
-		c.expectAnswers("req-000001")
+		c.expectStatusAnswers("req-000001")
 		c.untilDone(5*time.Minute, "req-000001")
 	})
 }
@@ -143,7 +143,7 @@
 	run(t, 131, func(c *testCluster) {
 		c.submit(arrayJob(1, "check", 2), 20)
 		c.env.Store.Corrupt("o/req-000001")
-		c.expectAnswers("req-000001")
+		c.expectStatusAnswers("req-000001")
 	})
 }
 
--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -16,13 +16,13 @@
 func TestLeaderDiesBetweenRecordSegments(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(4) {
-		runIn(t, 720+seed, controllerNames, largeArrayDeployment(), func(c *testCluster) {
-			c.untilUpgraded(20 * time.Second)
+		runInDeployment(t, 720+seed, controllerNames, largeArrayDeployment(), func(c *testCluster) {
+			c.untilNewFormatUsed(20 * time.Second)
 			c.env.Store.LowerLimits(c.deployment.State.StricterLimits())
 			var transactions, killed uint64
 			killRequests := make(chan struct{}, 12)
 			c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
-				c.checkPreconditions(txn)
+				c.checkRequiredPreconditions(txn)
 				isFurther := func(mutation protocol.Mutation) bool { return isFurtherSegment(mutation.Set + mutation.Delete) }
 				if !slices.ContainsFunc(txn.Mutations, isFurther) {
 					return
@@ -65,13 +65,13 @@
 // have certainly ended, and the job completes after that.
 func TestUnreadableRecordSegment(t *testing.T) {
 	t.Parallel()
-	runIn(t, 73, controllerNames, largeArrayDeployment(), func(c *testCluster) {
-		c.untilUpgraded(20 * time.Second)
+	runInDeployment(t, 73, controllerNames, largeArrayDeployment(), func(c *testCluster) {
+		c.untilNewFormatUsed(20 * time.Second)
 		c.submit(largeArray(1, 120), 60)
 		c.until("all 120 tasks run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 120 })
 		c.env.Store.Corrupt(records.SegmentKey(testJobID(1), 2))
 		c.killLeader()
-		c.expectAnswers(testJobID(1))
+		c.expectStatusAnswers(testJobID(1))
 		c.untilDone(8*time.Minute, testJobID(1))
 	})
 }
@@ -80,7 +80,7 @@
 // key-value store can be cancelled and is closed, although its open record is now too long.
 func TestCancelLargeRecord(t *testing.T) {
 	t.Parallel()
-	runIn(t, 75, controllerNames, largeArrayDeployment(), func(c *testCluster) {
+	runInDeployment(t, 75, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		job := arrayJob(1, strings.Repeat("c", 140), 1)
 		for range 20 {
 			job.MachineTypes = append(job.MachineTypes, strings.Repeat("t", 140))
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -19,8 +19,8 @@
 	dep.Teams = []config.Team{{Name: "red", GuaranteedCores: 1e6}, {Name: "unused", GuaranteedCores: 10, CoresMax: 20}}
 	dep.Workers.ReportS = dep.Workers.LeaseS / 3
 	dep.Workers.CancelS = dep.Workers.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
-	runIn(t, 902, controllerNames, dep, func(c *testCluster) {
-		for _, machineType := range testTypes {
+	runInDeployment(t, 902, controllerNames, dep, func(c *testCluster) {
+		for _, machineType := range testMachineTypes {
 			for _, zone := range machineType.Zones {
 				for _, spot := range []bool{false, true} {
 					if spot || zone != "a" || machineType.Name != "big" {
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -50,7 +50,7 @@
 func TestStatusQueriesBeyondRequestLimit(t *testing.T) {
 	t.Parallel()
 	const jobs = 700
-	runIn(t, 904, controllerNames, atFleetSize(), func(c *testCluster) {
+	runInDeployment(t, 904, controllerNames, fleetSizeDeployment(), func(c *testCluster) {
 		c.exhaustCapacity()
 		for i := range jobs {
 			c.submit(arrayJob(1+i, "check", 2), 5)
@@ -83,7 +83,7 @@
 	t.Parallel()
 	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // one task at a time, so that no job starts beside the first
-	runIn(t, 66, controllerNames, dep, func(c *testCluster) {
+	runInDeployment(t, 66, controllerNames, dep, func(c *testCluster) {
 		const jobs = 300
 		c.submit(arrayJob(1, "stage", 2), 1000)
 		var dependencies, jobIDs []protocol.JobID
@@ -112,7 +112,7 @@
 		c.env.Store.SetUnavailable("", true)
 		time.Sleep(25 * time.Second)
 		c.env.Store.SetUnavailable("", false)
-		c.expectAnswers(jobIDs...)
+		c.expectStatusAnswers(jobIDs...)
 		time.Sleep(20 * time.Second)
 		requestsBefore, throttledBefore := c.env.Store.RequestCounts()
 		time.Sleep(time.Minute)
--- a/internal/server/upgrade_failures_test.go
+++ b/internal/server/upgrade_failures_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("%d writes were refused as beyond the limits, want 1", refusals)
 		}
 		heal()
-		c.untilUpgraded(30 * time.Second)
+		c.untilNewFormatUsed(30 * time.Second)
 		c.submit(largeArray(4, 200), 10)
 		c.untilDone(8*time.Minute, testJobID(4))
 	})
@@ -58,7 +58,7 @@
 		}
 		c.untilStatusPageShows("version 1 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>1</td>")
 		c.restartAs(false, controllerNames[2]) // it overwrites the unreadable version record
-		c.untilUpgraded(30 * time.Second)
+		c.untilNewFormatUsed(30 * time.Second)
 		c.untilStatusPageShows("version 2 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>2</td>")
 	})
 }
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -20,11 +20,11 @@
 
 // runUpgradeIn is runUpgrade with controllers of the given names and in the given deployment.
 func runUpgradeIn(t *testing.T, seed uint64, names []string, dep config.Deployment, scenario func(c *testCluster)) {
-	runIn(t, seed, names, dep, func(c *testCluster) {
+	runInDeployment(t, seed, names, dep, func(c *testCluster) {
 		c.restartAs(true, names...)
 		c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
-			c.checkPreconditions(txn)
-			c.checkFormat(txn)
+			c.checkRequiredPreconditions(txn)
+			c.checkReadableByPreviousVersion(txn)
 		})
 		for _, key := range c.env.Store.Keys(records.PrefixNodeVersion) {
 			c.env.Store.Remove(key)
@@ -42,7 +42,7 @@
 	for _, name := range names {
 		c.kill(name)
 		c.mu.Lock()
-		c.previous[name] = previous
+		c.runsPreviousVersion[name] = previous
 		c.mu.Unlock()
 		c.boot(name)
 	}
@@ -65,7 +65,7 @@
 	return raw != nil && codec.Unmarshal(raw, &version) == nil && version.Format == records.FormatSegmented
 }
 
-func (c *testCluster) untilUpgraded(limit time.Duration) {
+func (c *testCluster) untilNewFormatUsed(limit time.Duration) {
 	c.t.Helper()
 	c.until("the cluster uses the new format", limit, c.usesNewFormat)
 }
@@ -86,7 +86,7 @@
 			c.restartAs(false, name)
 			time.Sleep(8 * time.Second)
 		}
-		c.untilUpgraded(20 * time.Second)
+		c.untilNewFormatUsed(20 * time.Second)
 		c.env.Store.LowerLimits(c.deployment.State.StricterLimits())
 		c.submit(largeArray(3, 340), 20)
 		c.until("more than 3 segments beyond the first are written", 2*time.Minute, func() bool { return c.countFurtherSegments() > 3 })
@@ -111,7 +111,7 @@
 			var large []protocol.JobID
 			notUpgraded := slices.Clone(controllerNames)
 			limitStep := -1
-			chaosDuring(c, seed, func(step int) bool {
+			chaosWithSteps(c, seed, func(step int) bool {
 				if step%20 == 5 {
 					job := largeArray(5000+step, 60+rng.IntN(60))
 					if status := c.env.Submit(job, 10); status == 200 || status == 201 {
@@ -129,7 +129,7 @@
 				return len(notUpgraded) == 0
 			})
 			c.untilDone(10*time.Minute, large...)
-			c.untilUpgraded(time.Minute)
+			c.untilNewFormatUsed(time.Minute)
 		})
 	}
 }
