--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -82,7 +82,7 @@
 	d.Cloud = config.Cloud{RPS: 4, ListLagS: 10}
 	d.Limits = config.Limits{CPUShare: 0.1, MemoryMB: 200, Sockets: 4000}
 	for i := range 10 {
-		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprint("t", i), Cores: 900, CoresMax: 10000})
+		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprint("t", i), GuaranteedCores: 900, CoresMax: 10000})
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	store := kvstore.New("state:1", &recordingTransport{}, httpclient.NewMalformedLog(log), d.State)
@@ -99,7 +99,7 @@
 		leader.applyOpenRecord(records.OpenKey(open.Job.ID), raw, 1, now)
 	}
 	for i := range machines {
-		machine := leader.machineByID(fmt.Sprintf("m-%06d", i), now)
+		machine := leader.ensureMachine(fmt.Sprintf("m-%06d", i), now)
 		heartbeat := fullHeartbeat(leader, i, 1)
 		for _, t := range heartbeat.Tasks {
 			key, _ := parseTaskName(t.Task)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -101,13 +101,13 @@
 		lease:        newLeaderLease(deployment.Workers),
 		jobs:         newJobTable(),
 		dependencies: newDependencyTable(),
-		writer:       newRecordWriter(deployment.State.Smaller()),
+		writer:       newRecordWriter(deployment.State.StricterLimits()),
 		formats:      newFormatVersions(),
 		machines:     newMachineTable(leadership.Term.FirstToken()),
 		dispatcher:   newDispatcher(),
 		provisioner:  newProvisioner(),
 		catalog:      newMachineCatalog(),
-		images:       newImageInventoryKeeper(),
+		images:       newImageInventory(),
 		estimator:    newRunTimeEstimator(options.Config.Operator.Estimator),
 	}
 }
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -64,8 +64,8 @@
 	return &scheduler.Snapshot{
 		Rho:                           l.Config.Operator.Rho,
 		IdleTimeoutBootFactor:         l.Config.Operator.IdleTimeoutBootFactor,
-		LowestGPUPriority:             l.jobs.gpuPriority,
-		LargestGPURequest:             l.jobs.gpuRequest,
+		LowestGPUPriority:             l.jobs.lowestGPUPriority,
+		LargestGPURequest:             l.jobs.largestGPURequest,
 		StarvationShare:               tuning.StarvationShare,
 		StarvationShareLowestPriority: tuning.StarvationShareLowestPriority,
 		ExhaustedPools:                map[scheduler.CapacityPool]bool{},
@@ -201,7 +201,7 @@
 
 func (b *snapshotBuilder) guaranteedQuota(team int) scheduler.Resources {
 	t := b.leader.Config.Deployment.Teams[team]
-	return scheduler.Resources{Cores: t.Cores, GPUs: t.GPUs}
+	return scheduler.Resources{Cores: t.GuaranteedCores, GPUs: t.GuaranteedGPUs}
 }
 
 // withinGuarantee reports whether a demand is within a guaranteed quota. Only the
--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -65,19 +65,19 @@
 	})
 	time.Sleep(20*time.Second + time.Duration(seed)*370*time.Millisecond)
 	machinesBefore := c.env.MachinesOf("req-000002")
-	expiriesBefore := c.env.LeaseExpiries()
+	expiriesBefore := c.env.LeaseExpiriesWithTasks()
 	leader := c.leader()
 	tc.cancel(c, leader)
-	c.env.Store.Refuse("", true)
-	c.env.Store.SetSlow(nil)
+	c.env.Store.SetUnavailable("", true)
+	c.env.Store.SetCallDelay(nil)
 	if tc.duringOutage != nil {
 		tc.duringOutage(c, leader)
 	}
 	termBefore := c.latestTerm()
 	time.Sleep(70 * time.Second)
 	tc.checkDuringOutage(c, machinesBefore, expiriesBefore)
-	c.env.Store.Refuse(leader, false)
-	c.env.Store.Refuse("", false)
+	c.env.Store.SetUnavailable(leader, false)
+	c.env.Store.SetUnavailable("", false)
 	c.heal()
 	time.Sleep(15 * time.Second)
 	tc.checkAfterOutage(c, termBefore)
@@ -91,8 +91,8 @@
 	if machines := c.env.MachinesOf("req-000001"); len(machines) > 0 {
 		c.t.Errorf("the cancelled job req-000001 still has tasks on %v", machines)
 	}
-	if machines := c.env.MachinesOf("req-000002"); tc.othersContinue && (!slices.Equal(machines, machinesBefore) || c.env.LeaseExpiries() > expiriesBefore) {
-		c.t.Errorf("%d leases expired in the outage; the service req-000002 ran on %v before it and now runs on %v", c.env.LeaseExpiries()-expiriesBefore, machinesBefore, machines)
+	if machines := c.env.MachinesOf("req-000002"); tc.othersContinue && (!slices.Equal(machines, machinesBefore) || c.env.LeaseExpiriesWithTasks() > expiriesBefore) {
+		c.t.Errorf("%d leases expired in the outage; the service req-000002 ran on %v before it and now runs on %v", c.env.LeaseExpiriesWithTasks()-expiriesBefore, machinesBefore, machines)
 	}
 }
 
@@ -106,6 +106,6 @@
 	if n := c.latestTerm() - termBefore; tc.othersContinue && n > 0 {
 		c.t.Errorf("%d new terms since the start of the outage, want none", n)
 	}
-	c.expectAnswers(c.jobs...)
+	c.expectStatusAnswers(c.jobs...)
 	c.until("both replicas of the service req-000002 run", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000002")) == 2 })
 }
--- a/internal/server/cluster_deployments_test.go
+++ b/internal/server/cluster_deployments_test.go
@@ -9,7 +9,7 @@
 
 var controllerNames = []string{"marble-0", "marble-1", "marble-2"}
 
-var testTypes = []protocol.MachineType{
+var testMachineTypes = []protocol.MachineType{
 	{Name: "small", Cores: 4, MemGB: 16, CacheGB: 40, FetchGBps: 1, Price: 0.2, SpotPrice: 0.06, BootS: 20, Zones: []string{"a", "b"}},
 	{Name: "big", Cores: 16, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 25, Zones: []string{"a", "b"}},
 	{Name: "card", Cores: 16, GPUs: 4, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 9, SpotPrice: 3, BootS: 25, Zones: []string{"a", "b"}},
@@ -18,7 +18,7 @@
 func testDeployment() config.Deployment {
 	var d config.Deployment
 	d.Count, d.Zones = 3, []string{"a", "b"}
-	d.Teams = []config.Team{{Name: "red", Cores: 16, CoresMax: 40, GPUs: 4, GPUsMax: 8}, {Name: "blue", Cores: 16, CoresMax: 40}}
+	d.Teams = []config.Team{{Name: "red", GuaranteedCores: 16, CoresMax: 40, GuaranteedGPUs: 4, GPUsMax: 8}, {Name: "blue", GuaranteedCores: 16, CoresMax: 40}}
 	d.Workers = config.Workers{ReportS: 2.5, LeaseS: 12, GangWaitS: 35, GangPeerS: 4, CancelS: 37}
 	d.State = config.State{StateLimits: config.StateLimits{RPS: 250, WriteRPS: 50, ValueKB: 32, TxnOps: 20}}
 	d.Cloud = config.Cloud{RPS: 4, ListLagS: 10}
@@ -44,18 +44,19 @@
 // and smaller limits are announced.
 func productionSizeDeployment() ([]string, config.Deployment) {
 	d := largeArrayDeployment()
-	d.Teams = []config.Team{{Name: "red", Cores: 1000, CoresMax: 4000, GPUs: 4, GPUsMax: 16}, {Name: "blue", Cores: 1000, CoresMax: 4000}}
+	d.Teams = []config.Team{{Name: "red", GuaranteedCores: 1000, CoresMax: 4000, GuaranteedGPUs: 4, GPUsMax: 16}, {Name: "blue", GuaranteedCores: 1000, CoresMax: 4000}}
 	return []string{"marble-0", "marble-1", "marble-2", "marble-3", "marble-4"}, d
 }
 
 // fleetSize is the number of machines that the operators run.
 const fleetSize = 4000
 
-// atFleetSize returns a deployment in which fleetSize machines are provisioned. Agents send
-// heartbeats every ten seconds, and the rates are those of a small key-value store.
-func atFleetSize() config.Deployment {
+// fleetSizeDeployment returns a deployment in which fleetSize machines are provisioned.
+// Agents send heartbeats every ten seconds, and the rates are those of a small key-value
+// store.
+func fleetSizeDeployment() config.Deployment {
 	d := testDeployment()
-	d.Teams = []config.Team{{Name: "red", Cores: 20000, CoresMax: 100000}, {Name: "blue", Cores: 20000, CoresMax: 100000}}
+	d.Teams = []config.Team{{Name: "red", GuaranteedCores: 20000, CoresMax: 100000}, {Name: "blue", GuaranteedCores: 20000, CoresMax: 100000}}
 	d.Workers = config.Workers{ReportS: 10, LeaseS: 45, GangWaitS: 30, GangPeerS: 4, CancelS: 65}
 	d.State = config.State{StateLimits: config.StateLimits{RPS: 70, WriteRPS: 25, ValueKB: 8, TxnOps: 12}}
 	d.Cloud = config.Cloud{RPS: 4, ListLagS: 6}
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -63,16 +63,16 @@
 	return next
 }
 
-// expectAnswers checks that status requests for each accepted job are answered within 75 s,
-// as the operators require. It asks about all the jobs at the same time, so one without an
-// answer does not delay the others.
-func (c *testCluster) expectAnswers(jobIDs ...protocol.JobID) {
+// expectStatusAnswers checks that status requests for each accepted job are answered
+// within 75 s, as the operators require. It asks about all the jobs at the same time, so
+// one without an answer does not delay the others.
+func (c *testCluster) expectStatusAnswers(jobIDs ...protocol.JobID) {
 	c.t.Helper()
 	var wg sync.WaitGroup
 	for _, jobID := range jobIDs {
 		wg.Go(func() {
 			for start := time.Now(); ; time.Sleep(5 * time.Second) {
-				if status, _ := c.env.Poll(jobID); status == 200 {
+				if status, _ := c.env.QueryStatus(jobID); status == 200 {
 					return
 				}
 				if time.Since(start) > 75*time.Second {
@@ -91,22 +91,22 @@
 // reports jobs that are left waiting although a machine has capacity for them.
 func (c *testCluster) expectRecovery() {
 	c.t.Helper()
-	c.env.Store.Refuse("", false)
+	c.env.Store.SetUnavailable("", false)
 	for _, name := range c.names {
-		c.env.Store.Refuse(name, false)
+		c.env.Store.SetUnavailable(name, false)
 		if !c.isRunning(name) {
 			c.boot(name)
 		}
 	}
-	c.env.Store.SetSlow(nil)
-	c.env.Store.SetLate(nil)
+	c.env.Store.SetCallDelay(nil)
+	c.env.Store.SetExecutionDelay(nil)
 	c.env.Store.SetLoseReply(nil)
 	c.env.Store.SetLoseEvent(nil)
 	c.network.SetDelay(nil)
 	c.env.SetCloudDown(false)
 	c.heal()
-	c.env.EndTroubles()
-	c.expectAnswers(c.jobs...)
+	c.env.EndFaults()
+	c.expectStatusAnswers(c.jobs...)
 	for _, jobID := range c.jobs {
 		job := c.env.Job(jobID)
 		switch {
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -12,17 +12,17 @@
 // a second later all hosts, while users cancel jobs and ask about them.
 func slowStoreThenRefusals(c *testCluster, variant uint64) {
 	c.startWorkload()
-	c.env.Store.SetSlow(func(string) time.Duration { return time.Duration(200+variant*500) * time.Millisecond })
+	c.env.Store.SetCallDelay(func(string) time.Duration { return time.Duration(200+variant*500) * time.Millisecond })
 	for range 3 {
 		go c.env.Cancel("req-000001")
 		go c.env.Cancel("req-000003")
-		go c.env.Poll("req-000002")
+		go c.env.QueryStatus("req-000002")
 		time.Sleep(700 * time.Millisecond)
 	}
-	c.env.Store.Refuse(c.leader(), true)
+	c.env.Store.SetUnavailable(c.leader(), true)
 	go c.env.Cancel("req-000004")
 	time.Sleep(time.Second)
-	c.env.Store.Refuse("", true)
+	c.env.Store.SetUnavailable("", true)
 	time.Sleep(50 * time.Second)
 }
 
@@ -42,7 +42,7 @@
 	case 1:
 		c.dropInbound(machines[:2]...)
 	case 2:
-		c.heals = append(c.heals, c.env.Hang(machines[0]))
+		c.healFuncs = append(c.healFuncs, c.env.Hang(machines[0]))
 	}
 	c.killLeader()
 	go c.env.Cancel("req-000001")
@@ -56,8 +56,8 @@
 func moreWorkThanCapacity(c *testCluster, _ uint64) {
 	c.exhaustCapacity()
 	for _, zone := range []string{"a", "b"} {
-		c.env.Limit("small", zone, false, 2)
-		c.env.Limit("small", zone, true, 2)
+		c.env.LimitCapacity("small", zone, false, 2)
+		c.env.LimitCapacity("small", zone, true, 2)
 	}
 	c.network.SetDelay(func(_, _ string) time.Duration { return time.Duration(c.env.Random()*300) * time.Millisecond })
 	for i, priority := range []protocol.Priority{protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh, protocol.PriorityIdle, protocol.PriorityStandard, protocol.PriorityHigh} {
@@ -75,13 +75,13 @@
 // requestsAsLastTaskEnds makes users cancel a job, ask about it and submit it again as its
 // last task ends.
 func requestsAsLastTaskEnds(c *testCluster, variant uint64) {
-	c.env.SetOnDone(func(jobID protocol.JobID) {
+	c.env.SetOnJobDone(func(jobID protocol.JobID) {
 		number := int(jobID[len(jobID)-1] - '0')
 		time.Sleep(time.Duration(c.env.Random()*float64(variant+1)*700) * time.Millisecond)
 		if number%2 == 0 {
 			go c.env.Cancel(jobID)
 		}
-		go c.env.Poll(jobID)
+		go c.env.QueryStatus(jobID)
 		go c.env.Submit(c.env.Job(jobID), 1)
 	})
 	for i := range 8 {
@@ -97,7 +97,7 @@
 // their senders have given up waiting.
 func commitsExecutedLate(c *testCluster, variant uint64) {
 	c.startWorkload()
-	c.env.Store.SetLate(c.lateCommits(0.2))
+	c.env.Store.SetExecutionDelay(c.lateCommits(0.2))
 	for i := range 6 {
 		c.submit(arrayJob(5+i, "check", 3), 8)
 	}
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -13,7 +13,7 @@
 func TestFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	const arrays, tasks = 40, 100
-	runIn(t, 901, controllerNames, atFleetSize(), func(c *testCluster) {
+	runInDeployment(t, 901, controllerNames, fleetSizeDeployment(), func(c *testCluster) {
 		c.env.SetStep(250 * time.Millisecond) // advancing the tasks of 4,000 machines takes most of the time of the test
 		c.env.Store.LimitRequests(c.deployment.State.RPS)
 		for i := range arrays {
@@ -33,19 +33,19 @@
 		c.boot(c.killLeader())
 		c.until("another controller leads", time.Minute, func() bool { return c.leader() != "" })
 		time.Sleep(15 * time.Second)
-		c.env.Store.Refuse("", true)
+		c.env.Store.SetUnavailable("", true)
 		time.Sleep(18 * time.Second)
-		c.env.Store.Refuse("", false)
+		c.env.Store.SetUnavailable("", false)
 		for _, resume := range resumes {
 			resume()
 		}
-		expiriesBefore := c.env.LeaseExpiries()
+		expiriesBefore := c.env.LeaseExpiriesWithTasks()
 		time.Sleep(time.Minute)
-		if more := c.env.LeaseExpiries() - expiriesBefore; more > 0 {
+		if more := c.env.LeaseExpiriesWithTasks() - expiriesBefore; more > 0 {
 			t.Errorf("%d leases of agents with tasks expired after the outage, want none", more)
 		}
-		c.env.EndTroubles()
-		c.expectAnswers(c.jobs...)
+		c.env.EndFaults()
+		c.expectStatusAnswers(c.jobs...)
 		c.untilDone(10*time.Minute, c.jobs...)
 	})
 }
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -25,7 +25,7 @@
 			var once sync.Once
 			placed := make(chan struct{})
 			c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
-				c.checkPreconditions(txn)
+				c.checkRequiredPreconditions(txn)
 				for _, mutation := range txn.Mutations {
 					if strings.HasSuffix(mutation.Set, "/t") {
 						once.Do(func() { close(placed) })
@@ -81,7 +81,7 @@
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) > 0
 		})
 		oldLeader := c.leader()
-		c.env.Store.Refuse(oldLeader, true)
+		c.env.Store.SetUnavailable(oldLeader, true)
 		// The old leader's peers cannot report a newer term to it, and agents can still send
 		// it their heartbeats.
 		heal := c.isolate(oldLeader, fake.Hold, c.others(oldLeader)...)
@@ -91,7 +91,7 @@
 		if on := c.env.MachinesOf("req-000001"); len(on) > 0 {
 			t.Errorf("the cancelled service still has replicas on %v", on)
 		}
-		c.env.Store.Refuse(oldLeader, false)
+		c.env.Store.SetUnavailable(oldLeader, false)
 		heal()
 		c.untilDone(4*time.Minute, "req-000002")
 	})
@@ -107,7 +107,7 @@
 		c.submit(serviceJob(1, 2), 0)
 		termBefore := c.latestTerm()
 		var calls atomic.Int64
-		c.env.Store.SetSlow(func(path string) time.Duration {
+		c.env.Store.SetCallDelay(func(path string) time.Duration {
 			if strings.HasSuffix(path, "/touch") && calls.Add(1)%5 == 0 {
 				return 1450 * time.Millisecond
 			}
@@ -133,12 +133,12 @@
 			return len(c.env.MachinesOf("req-000001")) == 2 && len(c.env.MachinesOf("req-000002")) > 2
 		})
 		before := c.env.MachinesOf("req-000001")
-		c.env.Store.Refuse("", true)
+		c.env.Store.SetUnavailable("", true)
 		time.Sleep(60 * time.Second) // much longer than the leader lease, cancel_s - lease_s
 		if on := c.env.MachinesOf("req-000001"); !slices.Equal(on, before) {
 			t.Errorf("replicas ran on %v and now run on %v, want no change", before, on)
 		}
-		c.env.Store.Refuse("", false)
+		c.env.Store.SetUnavailable("", false)
 		c.untilDone(3*time.Minute, "req-000002")
 	})
 }
@@ -204,7 +204,7 @@
 			t.Error("the isolated controller still answers heartbeats after its leader lease has ended")
 		}
 		c.env.SetCloudDown(false)
-		c.expectAnswers("req-000001", "req-000002")
+		c.expectStatusAnswers("req-000001", "req-000002")
 		heal()
 		c.untilDone(4*time.Minute, "req-000002")
 	})
@@ -220,15 +220,15 @@
 	run(t, 139, func(c *testCluster) {
 		replicaMachines := c.runServicePairs(12)
 		time.Sleep(5 * time.Second)
-		before, leaseExpiriesBefore := replicaMachines(), c.env.LeaseExpiries()
+		before, leaseExpiriesBefore := replicaMachines(), c.env.LeaseExpiriesWithTasks()
 		oldLeader := c.leader()
 		heal := c.isolate(oldLeader, fake.Hold, c.env.Machines()...)
 		time.Sleep(25 * time.Second) // more than twice the length of an agent's lease
 		if c.leader() == oldLeader {
 			t.Error("the leader that reaches no agent keeps its term")
 		}
-		if c.env.LeaseExpiries() > leaseExpiriesBefore || !slices.Equal(replicaMachines(), before) {
-			t.Errorf("%d leases expired, want none; replicas ran on %s and now run on %s", c.env.LeaseExpiries()-leaseExpiriesBefore, before, replicaMachines())
+		if c.env.LeaseExpiriesWithTasks() > leaseExpiriesBefore || !slices.Equal(replicaMachines(), before) {
+			t.Errorf("%d leases expired, want none; replicas ran on %s and now run on %s", c.env.LeaseExpiriesWithTasks()-leaseExpiriesBefore, before, replicaMachines())
 		}
 		heal()
 		c.submit(arrayJob(21, "check", 6), 10)
@@ -254,7 +254,7 @@
 func TestControllerRestartsAtOnce(t *testing.T) {
 	t.Parallel()
 	run(t, 135, func(c *testCluster) {
-		c.network.SetRepeat(map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second})
+		c.network.SetDuplicates(map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second})
 		transactions := 0
 		c.env.Store.SetLoseReply(func() bool { transactions++; return transactions%4 == 0 })
 		c.submit(serviceJob(1, 2), 0)
@@ -269,7 +269,7 @@
 			time.Sleep(time.Duration(40+i*37) * time.Millisecond)
 		}
 		c.env.Store.SetLoseReply(nil)
-		c.expectAnswers("req-000001", "req-000002", "req-000003")
+		c.expectStatusAnswers("req-000001", "req-000002", "req-000003")
 		c.untilDone(5*time.Minute, "req-000002", "req-000003")
 		c.until("both replicas of the service run", time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 	})
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -74,7 +74,7 @@
 		for l.ctx.Err() == nil {
 			jobIDs := l.mustFinishJobs()
 			jobID := jobIDs[int(l.env.Random()*float64(len(jobIDs)))]
-			go l.env.Poll(jobID)
+			go l.env.QueryStatus(jobID)
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
@@ -95,16 +95,16 @@
 		l.env.Store.SetFault(l.faultyCommits())
 		endFuncs = append(endFuncs, func() { l.env.Store.SetFault(nil) })
 	case 1: // some transactions are executed late
-		l.env.Store.SetLate(l.lateCommits(0.15))
-		endFuncs = append(endFuncs, func() { l.env.Store.SetLate(nil) })
+		l.env.Store.SetExecutionDelay(l.lateCommits(0.15))
+		endFuncs = append(endFuncs, func() { l.env.Store.SetExecutionDelay(nil) })
 	case 2: // the store refuses the leader and then all controllers, while users cancel jobs
-		l.env.Store.Refuse(leader, true)
+		l.env.Store.SetUnavailable(leader, true)
 		l.submitPipelines(2)
 		time.Sleep(time.Second)
-		l.env.Store.Refuse("", true)
+		l.env.Store.SetUnavailable("", true)
 		endFuncs = append(endFuncs, func() {
-			l.env.Store.Refuse("", false)
-			l.env.Store.Refuse(leader, false)
+			l.env.Store.SetUnavailable("", false)
+			l.env.Store.SetUnavailable(leader, false)
 		})
 	case 3: // the leader is cut off from the store and all other controllers
 		if leader != "" {
@@ -115,7 +115,7 @@
 			endFuncs = append(endFuncs, l.network.BlockOutbound(machine))
 		}
 		for _, machine := range l.randomMachines(0.1) {
-			endFuncs = append(endFuncs, l.network.DropInbound(machine))
+			endFuncs = append(endFuncs, l.network.HoldInbound(machine))
 		}
 	case 5: // some machines hang, and others are removed without notice
 		for _, machine := range l.randomMachines(0.05) {
@@ -150,7 +150,7 @@
 		names, dep := productionSizeDeployment()
 		runUpgradeIn(t, 810+seed, names, dep, func(c *testCluster) {
 			l := &productionLoad{testCluster: c, rng: rand.New(rand.NewPCG(seed, 13))}
-			c.network.SetRepeat(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 20 * time.Second})
+			c.network.SetDuplicates(map[string]time.Duration{"/hello": 40 * time.Second, "/do": 20 * time.Second, "/commit": 20 * time.Second})
 			c.env.Store.SetMaxPageSize(40)
 			c.env.SetCloudMaxPageSize(70)
 			l.submitArrays(12)
@@ -159,8 +159,8 @@
 				c.restartAs(false, name)
 				time.Sleep(2 * time.Second)
 			}
-			c.untilUpgraded(time.Minute)
-			c.env.Store.Limit(dep.State.Smaller())
+			c.untilNewFormatUsed(time.Minute)
+			c.env.Store.LowerLimits(dep.State.StricterLimits())
 			c.env.Store.LimitRequests(dep.State.RPS)
 			l.pollInBackground()
 			for range 5 {
@@ -177,9 +177,9 @@
 				time.Sleep(time.Duration(l.rng.IntN(10)) * time.Second)
 			}
 			time.Sleep(30 * time.Second)
-			c.env.EndTroubles()
+			c.env.EndFaults()
 			mustFinish := slices.DeleteFunc(l.mustFinishJobs(), func(jobID protocol.JobID) bool { return !c.env.MayFinish(jobID) })
-			c.expectAnswers(mustFinish...)
+			c.expectStatusAnswers(mustFinish...)
 			c.untilDone(10*time.Minute, mustFinish...)
 			for _, jobID := range l.mustFinishJobs() {
 				if phase := c.phase(jobID); phase != protocol.PhaseDone && phase != protocol.PhaseCancelled {
--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -16,13 +16,13 @@
 func TestLeaderDiesBetweenRecordSegments(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(4) {
-		runIn(t, 720+seed, controllerNames, largeArrayDeployment(), func(c *testCluster) {
-			c.untilUpgraded(20 * time.Second)
-			c.env.Store.Limit(c.deployment.State.Smaller())
+		runInDeployment(t, 720+seed, controllerNames, largeArrayDeployment(), func(c *testCluster) {
+			c.untilNewFormatUsed(20 * time.Second)
+			c.env.Store.LowerLimits(c.deployment.State.StricterLimits())
 			var transactions, killed uint64
 			killRequests := make(chan struct{}, 12)
 			c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
-				c.checkPreconditions(txn)
+				c.checkRequiredPreconditions(txn)
 				isFurther := func(mutation protocol.Mutation) bool { return isFurtherSegment(mutation.Set + mutation.Delete) }
 				if !slices.ContainsFunc(txn.Mutations, isFurther) {
 					return
@@ -32,7 +32,7 @@
 					killRequests <- struct{}{}
 				}
 			})
-			c.env.Store.SetLate(c.lateCommits(0.03))
+			c.env.Store.SetExecutionDelay(c.lateCommits(0.03))
 			go func() {
 				for {
 					select {
@@ -46,12 +46,12 @@
 					}
 				}
 			}()
-			c.env.SetUneven(0.02) // tasks end one after another, so that segments are written many times
+			c.env.SetRunTimeIncrement(0.02) // tasks end one after another, so that segments are written many times
 			c.submit(largeArray(1, 200), 10)
 			c.submit(largeArray(2, 150), 10)
 			c.submit(dependingOn(largeArray(3, 70), testJobID(1)), 5)
 			c.untilDone(15*time.Minute, testJobID(1), testJobID(2), testJobID(3))
-			c.env.Store.SetLate(nil)
+			c.env.Store.SetExecutionDelay(nil)
 			c.until("the segments are removed", 3*time.Minute, func() bool { return c.countFurtherSegments() == 0 })
 			if killed < 3 {
 				t.Errorf("only %d leaders were killed, want at least 3", killed)
@@ -65,13 +65,13 @@
 // have certainly ended, and the job completes after that.
 func TestUnreadableRecordSegment(t *testing.T) {
 	t.Parallel()
-	runIn(t, 73, controllerNames, largeArrayDeployment(), func(c *testCluster) {
-		c.untilUpgraded(20 * time.Second)
+	runInDeployment(t, 73, controllerNames, largeArrayDeployment(), func(c *testCluster) {
+		c.untilNewFormatUsed(20 * time.Second)
 		c.submit(largeArray(1, 120), 60)
 		c.until("all 120 tasks run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) == 120 })
 		c.env.Store.Corrupt(records.SegmentKey(testJobID(1), 2))
 		c.killLeader()
-		c.expectAnswers(testJobID(1))
+		c.expectStatusAnswers(testJobID(1))
 		c.untilDone(8*time.Minute, testJobID(1))
 	})
 }
@@ -80,14 +80,14 @@
 // key-value store can be cancelled and is closed, although its open record is now too long.
 func TestCancelLargeRecord(t *testing.T) {
 	t.Parallel()
-	runIn(t, 75, controllerNames, largeArrayDeployment(), func(c *testCluster) {
+	runInDeployment(t, 75, controllerNames, largeArrayDeployment(), func(c *testCluster) {
 		job := arrayJob(1, strings.Repeat("c", 140), 1)
 		for range 20 {
 			job.MachineTypes = append(job.MachineTypes, strings.Repeat("t", 140))
 		}
 		c.env.Register(job)
 		c.env.Store.Put(records.OpenKey(job.ID), records.OpenJob{Job: job, AcceptedMS: time.Now().UnixMilli()})
-		c.env.Store.Limit(c.deployment.State.Smaller())
+		c.env.Store.LowerLimits(c.deployment.State.StricterLimits())
 		if status := c.env.Submit(job, 5); status != 200 {
 			t.Errorf("submitting an accepted job again got status %d, want 200", status)
 		}
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -16,15 +16,15 @@
 	t.Parallel()
 	dep := testDeployment()
 	dep.Zones = []string{"a"}
-	dep.Teams = []config.Team{{Name: "red", Cores: 1e6}, {Name: "unused", Cores: 10, CoresMax: 20}}
+	dep.Teams = []config.Team{{Name: "red", GuaranteedCores: 1e6}, {Name: "unused", GuaranteedCores: 10, CoresMax: 20}}
 	dep.Workers.ReportS = dep.Workers.LeaseS / 3
 	dep.Workers.CancelS = dep.Workers.LeaseS + (tuning.LeaderLeaseMargin + tuning.LeaderLeaseMin).Seconds()
-	runIn(t, 902, controllerNames, dep, func(c *testCluster) {
-		for _, machineType := range testTypes {
+	runInDeployment(t, 902, controllerNames, dep, func(c *testCluster) {
+		for _, machineType := range testMachineTypes {
 			for _, zone := range machineType.Zones {
 				for _, spot := range []bool{false, true} {
 					if spot || zone != "a" || machineType.Name != "big" {
-						c.env.Limit(machineType.Name, zone, spot, 0)
+						c.env.LimitCapacity(machineType.Name, zone, spot, 0)
 					}
 				}
 			}
@@ -36,8 +36,8 @@
 		c.boot(c.killLeader())
 		c.env.Cancel(testJobID(4))
 		c.untilDone(5*time.Minute, c.jobs[:3]...)
-		if c.env.LeaseExpiries() > 0 {
-			t.Errorf("%d leases of agents with tasks expired, want none", c.env.LeaseExpiries())
+		if c.env.LeaseExpiriesWithTasks() > 0 {
+			t.Errorf("%d leases of agents with tasks expired, want none", c.env.LeaseExpiriesWithTasks())
 		}
 	})
 }
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -20,7 +20,7 @@
 func (g *pollGaps) pollJob(ctx context.Context, c *testCluster, jobID protocol.JobID) {
 	answered := time.Now()
 	for ctx.Err() == nil {
-		status, _ := c.env.Poll(jobID)
+		status, _ := c.env.QueryStatus(jobID)
 		g.mu.Lock()
 		g.longest[jobID] = max(g.longest[jobID], time.Since(answered))
 		g.mu.Unlock()
@@ -50,7 +50,7 @@
 func TestStatusQueriesBeyondRequestLimit(t *testing.T) {
 	t.Parallel()
 	const jobs = 700
-	runIn(t, 904, controllerNames, atFleetSize(), func(c *testCluster) {
+	runInDeployment(t, 904, controllerNames, fleetSizeDeployment(), func(c *testCluster) {
 		c.exhaustCapacity()
 		for i := range jobs {
 			c.submit(arrayJob(1+i, "check", 2), 5)
@@ -83,7 +83,7 @@
 	t.Parallel()
 	dep := testDeployment()
 	dep.Teams[0].CoresMax = 2 // one task at a time, so that no job starts beside the first
-	runIn(t, 66, controllerNames, dep, func(c *testCluster) {
+	runInDeployment(t, 66, controllerNames, dep, func(c *testCluster) {
 		const jobs = 300
 		c.submit(arrayJob(1, "stage", 2), 1000)
 		var dependencies, jobIDs []protocol.JobID
@@ -103,20 +103,20 @@
 			go func() {
 				time.Sleep(time.Duration(i) * 5 * time.Second / jobs)
 				for ctx.Err() == nil {
-					c.env.Poll(jobID)
+					c.env.QueryStatus(jobID)
 					time.Sleep(5 * time.Second)
 				}
 			}()
 		}
 		time.Sleep(20 * time.Second)
-		c.env.Store.Refuse("", true)
+		c.env.Store.SetUnavailable("", true)
 		time.Sleep(25 * time.Second)
-		c.env.Store.Refuse("", false)
-		c.expectAnswers(jobIDs...)
+		c.env.Store.SetUnavailable("", false)
+		c.expectStatusAnswers(jobIDs...)
 		time.Sleep(20 * time.Second)
-		requestsBefore, throttledBefore := c.env.Store.Asked()
+		requestsBefore, throttledBefore := c.env.Store.RequestCounts()
 		time.Sleep(time.Minute)
-		requests, throttled := c.env.Store.Asked()
+		requests, throttled := c.env.Store.RequestCounts()
 		requests, throttled = requests-requestsBefore, throttled-throttledBefore
 		if throttled > requests/20 {
 			t.Errorf("%d of %d requests were throttled long after the outage, want at most a twentieth", throttled, requests)
--- a/internal/server/upgrade_failures_test.go
+++ b/internal/server/upgrade_failures_test.go
@@ -18,7 +18,7 @@
 func TestLimitsBeforeFormat(t *testing.T) {
 	t.Parallel()
 	runUpgrade(t, 71, func(c *testCluster) {
-		c.env.SetUneven(0.01) // tasks end one after the other
+		c.env.SetRunTimeIncrement(0.01) // tasks end one after the other
 		c.submit(largeArray(1, 340), 40)
 		c.until("more than 200 tasks run", 4*time.Minute, func() bool { return len(c.env.MachinesOf(testJobID(1))) > 200 })
 		last := controllerNames[2]
@@ -27,7 +27,7 @@
 			c.restartAs(false, name)
 			time.Sleep(3 * time.Second)
 		}
-		c.env.Store.Limit(c.deployment.State.Smaller())
+		c.env.Store.LowerLimits(c.deployment.State.StricterLimits())
 		c.submit(largeArray(2, 100), 10)
 		c.submit(serviceJob(3, 3), 0)
 		c.untilDone(8*time.Minute, testJobID(1), testJobID(2))
@@ -39,7 +39,7 @@
 			t.Errorf("%d writes were refused as beyond the limits, want 1", refusals)
 		}
 		heal()
-		c.untilUpgraded(30 * time.Second)
+		c.untilNewFormatUsed(30 * time.Second)
 		c.submit(largeArray(4, 200), 10)
 		c.untilDone(8*time.Minute, testJobID(4))
 	})
@@ -58,7 +58,7 @@
 		}
 		c.untilStatusPageShows("version 1 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>1</td>")
 		c.restartAs(false, controllerNames[2]) // it overwrites the unreadable version record
-		c.untilUpgraded(30 * time.Second)
+		c.untilNewFormatUsed(30 * time.Second)
 		c.untilStatusPageShows("version 2 of its records", "<td>marble-1</td><td>2</td>", "<td>marble-2</td><td>2</td>")
 	})
 }
