--- a/internal/leader/commit_batch.go
+++ b/internal/leader/commit_batch.go
@@ -116,7 +116,7 @@
 	b.precondition(key, segment.version)
 	b.put(key, record, bytes)
 	b.segments = append(b.segments, write)
-	segment.dirty, segment.holdsStarts = false, false
+	segment.dirty, segment.startsWait = false, false
 }
 
 // addProvisioning records requests that are not recorded yet.
--- a/internal/leader/pending_writes.go
+++ b/internal/leader/pending_writes.go
@@ -48,7 +48,7 @@
 
 func (j *jobState) writeOrder(segment *runSegment) writeOrder {
 	switch {
-	case !segment.holdsStarts:
+	case !segment.startsWait:
 		return writeCompletions
 	case j.isProduction():
 		return writeProductionStarts
@@ -72,7 +72,7 @@
 		}
 		for number := range job.segments {
 			segment := &job.segments[number]
-			if segment.dirty && (segment.holdsStarts || now.Sub(segment.dirtySince) >= tuning.CompletionDelay) {
+			if segment.dirty && (segment.startsWait || now.Sub(segment.dirtySince) >= tuning.CompletionDelay) {
 				pending = append(pending, pendingWrite{job, number, job.writeOrder(segment), segment.dirtySince})
 			}
 		}
--- a/internal/leader/record_writer.go
+++ b/internal/leader/record_writer.go
@@ -109,7 +109,7 @@
 func (l *Leader) onRecordTooLarge(job *jobState, number int, now time.Time) {
 	l.cycle.request()
 	segment := job.segment(number)
-	if l.formats.segmented() && number == 0 && job.splitSegments(segment.holdsStarts, now) {
+	if l.formats.segmented() && number == 0 && job.splitSegments(segment.startsWait, now) {
 		return
 	}
 	l.Log.Error("run record segment exceeds the value limit, its unsent starts are withdrawn", "job", job.id, "segment", number, "tasks", len(job.placements))
@@ -122,7 +122,7 @@
 	for _, placement := range unsent {
 		l.withdrawPlacement(placement, now)
 	}
-	segment.holdsStarts, segment.dirtySince = false, now
+	segment.startsWait, segment.dirtySince = false, now
 	job.backOff(now.Add(tuning.MachineBackoff))
 }
 
@@ -227,7 +227,7 @@
 	for _, write := range b.segments {
 		segment := write.job.segment(write.number)
 		segment.dirty = true
-		segment.holdsStarts = segment.holdsStarts || len(write.placed) > 0
+		segment.startsWait = segment.startsWait || len(write.placed) > 0
 	}
 	for _, closing := range b.closed {
 		for number := range closing.job.segments {
--- a/internal/leader/run_record.go
+++ b/internal/leader/run_record.go
@@ -11,19 +11,19 @@
 
 // runSegment is the leader's state of one segment of a job's run record.
 type runSegment struct {
-	version     protocol.Version // 0: not written yet
-	dirty       bool             // the stored segment is out of date
-	dirtySince  time.Time
-	holdsStarts bool // starts wait for the segment to be written
-	removed     bool // the commit in flight closes the job and removes the segment
+	version    protocol.Version // 0: not written yet
+	dirty      bool             // the stored segment is out of date
+	dirtySince time.Time
+	startsWait bool // starts wait for the segment to be written
+	removed    bool // the commit in flight closes the job and removes the segment
 }
 
 // markDirty records that the stored segment is out of date.
-func (s *runSegment) markDirty(holdsStarts bool, now time.Time) {
+func (s *runSegment) markDirty(startsWait bool, now time.Time) {
 	if !s.dirty {
 		s.dirty, s.dirtySince = true, now
 	}
-	s.holdsStarts = s.holdsStarts || holdsStarts
+	s.startsWait = s.startsWait || startsWait
 }
 
 // segment returns the segment of the run record with a number, and adds it if there is
@@ -90,7 +90,7 @@
 // splitSegments marks every segment that was not written yet and has placements or done
 // tasks, which segment 0 still keeps, as to be written. It returns false if there is
 // none.
-func (j *jobState) splitSegments(holdsStarts bool, now time.Time) bool {
+func (j *jobState) splitSegments(startsWait bool, now time.Time) bool {
 	inUse := map[int]bool{}
 	for task := range j.placements {
 		inUse[records.SegmentOf(task)] = true
@@ -103,7 +103,7 @@
 	split := false
 	for number := range inUse {
 		if number > 0 && !j.isSegmentWritten(number) {
-			j.segment(number).markDirty(holdsStarts, now)
+			j.segment(number).markDirty(startsWait, now)
 			split = true
 		}
 	}
@@ -113,12 +113,12 @@
 // markDirty records that the stored state of a task is out of date. Segment 0 keeps the
 // whole job until all controllers support segments, and also where the whole run record
 // is certain to fit in one value, since each changed segment takes a write.
-func (l *Leader) markDirty(job *jobState, task int, holdsStart bool, now time.Time) {
+func (l *Leader) markDirty(job *jobState, task int, startsWait bool, now time.Time) {
 	number := records.SegmentOf(task)
 	fitsInOneValue := job.spec.Tasks*tuning.RecordEntryBytes <= l.Store.MaxValueBytes()
 	undivided := !l.formats.segmented() || fitsInOneValue
 	if undivided && !job.isSegmentWritten(number) {
 		number = 0
 	}
-	job.segment(number).markDirty(holdsStart, now)
+	job.segment(number).markDirty(startsWait, now)
 }
--- a/internal/leader/run_record_test.go
+++ b/internal/leader/run_record_test.go
@@ -116,7 +116,7 @@
 	}
 	stored[number] = job.segmentRecord(number)
 	segment := job.segment(number)
-	segment.version, segment.dirty, segment.holdsStarts = version, false, false
+	segment.version, segment.dirty, segment.startsWait = version, false, false
 }
 
 // A record of the whole job that exceeds the limits after they have become smaller is
