--- a/internal/leader/failure_detection.go
+++ b/internal/leader/failure_detection.go
@@ -157,11 +157,11 @@
 // themselves may have failed: then one leader after another would resign, and none would
 // lead for long enough to detect the failure.
 func (l *Leader) isolated(now time.Time) bool {
-	if now.Sub(l.lease.lastConfirmation()) > tuning.StartConfirmationAge && now.After(l.lease.answeringSince) {
-		l.lease.answeringSince = now
+	if now.Sub(l.lease.lastConfirmation()) > tuning.StartConfirmationAge && now.After(l.lease.confirmedSince) {
+		l.lease.confirmedSince = now
 	}
 	window := l.unreachableAfter()
-	if now.Sub(l.lease.answeringSince) < window {
+	if now.Sub(l.lease.confirmedSince) < window {
 		return false
 	}
 	expected, reporting := 0, 0
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -122,7 +122,7 @@
 // context ends.
 func (l *Leader) Run() {
 	l.tookOverAt = time.Now()
-	l.lease.answeringSince = l.tookOverAt.Add(tuning.AgentFailoverDelay)
+	l.lease.confirmedSince = l.tookOverAt.Add(tuning.AgentFailoverDelay)
 	revision, ok := l.load(l.ctx)
 	if !ok {
 		return
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -25,9 +25,9 @@
 	confirmedByWatch time.Time
 	confirmedByTerm  time.Time
 	confirmedByPeers time.Time
-	// answeringSince is the start of the current period in which the leader could answer
+	// confirmedSince is the start of the current period in which the leader could answer
 	// heartbeats without interruption.
-	answeringSince time.Time
+	confirmedSince time.Time
 	// majorityReported is set once heartbeats of more than half of the machines have been
 	// received in this term.
 	majorityReported bool
