--- a/internal/leader/failure_detection.go
+++ b/internal/leader/failure_detection.go
@@ -12,8 +12,8 @@
 	return seconds(l.Config.Deployment.Workers.ReportS * n)
 }
 
-// schedulableSilence is how long a machine may be silent and still be given new work.
-func (l *Leader) schedulableSilence() time.Duration {
+// maxSchedulableSilence is how long a machine may be silent and still be given new work.
+func (l *Leader) maxSchedulableSilence() time.Duration {
 	return l.heartbeatIntervals(tuning.SchedulableHeartbeats)
 }
 
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -80,7 +80,7 @@
 	if !fresh {
 		return
 	}
-	if schedulable := machine.Schedulable(now, l.schedulableSilence()); schedulable != machine.WasSchedulable {
+	if schedulable := machine.Schedulable(now, l.maxSchedulableSilence()); schedulable != machine.WasSchedulable {
 		machine.WasSchedulable = schedulable
 		l.cycle.request()
 	}
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -233,7 +233,7 @@
 		Zone:        machine.Zone,
 		Spot:        machine.Spot,
 		Free:        machineType.Capacity,
-		Schedulable: machine.Schedulable(b.now, b.leader.schedulableSilence()),
+		Schedulable: machine.Schedulable(b.now, b.leader.maxSchedulableSilence()),
 		Empty:       len(machine.Placements) == 0 && len(machine.Outbox) == 0,
 		IdleS:       b.now.Sub(machine.IdleSince).Seconds(),
 		GPUIdleS:    b.now.Sub(machine.GPUIdleSince).Seconds(),
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -201,7 +201,7 @@
 			count = &MachineCount{Type: machine.Type, Spot: machine.Spot}
 			byKind[key] = count
 		}
-		if machine.Up && now.Sub(machine.LastContact) <= l.schedulableSilence() {
+		if machine.Up && now.Sub(machine.LastContact) <= l.maxSchedulableSilence() {
 			count.Up++
 		} else {
 			count.Other++
