--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -45,7 +45,7 @@
 // onHeartbeat applies a heartbeat and returns the reply, or nil if the leader may not answer.
 func (l *Leader) onHeartbeat(heartbeat *protocol.Heartbeat, now time.Time) *protocol.HeartbeatReply {
 	if newerTerm := heartbeat.Token.Term(); newerTerm > l.leadership.Term {
-		l.Log.Info("heartbeat carries the token of a newer term, leaving this term", "machine", heartbeat.Machine, "term", newerTerm)
+		l.Log.Info("heartbeat carries the token of a newer term, giving up the term", "machine", heartbeat.Machine, "term", newerTerm)
 		l.OnNewerTerm(newerTerm)
 		return nil
 	}
--- a/internal/leader/record_writer.go
+++ b/internal/leader/record_writer.go
@@ -195,7 +195,7 @@
 		l.OnNewerTerm(l.leadership.Term + 1)
 		return
 	case conflict && slices.Contains(result.failedKeys, records.KeyTerm):
-		l.Log.Info("another controller holds a newer term, giving up this term")
+		l.Log.Info("another controller holds a newer term, giving up the term")
 		l.OnNewerTerm(l.leadership.Term + 1)
 		return
 	case conflict:
