--- a/internal/leader/confirmation.go
+++ b/internal/leader/confirmation.go
@@ -117,8 +117,9 @@
 //
 // Once all controllers, this one included, have reported their acknowledgments up to some
 // time, this leader has missed no cancellation acknowledged before that time. It has
-// missed no newer term either: a controller that holds a newer term has received it
-// before it counts any agent's lease as expired, and the peers would have reported it.
+// missed no newer term either: the reports also carry each controller's newest leader
+// record, and the leader of a newer term has its own record before it counts any agent's
+// lease as expired.
 func (l *Leader) confirmByPeers(now time.Time) {
 	if l.lease.mayStart(now) || l.AcknowledgedCancellations == nil {
 		return
--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -20,7 +20,8 @@
 	runningLen int
 }
 
-// request asks for a cycle.
+// request asks for a cycle, which runs once the pause after the last one is over (see
+// interval).
 func (c *schedulingCycle) request() { c.needed = true }
 
 // finish records when a cycle ended and how long it took.
@@ -92,8 +93,8 @@
 
 // preemptTasks stops tasks of a job on a machine to free capacity for other work. The
 // tasks that started last are stopped first, since they lose the least work. There is no
-// grace period, because the other work does not wait for a checkpoint to be saved: a
-// task loses at most the work since its last checkpoint.
+// grace period, so the other work need not wait for a checkpoint to be saved: a task
+// loses at most the work since its last checkpoint.
 func (l *Leader) preemptTasks(job *jobState, machine *cluster.Machine, count int, now time.Time) {
 	l.Log.Info("preempting tasks", "job", job.id, "machine", machine.ID, "count", count)
 	var running []*cluster.Placement
@@ -113,7 +114,7 @@
 // scaleOut requests the machines of a plan, with one unresolved request at a time for
 // each capacity pool. Machines that are needed meanwhile go into the pool's next request
 // together: a request for each small need would wait in the cloud's queue for half a
-// minute, and the writes to record it would be taken from those that starts wait for.
+// minute, and recording it would take write budget away from the starts.
 func (l *Leader) scaleOut(snapshot *scheduler.Snapshot, scaleOuts []scheduler.ScaleOut, now time.Time) {
 	requested := map[capacityPool]bool{}
 	for _, request := range l.provisioner.requests {
--- a/internal/leader/deadlines.go
+++ b/internal/leader/deadlines.go
@@ -12,7 +12,7 @@
 
 // jobDeadline is a time by which a job should be complete, in seconds from when the job
 // could start (readyAt). countsTasks is set if the deadline comes from an objective on
-// starts, which counts tasks rather than jobs.
+// waiting times (config.ObjectiveWait), which counts tasks rather than jobs.
 type jobDeadline struct {
 	seconds     float64
 	countsTasks bool
@@ -20,7 +20,8 @@
 
 // deadlineFor returns the deadline that the job is held to, D_k, in seconds from now. If
 // it comes from an objective on starts, it is the latest time for the first start plus
-// the estimate. inheritedS is the time until the jobs that depend on this one need it.
+// the estimate. inheritedS is the time in seconds until the jobs that depend on this one
+// need it to be done, +Inf if there are none.
 func (l *Leader) deadlineFor(job *jobState, estimateS, inheritedS float64, guaranteed bool, now time.Time) (deadlineS float64, countsTasks bool) {
 	ageS := now.Sub(job.readyAt).Seconds()
 	deadlines := l.deadlines(job, estimateS, guaranteed)
@@ -57,12 +58,12 @@
 	return deadlines
 }
 
-// ownDeadlineS returns a multiple of the job's own deadline, in seconds from readyAt. The
-// own deadline counts from the submission, however long the job has waited for its
-// dependencies.
-func (j *jobState) ownDeadlineS(times float64) float64 {
+// ownDeadlineS returns the given multiple of the job's own deadline, in seconds from
+// readyAt. The own deadline counts from the submission, however long the job has waited
+// for its dependencies.
+func (j *jobState) ownDeadlineS(multiple float64) float64 {
 	waitedS := j.readyAt.Sub(j.acceptedAt).Seconds()
-	return times*j.spec.DeadlineS - waitedS
+	return multiple*j.spec.DeadlineS - waitedS
 }
 
 // deadlineByObjective returns the deadline that an objective sets for the job; applies is
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -16,8 +16,8 @@
 // dependencyTable records which jobs wait for which others, and the outcomes of those
 // others as far as they were needed.
 type dependencyTable struct {
-	dependents map[protocol.JobID][]protocol.JobID  // the jobs that wait for the one named
-	outcomes   map[protocol.JobID]dependencyOutcome // of closed jobs
+	dependents map[protocol.JobID][]protocol.JobID  // by dependency: the jobs that wait for it
+	outcomes   map[protocol.JobID]dependencyOutcome // by closed job
 	// A lookup reads final records of dependencies. One is in flight at a time.
 	lookupInFlight bool
 	lookupBegan    time.Time // start of the lookup in flight
--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -10,8 +10,8 @@
 	"marblehaven/internal/tuning"
 )
 
-// dispatcher tracks the machines that direct commands are due for, which are sent without
-// waiting for the machine's next heartbeat.
+// dispatcher tracks the machines for which direct commands are due. A direct command is
+// sent without waiting for the machine's next heartbeat.
 type dispatcher struct {
 	pending            map[*cluster.Machine]bool
 	handshakeQueue     []*cluster.Machine // see planHandshakes
@@ -76,15 +76,15 @@
 // placements whose starts may no longer be sent.
 func (l *Leader) startCommands(machine *cluster.Machine, now time.Time) (commands []protocol.Command) {
 	// During an outage of the store or a pause of this process the job of a start may
-	// have been cancelled. Starts then wait until the store has confirmed the term and
-	// the known cancellations again.
+	// have been cancelled. Starts then wait until the store has confirmed again that the
+	// leader has missed neither a newer term nor a cancellation.
 	mayStart := l.lease.mayStart(now)
 	waiting := machine.Outbox[:0]
 	for _, placement := range machine.Outbox {
 		switch {
 		case machine.Placements[placement.TaskKey] != placement || placement.Sent:
 		case placement.Stopping || placement.Incarnation != machine.Incarnation || machine.AcknowledgedToken < l.termToken():
-			l.withdrawPlacement(placement, now) // never sent
+			l.withdrawPlacement(placement, now) // its start was never sent
 		case !mayStart:
 			waiting = append(waiting, placement)
 		default:
@@ -179,7 +179,7 @@
 	l.startHandshakes(now)
 }
 
-// startHandshakes makes queued handshakes until the limit in flight is reached.
+// startHandshakes makes queued handshakes until tuning.HandshakesInFlight are in flight.
 func (l *Leader) startHandshakes(now time.Time) {
 	for len(l.dispatcher.handshakeQueue) > 0 && l.dispatcher.handshakesInFlight < tuning.HandshakesInFlight {
 		machine := l.dispatcher.handshakeQueue[0]
--- a/internal/leader/failure_detection.go
+++ b/internal/leader/failure_detection.go
@@ -149,8 +149,8 @@
 }
 
 // isolated reports whether this leader receives heartbeats from almost none of the
-// machines although the store confirms its term. The leases of the machines would expire
-// all together, while another controller may well receive their heartbeats.
+// machines although the store confirms its term. The leases of all these machines would
+// then expire, while another controller may well receive their heartbeats.
 //
 // The leader must have received heartbeats from most machines before, or the other
 // controllers must receive more heartbeats than this leader. Otherwise the machines
--- a/internal/leader/format_versions.go
+++ b/internal/leader/format_versions.go
@@ -36,7 +36,7 @@
 // pollVersions reads at intervals which format version each controller has recorded. Once
 // all controllers in the settings support the formats of this program, it records,
 // conditional on the term, that the whole cluster uses them, and returns. A controller
-// never goes back to an earlier version, so that record stays valid.
+// never goes back to an earlier version, so the record stays valid.
 func (l *Leader) pollVersions(ctx context.Context) {
 	for {
 		versions, err := l.readVersions(ctx)
@@ -116,8 +116,8 @@
 	}
 }
 
-// useFormat switches to a newer version of the record formats. An earlier version has no
-// effect.
+// useFormat switches to a newer version of the record formats. A version that is not newer
+// than the one in use has no effect.
 func (l *Leader) useFormat(format int) {
 	if format <= l.formats.cluster {
 		return
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -65,6 +65,8 @@
 	}
 	machine.LastHeartbeat = now
 	l.applyStatus(machine, heartbeat, now)
+	// Until the agent acknowledges the term's token, an earlier leader may have renewed
+	// the lease for longer than this reply does, so the expiry only moves forward.
 	if expiry := l.agentLeaseExpiry(now); machine.AcknowledgedToken >= l.termToken() || expiry.After(machine.LeaseExpiry) {
 		machine.LeaseExpiry = expiry
 	}
--- a/internal/leader/image_inventory.go
+++ b/internal/leader/image_inventory.go
@@ -49,9 +49,10 @@
 	}()
 }
 
-// newImageInventoryRecord returns a part of the inventory with the first of the machines, and
-// how many machines the part describes: as many as fit in a value of maxBytes bytes as
-// JSON by an upper estimate, but at least one.
+// newImageInventoryRecord returns a part of the inventory with the first of the machines,
+// and how many machines the part describes: at most tuning.ImageInventoryMachines, and
+// only as many as fit in a value of maxBytes bytes as JSON by an upper estimate, but at
+// least one.
 func newImageInventoryRecord(machines []*cluster.Machine, maxBytes int) (inventory records.ImageInventory, count int) {
 	inventory.Machines = map[string][]int{}
 	bytes := tuning.ImageInventoryEntryBytes
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -34,13 +34,13 @@
 	// unrecordedDone holds the tasks whose completion is not recorded yet. Their
 	// agents must not forget them.
 	unrecordedDone map[int]bool
-	// awaitsOpenRecord is set when a controller reports the job as cancelled, until the
-	// leader has read the changed open record. The version that the leader has of the
-	// record is out of date by then, so no write may be conditional on it.
+	// awaitsOpenRecord is true from the time a controller reports the job as cancelled
+	// until the leader has read the changed open record. In between openVersion is out of
+	// date, so no write may be conditional on it.
 	awaitsOpenRecord bool
 	recordUnreadable bool // a segment of the run record could not be read
 	backoffUntil     time.Time
-	failures         int
+	failures         int       // tasks that exited with an error since a task was last done
 	addedAt          time.Time // when this leader added the job
 }
 
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -16,8 +16,8 @@
 	// return the job as open (see pruneClosedJobs).
 	closed map[protocol.JobID]time.Time
 	// lowestGPUPriority is the lowest priority of all jobs with GPUs that were added, -1
-	// without any. largestGPURequest is the most of each resource that a task of these jobs
-	// requests (see scheduler.Snapshot).
+	// if there was none. largestGPURequest is the most of each resource that a task of
+	// these jobs requests (see scheduler.Snapshot).
 	lowestGPUPriority protocol.PriorityLevel
 	largestGPURequest scheduler.Resources
 }
@@ -50,8 +50,8 @@
 	return closed
 }
 
-// applyOpenRecord applies the record of an open job, which is a new job, a cancellation
-// or a version that was applied before.
+// applyOpenRecord applies the record of an open job. The record is that of a new job,
+// marks a job as cancelled, or is a version that was applied before.
 func (l *Leader) applyOpenRecord(key string, value []byte, version protocol.Version, now time.Time) {
 	jobID, _ := records.ParseOpenKey(key)
 	var open records.OpenJob
@@ -100,9 +100,10 @@
 	l.addDependencies(job)
 }
 
-// pruneClosedJobs drops the closed jobs that no read in flight can return as open: a read
-// that began after the job was closed has been applied, and reads of the same kind follow
-// one another.
+// pruneClosedJobs drops the closed jobs that no read in flight can return as open. These
+// are the jobs that were closed before the read of the latest applied watch result began
+// and before the dependency lookup in flight, if any, began: reads of the same kind follow
+// one another, so the result of an earlier read can no longer arrive.
 func (l *Leader) pruneClosedJobs() {
 	for jobID, closedAt := range l.jobs.closed {
 		lookupMayName := l.dependencies.lookupInFlight && !l.dependencies.lookupBegan.After(closedAt)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -57,8 +57,8 @@
 var ErrMayNotAnswer = errors.New("heartbeat not answered: leader lease expired, newer term seen, inbox full or term ended")
 
 // Leader schedules for one term. The actor goroutine (see Run) owns the inbox and the
-// parts below, and calls the parts in the order of a scheduling cycle. Each part owns its
-// state.
+// parts below, and each part owns its state. runCycle shows the order in which a
+// scheduling cycle uses the parts.
 type Leader struct {
 	Options
 	leadership election.Leadership
@@ -118,8 +118,7 @@
 // Run reads the stored records and leads until the context given to Bind ends.
 //
 // The goroutines that Run and the messages start end with that context. Run does not wait
-// for them: the last step of each is to post its result, and post gives up when the
-// context ends.
+// for them: their calls take the context, and post gives up when the context ends.
 func (l *Leader) Run() {
 	l.tookOverAt = time.Now()
 	l.lease.confirmedSince = l.tookOverAt.Add(tuning.AgentFailoverDelay)
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -25,8 +25,9 @@
 	confirmedByWatch time.Time
 	confirmedByTerm  time.Time
 	confirmedByPeers time.Time
-	// confirmedSince is the start of the current period in which the leader could answer
-	// heartbeats without interruption.
+	// confirmedSince is the start of the current period in which the last confirmation
+	// was never older than tuning.StartConfirmationAge. At first it is
+	// tuning.AgentFailoverDelay after the takeover, when agents have found this leader.
 	confirmedSince time.Time
 	// majorityReported is set once heartbeats of more than half of the machines have been
 	// received in this term.
--- a/internal/leader/machine_table.go
+++ b/internal/leader/machine_table.go
@@ -71,7 +71,7 @@
 	}
 	// An earlier leader may answer the machine's heartbeats until its leader lease ends,
 	// and each answer renews the agent's lease. The tasks recorded on the machine may run
-	// until an agent's lease that was renewed at that time has expired.
+	// until an agent's lease that was renewed at the end of the leader lease has expired.
 	expiry := l.agentLeaseExpiry(l.tookOverAt.Add(l.lease.duration))
 	machine := cluster.NewMachine(id, l.machines.firstToken, now, expiry)
 	l.machines.add(machine)
--- a/internal/leader/pending_writes.go
+++ b/internal/leader/pending_writes.go
@@ -58,8 +58,8 @@
 
 // pendingWrites lists the pending writes of all jobs in the order of their ranks. Starts
 // are not sent before they are recorded, and users wait for the final status of a job, so
-// both are due at once. Completions of a part of a job are due after CompletionDelay,
-// since agents keep them.
+// both are due at once. Segments that hold only completions are due after
+// tuning.CompletionDelay, since agents keep the completed attempts until then.
 func (l *Leader) pendingWrites(now time.Time) []pendingWrite {
 	var pending []pendingWrite
 	for _, job := range l.jobs.open {
@@ -87,8 +87,8 @@
 // awaitsBudget reports whether to wait until the write budget allows a whole transaction
 // of the pending writes. If single mutations were written as soon as the budget allows
 // one, the budget would never suffice for a write that takes several, such as closing a
-// job. In addition, what is placed during the wait shares the write of its job. Starts of
-// production jobs do not wait.
+// job. In addition, tasks that are placed during the wait share a write with the other
+// tasks of their segment. Starts of production jobs do not wait.
 func (l *Leader) awaitsBudget(pending []pendingWrite, budget int) bool {
 	mutations := l.provisioner.countUnrecorded()
 	for _, write := range pending {
--- a/internal/leader/provisioner.go
+++ b/internal/leader/provisioner.go
@@ -138,7 +138,8 @@
 		leader.Log.Info("no capacity, requests to the pool back off", "type", r.request.Type, "zone", r.request.Zone, "spot", r.request.Spot)
 	default:
 		// The outcome is unknown or the cloud is unavailable. The same request is sent
-		// again, since its ID provisions at most once.
+		// again, since its ID provisions at most once. Only a request that the cloud has
+		// rejected as invalid is not sent again.
 		r.request.nextCall = now.Add(tuning.MachineBackoff)
 		leader.provisioner.cloudAvailable = false
 		leader.Log.Info("provisioning call failed, it is repeated unless the request was rejected", "request", r.request.ID, "err", r.err)
--- a/internal/leader/run_record.go
+++ b/internal/leader/run_record.go
@@ -87,9 +87,9 @@
 	return done
 }
 
-// splitSegments marks every segment that was not written yet and has placements or done
-// tasks, which segment 0 still keeps, as to be written. It returns false if there is
-// none.
+// splitSegments marks as dirty every segment that was not written yet and has placements
+// or done tasks. Until such a segment is written, segment 0 keeps its tasks.
+// splitSegments reports whether there was such a segment.
 func (j *jobState) splitSegments(startsWait bool, now time.Time) bool {
 	inUse := map[int]bool{}
 	for task := range j.placements {
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -22,9 +22,9 @@
 	teams    map[string]int         // index of snapshot.Teams
 	machines []*cluster.Machine     // in the order of snapshot.Machines; nil: requested, not provisioned yet
 	running  []scheduler.RunningTasks
-	// machinesByGPU counts the machines that gangs can be placed on, with GPUs (true)
-	// and without (false). zones is the number of zones that the most widely offered of
-	// their types is in.
+	// machinesByGPU counts the machines that are not being deprovisioned, with GPUs
+	// (true) and without (false). zones is the largest number of zones that the type of
+	// one of these machines is offered in.
 	machinesByGPU map[bool]float64
 	zones         int
 	// notSchedulable counts the machines that are up but not schedulable, except those being
@@ -53,7 +53,9 @@
 	b.addCapacityBackoffs()
 	// After a failover the leader neither scales out nor scales in before it has read
 	// the machine list and has had time to receive a heartbeat from every machine:
-	// otherwise it would provision capacity again that already exists.
+	// otherwise it would provision capacity again that already exists. It need not wait
+	// for heartbeats before it scales out if every machine that has reported in this term
+	// is schedulable.
 	settled := now.Sub(l.tookOverAt) > l.heartbeatIntervals(2)
 	b.snapshot.MayScaleOut = l.provisioner.listed && (settled || b.notSchedulable == 0)
 	b.snapshot.MayScaleIn = l.provisioner.listed && settled
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -22,11 +22,11 @@
 	Machines []MachineCount `msgpack:"m"`
 	Overdue  []OverdueJob   `msgpack:"b"`
 	// Format is the version of the record formats that the whole cluster uses, and
-	// Versions lists the newest version that each controller reads.
+	// Versions lists the newest version that each controller has recorded as supported.
 	Format   int           `msgpack:"f,omitempty"`
 	Versions []NodeVersion `msgpack:"v,omitempty"`
-	// UnknownTasks counts the tasks on machines that no record names, and Unknown
-	// describes the first of them.
+	// UnknownTasks counts the tasks that agents report although no record names them, and
+	// Unknown describes the first of these tasks.
 	UnknownTasks int           `msgpack:"u,omitempty"`
 	Unknown      []UnknownTask `msgpack:"x,omitempty"`
 }
@@ -42,8 +42,7 @@
 	Job string `msgpack:"j"`
 }
 
-// NodeVersion is the newest format version that a controller reads, as the controller has
-// recorded it.
+// NodeVersion is the newest format version that a controller has recorded as supported.
 type NodeVersion struct {
 	Node   string `msgpack:"n"`
 	Format int    `msgpack:"f"`
@@ -215,7 +214,7 @@
 	return counts
 }
 
-// addUnknownTasks counts the tasks that no record names, and describes the first
+// addUnknownTasks counts the reported tasks that no record names, and describes the first
 // tuning.UnknownTasksShown of them.
 func (l *Leader) addUnknownTasks(status *Status) {
 	for _, machine := range l.machines.sorted {
@@ -231,8 +230,8 @@
 	}
 }
 
-// logUnknownTasks logs the tasks of a machine that no record names. The next reply to a
-// heartbeat of the machine orders the agent to stop them.
+// logUnknownTasks logs the tasks that the agent of a machine reports and no record names.
+// Replies to the agent's heartbeats order it to stop them (see reconcileTask).
 func (l *Leader) logUnknownTasks(machine *cluster.Machine) {
 	for _, reported := range machine.UnknownTasks() {
 		unknown := l.describeUnknownTask(machine, &reported)
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -84,8 +84,9 @@
 		now.Sub(machine.ProvisionedAt) > seconds(tuning.BootTimeoutFactor*l.bootTimeS(machine))
 }
 
-// checkpointBeforePreemption stops the running tasks that can save a checkpoint on a machine
-// under a preemption notice, as late as still leaves them the time to save.
+// checkpointBeforePreemption stops those running tasks on a machine under a preemption
+// notice that can save a checkpoint. Each is stopped as late as possible while enough time
+// is left to save the checkpoint.
 func (l *Leader) checkpointBeforePreemption(machine *cluster.Machine, now time.Time) {
 	if machine.PreemptionAt.IsZero() || machine.AcknowledgedToken < l.termToken() {
 		return // the notice may be from a late copy of a heartbeat sent before this term
