--- a/internal/leader/deadlines_test.go
+++ b/internal/leader/deadlines_test.go
@@ -7,10 +7,10 @@
 	"marblehaven/internal/config"
 )
 
-// The job's own deadline counts from the submission, the deadline by an objective from
-// when the last job that it depends on was done. A job that can no longer meet its own
-// deadline is held to the multiple of it that an objective names, and after that to the
-// next later deadline.
+// A job's own deadline counts from the submission. The deadline that an objective sets
+// counts from when the last dependency of the job was done. A job that can no longer meet
+// its own deadline is held to the multiple of it that an objective names, and after that
+// to the next later deadline.
 func TestDeadlineFor(t *testing.T) {
 	leader, now := newLoadedLeader(0, 1)
 	leader.Config.Deployment.Objectives = []config.Objective{{Kind: "deadline", Class: "c", DeadlineMultiple: 1}, {Kind: "deadline", Class: "c", DeadlineMultiple: 1.5},
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -73,7 +73,7 @@
 }
 
 // newLoadedLeader returns a leader with a number of machines, each full with 4 tasks, and a
-// number of jobs of 60 tasks, of which those without a machine wait.
+// number of jobs of 60 tasks each. The tasks that are on no machine wait.
 func newLoadedLeader(machines, jobs int) (*Leader, time.Time) {
 	cfg := &config.Config{Operator: config.DefaultOperator()}
 	d := &cfg.Deployment
--- a/internal/leader/image_inventory_test.go
+++ b/internal/leader/image_inventory_test.go
@@ -11,7 +11,7 @@
 )
 
 // A new leader takes the images that a machine has cached from the inventory that the
-// leader before wrote.
+// previous leader wrote.
 func TestImageInventoryIsInherited(t *testing.T) {
 	leader, now := newLoadedLeader(2, 1)
 	machine := leader.machines.byID["m-000001"]
--- a/internal/leader/lease_test.go
+++ b/internal/leader/lease_test.go
@@ -16,9 +16,10 @@
 )
 
 // A leader process was paused for seconds while its clocks advanced. Every machine then
-// appears silent and every job appears to wait at once. The leader's last proof that it
-// leads is as old. Until the key-value store has answered, the leader places nothing,
-// deprovisions nothing, calls no agent and does not resign.
+// appears silent and every job appears to have waited for as long as the pause lasted, and
+// the leader's last proof that it leads is as old as the pause. Until the key-value store
+// has answered, the leader places nothing, deprovisions nothing, calls no agent and does
+// not resign.
 func TestPausedLeaderDecidesNothing(t *testing.T) {
 	emptyMachines := func(leader *Leader) {
 		for _, machine := range leader.machines.sorted[:50] {
