--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -246,7 +246,7 @@
 	switch {
 	case job == nil:
 	case job.placements[reported.Key.Task] != nil:
-		unknown.Job = "the task is placed elsewhere or as another attempt"
+		unknown.Job = "the task is elsewhere or another try"
 	case job.doneTasks.Has(reported.Key.Task):
 		unknown.Job = "the task is done"
 	case job.cancelled:
