--- a/internal/leader/failure_detection.go
+++ b/internal/leader/failure_detection.go
@@ -12,8 +12,8 @@
 	return seconds(l.Config.Deployment.Workers.ReportS * n)
 }
 
-// schedulableSilence is how long a machine may be silent and still be given new work.
-func (l *Leader) schedulableSilence() time.Duration {
+// maxSchedulableSilence is how long a machine may be silent and still be given new work.
+func (l *Leader) maxSchedulableSilence() time.Duration {
 	return l.heartbeatIntervals(tuning.SchedulableHeartbeats)
 }
 
@@ -149,19 +149,19 @@
 }
 
 // isolated reports whether this leader receives heartbeats from almost none of the
-// machines although the store confirms its term. The leases of the machines would expire
-// all together, while another controller may well receive their heartbeats.
+// machines although the store confirms its term. The leases of all these machines would
+// then expire, while another controller may well receive their heartbeats.
 //
 // The leader must have received heartbeats from most machines before, or the other
 // controllers must receive more heartbeats than this leader. Otherwise the machines
 // themselves may have failed: then one leader after another would resign, and none would
 // lead for long enough to detect the failure.
 func (l *Leader) isolated(now time.Time) bool {
-	if now.Sub(l.lease.lastConfirmation()) > tuning.StartConfirmationAge && now.After(l.lease.answeringSince) {
-		l.lease.answeringSince = now
+	if now.Sub(l.lease.lastConfirmation()) > tuning.StartConfirmationAge && now.After(l.lease.confirmedSince) {
+		l.lease.confirmedSince = now
 	}
 	window := l.unreachableAfter()
-	if now.Sub(l.lease.answeringSince) < window {
+	if now.Sub(l.lease.confirmedSince) < window {
 		return false
 	}
 	expected, reporting := 0, 0
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -45,7 +45,7 @@
 // onHeartbeat applies a heartbeat and returns the reply, or nil if the leader may not answer.
 func (l *Leader) onHeartbeat(heartbeat *protocol.Heartbeat, now time.Time) *protocol.HeartbeatReply {
 	if newerTerm := heartbeat.Token.Term(); newerTerm > l.leadership.Term {
-		l.Log.Info("heartbeat carries the token of a newer term, leaving this term", "machine", heartbeat.Machine, "term", newerTerm)
+		l.Log.Info("heartbeat carries the token of a newer term, giving up the term", "machine", heartbeat.Machine, "term", newerTerm)
 		l.OnNewerTerm(newerTerm)
 		return nil
 	}
@@ -65,6 +65,8 @@
 	}
 	machine.LastHeartbeat = now
 	l.applyStatus(machine, heartbeat, now)
+	// Until the agent acknowledges the term's token, an earlier leader may have renewed
+	// the lease for longer than this reply does, so the expiry only moves forward.
 	if expiry := l.agentLeaseExpiry(now); machine.AcknowledgedToken >= l.termToken() || expiry.After(machine.LeaseExpiry) {
 		machine.LeaseExpiry = expiry
 	}
@@ -80,7 +82,7 @@
 	if !fresh {
 		return
 	}
-	if schedulable := machine.Schedulable(now, l.schedulableSilence()); schedulable != machine.WasSchedulable {
+	if schedulable := machine.Schedulable(now, l.maxSchedulableSilence()); schedulable != machine.WasSchedulable {
 		machine.WasSchedulable = schedulable
 		l.cycle.request()
 	}
