--- a/internal/scheduler/eligibility.go
+++ b/internal/scheduler/eligibility.go
@@ -64,7 +64,7 @@
 // capacityOn returns how many tasks of the job the machine can take now.
 func (p *planner) capacityOn(machine *Machine, job *pendingJob) int {
 	if job.avoidsType(p.snapshot.typeOf(machine)) {
-		return p.gpuPolicy.capacityForNonGPUWork(machine, job)
+		return p.gpuMachinePolicy.capacityForNonGPUWork(machine, job)
 	}
 	return machine.Free.CapacityFor(job.Request)
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -125,7 +125,7 @@
 			break
 		}
 		machine := &p.pool.machines[i]
-		if zoneConstraintFor(job.Job, machine.Zone) != zone || !machine.acceptsTasks() || !p.eligibleForGang(machine, job) {
+		if zoneConstraintFor(job.Job, machine.Zone) != zone || !machine.schedulableOrBooting() || !p.eligibleForGang(machine, job) {
 			continue
 		}
 		count := min(left, machine.Free.CapacityFor(job.Request))
--- a/internal/scheduler/gpupolicy.go
+++ b/internal/scheduler/gpupolicy.go
@@ -42,7 +42,7 @@
 		return 0
 	case p.runsGPUWork(machine):
 		return p.capacityBesideGPUWork(machine, job)
-	case p.mayUseIdleGPUs(machine, job):
+	case p.mayUseMachineWithIdleGPUs(machine, job):
 		return machine.Free.CapacityFor(job.Request)
 	}
 	return 0
@@ -59,10 +59,10 @@
 	return free.CapacityFor(job.Request)
 }
 
-// mayUseIdleGPUs reports whether the job may use all free capacity of a machine whose
-// GPUs are idle: no work with GPUs waits, the job can be preempted when such work
-// arrives, and the machine is not about to be returned.
-func (p *gpuMachinePolicy) mayUseIdleGPUs(machine *Machine, job *pendingJob) bool {
+// mayUseMachineWithIdleGPUs reports whether the job may use all free capacity of a
+// machine whose GPUs are idle: no work with GPUs waits, the job can be preempted when
+// such work arrives, and the machine is not about to be returned.
+func (p *gpuMachinePolicy) mayUseMachineWithIdleGPUs(machine *Machine, job *pendingJob) bool {
 	return !p.gpuWorkWaits &&
 		job.Priority > p.lowestGPUPriority() &&
 		!job.isGang() &&
--- a/internal/scheduler/gpuwait.go
+++ b/internal/scheduler/gpuwait.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// gpuReleases estimates when the work on each machine ends, including the waiting work
-// that has been counted against the machine.
-type gpuReleases struct {
+// gpuReleaseTimes estimates when the work on each machine ends, including the waiting
+// work that has been counted against the machine.
+type gpuReleaseTimes struct {
 	snapshot *Snapshot
 	// releaseS holds the estimate for each machine, in seconds from now. It is computed
 	// at first use, since most plans do not need it.
@@ -20,7 +20,7 @@
 // the tasks of a job with GPUs, under the zone constraint. If the job needs one zone, the
 // zone with the shortest wait counts. The chosen machines are marked as taken for the run
 // time of the job, so that the next job does not count on them too.
-func (g *gpuReleases) estimateWaitS(job *Job, tasks int, zone zoneConstraint) float64 {
+func (g *gpuReleaseTimes) estimateWaitS(job *Job, tasks int, zone zoneConstraint) float64 {
 	if g.releaseS == nil {
 		g.releaseS = lastReleases(g.snapshot.Machines)
 	}
@@ -52,7 +52,7 @@
 }
 
 // machinesByZone groups the machines that the job may use once they are empty.
-func (g *gpuReleases) machinesByZone(job *Job, zone zoneConstraint) map[zoneConstraint][]int {
+func (g *gpuReleaseTimes) machinesByZone(job *Job, zone zoneConstraint) map[zoneConstraint][]int {
 	byZone := map[zoneConstraint][]int{}
 	for i := range g.snapshot.Machines {
 		if machine := &g.snapshot.Machines[i]; zone.allows(machine.Zone) && g.usableWhenEmpty(machine, job) {
@@ -65,7 +65,7 @@
 
 // usableWhenEmpty reports whether the machine is up and can take tasks of the job once it
 // is empty.
-func (g *gpuReleases) usableWhenEmpty(machine *Machine, job *Job) bool {
+func (g *gpuReleaseTimes) usableWhenEmpty(machine *Machine, job *Job) bool {
 	isUp := machine.Schedulable || len(machine.Tasks) > 0
 	return isUp && g.snapshot.typeOf(machine).Capacity.fits(job.Request) && g.snapshot.allowsMachine(job.Spec, machine)
 }
@@ -73,7 +73,7 @@
 // firstReleased returns the machines that are released first and together hold the tasks,
 // and the time at which the last of them is released, which is +Inf if all machines
 // together are too few.
-func (g *gpuReleases) firstReleased(machines []int, job *Job, tasks int) (used []int, waitS float64) {
+func (g *gpuReleaseTimes) firstReleased(machines []int, job *Job, tasks int) (used []int, waitS float64) {
 	slices.SortStableFunc(machines, func(a, b int) int { return cmp.Compare(g.releaseS[a], g.releaseS[b]) })
 	missing := tasks
 	for position, i := range machines {
--- a/internal/scheduler/machinepool.go
+++ b/internal/scheduler/machinepool.go
@@ -22,7 +22,7 @@
 	belowProduction := func(running RunningTasks) bool { return !snapshot.Jobs[running.Job].isProduction() }
 	for i := range pool.machines {
 		machine := &pool.machines[i]
-		if machine.acceptsTasks() && machine.Free.covers(least) {
+		if machine.schedulableOrBooting() && machine.Free.covers(least) {
 			pool.withCapacity = append(pool.withCapacity, i)
 		}
 		if machine.Schedulable && slices.ContainsFunc(machine.Tasks, belowProduction) {
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -106,7 +106,7 @@
 	var total provisionedCapacity
 	for i := range snapshot.Machines {
 		machine := &snapshot.Machines[i]
-		if !machine.acceptsTasks() && len(machine.Tasks) == 0 {
+		if !machine.schedulableOrBooting() && len(machine.Tasks) == 0 {
 			continue
 		}
 		capacity := snapshot.typeOf(machine).Capacity
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -31,22 +31,22 @@
 	r.requests = append(r.requests, ScaleOut{pool, count})
 }
 
-// withHeadroom returns the requests, with half as many machines again for production:
-// boot times vary by more than its service-level objectives allow, and in a new cluster
-// more machines fetch the images sooner.
-func (r *scaleOutRequests) withHeadroom() []ScaleOut {
+// withProductionHeadroom returns the requests, with half as many machines again for
+// production: boot times vary by more than its service-level objectives allow, and in a
+// new cluster more machines fetch the images sooner.
+func (r *scaleOutRequests) withProductionHeadroom() []ScaleOut {
 	for i := range r.requests {
 		r.requests[i].Count += r.forProduction[r.requests[i].CapacityPool] / 2
 	}
 	return r.requests
 }
 
-// scaleOutHelps reports whether a new machine is up before provisioned ones become free
+// shouldScaleOut reports whether a new machine is up before provisioned ones become free
 // for the job (Algorithm 1 of DRPA, steps 12-14: a job waits for the machine that is free
 // soon). The condition applies only to work with GPUs, whose machines are expensive and
 // take one task each. Small work spreads over all machines that are available.
-func (p *planner) scaleOutHelps(job *Job, tasks int, zone zoneConstraint, bootS float64) bool {
-	return !job.needsGPUs() || p.gpuReleases.estimateWaitS(job, tasks, zone) > bootS
+func (p *planner) shouldScaleOut(job *Job, tasks int, zone zoneConstraint, bootS float64) bool {
+	return !job.needsGPUs() || p.gpuReleaseTimes.estimateWaitS(job, tasks, zone) > bootS
 }
 
 // scaleOut requests the cheapest machines that hold the tasks (P2 of DRPA, eq. 30).
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -17,14 +17,14 @@
 // planner makes one plan. Each field holds one kind of state, which changes as the plan
 // grows: a job that is scheduled later sees what earlier jobs have taken.
 type planner struct {
-	snapshot    *Snapshot
-	pool        *machinePool
-	gpuPolicy   gpuMachinePolicy
-	quotas      quotas
-	queue       *workQueue
-	gpuReleases *gpuReleases
-	exhausted   exhaustedKinds
-	scaleOuts   scaleOutRequests
+	snapshot         *Snapshot
+	pool             *machinePool
+	gpuMachinePolicy gpuMachinePolicy
+	quotas           quotas
+	workQueue        *workQueue
+	gpuReleaseTimes  *gpuReleaseTimes
+	exhausted        exhaustedKinds
+	scaleOuts        scaleOutRequests
 	// orderPosition holds the position of each job in the scheduling order. Tasks of a
 	// job are never preempted for a job that is scheduled later.
 	orderPosition []int
@@ -36,15 +36,15 @@
 
 func newPlanner(snapshot *Snapshot) *planner {
 	return &planner{
-		snapshot:      snapshot,
-		pool:          newMachinePool(snapshot),
-		gpuPolicy:     newGPUMachinePolicy(snapshot),
-		quotas:        slices.Clone(snapshot.Teams),
-		queue:         newWorkQueue(snapshot),
-		gpuReleases:   &gpuReleases{snapshot: snapshot},
-		exhausted:     exhaustedKinds{},
-		scaleOuts:     newScaleOutRequests(),
-		orderPosition: make([]int, len(snapshot.Jobs)),
+		snapshot:         snapshot,
+		pool:             newMachinePool(snapshot),
+		gpuMachinePolicy: newGPUMachinePolicy(snapshot),
+		quotas:           slices.Clone(snapshot.Teams),
+		workQueue:        newWorkQueue(snapshot),
+		gpuReleaseTimes:  &gpuReleaseTimes{snapshot: snapshot},
+		exhausted:        exhaustedKinds{},
+		scaleOuts:        newScaleOutRequests(),
+		orderPosition:    make([]int, len(snapshot.Jobs)),
 	}
 }
 
@@ -58,7 +58,7 @@
 	for _, jobIndex := range order {
 		p.scheduleJob(jobIndex)
 	}
-	p.plan.ScaleOuts = p.scaleOuts.withHeadroom()
+	p.plan.ScaleOuts = p.scaleOuts.withProductionHeadroom()
 	if snapshot.MayScaleIn {
 		p.scaleIn()
 	}
@@ -88,13 +88,13 @@
 	if job.mayPreempt() {
 		tasks -= p.preempt(job, tasks, targetReady)
 	}
-	withoutMachine := tasks
+	tasksWithoutMachine := tasks
 	zone, tasks := p.reserveFutureCapacity(job, tasks)
 	if slackS > 0 || tasks == 0 {
 		return
 	}
 	p.plan.SlackSpent = append(p.plan.SlackSpent, jobIndex)
-	if p.snapshot.MayScaleOut && p.scaleOutHelps(job.Job, withoutMachine, zone, bootS) {
+	if p.snapshot.MayScaleOut && p.shouldScaleOut(job.Job, tasksWithoutMachine, zone, bootS) {
 		p.scaleOut(job, tasks, zone)
 	}
 }
--- a/internal/scheduler/slack.go
+++ b/internal/scheduler/slack.go
@@ -41,7 +41,7 @@
 // scales out at zero slack still waits for the boot.
 func (p *planner) slackS(job *Job, tasks int, bootS float64) float64 {
 	const longestQueueS = 1e6 // without provisioned machines the queueing time is unbounded
-	queueS := math.Min(p.queue.enqueue(job, tasks), longestQueueS)
+	queueS := math.Min(p.workQueue.enqueue(job, tasks), longestQueueS)
 	return math.Max(0, job.DeadlineS-p.snapshot.Rho*(job.EstimateS+queueS)-bootS)
 }
 
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -124,8 +124,9 @@
 // typeOf returns the type of a machine.
 func (s *Snapshot) typeOf(machine *Machine) *MachineType { return &s.Types[machine.Type] }
 
-// acceptsTasks reports whether the machine can be given tasks, now or once it is up.
-func (m *Machine) acceptsTasks() bool { return m.Schedulable || m.Booting }
+// schedulableOrBooting reports whether the machine can be given tasks, now or once it is
+// up.
+func (m *Machine) schedulableOrBooting() bool { return m.Schedulable || m.Booting }
 
 // hasStartableTasks reports whether tasks of the job wait and may be started.
 func (j *Job) hasStartableTasks() bool { return j.Waiting > 0 && !j.BackingOff }
