--- a/internal/scheduler/chain.go
+++ b/internal/scheduler/chain.go
@@ -13,9 +13,9 @@
 
 // PropagateDeadlines raises the priority of each job to the highest among its direct and
 // indirect dependents, and lowers its deadline to the time by which the job must be
-// complete for all of them to meet theirs. Each dependent requires its own deadline minus
-// the estimates of the jobs after this one on the longest path to the dependent (the
-// critical path).
+// complete for all of them to meet theirs. A dependent requires the job to be complete by
+// the dependent's own deadline minus the estimates of the jobs after this one on the
+// longest path to the dependent (the critical path).
 //
 // Dependencies form a directed acyclic graph, since a job can name only jobs that were
 // accepted before. If stored records contain a cycle nevertheless, its jobs and the jobs
--- a/internal/scheduler/exhausted.go
+++ b/internal/scheduler/exhausted.go
@@ -18,8 +18,10 @@
 	image        string
 }
 
-// exhaustedKinds is the set of task kinds for which no capacity was left. Capacity only
-// shrinks while a plan is made, so further searches for these kinds are skipped.
+// exhaustedKinds is the set of task kinds for which no capacity was left. The capacity of
+// provisioned machines only shrinks while a plan is made, so further searches for these
+// kinds are skipped. Tasks of a kind in the set for targetBooting are not placed on
+// machines that the plan requests afterwards either.
 type exhaustedKinds map[taskKind]bool
 
 // contains reports whether an earlier search has shown that the target has no capacity
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -40,10 +40,10 @@
 	}
 }
 
-// A starved gang gets the machines that become free reserved, also against smaller gangs
-// that would otherwise be scheduled before it, and starts once it has enough machines.
-// Without the reservation the small gangs take every machine and the starved gang never
-// starts.
+// Machines that become free are reserved for a starved gang, also against smaller gangs
+// that would otherwise be scheduled before it. The starved gang starts once it has enough
+// machines. Without the reservation the small gangs take every machine and the starved
+// gang never starts.
 func TestStarvedGangGathers(t *testing.T) {
 	snapshot := starvedGangSnapshot()
 	started := false
@@ -68,8 +68,8 @@
 }
 
 // If one zone has capacity for a part of a gang, machines are added for the rest. If the
-// free machine, or machines in different zones, counted as enough for the whole gang, it
-// would wait indefinitely.
+// free machine, or machines in different zones, counted as enough for the whole gang, the
+// gang would wait indefinitely.
 func TestGangScalesOutForTheRest(t *testing.T) {
 	spec := &protocol.Job{ID: "g", Kind: protocol.KindGang, Tasks: 3, Cores: 4, GPUs: 2, MemGB: 8, OneZone: true, Spot: true}
 	snapshot := &Snapshot{Rho: 1, MayScaleOut: true, ExhaustedPools: map[CapacityPool]bool{}, Teams: []Team{{}},
--- a/internal/scheduler/generator_test.go
+++ b/internal/scheduler/generator_test.go
@@ -88,8 +88,8 @@
 	return job
 }
 
-// recordGPUWork updates the snapshot's priority and request of GPU work for a job that
-// needs GPUs.
+// recordGPUWork updates LowestGPUPriority and LargestGPURequest of the snapshot for a job
+// that needs GPUs.
 func recordGPUWork(snapshot *Snapshot, job *Job) {
 	seen, request := snapshot.LargestGPURequest, job.Request
 	snapshot.LowestGPUPriority = max(snapshot.LowestGPUPriority, job.Priority)
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -99,7 +99,7 @@
 
 // provisionedCapacity is the total capacity of the machines that are up or booting: GPUs,
 // and the cores of machines without GPUs. Cores of machines with GPUs do not count, since
-// other work gets only what GPU work leaves over there.
+// other work gets only those of them that GPU work leaves unused.
 type provisionedCapacity struct{ cores, gpus float64 }
 
 func provisionedCapacityOf(snapshot *Snapshot) provisionedCapacity {
--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -41,7 +41,7 @@
 }
 
 // maxInTime returns the largest number of jobs that can be in time. It tries every set of
-// jobs, the earliest deadline first.
+// jobs, and within each set runs the job with the earliest deadline first.
 func maxInTime(jobs []Job) (most int) {
 	byDeadline := make([]int, len(jobs))
 	for i := range byDeadline {
--- a/internal/scheduler/pendingjob.go
+++ b/internal/scheduler/pendingjob.go
@@ -30,7 +30,7 @@
 	return j.isProduction() && j.Spec.Kind == protocol.KindService
 }
 
-// mayPreempt reports whether tasks of lower priorities are preempted for the job:
+// mayPreempt reports whether tasks of lower priorities may be preempted for the job:
 // production must not wait, and machines with GPUs are kept for work that needs them.
 func (j *pendingJob) mayPreempt() bool { return j.isProduction() || j.needsGPUs() }
 
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -20,7 +20,8 @@
 	// targetBooting selects machines that are not up yet. Tasks are only counted
 	// against their capacity, so that no further machines are added for them.
 	targetBooting
-	// targetPreempted stands for capacity that preemption makes.
+	// targetPreempted selects no machines. In exhaustedKinds it stands for capacity that
+	// preemption makes.
 	targetPreempted
 )
 
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -33,7 +33,7 @@
 
 // withProductionHeadroom returns the requests, with half as many machines again for
 // production: boot times vary by more than its service-level objectives allow, and in a
-// new cluster more machines fetch the images sooner.
+// new cluster the images are fetched sooner if more machines fetch them.
 func (r *scaleOutRequests) withProductionHeadroom() []ScaleOut {
 	for i := range r.requests {
 		r.requests[i].Count += r.forProduction[r.requests[i].CapacityPool] / 2
@@ -41,17 +41,19 @@
 	return r.requests
 }
 
-// shouldScaleOut reports whether a new machine is up before provisioned ones become free
-// for the job (Algorithm 1 of DRPA, steps 12-14: a job waits for the machine that is free
-// soon). The condition applies only to work with GPUs, whose machines are expensive and
-// take one task each. Small work spreads over all machines that are available.
+// shouldScaleOut reports whether machines should be added for the job. For work with GPUs
+// that is so only if a new machine is up before provisioned ones become free for the job
+// (Algorithm 1 of DRPA, steps 12-14: a job waits for a machine that will be free soon):
+// machines with GPUs are expensive and take one task each. For other jobs the result is
+// always true, since small work spreads over all machines that are available.
 func (p *planner) shouldScaleOut(job *Job, tasks int, zone zoneConstraint, bootS float64) bool {
 	return !job.needsGPUs() || p.gpuReleaseTimes.estimateWaitS(job, tasks, zone) > bootS
 }
 
 // scaleOut requests the cheapest machines that hold the tasks (P2 of DRPA, eq. 30).
 // Capacity that is left over on them counts as booting capacity for the jobs scheduled
-// later. zone is the constraint under which the rest of a gang must be placed.
+// later, except those of a kind in exhaustedKinds. zone is the constraint under which the
+// rest of a gang must be placed.
 func (p *planner) scaleOut(job *pendingJob, tasks int, zone zoneConstraint) {
 	for tasks > 0 {
 		best, found := p.cheapestOffer(job, tasks, zone)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -66,8 +66,8 @@
 }
 
 // scheduleJob finds machines for the waiting tasks of a job, in the order of Algorithm 1
-// of DRPA: first machines that are up, then preemption and booting machines, and machines
-// to add only once the job's slack W_k is spent.
+// of DRPA: first machines that are up, then preemption and booting machines. Machines are
+// added only once the job's slack (W_k of DRPA, see slackS) is spent.
 func (p *planner) scheduleJob(jobIndex int) {
 	if !p.snapshot.Jobs[jobIndex].hasStartableTasks() {
 		return
@@ -110,7 +110,7 @@
 }
 
 // useReadyMachines starts tasks of a job on machines that are up, and returns how many
-// tasks need no further machine.
+// tasks have a machine now or, for a production service, will have one after preemption.
 func (p *planner) useReadyMachines(job *pendingJob, tasks int) int {
 	found := 0
 	if job.isProductionService() {
@@ -135,8 +135,8 @@
 	return started
 }
 
-// reserveFutureCapacity counts tasks against machines that are booting, and a gang also
-// against machines that become free in its zone. It returns the zone in which the
+// reserveFutureCapacity counts tasks against machines that are booting, and those of a
+// gang also against free capacity in the gang's zone. It returns the zone in which the
 // remaining tasks must be placed, and their number.
 func (p *planner) reserveFutureCapacity(job *pendingJob, tasks int) (zoneConstraint, int) {
 	if job.isGang() {
