--- a/internal/cluster/heartbeat_order.go
+++ b/internal/cluster/heartbeat_order.go
@@ -48,8 +48,8 @@
 }
 
 // withdrawProbe discards the probe when a status in the known order carries its token.
-// The token then proves no restart any more: the agent that has not restarted has
-// received it, so late copies of that agent's heartbeats carry it too.
+// The token then no longer proves a restart: an agent that has not restarted has received
+// it, so late copies of that agent's heartbeats carry it too.
 func (o *heartbeatOrder) withdrawProbe(token protocol.FencingToken) {
 	if token >= o.probeToken {
 		o.probeToken = 0
--- a/internal/cluster/heartbeat_order_test.go
+++ b/internal/cluster/heartbeat_order_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// A probe proves nothing once the agent that has not restarted has acknowledged it, even in
-// the answer to a direct command: later copies of its heartbeats carry the probe token as
-// well.
+// A probe proves nothing once an agent that has not restarted has acknowledged it, even in
+// the answer to a direct command: copies of the agent's later heartbeats carry the probe
+// token as well.
 func TestStatusInKnownOrderWithdrawsProbe(t *testing.T) {
 	machine, _, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -148,7 +148,7 @@
 }
 
 // takeTerm makes this node the leader of a term, provided that neither key has changed
-// since the campaign has read its version.
+// since the campaign read its version.
 func (c *Candidate) takeTerm(ctx context.Context, term protocol.Term, termVersion, leaderVersion protocol.Version) (campaignResult, error) {
 	lease, err := c.store.GrantLease(ctx, tuning.LeadershipTTL)
 	if err != nil {
--- a/internal/election/cluster_test.go
+++ b/internal/election/cluster_test.go
@@ -112,9 +112,9 @@
 }
 
 // lead writes as a leader does until its term ends. With endsTermOnConflict it gives up the
-// term, like the real leader, when the precondition on the term key fails. A candidate whose
-// new lease is alive, but whose transaction that sets the leader key again was lost, does not
-// detect that another node has taken the term.
+// term, like the real leader, when the precondition on the term key fails. The candidate
+// alone does not always detect that another node has taken the next term: it does not if it
+// keeps a new lease alive, but the transaction that sets the leader key again was lost.
 func (n *node) lead(ctx context.Context, leadership election.Leadership) {
 	n.beginTerm(leadership.Term)
 	for ctx.Err() == nil {
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -23,7 +23,7 @@
 		time.Sleep(10 * tuning.LeadershipTTL)
 		c.checkSettled(nodes)
 		if c.newestTerm() != 1 {
-			t.Errorf("%d terms without a fault", c.newestTerm())
+			t.Errorf("%d terms without a fault, want 1", c.newestTerm())
 		}
 	})
 }
@@ -41,7 +41,7 @@
 		}
 		time.Sleep(tuning.LeadershipTTL)
 		if others[0].leading() != 2 {
-			t.Errorf("the other node leads term %d after the lease has expired", others[0].leading())
+			t.Errorf("the other node leads term %d after the lease has expired, want 2", others[0].leading())
 		}
 		heal()
 		time.Sleep(2 * tuning.KeepAliveInterval)
@@ -73,10 +73,10 @@
 		// The fake store numbers leases from 1. The leader was granted two, so the third is
 		// this probe.
 		if probe, err := only.store.GrantLease(t.Context(), time.Second); err != nil || probe != 3 {
-			t.Errorf("%d leases granted for one expiry, %v", probe-1, err)
+			t.Errorf("%d leases granted before the probe, want 2; error of the probe: %v", probe-1, err)
 		}
 		if c.checkSettled([]*node{only}); only.leading() != 1 {
-			t.Errorf("leads term %d", only.leading())
+			t.Errorf("the node leads term %d, want 1", only.leading())
 		}
 	})
 }
@@ -140,7 +140,7 @@
 		}
 		time.Sleep(tuning.LeadershipTTL / 4) // the next leader does not wait for a lease to expire
 		if others[0].leading() != 2 {
-			t.Errorf("the other node leads term %d", others[0].leading())
+			t.Errorf("the other node leads term %d, want 2", others[0].leading())
 		}
 		time.Sleep(2 * tuning.StepDownPause)
 		c.checkSettled(nodes)
@@ -163,12 +163,12 @@
 		}
 		time.Sleep(tuning.StepDownPause)
 		if c.checkSettled([]*node{only}); only.leading() != 2 {
-			t.Errorf("leads term %d", only.leading())
+			t.Errorf("the node leads term %d, want 2", only.leading())
 		}
 		only.candidate.ObserveTerm(records.LeaderRecord{Term: 3, Node: "b"})
 		time.Sleep(tuning.LeadershipTTL / 4)
 		if only.leading() != 3 {
-			t.Errorf("leads term %d after a term that ended without resigning", only.leading())
+			t.Errorf("the node leads term %d, want 3 at once after a term that ended without resigning", only.leading())
 		}
 	})
 }
@@ -184,7 +184,7 @@
 		again := c.start("a")
 		time.Sleep(tuning.LeadershipTTL / 4)
 		if again.leading() != 2 {
-			t.Errorf("leads term %d", again.leading())
+			t.Errorf("the restarted node leads term %d, want 2", again.leading())
 		}
 		c.checkSettled([]*node{again})
 	})
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// keepAliveLoop keeps the lease of a leader alive, and grants a new one when it has
-// expired without another node taking the next term.
+// keepAliveLoop keeps the lease of a leader alive, and requests a new one from the store
+// when the lease has expired without another node taking the next term.
 type keepAliveLoop struct {
 	store      *kvstore.Client
 	node       string
@@ -135,14 +135,15 @@
 	return result.lease == k.lease && errors.Is(result.err, kvstore.ErrLeaseExpired)
 }
 
-// renewLease grants a new lease and sets the leader key again, provided that the term is
-// still this leader's. A lease can expire without a newer term, for instance while this
-// process is stalled.
+// renewLease requests a new lease from the store and sets the leader key again, provided
+// that the term is still this leader's. A lease can expire without a newer term, for
+// instance while this process is stalled.
 //
-// If no lease is granted, the next keep-alive that finds the old lease expired calls
-// renewLease again. If the transaction fails for a reason other than a conflict, the
+// If no lease is granted, renewLease is called again after the next keep-alive that finds
+// the old lease expired. If the transaction fails for a reason other than a conflict, the
 // leader key is not set again while the new lease is alive. Another node may then take
-// the next term, which this leader detects by the term key.
+// the next term. This leader detects that when the precondition of a write on the term key
+// fails.
 func (k *keepAliveLoop) renewLease(ctx context.Context, endTerm func()) {
 	lease, err := k.store.GrantLease(ctx, tuning.LeadershipTTL)
 	if err != nil {
