--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -14,8 +14,9 @@
 	Cancelled  bool         `msgpack:"c,omitempty"`
 }
 
-// MarkedCancelled reports whether an encoded OpenJob is marked as cancelled. It serves records
-// that cannot be decoded as a whole, because a cancellation must be respected in these, too.
+// MarkedCancelled reports whether an encoded OpenJob is marked as cancelled. It decodes the
+// mark alone, because a cancellation must take effect even if the rest of the record cannot be
+// decoded.
 func MarkedCancelled(value []byte) bool {
 	var fields map[string]msgpack.RawMessage
 	if codec.Unmarshal(value, &fields) != nil {
@@ -30,6 +31,6 @@
 	Phase     protocol.JobPhase `msgpack:"p"`
 	TasksDone int               `msgpack:"n"`
 	// ClosedMS is when the job was finished, in Unix milliseconds. The waiting times of jobs
-	// that depend on it count from that time. ClosedMS is 0 in records of earlier versions.
+	// that depend on this job count from that time. ClosedMS is 0 in records of earlier versions.
 	ClosedMS int64 `msgpack:"a,omitempty"`
 }
--- a/internal/records/provisioning.go
+++ b/internal/records/provisioning.go
@@ -1,8 +1,8 @@
 package records
 
 // ProvisioningRequest is a request for machines. It is recorded before the cloud is called, so
-// that a new leader can repeat the call under the same ID, which provisions at most once. An
-// ID is never used for another request.
+// that a new leader can repeat the call under the same ID. The cloud provisions the machines
+// for an ID at most once, and an ID is never used for another request.
 type ProvisioningRequest struct {
 	ID          string `msgpack:"c"`
 	Type        string `msgpack:"t"`
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -33,9 +33,10 @@
 	SchedulableHeartbeats = 2.6
 
 	// UnreachableHeartbeats is the number of heartbeat intervals after which a machine that
-	// sends nothing and does not answer commands counts as unreachable, if its tasks can
-	// wait. Heartbeats arrive every 0.75 to 1.25 intervals, and after a lost one within about
-	// AgentFailoverDelay.
+	// sends nothing and does not answer commands counts as unreachable. A machine with tasks
+	// of production or of a gang of several tasks counts as unreachable sooner, once
+	// UnreachableCommands are unanswered. Heartbeats arrive every 0.75 to 1.25 intervals, and
+	// after a lost one within about AgentFailoverDelay.
 	UnreachableHeartbeats = 3.5
 
 	// OneWayPartitionShare is the largest share of the machines that may be in a one-way
@@ -60,7 +61,7 @@
 
 	// UnreachableGrace is how long after the end of its lease a silent machine is
 	// deprovisioned. Network failures often end within this time, and a failed machine costs
-	// money.
+	// money as long as it is kept.
 	UnreachableGrace = 20 * time.Second
 
 	// NoHeartbeatLimit is how long a machine that answers commands may send no heartbeat
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -23,9 +23,8 @@
 	// a job's status.
 	ForwardTimeout = 1500 * time.Millisecond
 
-	// StoreServedAge is the largest time since the store last served a controller with which
-	// the store counts as reachable. The controller's watch on the leader key returns every
-	// second.
+	// StoreServedAge is how long the store counts as reachable for a controller after it last
+	// served that controller. The controller's watch on the leader key returns every second.
 	StoreServedAge = 2500 * time.Millisecond
 
 	// LocalStoreFailureLag is how much later than a controller its peers must have
@@ -38,8 +37,8 @@
 	// controller considers itself isolated. The time covers several calls to either.
 	IsolatedAfter = 5 * time.Second
 
-	// PeerStatusMaxAge is the largest age of a peer's last service by the store, or of its
-	// last answer, with which either counts as current: a second for the watch, one for the
-	// exchange, and their delays.
+	// PeerStatusMaxAge is how long a peer's last answer counts as current, and how long after
+	// the store last served a peer the store counts as reachable for that peer: a second for
+	// the watch, one for the exchange, and their delays.
 	PeerStatusMaxAge = 3 * time.Second
 )
--- a/internal/tuning/users.go
+++ b/internal/tuning/users.go
@@ -33,8 +33,9 @@
 	// which submissions should be answered.
 	UserThrottleRetries = 3
 
-	// StatusCallThrottleRetries is the same for a query about a job, which has 2 s and,
-	// unlike a submission, is repeated by the user only seconds later.
+	// StatusCallThrottleRetries is how often a throttled query about a job is repeated. The
+	// user waits 2 s for the answer and, unlike after a failed submission, asks again only
+	// seconds later.
 	StatusCallThrottleRetries = 15
 
 	// RetryBudget is how many retries of throttled requests a controller may make beyond
