--- a/internal/api/outcomeretry.go
+++ b/internal/api/outcomeretry.go
@@ -17,9 +17,10 @@
 	log    *slog.Logger
 }
 
-// retryUntilKnown repeats an attempt until it returns a reply or the context ends. After a
-// throttled attempt it retries at most throttleRetries times and within the retry budget.
-// If the key-value store is unavailable, it returns storeRefusedReply without a retry.
+// retryUntilKnown repeats an attempt until the attempt returns a reply or the context ends.
+// Throttled attempts are repeated at most throttleRetries times and within the retry budget.
+// If the key-value store is unavailable, retryUntilKnown returns storeUnavailableReply
+// without a retry; if the context ends, it returns the same reply.
 func (o *outcomeRetrier) retryUntilKnown(ctx context.Context, throttleRetries int, attempt func() (userReply, error)) userReply {
 	for throttled := 0; ; {
 		reply, err := attempt()
@@ -32,7 +33,7 @@
 				return unavailableReply
 			}
 		case errors.Is(err, kvstore.ErrUnavailable):
-			return storeRefusedReply
+			return storeUnavailableReply
 		case errors.Is(err, kvstore.ErrInvalidRequest), errors.Is(err, kvstore.ErrTooLarge):
 			o.log.Error("key-value store refused a transaction as invalid or too large, the call is answered with 503", "err", err)
 			return unavailableReply
@@ -41,7 +42,7 @@
 		// unknown: the next attempt reads the record before it writes, or the preconditions
 		// of its write fail if the earlier write was executed.
 		if !clock.Sleep(ctx, tuning.UserRetryPause) {
-			return storeRefusedReply
+			return storeUnavailableReply
 		}
 	}
 }
--- a/internal/api/usercalls.go
+++ b/internal/api/usercalls.go
@@ -22,11 +22,11 @@
 		writeReply(w, http.StatusServiceUnavailable, nil)
 		return
 	}
-	reply := storeRefusedReply
+	reply := storeUnavailableReply
 	if !s.node.StoreFailureIsLocal() {
 		reply = s.users.answer(r.Context(), call)
 	}
-	if reply.storeRefused {
+	if reply.storeUnavailable {
 		// The key-value store may be unavailable to this controller only. A peer that the
 		// store serves can then answer.
 		if forwarded, ok := s.peers.Forward(r.Context(), call); ok {
--- a/internal/api/userreply.go
+++ b/internal/api/userreply.go
@@ -12,17 +12,17 @@
 type userReply struct {
 	status int    // the HTTP status
 	body   []byte // encoded; nil if the reply consists of the status alone
-	// storeRefused marks the reply of a controller that the key-value store does not
+	// storeUnavailable marks the 503 of a controller that the key-value store does not
 	// serve. A peer that the store serves may answer instead.
-	storeRefused bool
+	storeUnavailable bool
 }
 
 var (
 	// unavailableReply is a 503, after which the user retries.
 	unavailableReply = userReply{status: http.StatusServiceUnavailable}
-	// storeRefusedReply is the reply if the store does not serve this controller and no
-	// peer can answer either.
-	storeRefusedReply = userReply{status: http.StatusServiceUnavailable, storeRefused: true}
+	// storeUnavailableReply is the 503 that is sent if the store does not serve this
+	// controller and no peer can answer either.
+	storeUnavailableReply = userReply{status: http.StatusServiceUnavailable, storeUnavailable: true}
 )
 
 // errNoSuchJob is the reply's text for a job that was never accepted.
--- a/internal/cloud/machines_test.go
+++ b/internal/cloud/machines_test.go
@@ -36,13 +36,13 @@
 		list.More = from < 2000
 		return list
 	}
-	failingPage := -1
+	firstOfFailingPage := -1
 	client := New("cloud:1", pageTransport(func(after string) (int, protocol.MachineList) {
 		from := 0
 		if n, _ := fmt.Sscanf(after, "m-%d", &from); n == 1 {
 			from++
 		}
-		if from == failingPage {
+		if from == firstOfFailingPage {
 			return 503, protocol.MachineList{}
 		}
 		return 200, page(from)
@@ -60,7 +60,7 @@
 			t.Errorf("with a page that is %s: listed %d machines, error %v; want none and ErrUnavailable", name, len(all), err)
 		}
 	}
-	failingPage = 1500
+	firstOfFailingPage = 1500
 	if all, err := client.ListMachines(t.Context()); !errors.Is(err, ErrUnavailable) || all != nil {
 		t.Errorf("with a page that fails: listed %d machines, error %v; want none and ErrUnavailable", len(all), err)
 	}
--- a/internal/kvstore/commit.go
+++ b/internal/kvstore/commit.go
@@ -66,14 +66,14 @@
 }
 
 // readRevision reads the revision at which an executed transaction set a key.
-func (c *Client) readRevision(ctx context.Context, setKey string, conflict protocol.TransactionReply) (protocol.TransactionReply, error) {
+func (c *Client) readRevision(ctx context.Context, setKey string, conflictReply protocol.TransactionReply) (protocol.TransactionReply, error) {
 	for ctx.Err() == nil {
 		entry, err := c.Get(ctx, setKey)
 		switch {
 		case err == nil:
 			return protocol.TransactionReply{Revision: entry.Version.Revision()}, nil
 		case errors.Is(err, ErrNotFound):
-			return conflict, fmt.Errorf("%w: key %q, which the transaction sets, does not exist", ErrInDoubt, setKey)
+			return conflictReply, fmt.Errorf("%w: key %q, which the transaction sets, does not exist", ErrInDoubt, setKey)
 		}
 		clock.Sleep(ctx, tuning.ElectionRetry)
 	}
