--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -50,7 +50,7 @@
 
 // markCancelled sets Cancelled in a job's open record and then records the acknowledgment.
 // If the record has changed since it was read, markCancelled returns ErrOutcomeUnknown, so
-// that the retrier reads the record again.
+// that the retrier makes another attempt, which reads the record again.
 func (c *cancellations) markCancelled(ctx context.Context, record *jobRecord) error {
 	jobID := record.status.ID
 	record.open.Cancelled = true
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -24,9 +24,10 @@
 type resolution struct {
 	state dependencyState
 	// asOf is the time for which dependencyOpen holds. It is zero if the limit on reads
-	// left some dependencies out: these are read for the next reply, and the leader has all
-	// open jobs in memory. The other states need no time. In particular a cancellation is
-	// never undone.
+	// left some dependencies out, so that the job does not count as confirmed open and the
+	// next reply reads these dependencies. The leader, which has all open jobs in memory,
+	// detects a cancelled one among them as well. The other states need no time: a
+	// cancellation is never undone, and dependencyUnknown is not cached.
 	asOf time.Time
 }
 
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -41,9 +41,9 @@
 	return heartbeat, nil
 }
 
-// answerHeartbeat replies with the local leader's answer. If the leader may not answer, or
-// does not answer within tuning.HeartbeatDeadline, the reply is 503 with a Retry-After
-// header.
+// answerHeartbeat replies with the local leader's answer. If the leader must not answer now
+// (leader.ErrMayNotAnswer), or does not answer within tuning.HeartbeatDeadline, the reply is
+// 503 with a Retry-After header.
 func answerHeartbeat(w http.ResponseWriter, r *http.Request, local *leader.Leader, heartbeat *protocol.Heartbeat) {
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.HeartbeatDeadline)
 	defer cancel()
@@ -66,5 +66,6 @@
 	writeMessage(w, http.StatusMisdirectedRequest, redirect)
 }
 
-// RedirectedHeartbeats returns the number of heartbeats that this controller has redirected.
+// RedirectedHeartbeats returns the number of heartbeats that this controller has
+// redirected.
 func (s *Server) RedirectedHeartbeats() uint64 { return s.redirected.Load() }
--- a/internal/api/outcomeretry.go
+++ b/internal/api/outcomeretry.go
@@ -35,7 +35,7 @@
 		case errors.Is(err, kvstore.ErrUnavailable):
 			return storeUnavailableReply
 		case errors.Is(err, kvstore.ErrInvalidRequest), errors.Is(err, kvstore.ErrTooLarge):
-			o.log.Error("key-value store refused a transaction as invalid or too large, the call is answered with 503", "err", err)
+			o.log.Error("transaction is invalid or too large for the key-value store, the call is answered with 503", "err", err)
 			return unavailableReply
 		}
 		// A throttled attempt was not executed. After any other error the outcome is
