--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -2,7 +2,7 @@
 //
 // The package sends commands and limits the number of requests in flight. It must never
 // retry a command: an agent may execute a command long after it was sent, and only the
-// leader knows which command may be sent after it.
+// leader can decide which command may be sent after it.
 package agent
 
 import (
--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -49,7 +49,7 @@
 			t.Errorf("%d requests in flight, want at most 20", transport.maxInFlight.Load())
 		}
 		if took := time.Since(start); took > 5*tuning.CommandTimeout+time.Second {
-			t.Errorf("all commands took %v, want five times CommandTimeout", took)
+			t.Errorf("all commands took %v, want at most five times CommandTimeout and a second", took)
 		}
 	})
 }
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -3,7 +3,7 @@
 //
 // The package encodes requests, decodes responses and logs malformed messages at a limited
 // rate. It must never retry a request, or treat a response that it could not read as a
-// usable one: only the callers know whether a request may be repeated.
+// usable one: only the callers can decide whether a request may be repeated.
 package httpclient
 
 import (
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -65,7 +65,7 @@
 				Responses: map[int]any{200: &got, 202: nil, 400: &got, 409: &got}})
 			checkError(t, err, c.wantStatus, server.URL+"/path")
 			if errors.Is(err, httpclient.ErrMalformed) != c.malformed {
-				t.Errorf("whether the error wraps ErrMalformed is %v for %v", !c.malformed, err)
+				t.Errorf("error wraps ErrMalformed: %v, want the opposite, for error %v", !c.malformed, err)
 			}
 			if wrote := strings.Contains(logged.String(), "malformed message"); wrote != c.malformed {
 				t.Errorf("a malformed message is missing in the log or unexpected there: %q", logged.String())
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -32,7 +32,7 @@
 }
 
 // New returns a client for the store at address (host:port) that sends its requests over the
-// given transport and limits transactions as state says.
+// given transport and checks transactions against the limits in state.
 func New(address string, transport http.RoundTripper, malformed *httpclient.MalformedLog, state config.State) *Client {
 	return &Client{
 		baseURL: "http://" + address,
--- a/internal/kvstore/commit.go
+++ b/internal/kvstore/commit.go
@@ -51,9 +51,9 @@
 
 // resolveConflict determines whether a conflict shows that an earlier attempt without a
 // response was executed. Such an attempt has changed every key that the transaction mutates,
-// so the preconditions on all of these keys fail now. One that still holds proves that no
-// attempt was executed. None will be later either, because a key never returns to an earlier
-// version, so the failed preconditions stay failed.
+// so the preconditions on all of these keys fail now. A precondition that still holds proves
+// that no attempt was executed. No attempt will be executed later either, because a key
+// never returns to an earlier version, so the failed preconditions stay failed.
 func (c *Client) resolveConflict(ctx context.Context, txn *protocol.Transaction, reply protocol.TransactionReply, conflict error) (protocol.TransactionReply, error) {
 	setKey, executed := executedBefore(txn, reply.FailedKeys)
 	switch {
--- a/internal/kvstore/commit_test.go
+++ b/internal/kvstore/commit_test.go
@@ -166,9 +166,9 @@
 // TestCommitUntilKnownTellsTheTruth checks that the result of CommitUntilKnown stays true
 // when requests and responses are lost, late or rejected: a transaction was executed once, or
 // was not executed and never will be, or its outcome is unknown. It guards against this
-// fault: a first attempt was executed without a response, the retry was rejected for the
-// limits, and the transaction was returned as not executed, so tasks ran that no record
-// named.
+// fault: a first attempt was executed without a response, the retry was rejected because it
+// exceeded the limits, and CommitUntilKnown reported the transaction as not executed, so
+// tasks ran that no record named.
 func TestCommitUntilKnownTellsTheTruth(t *testing.T) {
 	inDoubt, conflicts := 0, 0
 	for seed := range uint64(20) {
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -30,9 +30,9 @@
 	// revision.
 	ErrCompacted = errors.New("key-value store: changes after the revision no longer kept")
 	// ErrInDoubt means that an attempt of the transaction got no response, and that the
-	// transaction cannot be sent again: it may have been executed, or may be executed
-	// later. The present values of its keys do not show the outcome until one of its
-	// preconditions can no longer hold.
+	// transaction cannot be sent again: it may have been executed, or may be executed later
+	// as long as all of its preconditions can still hold. The values of its keys show the
+	// outcome only once one of the preconditions can no longer hold.
 	ErrInDoubt = errors.New("key-value store: transaction in doubt")
 )
 
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -46,6 +46,8 @@
 }
 
 // rejectionError returns the error of a transaction that the store rejected for a reason.
+// Unless the reason is an expired lease, values are limited by the announced limits from
+// then on.
 func (c *Client) rejectionError(reason string) error {
 	if reason == protocol.ReasonNoLease {
 		return ErrLeaseExpired
--- a/internal/peer/exchange.go
+++ b/internal/peer/exchange.go
@@ -59,8 +59,8 @@
 	return counter - w.earlier
 }
 
-// Run starts to exchange statuses with all peers, until the context ends, and returns
-// without waiting.
+// Run starts the periodic exchange of statuses with each peer and returns at once. The
+// exchanges continue until the context ends.
 func (g *Group) Run(ctx context.Context) {
 	for _, link := range g.links {
 		go g.exchangePeriodically(ctx, link)
@@ -80,8 +80,8 @@
 	}
 }
 
-// exchangeStatus requests a peer's status and sends it the newest leader record of this
-// controller. It returns false if the call fails or takes longer than tuning.PeerTimeout.
+// exchangeStatus requests a peer's status and sends the peer the newest leader record of
+// this controller. It returns false if the call fails or takes longer than tuning.PeerTimeout.
 func (g *Group) exchangeStatus(ctx context.Context, link *peerLink, withSummary bool) (Status, bool) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerTimeout)
 	defer cancel()
@@ -107,9 +107,9 @@
 
 // AcknowledgedCancellations returns the jobs whose cancellation the peers have acknowledged
 // to users. The list contains every acknowledgment after since and up to asOf, which is
-// zero if there are no peers. The result ok is false if the list of some peer is not
-// complete since then: the peer has restarted after since, has acknowledged more
-// cancellations than it keeps, or has not replied yet.
+// zero if there are no peers. The result ok is false, and the others are zero, if the list
+// of some peer does not reach back to since: the peer has restarted after since, has
+// acknowledged more cancellations than it keeps, or has not replied yet.
 func (g *Group) AcknowledgedCancellations(since time.Time) (asOf time.Time, jobIDs []protocol.JobID, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -125,8 +125,8 @@
 	return asOf, jobIDs, true
 }
 
-// RedirectedHeartbeats returns how many heartbeats the reachable peers have redirected to other
-// controllers within the last one to two periods of tuning.PeerWindow.
+// RedirectedHeartbeats returns how many heartbeats the reachable peers have redirected to
+// other controllers within the last one to two periods of tuning.PeerWindow.
 func (g *Group) RedirectedHeartbeats() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/peer/protocol.go
+++ b/internal/peer/protocol.go
@@ -40,8 +40,8 @@
 }
 
 // StatusRequest requests a controller's status. Leader is the newest leader record of the
-// sender. Summary requests the field of Status with this name, and Acknowledged requests
-// AcknowledgedCancellations.
+// sender. Summary and Acknowledged say whether the reply must contain Status.Summary and
+// Status.AcknowledgedCancellations.
 type StatusRequest struct {
 	Leader       records.LeaderRecord `msgpack:"l"`
 	Summary      bool                 `msgpack:"y,omitempty"`
--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -43,7 +43,8 @@
 // Heartbeat is the status of an agent and of all tasks on its machine. Agents send it at
 // intervals, and in reply to commands. Of two heartbeats the one with the higher
 // incarnation, or with the same incarnation and the higher sequence number, is the newer
-// one.
+// one. Token is the highest fencing token that the agent has received. PreemptionNoticeS is
+// the time in seconds until the cloud preempts the machine, nil without such a notice.
 type Heartbeat struct {
 	Machine           string       `msgpack:"host"`
 	Addr              string       `msgpack:"endpoint"`
