--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -53,7 +53,7 @@
 	Kind    ObjectiveKind `json:"kind"`
 	Class   string        `json:"class"`
 	WithinS float64       `json:"within_s"`
-	// DeadlineMultiple is the multiple of its deadline within which a job should be
+	// DeadlineMultiple is the multiple of a job's deadline within which the job should be
 	// complete, for objectives of kind "deadline".
 	DeadlineMultiple float64 `json:"times"`
 	Share            float64 `json:"share"`
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,14 +9,15 @@
 
 // Operator holds the settings in the operators' file.
 type Operator struct {
-	// Rho is the factor by which an estimated run time and its queueing time are multiplied
-	// when the slack before a deadline is computed.
+	// Rho is the factor by which a job's estimated run time and queueing time are multiplied
+	// when the slack before the job's deadline is computed.
 	Rho float64 `toml:"rho"`
 	// DeadlineFactor times the estimated run time is the deadline of a job that was
 	// submitted without a deadline.
 	DeadlineFactor float64 `toml:"default_deadline_factor"`
-	// IdleTimeoutBootFactor times the boot time of its type is how long an idle machine is
-	// kept before scale in, at the type's lowest price. A higher price shortens it.
+	// IdleTimeoutBootFactor times the boot time of a machine's type is how long the machine
+	// is kept idle before scale in, at the type's lowest price. A higher price shortens this
+	// time.
 	IdleTimeoutBootFactor float64 `toml:"give_back_boot_factor"`
 	// CloudCallShare is the share of the cloud's call rate limit that a controller uses.
 	CloudCallShare float64 `toml:"cloud_call_share"`
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -19,14 +19,14 @@
 }
 
 // State holds the present limits of the key-value store and the announced ones, which take
-// effect at an unknown time after an upgrade.
+// effect at an unknown time after an upgrade of the controllers.
 type State struct {
 	StateLimits
 	Next NextLimits `json:"next"`
 }
 
-// StricterLimits returns for each limit the smaller of the present and the announced one. A
-// request within these limits is accepted before and after the change.
+// StricterLimits returns for each limit the smaller of the present and the announced one.
+// A request within these limits is accepted before and after the change.
 func (s State) StricterLimits() StateLimits {
 	return StateLimits{
 		RPS:      smaller(s.RPS, s.Next.RPS),
