--- a/internal/kvstore/commit.go
+++ b/internal/kvstore/commit.go
@@ -51,9 +51,9 @@
 
 // resolveConflict determines whether a conflict shows that an earlier attempt without a
 // response was executed. Such an attempt has changed every key that the transaction mutates,
-// so the preconditions on all of these keys fail now. One that still holds proves that no
-// attempt was executed. None will be later either, because a key never returns to an earlier
-// version, so the failed preconditions stay failed.
+// so the preconditions on all of these keys fail now. A precondition that still holds proves
+// that no attempt was executed. No attempt will be executed later either, because a key
+// never returns to an earlier version, so the failed preconditions stay failed.
 func (c *Client) resolveConflict(ctx context.Context, txn *protocol.Transaction, reply protocol.TransactionReply, conflict error) (protocol.TransactionReply, error) {
 	setKey, executed := executedBefore(txn, reply.FailedKeys)
 	switch {
@@ -66,14 +66,14 @@
 }
 
 // readRevision reads the revision at which an executed transaction set a key.
-func (c *Client) readRevision(ctx context.Context, setKey string, conflict protocol.TransactionReply) (protocol.TransactionReply, error) {
+func (c *Client) readRevision(ctx context.Context, setKey string, conflictReply protocol.TransactionReply) (protocol.TransactionReply, error) {
 	for ctx.Err() == nil {
 		entry, err := c.Get(ctx, setKey)
 		switch {
 		case err == nil:
 			return protocol.TransactionReply{Revision: entry.Version.Revision()}, nil
 		case errors.Is(err, ErrNotFound):
-			return conflict, fmt.Errorf("%w: key %q, which the transaction sets, does not exist", ErrInDoubt, setKey)
+			return conflictReply, fmt.Errorf("%w: key %q, which the transaction sets, does not exist", ErrInDoubt, setKey)
 		}
 		clock.Sleep(ctx, tuning.ElectionRetry)
 	}
