--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -12,7 +12,7 @@
 // agents holds the machines' agents and what tests set or count for all of them.
 type agents struct {
 	step             time.Duration              // interval at which a machine advances its tasks
-	runtimeIncrement float64                    // share of the run time by which each task of an array runs longer than the one before
+	runTimeIncrement float64                    // share of the run time by which each task of an array runs longer than the one before
 	onJobDone        func(jobID protocol.JobID) // called when the last task of a job has completed
 	savedCheckpoints int                        // tasks that stopped with a checkpoint
 	leaseExpiries    int                        // leases that expired while the agent had tasks
--- a/internal/fake/agent_settings.go
+++ b/internal/fake/agent_settings.go
@@ -25,7 +25,7 @@
 func (e *Environment) SetRunTimeIncrement(increment float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.runtimeIncrement = increment
+	e.runTimeIncrement = increment
 }
 
 // SetOnJobDone sets a function that is called, in a goroutine of its own, when the last task of
--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -62,7 +62,7 @@
 	case job.spec.Kind == protocol.KindGang:
 		m.setState(task, protocol.TaskWaiting)
 	default:
-		task.remainingS = job.runS * (1 + m.env.runtimeIncrement*float64(task.index))
+		task.remainingS = job.runS * (1 + m.env.runTimeIncrement*float64(task.index))
 		m.setState(task, protocol.TaskRunning)
 	}
 	m.env.checkStart(m, task)
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -11,7 +11,7 @@
 type storeFaults struct {
 	loseReply        func() bool
 	fault            func(transaction *protocol.Transaction) Fault
-	commitDelay      func() time.Duration
+	executionDelay   func() time.Duration
 	callDelay        func(path string) time.Duration
 	loseEvent        func(key string) bool
 	unavailableHosts map[string]bool // hosts that get 503; "" stands for all hosts
@@ -36,10 +36,10 @@
 // SetExecutionDelay sets a function that returns the delay after which a transaction is carried
 // out; 0: no delay. A delayed transaction is answered at once with a gateway error, so that its
 // sender cannot determine the outcome.
-func (s *Store) SetExecutionDelay(commitDelay func() time.Duration) {
+func (s *Store) SetExecutionDelay(executionDelay func() time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.commitDelay = commitDelay
+	s.executionDelay = executionDelay
 }
 
 // SetCallDelay sets a function that returns how long a call on a path waits before it is
--- a/internal/fake/store_transaction.go
+++ b/internal/fake/store_transaction.go
@@ -35,12 +35,12 @@
 }
 
 // commitNowOrDelayed carries a transaction out at once, or after the delay that the hook
-// commitDelay returns. A delayed transaction is answered at once with a gateway error, and newer
+// executionDelay returns. A delayed transaction is answered at once with a gateway error, and newer
 // transactions can be carried out before it.
 func (s *Store) commitNowOrDelayed(w http.ResponseWriter, body []byte) {
 	var delay time.Duration
-	if s.commitDelay != nil {
-		delay = s.commitDelay()
+	if s.executionDelay != nil {
+		delay = s.executionDelay()
 	}
 	if delay <= 0 {
 		s.commit(w, body)
--- a/internal/server/chaos_failures_test.go
+++ b/internal/server/chaos_failures_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// dropInboundOfMachine starts a one-way partition: the controllers receive the machine's
+// holdInboundOfMachine starts a one-way partition: the controllers receive the machine's
 // heartbeats, but the machine receives neither replies nor commands.
-func (r *chaosRun) dropInboundOfMachine(target chaosTarget) {
+func (r *chaosRun) holdInboundOfMachine(target chaosTarget) {
 	if target.machine != "" {
 		r.runAfter(r.seconds(3, 40), r.network.HoldInbound(target.machine))
 	}
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -70,7 +70,7 @@
 	6:  (*chaosRun).killMachine,
 	7:  (*chaosRun).partitionControllerFromMachine,
 	8:  (*chaosRun).restartControllerRepeatedly,
-	9:  (*chaosRun).dropInboundOfMachine,
+	9:  (*chaosRun).holdInboundOfMachine,
 	10: (*chaosRun).partitionFromStoreAndPeers,
 	11: (*chaosRun).partitionFromPeers,
 	12: (*chaosRun).partitionFromMachines,
--- a/internal/server/cluster_network_test.go
+++ b/internal/server/cluster_network_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// dropInbound starts a one-way partition until heal is called: messages of the machines
+// holdInbound starts a one-way partition until heal is called: messages of the machines
 // arrive, but the machines receive nothing.
-func (c *testCluster) dropInbound(machines ...string) {
+func (c *testCluster) holdInbound(machines ...string) {
 	for _, machine := range machines {
 		c.healFuncs = append(c.healFuncs, c.network.HoldInbound(machine))
 	}
--- a/internal/server/compound_failures_test.go
+++ b/internal/server/compound_failures_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// lateStartLimit is how long after a confirmed cancellation a task may still start: its
+// startAfterCancelLimit is how long after a confirmed cancellation a task may still start: its
 // direct command may be in flight, and its image is fetched after that.
-const lateStartLimit = 8 * time.Second
+const startAfterCancelLimit = 8 * time.Second
 
 // TestCompoundFailures checks recovery from two failures at once, with one case for each pair
 // that the operators expect and that no other scenario covers; docs/compound-failures.md
@@ -41,7 +41,7 @@
 				run(t, 300+seed, func(c *testCluster) {
 					tc.causeFailures(c, seed%3)
 					c.expectRecovery()
-					if c.env.MaxStartAfterCancel() > lateStartLimit {
+					if c.env.MaxStartAfterCancel() > startAfterCancelLimit {
 						t.Errorf("a task started %v after the cancellation of its job was confirmed", c.env.MaxStartAfterCancel())
 					}
 				})
--- a/internal/server/compound_leader_cases_test.go
+++ b/internal/server/compound_leader_cases_test.go
@@ -45,7 +45,7 @@
 	c.startWorkload()
 	arrayMachines := c.env.MachinesOf("req-000003")
 	c.isolate(arrayMachines[0], fake.Hold, c.names...)
-	c.dropInbound(c.env.MachinesOf("req-000002")[0])
+	c.holdInbound(c.env.MachinesOf("req-000002")[0])
 	c.blockOutbound(c.env.MachinesOf("req-000004")[0])
 	time.Sleep(time.Duration(variant) * 2 * time.Second)
 	old := c.killLeader()
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -40,7 +40,7 @@
 	case 0:
 		c.isolate(machines[0], fake.Hold, c.names...)
 	case 1:
-		c.dropInbound(machines[:2]...)
+		c.holdInbound(machines[:2]...)
 	case 2:
 		c.healFuncs = append(c.healFuncs, c.env.Hang(machines[0]))
 	}
