--- a/internal/fake/agent_heartbeat.go
+++ b/internal/fake/agent_heartbeat.go
@@ -87,7 +87,8 @@
 	return m.statusChanged && time.Since(lastSent) >= minHeartbeatInterval
 }
 
-// heartbeatAnswer is a node's answer to a heartbeat; accepted is false if there was no answer.
+// heartbeatAnswer is a node's answer to a heartbeat; accepted is false if the node redirected
+// the agent, refused the heartbeat or did not answer.
 type heartbeatAnswer struct {
 	accepted bool
 	reply    protocol.HeartbeatReply // if accepted
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -159,7 +159,8 @@
 
 // checkJobStatus checks that a job's status is correct, and that it never changes again after
 // the user received done or cancelled. The argument before is the job's state before the
-// request was sent. Later answers don't count, because answers can arrive out of order.
+// request was sent. Answers that arrived after that time do not count, because answers can
+// arrive out of order.
 func (c *checker) checkJobStatus(job *userJob, before userJob, jobStatus protocol.JobStatus) {
 	switch {
 	case before.doneConfirmed && jobStatus.Phase != protocol.PhaseDone, !before.cancelConfirmed.IsZero() && jobStatus.Phase != protocol.PhaseCancelled:
@@ -183,8 +184,8 @@
 	}
 }
 
-// checkCancelledTask checks that no task occupies a machine for longer than the limit CancelS
-// after its job, or a dependency of the job, was confirmed as cancelled.
+// checkCancelledTask checks that a task does not occupy its machine for longer than the limit
+// CancelS after its job, or a dependency of the job, was confirmed as cancelled.
 func (c *checker) checkCancelledTask(machine *machineAgent, task *agentTask) {
 	job := c.env.jobs[task.jobID]
 	since := job.cancelConfirmed
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -178,8 +178,8 @@
 	}, "went_back"},
 }
 
-// The checker reports the rule that a history breaks, and reports nothing for a history that
-// breaks no rule.
+// TestCheckerFindsBrokenRules checks that the checker reports the rule that a history breaks,
+// and reports nothing for a history that breaks no rule.
 func TestCheckerFindsBrokenRules(t *testing.T) {
 	for _, test := range slices.Concat(recordTests, dependencyTests, cancellationTests) {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -49,8 +49,8 @@
 }
 
 // Submit submits a job and retries until the outcome is known or 60 seconds have passed. It
-// returns the status of the last answer. A repeated submission is idempotent, so the controllers
-// have lost a job that they accepted before and refuse now, which is a violation.
+// returns the status of the last answer. A repeated submission is idempotent, so a refusal of a
+// job that was accepted before means that the controllers have lost the job, which is a violation.
 func (e *Environment) Submit(job protocol.Job, runS float64) int {
 	e.mu.Lock()
 	if e.jobs[job.ID] == nil {
