--- a/internal/server/cancellation_outage_cases_test.go
+++ b/internal/server/cancellation_outage_cases_test.go
@@ -7,8 +7,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// slowWatch delays the watch calls at the key-value store, as a loaded store does, so
-// that they bring the leader no further confirmation before the outage begins.
+// slowWatch delays the watch calls at the key-value store, as a loaded store does, so that
+// no watch reports the cancellation that follows to the leader before the outage begins.
 func slowWatch(c *testCluster) {
 	c.env.Store.SetCallDelay(func(path string) time.Duration {
 		if path == "/follow" {
@@ -106,8 +106,8 @@
 	c.isolate(follower, fake.Hold, c.others(follower)...)
 }
 
-// cancelByLateCommit cancels at a follower while the store executes one transaction late and
-// loses the watch event of the cancellation.
+// cancelByLateCommit cancels at a follower while the store executes the next transaction 3 s
+// late and loses the watch event of the cancellation.
 func cancelByLateCommit(c *testCluster, leader string) {
 	follower := c.others(leader)[0]
 	transactions := 0
--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -17,7 +17,7 @@
 	cancel func(c *testCluster, leader string)
 	// duringOutage causes further failures after the outage has begun; nil: none.
 	duringOutage func(c *testCluster, leader string)
-	// othersContinue tells that the leader can get the confirmed cancellations from all
+	// othersContinue is set if the leader can get the confirmed cancellations from all
 	// controllers during the outage, so that the other jobs must keep running.
 	othersContinue bool
 }
@@ -26,10 +26,11 @@
 // after its cancellation was confirmed to the user, although the key-value store fails for
 // longer than cancel_s at that time and the agents keep sending heartbeats to the same leader.
 //
-// An answered heartbeat renews the agent's lease. The leader may answer heartbeats only for
-// the length of the leader lease, which counts from the last time up to which the leader has
-// every cancellation that any controller, itself included, confirmed. Where it can get these
-// from all controllers, it stops just the cancelled jobs, and all others keep running.
+// An answered heartbeat renews the agent's lease. The leader may answer heartbeats only while
+// its leader lease lasts. The leader lease starts at the latest time for which the leader has
+// all cancellations that the controllers, itself included, had confirmed by then. If the
+// leader can get these cancellations from all controllers, it stops only the cancelled jobs,
+// and all others keep running.
 func TestCancellationBeforeOutage(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []cancellationOutage{
@@ -98,9 +99,9 @@
 
 // checkAfterOutage checks that users get answers about all jobs and that the other service
 // runs. If othersContinue is set, it also checks that the term has not changed. During the
-// outage the leader cancels jobs by what the controllers report, before it reads the changed
-// records. Its writes after the outage must not keep failing on these records, since it
-// gives up its term when they do.
+// outage the leader stops the jobs that the controllers report as cancelled, although it has
+// not read their changed records. If its writes after the outage kept failing on these
+// records, it would give up its term.
 func (tc cancellationOutage) checkAfterOutage(c *testCluster, termBefore protocol.Term) {
 	c.t.Helper()
 	if n := c.latestTerm() - termBefore; tc.othersContinue && n > 0 {
--- a/internal/server/chain_cancellation_test.go
+++ b/internal/server/chain_cancellation_test.go
@@ -36,9 +36,9 @@
 	})
 }
 
-// TestCancelledLongDependenciesWithoutLeader checks the same for the last job of a chain that
-// is far longer, and of one that is far wider, than the number of dependencies that a
-// controller reads one by one for a reply (tuning.DependencyReads).
+// TestCancelledLongDependenciesWithoutLeader checks the same for jobs with far more indirect
+// dependencies than a controller reads one by one for a reply (tuning.DependencyReads). Some
+// of these jobs are in a long chain, the others in a few wide levels.
 func TestCancelledLongDependenciesWithoutLeader(t *testing.T) {
 	t.Parallel()
 	dep := testDeployment()
--- a/internal/server/chaos_failures_test.go
+++ b/internal/server/chaos_failures_test.go
@@ -20,7 +20,8 @@
 	r.runAfter(r.seconds(3, 40), func() { r.env.Store.SetUnavailable(target.controller, false) })
 }
 
-// refuseEverybody makes the key-value store refuse all controllers, in one of three calls.
+// refuseEverybody makes the key-value store refuse all controllers, with a probability of
+// one in three.
 func (r *chaosRun) refuseEverybody(chaosTarget) {
 	if r.rng.IntN(3) == 0 {
 		r.env.Store.SetUnavailable("", true)
@@ -95,8 +96,8 @@
 	}
 }
 
-// partitionFromMachines cuts a controller off from all machines: the leader in two of
-// three calls, otherwise the step's target.
+// partitionFromMachines cuts a controller off from all machines: the leader with a
+// probability of two in three, otherwise the step's target.
 func (r *chaosRun) partitionFromMachines(target chaosTarget) {
 	if leader := r.leader(); leader != "" && r.rng.IntN(3) > 0 {
 		target.controller = leader
@@ -149,8 +150,8 @@
 	}
 }
 
-// commitLate makes the key-value store execute some transactions late and without an
-// answer, after their senders have stopped waiting for one.
+// commitLate makes the key-value store answer some transactions with a gateway error, which
+// leaves their outcome unknown to the senders, and execute them later.
 func (r *chaosRun) commitLate(chaosTarget) {
 	r.env.Store.SetExecutionDelay(r.lateCommits(0.15))
 	r.runAfter(r.seconds(5, 30), func() { r.env.Store.SetExecutionDelay(nil) })
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -135,7 +135,7 @@
 }
 
 // submitRandomJob submits a random job. It cancels the job 1 to 59 s after the submission
-// if the job is a service, and otherwise in one of four cases.
+// if the job is a service, and otherwise with a probability of one in four.
 func (r *chaosRun) submitRandomJob(mayDepend bool) {
 	r.submitted++
 	runS := float64(5 + r.rng.IntN(40))
@@ -222,8 +222,8 @@
 	}
 }
 
-// expectJobsDone waits until all jobs are done that neither a cancellation of their own
-// nor one of a dependency stops.
+// expectJobsDone waits until all jobs in mustFinish are done, except those that a user has
+// cancelled or that depend on a job that a user has cancelled.
 func (r *chaosRun) expectJobsDone() {
 	r.env.EndFaults() // every failure has ended by now
 	r.jobsMu.Lock()
--- a/internal/server/cluster_checks_test.go
+++ b/internal/server/cluster_checks_test.go
@@ -27,8 +27,8 @@
 }
 
 // checkReadableByPreviousVersion checks that no record is written in a format that the
-// previous version cannot read while a controller still runs that version, and so may
-// lead.
+// previous version cannot read while a controller still runs that version, because that
+// controller may become the leader.
 func (c *testCluster) checkReadableByPreviousVersion(txn *protocol.Transaction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/cluster_network_test.go
+++ b/internal/server/cluster_network_test.go
@@ -42,14 +42,15 @@
 }
 
 // holdInbound starts a one-way partition until heal is called: messages of the machines
-// arrive, but the machines receive nothing.
+// arrive, but the machines receive nothing. Messages to the machines arrive once heal is
+// called.
 func (c *testCluster) holdInbound(machines ...string) {
 	for _, machine := range machines {
 		c.healFuncs = append(c.healFuncs, c.network.HoldInbound(machine))
 	}
 }
 
-// heal ends all partitions that cut, isolate, blockOutbound and dropInbound have started.
+// heal ends all partitions that cut, isolate, blockOutbound and holdInbound have started.
 func (c *testCluster) heal() {
 	for _, heal := range c.healFuncs {
 		heal()
--- a/internal/server/cluster_store_failures_test.go
+++ b/internal/server/cluster_store_failures_test.go
@@ -20,8 +20,9 @@
 }
 
 // faultyCommits returns a function for Store.SetFault that makes transactions fail at random
-// in every way that leaves their outcome unknown to the sender. A refusal leaves the outcome
-// of an earlier attempt at the same transaction unknown.
+// in every way that leaves their outcome unknown to the sender. This includes refusals: a
+// refused attempt was not executed, but an earlier attempt at the same transaction may have
+// been.
 func (c *testCluster) faultyCommits() func(*protocol.Transaction) fake.Fault {
 	return func(*protocol.Transaction) fake.Fault {
 		switch p := c.env.Random(); {
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -41,8 +41,8 @@
 	runsPreviousVersion map[string]bool
 }
 
-// run runs a scenario with three controllers. The environment's checker reports violations
-// of the rules that hold for every scenario, which fail the test.
+// run runs a scenario with three controllers. The test fails if the environment's checker
+// reports a violation of its rules, which hold for every scenario.
 func run(t *testing.T, seed uint64, scenario func(c *testCluster)) {
 	runWithNodes(t, seed, controllerNames, scenario)
 }
@@ -159,7 +159,7 @@
 }
 
 // leader returns the name of a controller that runs a leader, or "" if none does. A
-// controller whose term another one has taken may still run its leader.
+// controller may still run its leader after another controller has won a newer term.
 func (c *testCluster) leader() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -61,10 +61,10 @@
 	return status
 }
 
-// TestStartsWithoutRecord checks the leader's conclusion about a transaction that is lost,
-// after the transaction before it was executed without an answer and then refused when it
-// was sent again. The leader once took the lost transaction for executed and sent starts
-// that no record names, so that the next leader had no information about the tasks.
+// TestStartsWithoutRecord checks that the leader does not take a lost transaction for
+// executed if the transaction before it was executed without an answer and then refused when
+// it was sent again. The leader once made this mistake and sent starts that no record names,
+// so that the next leader had no information about the tasks.
 func TestStartsWithoutRecord(t *testing.T) {
 	t.Parallel()
 	runInDeployment(t, 901, controllerNames, largeArrayDeployment(), func(c *testCluster) {
@@ -95,7 +95,7 @@
 		c.submit(largeArray(3, 1), 300)
 		time.Sleep(100 * time.Millisecond) // so that its start is about to be recorded
 		if jobStatus := c.cancelWithoutEvent(testJobID(3)); jobStatus.Phase != protocol.PhaseCancelled {
-			t.Fatalf("the job was cancelled just before its start was recorded, and is reported as %s", jobStatus.Phase)
+			t.Fatalf("the job was cancelled just before its start was recorded, and is reported as %s, want cancelled", jobStatus.Phase)
 		}
 		for range 200 {
 			time.Sleep(50 * time.Millisecond)
@@ -121,7 +121,7 @@
 		c.submit(dependingOn(arrayJob(3, "stage", 2), testJobID(2)), 60)
 		<-refused // the second job ends shortly afterwards
 		if jobStatus := c.cancelWithoutEvent(testJobID(2)); jobStatus.Phase != protocol.PhaseCancelled {
-			t.Fatalf("the job was cancelled as its last task ended, and is reported as %s", jobStatus.Phase)
+			t.Fatalf("the job was cancelled as its last task ended, and is reported as %s, want cancelled", jobStatus.Phase)
 		}
 		time.Sleep(time.Minute)
 		if machines := c.env.MachinesOf(testJobID(3)); len(machines) > 0 {
--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -93,8 +93,9 @@
 	}
 }
 
-// commitsExecutedLate makes the key-value store execute a fifth of the transactions only after
-// their senders have given up waiting.
+// commitsExecutedLate makes the key-value store answer a fifth of the transactions with a
+// gateway error, which leaves their outcome unknown to the senders, and execute them 2 to 12 s
+// later.
 func commitsExecutedLate(c *testCluster, variant uint64) {
 	c.startWorkload()
 	c.env.Store.SetExecutionDelay(c.lateCommits(0.2))
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -48,9 +48,9 @@
 }
 
 // TestDependenciesRefused checks that a job is refused if its dependencies name a job that
-// was never submitted or the job itself, are malformed IDs or no list of IDs, or are more
-// than a record holds. Dependencies cannot form a cycle, since a job can name only jobs that
-// were accepted before it.
+// was never submitted or the job itself, contain a malformed ID, are not a list of IDs, or are
+// more than a record holds. Dependencies cannot form a cycle, since a job can name only jobs
+// that were accepted before it.
 func TestDependenciesRefused(t *testing.T) {
 	t.Parallel()
 	run(t, 61, func(c *testCluster) {
@@ -107,9 +107,9 @@
 	})
 }
 
-// TestDependencyEventLost checks that a job waits for its dependency although the watch lost
-// the event of the dependency's submission, and not that of the job: that the leader has no
-// entry for a job does not prove that the job is done.
+// TestDependencyEventLost checks that a job waits for its dependency if the watch has lost the
+// event of the dependency's submission but reported the job's own. The leader then has no
+// entry for the dependency, which does not prove that the dependency is done.
 func TestDependencyEventLost(t *testing.T) {
 	t.Parallel()
 	run(t, 64, func(c *testCluster) {
@@ -120,9 +120,9 @@
 	})
 }
 
-// TestDependenciesThroughFailovers checks that pipelines run to their end, and that some are
-// cancelled, while leaders are killed at random times, watch events are lost and
-// transactions are executed late.
+// TestDependenciesThroughFailovers checks that pipelines complete, and that all jobs of
+// pipelines with a cancelled job end, while leaders are killed at random times, watch events
+// are lost and transactions are executed late.
 func TestDependenciesThroughFailovers(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(3) {
--- a/internal/server/fleet_partition_test.go
+++ b/internal/server/fleet_partition_test.go
@@ -11,9 +11,9 @@
 )
 
 // TestFleetInboundPartition checks the recovery of a large deployment with hundreds of
-// machines: many of them are in a one-way partition that drops what is sent to them, the
-// leader reaches only the agents, copies of heartbeats arrive late, and in the end all
-// controllers restart at once.
+// machines: many of them are in a one-way partition that holds what is sent to them, the
+// leader reaches neither the key-value store nor the other controllers, copies of heartbeats
+// arrive late, and in the end all controllers restart at once.
 func TestFleetInboundPartition(t *testing.T) {
 	t.Parallel()
 	runFleet(t, 138, func(c *testCluster, replicasUp func([]protocol.JobID) func() bool) {
@@ -83,7 +83,7 @@
 	})
 }
 
-// runFleet plays a scenario with five controllers and hundreds of machines, on which twenty
+// runFleet runs a scenario with five controllers and hundreds of machines, on which twenty
 // services and eight arrays run. The scenario gets replicasUp, which returns a condition: all
 // four replicas of each given service are placed on machines.
 func runFleet(t *testing.T, seed uint64, scenario func(c *testCluster, replicasUp func([]protocol.JobID) func() bool)) {
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -8,8 +8,8 @@
 // TestFourThousandMachines checks that tasks run on all of 4,000 machines, whose list has
 // nine pages. The tasks keep running through a change of the leader with a tenth of the
 // machines hanging, and through an outage of the key-value store that is as long as the
-// leader lease, within which a leader answers heartbeats. The checker of package fake
-// compares what happens with the rules.
+// leader lease, the time for which a leader answers heartbeats without the store. The checker
+// of package fake compares what happens with the rules.
 func TestFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	const arrays, tasks = 40, 100
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -16,8 +16,9 @@
 // Another controller counts as served only if the store served it more than
 // tuning.LocalStoreFailureLag after it last served this one. When an outage of the
 // whole store begins or ends, controllers notice the change at slightly different times.
-// Without the lag, the load balancer would remove a controller in such an outage, and it
-// waits longer before it takes a controller back with each removal.
+// Without the lag, the load balancer would remove a controller in such an outage. After
+// each further removal of a controller, the load balancer waits longer before it sends
+// users to that controller again.
 func (c *controller) StoreFailureIsLocal() bool {
 	return !c.StoreReachable() && (c.peers.StoreServedAfter(time.Now().Add(tuning.LocalStoreFailureLag-c.store.SinceServed())) || c.isolated())
 }
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -134,7 +134,7 @@
 		})
 		before := c.env.MachinesOf("req-000001")
 		c.env.Store.SetUnavailable("", true)
-		time.Sleep(60 * time.Second) // much longer than the leader lease, cancel_s - lease_s
+		time.Sleep(60 * time.Second) // much longer than the leader lease, which is shorter than cancel_s - lease_s
 		if on := c.env.MachinesOf("req-000001"); !slices.Equal(on, before) {
 			t.Errorf("replicas ran on %v and now run on %v, want no change", before, on)
 		}
@@ -211,10 +211,10 @@
 }
 
 // TestLeaderWithoutAgents cuts the leader off from all agents and from nothing else, so
-// that the store lets it keep its term. It must leave the term to another controller
+// that the store lets it keep its term. It must give up the term to another controller
 // before the agents' leases end; otherwise every lease would expire and all tasks would
-// stop. That failure took down 0.7 of the replicas for half a minute. If no other
-// controller runs, the controller that left the term must lead again.
+// stop. A leader that kept its term once took down 0.7 of the replicas for half a minute. If
+// no other controller runs, the controller that gave up the term must lead again.
 func TestLeaderWithoutAgents(t *testing.T) {
 	t.Parallel()
 	run(t, 139, func(c *testCluster) {
@@ -233,7 +233,7 @@
 		heal()
 		c.submit(arrayJob(21, "check", 6), 10)
 		c.untilDone(3*time.Minute, "req-000021")
-		// Without another controller, the one that left the term must take the next one.
+		// Without another controller, the one that gave up the term must win the next one.
 		for _, name := range controllerNames {
 			if name != c.leader() {
 				c.kill(name)
--- a/internal/server/leadership.go
+++ b/internal/server/leadership.go
@@ -39,7 +39,7 @@
 // IsLeader reports whether this controller leads.
 func (c *controller) IsLeader() bool { return c.activeLeader.Load() != nil }
 
-// ObserveTerm hands the term and the leader that a peer has reported to the election. A
+// ObserveTerm informs the election of the term and the leader that a peer has reported. A
 // peer that has observed no term reports term zero, which is ignored.
 func (c *controller) ObserveTerm(record records.LeaderRecord) {
 	if record.Term > 0 {
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -30,9 +30,9 @@
 	})
 }
 
-// TestPartitionAndHangDuringCancellation checks that a machine that is partitioned while its
-// job is cancelled has lost its tasks when its lease has expired. A machine that hangs and
-// resumes before its lease expires may continue its tasks until then.
+// TestPartitionAndHangDuringCancellation checks that a machine that is partitioned while the
+// job of its tasks is cancelled has no tasks left once its lease has expired. A machine that
+// hangs and resumes before its lease expires may continue its tasks until then.
 func TestPartitionAndHangDuringCancellation(t *testing.T) {
 	t.Parallel()
 	run(t, 80, func(c *testCluster) {
@@ -93,9 +93,9 @@
 	})
 }
 
-// TestUnreachableMachines checks that a single silent machine is deprovisioned well before
-// its lease expires, which proves that its tasks have ended. Where many machines are silent,
-// none is deprovisioned.
+// TestUnreachableMachines checks that a single silent machine is deprovisioned, to prove that
+// its tasks have ended, well before its lease expires. If many machines are silent, none is
+// deprovisioned.
 func TestUnreachableMachines(t *testing.T) {
 	t.Parallel()
 	run(t, 120, func(c *testCluster) {
@@ -187,8 +187,9 @@
 
 // TestAllMachinesDie checks the recovery after all machines are killed. No other controller
 // receives their heartbeats either, so leaders must not keep giving up the term to each
-// other: only a leader that stays can conclude that the tasks have ended. There were once 95
-// terms, and the jobs waited without end.
+// other: only a leader that keeps its term until the agents' leases have certainly expired can
+// conclude that the tasks have ended. There were once 95 terms, and the jobs waited without
+// end.
 func TestAllMachinesDie(t *testing.T) {
 	t.Parallel()
 	run(t, 140, func(c *testCluster) {
@@ -219,9 +220,10 @@
 	})
 }
 
-// TestMachineRebootsAtOnce checks that a machine that reboots within a moment is not taken
-// for silent until its lease expires. The reboot ends all its tasks and resets the agent's
-// counters, so that its heartbeats look older than those from before the reboot.
+// TestMachineRebootsAtOnce checks that the leader detects a reboot that takes only a moment,
+// and does not wait for the machine's lease to expire before it restarts the tasks. The
+// reboot ends all tasks of the machine and resets the agent's counters, so that its heartbeats
+// look older than those from before the reboot.
 func TestMachineRebootsAtOnce(t *testing.T) {
 	t.Parallel()
 	run(t, 136, func(c *testCluster) {
--- a/internal/server/one_way_partition_test.go
+++ b/internal/server/one_way_partition_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestMachineOutboundPartition checks that no task is placed on a machine whose agent reaches
-// no controller, although commands reach it, until its heartbeats arrive. The agent cannot
-// renew its lease, so tasks started there would be lost.
+// no controller, although commands reach it, until its heartbeats arrive again. The agent
+// cannot renew its lease, so tasks started there would be lost.
 func TestMachineOutboundPartition(t *testing.T) {
 	t.Parallel()
 	run(t, 340, func(c *testCluster) {
@@ -24,7 +24,8 @@
 		})
 		partitioned := c.env.MachinesOf("req-000001")[0]
 		c.blockOutbound(partitioned)
-		// The machine answers commands, but gets no new tasks after some heartbeat intervals.
+		// The machine answers commands, but gets no new tasks once it has sent no heartbeat for
+		// some heartbeat intervals.
 		time.Sleep(10500 * time.Millisecond)
 		if slices.Contains(c.env.MachinesOf("req-000002"), partitioned) {
 			t.Error("new tasks are still placed on a machine that has sent no heartbeat for 10.5 s")
--- a/internal/server/transports.go
+++ b/internal/server/transports.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// newTransport returns an HTTP newTransport that keeps up to idleConns connections to each
+// newTransport returns an HTTP transport that keeps up to idleConns connections to each
 // host for reuse.
 func newTransport(idleConns int) *http.Transport {
 	return &http.Transport{
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -12,7 +12,7 @@
 	"marblehaven/internal/records"
 )
 
-// runUpgrade plays a scenario that begins with all controllers supporting only the previous
+// runUpgrade runs a scenario that begins with all controllers supporting only the previous
 // version of the record formats.
 func runUpgrade(t *testing.T, seed uint64, scenario func(c *testCluster)) {
 	runUpgradeIn(t, seed, controllerNames, largeArrayDeployment(), scenario)
@@ -65,6 +65,7 @@
 	return raw != nil && codec.Unmarshal(raw, &version) == nil && version.Format == records.FormatSegmented
 }
 
+// untilNewFormatUsed waits until the cluster uses the new version of the record formats.
 func (c *testCluster) untilNewFormatUsed(limit time.Duration) {
 	c.t.Helper()
 	c.until("the cluster uses the new format", limit, c.usesNewFormat)
