--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -49,15 +49,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range seedCount(3) {
-				run(t, 200+seed, func(c *testCluster) { tc.play(c, seed) })
+				run(t, 200+seed, func(c *testCluster) { tc.runScenario(c, seed) })
 			}
 		})
 	}
 }
 
-// play cancels the first of three jobs just before an outage of the key-value store of 70 s,
-// and checks the machines and the users' view during and after the outage.
-func (tc cancellationOutage) play(c *testCluster, seed uint64) {
+// runScenario cancels the first of three jobs just before an outage of the key-value store of
+// 70 s, and checks the machines and the users' view during and after the outage.
+func (tc cancellationOutage) runScenario(c *testCluster, seed uint64) {
 	c.submit(serviceJob(1, 2), 0)
 	c.submit(serviceJob(2, 2), 0)
 	c.submit(arrayJob(3, "check", 6), 400)
--- a/internal/server/chaos_failures_test.go
+++ b/internal/server/chaos_failures_test.go
@@ -20,9 +20,9 @@
 	r.runAfter(r.seconds(3, 40), func() { r.env.Store.SetUnavailable(target.controller, false) })
 }
 
-// refuseEverybody makes the key-value store refuse all controllers, with a probability of
-// one in three.
-func (r *chaosRun) refuseEverybody(chaosTarget) {
+// refuseAllControllers makes the key-value store refuse all controllers, with a probability
+// of one in three.
+func (r *chaosRun) refuseAllControllers(chaosTarget) {
 	if r.rng.IntN(3) == 0 {
 		r.env.Store.SetUnavailable("", true)
 		r.runAfter(r.seconds(3, 40), func() { r.env.Store.SetUnavailable("", false) })
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -64,7 +64,7 @@
 	0:  (*chaosRun).restartController,
 	1:  (*chaosRun).partitionFromStore,
 	2:  (*chaosRun).refuseController,
-	3:  (*chaosRun).refuseEverybody,
+	3:  (*chaosRun).refuseAllControllers,
 	4:  (*chaosRun).partitionMachine,
 	5:  (*chaosRun).hangMachine,
 	6:  (*chaosRun).killMachine,
--- a/internal/server/fleet_size_test.go
+++ b/internal/server/fleet_size_test.go
@@ -24,10 +24,10 @@
 			c.submit(job, 120)
 		}
 		c.until("all machines are up", 4*time.Minute, func() bool { return len(c.env.Machines()) >= fleetSize })
-		var resumes []func()
+		var resumeFuncs []func()
 		for i, machine := range c.env.Machines() {
 			if i%10 == 0 {
-				resumes = append(resumes, c.env.Hang(machine))
+				resumeFuncs = append(resumeFuncs, c.env.Hang(machine))
 			}
 		}
 		c.boot(c.killLeader())
@@ -36,7 +36,7 @@
 		c.env.Store.SetUnavailable("", true)
 		time.Sleep(18 * time.Second)
 		c.env.Store.SetUnavailable("", false)
-		for _, resume := range resumes {
+		for _, resume := range resumeFuncs {
 			resume()
 		}
 		expiriesBefore := c.env.LeaseExpiriesWithTasks()
