--- a/internal/server/compound_store_cases_test.go
+++ b/internal/server/compound_store_cases_test.go
@@ -40,7 +40,7 @@
 	case 0:
 		c.isolate(machines[0], fake.Hold, c.names...)
 	case 1:
-		c.dropInbound(machines[:2]...)
+		c.holdInbound(machines[:2]...)
 	case 2:
 		c.healFuncs = append(c.healFuncs, c.env.Hang(machines[0]))
 	}
@@ -93,8 +93,9 @@
 	}
 }
 
-// commitsExecutedLate makes the key-value store execute a fifth of the transactions only after
-// their senders have given up waiting.
+// commitsExecutedLate makes the key-value store answer a fifth of the transactions with a
+// gateway error, which leaves their outcome unknown to the senders, and execute them 2 to 12 s
+// later.
 func commitsExecutedLate(c *testCluster, variant uint64) {
 	c.startWorkload()
 	c.env.Store.SetExecutionDelay(c.lateCommits(0.2))
