--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -68,7 +68,7 @@
 		malformed:   malformed,
 		inFlight:    make(chan struct{}, sockets.Users),
 		connections: newConnectionTable(sockets.Incoming),
-		idleTimeout: max(tuning.ConnIdleTimeoutMin, tuning.IdleHeartbeats*heartbeatInterval),
+		idleTimeout: max(tuning.ConnIdleTimeoutMin, tuning.ConnIdleHeartbeats*heartbeatInterval),
 	}
 }
 
--- a/internal/cloud/machines.go
+++ b/internal/cloud/machines.go
@@ -81,7 +81,7 @@
 // listPage reads the page of the list of machines after an ID; an empty ID requests the
 // first page. A page that is not the last one and does not end with another ID is an error.
 func (c *Client) listPage(ctx context.Context, after string) (protocol.MachineList, error) {
-	query := url.Values{"most": {fmt.Sprint(tuning.ListMax)}}
+	query := url.Values{"most": {fmt.Sprint(tuning.MachineListPageSize)}}
 	if after != "" {
 		query.Set("after", after)
 	}
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -18,7 +18,7 @@
 // itself, two for each peer, and those of users' calls are subtracted first. Commands get a
 // share of the rest, and incoming connections what remains.
 func (d *Deployment) Sockets(peers int) Sockets {
-	users := min(tuning.MaxInflight, d.Limits.Sockets/tuning.SocketsUserDivisor)
+	users := min(tuning.MaxUserCallsInFlight, d.Limits.Sockets/tuning.SocketsUserDivisor)
 	remaining := d.Limits.Sockets - tuning.SocketsReserved - 2*peers - users
 	commands := min(tuning.SocketsCommandsMax, int(float64(remaining)*tuning.SocketsCommandShare))
 	return Sockets{Users: users, Incoming: remaining - commands, Commands: commands}
--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -96,7 +96,7 @@
 		switch {
 		case err != nil:
 			c.log.Debug("campaign for the next term failed, it is retried after a pause", "err", err)
-			clock.Sleep(ctx, tuning.ElectionRetry)
+			clock.Sleep(ctx, tuning.StoreRetryPause)
 		case result.won:
 			c.leadTerm(ctx, result, lead)
 		default:
@@ -190,7 +190,7 @@
 	for ctx.Err() == nil {
 		reply, err := c.store.Watch(ctx, records.KeyLeader, revision, tuning.LeaderWatchHold)
 		if err != nil {
-			clock.Sleep(ctx, tuning.ElectionRetry)
+			clock.Sleep(ctx, tuning.StoreRetryPause)
 			return
 		}
 		revision = reply.Revision
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -59,7 +59,7 @@
 		c.log.Debug("revoking the leadership lease failed, the leader key remains until the lease expires", "err", err)
 	}
 	start := time.Now()
-	for time.Since(start) < tuning.StepDownPause && clock.Sleep(ctx, tuning.ElectionRetry) {
+	for time.Since(start) < tuning.StepDownPause && clock.Sleep(ctx, tuning.StoreRetryPause) {
 		leader, _, err := c.readRecord(ctx, records.KeyLeader)
 		if err == nil && leader.Node != c.node {
 			return
--- a/internal/kvstore/commit.go
+++ b/internal/kvstore/commit.go
@@ -44,7 +44,7 @@
 			// become smaller. An earlier attempt may still have been executed.
 			return reply, fmt.Errorf("%w: %w", ErrInDoubt, err)
 		}
-		clock.Sleep(ctx, tuning.ElectionRetry)
+		clock.Sleep(ctx, tuning.StoreRetryPause)
 	}
 	return protocol.TransactionReply{}, ctx.Err()
 }
@@ -75,7 +75,7 @@
 		case errors.Is(err, ErrNotFound):
 			return conflictReply, fmt.Errorf("%w: key %q, which the transaction sets, does not exist", ErrInDoubt, setKey)
 		}
-		clock.Sleep(ctx, tuning.ElectionRetry)
+		clock.Sleep(ctx, tuning.StoreRetryPause)
 	}
 	return protocol.TransactionReply{}, ctx.Err()
 }
--- a/internal/leader/confirmation.go
+++ b/internal/leader/confirmation.go
@@ -38,7 +38,7 @@
 			l.post(watchResult{reply.Events, start})
 		case errors.Is(err, kvstore.ErrCompacted):
 		default:
-			clock.Sleep(ctx, tuning.ElectionRetry)
+			clock.Sleep(ctx, tuning.StoreRetryPause)
 			continue
 		}
 		// All open records are read again every RereadInterval: if an event were lost, an
@@ -50,7 +50,7 @@
 		}
 		result, listRevision, err := l.listOpenJobs(ctx)
 		if err != nil {
-			clock.Sleep(ctx, tuning.ElectionRetry)
+			clock.Sleep(ctx, tuning.StoreRetryPause)
 			continue
 		}
 		lastRead = time.Now()
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -41,7 +41,7 @@
 // record stores the outcome of a job. A full table is emptied first: outcomes are read
 // again from the store when they are needed.
 func (t *dependencyTable) record(jobID protocol.JobID, outcome dependencyOutcome) {
-	if len(t.outcomes) >= tuning.OutcomeCache {
+	if len(t.outcomes) >= tuning.OutcomeCacheSize {
 		clear(t.outcomes)
 	}
 	t.outcomes[jobID] = outcome
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -33,7 +33,7 @@
 // so the pause grows with the number of machines: reads take at most tuning.ListShare of
 // the call budget.
 func (l *Leader) listInterval() time.Duration {
-	pages := float64(len(l.machines.byID)/tuning.ListMax + 1)
+	pages := float64(len(l.machines.byID)/tuning.MachineListPageSize + 1)
 	callsPerSecond := l.Config.Deployment.Cloud.RPS * l.Config.Operator.CloudCallShare
 	return max(tuning.ListInterval, seconds(pages/(callsPerSecond*tuning.ListShare)))
 }
--- a/internal/leader/record_writer.go
+++ b/internal/leader/record_writer.go
@@ -201,7 +201,7 @@
 	case conflict:
 		l.Log.Debug("commit rejected by preconditions, its records are written again", "keys", result.failedKeys)
 	case errors.Is(result.err, kvstore.ErrUnavailable):
-		l.writer.nextCommit = now.Add(tuning.ElectionRetry)
+		l.writer.nextCommit = now.Add(tuning.StoreRetryPause)
 		return
 	default:
 		// The store's limits have become smaller. The next commit respects the new ones.
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -28,7 +28,7 @@
 		stored, err := l.readRecords(ctx)
 		if err != nil {
 			l.Log.Debug("reading the stored records failed, the read is retried", "err", err)
-			clock.Sleep(ctx, tuning.ElectionRetry)
+			clock.Sleep(ctx, tuning.StoreRetryPause)
 			continue
 		}
 		l.restore(&stored, time.Now())
--- a/internal/server/format_version.go
+++ b/internal/server/format_version.go
@@ -23,7 +23,7 @@
 			return
 		}
 		c.log.Debug("recording the supported format version failed; retrying", "err", err)
-		if !clock.Sleep(ctx, tuning.ElectionRetry) {
+		if !clock.Sleep(ctx, tuning.StoreRetryPause) {
 			return
 		}
 	}
--- a/internal/server/machine_types.go
+++ b/internal/server/machine_types.go
@@ -31,7 +31,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(tuning.ElectionRetry):
+		case <-time.After(tuning.StoreRetryPause):
 		}
 	}
 }
--- a/internal/tuning/dependencies.go
+++ b/internal/tuning/dependencies.go
@@ -11,9 +11,9 @@
 	// part of the requests that the store accepts in a second.
 	DependencyLookupBatch = 20
 
-	// OutcomeCache is the number of finished jobs whose final phases the leader caches for
-	// the jobs that depend on them, at about 60 bytes each.
-	OutcomeCache = 20000
+	// OutcomeCacheSize is the number of finished jobs whose final phases the leader caches
+	// for the jobs that depend on them, at about 60 bytes each.
+	OutcomeCacheSize = 20000
 
 	// DependenciesMax is the largest number of jobs that one job may depend on. Their IDs, of
 	// up to 30 bytes, must fit in its record, and their keys in the preconditions of one
--- a/internal/tuning/election.go
+++ b/internal/tuning/election.go
@@ -18,9 +18,9 @@
 	// the earlier ones hang.
 	KeepAlivesInFlight = 4
 
-	// ElectionRetry is the pause after a failed campaign, and after other failed calls to the
-	// key-value store. It is short compared with LeadershipTTL and causes few requests.
-	ElectionRetry = 250 * time.Millisecond
+	// StoreRetryPause is the pause after a failed campaign, and after other failed calls to
+	// the key-value store. It is short compared with LeadershipTTL and causes few requests.
+	StoreRetryPause = 250 * time.Millisecond
 
 	// LeaderWatchHold is how long the store keeps a watch on the leader key open. When the
 	// watch returns, the controller also sees that the store serves it.
@@ -45,7 +45,7 @@
 	IsolationMinMachines = 3
 
 	// StepDownPause is how long a controller that gave up its term waits for another one to
-	// lead before it campaigns again. It is several times ElectionRetry.
+	// lead before it campaigns again. It is several times StoreRetryPause.
 	StepDownPause = 5 * time.Second
 
 	// CommitFailureLimit is how long all commits may fail on their preconditions before the
--- a/internal/tuning/provisioning.go
+++ b/internal/tuning/provisioning.go
@@ -33,9 +33,9 @@
 	// DeprovisionMax is the largest number of machines in a call that deprovisions them, as
 	// the cloud specifies.
 	DeprovisionMax = 100
-	// ListMax is the largest number of machines in a page of the list, as the cloud
-	// specifies.
-	ListMax = 500
+	// MachineListPageSize is the largest number of machines in a page of the machine list, as
+	// the cloud specifies.
+	MachineListPageSize = 500
 
 	// PoolsInFlight is the largest number of capacity pools with a request in flight: about
 	// as many requests as the cloud answers in a second or two.
--- a/internal/tuning/sockets.go
+++ b/internal/tuning/sockets.go
@@ -8,10 +8,10 @@
 	// cloud. It is longer than the pauses between calls to them.
 	IdleTimeout = 120 * time.Second
 
-	// IdleHeartbeats times report_s is how long an idle connection made to this process is
-	// kept. An agent that has exited, or sends its heartbeats to another controller, must not
-	// hold a socket for long.
-	IdleHeartbeats = 5
+	// ConnIdleHeartbeats times report_s is how long an idle connection made to this process
+	// is kept. An agent that has exited, or sends its heartbeats to another controller, must
+	// not hold a socket for long.
+	ConnIdleHeartbeats = 5
 	// ConnIdleTimeoutMin is the least time that such a connection is kept idle, since users
 	// ask about a job every 5 s. Idle connections to agents are kept as long.
 	ConnIdleTimeoutMin = 20 * time.Second
@@ -45,11 +45,11 @@
 	// which the settings are accepted.
 	SocketsMin = 32
 
-	// MaxInflight is the largest number of users' requests that one controller handles at
-	// once.
-	MaxInflight = 256
+	// MaxUserCallsInFlight is the largest number of users' calls that one controller handles
+	// at once.
+	MaxUserCallsInFlight = 256
 	// SocketsUserDivisor divides the limit of sockets. The quotient is another upper bound on
-	// the number of users' requests, since each request may take a socket to the store: at
-	// most a sixth of the sockets serves these requests.
+	// the number of users' calls, since each call may take a socket to the store: at most a
+	// sixth of the sockets serves these calls.
 	SocketsUserDivisor = 6
 )
