--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -136,7 +136,7 @@
 // classStatuses counts the open jobs by class.
 func classStatuses(snapshot *scheduler.Snapshot, jobs []*jobState, plan scheduler.Plan) []ClassStatus {
 	slackSpent := map[int]bool{}
-	for _, i := range plan.SlackSpent {
+	for _, i := range plan.JobsWithoutSlack {
 		slackSpent[i] = true
 	}
 	byClass := map[string]*ClassStatus{}
--- a/internal/peer/compatible_test.go
+++ b/internal/peer/compatible_test.go
@@ -43,7 +43,7 @@
 		"hint":  &records.ImageInventory{Images: []string{"img-07", "img-09"}, SizesGB: []float64{6.2, 1}, Machines: map[string][]int{"m-000231": {1, 0}}},
 		"catalog": &[]protocol.MachineType{{Name: "g8", Cores: 96, GPUs: 8, MemGB: 768, CacheGB: 200, FetchGBps: 1, Price: 12, SpotPrice: 4.5,
 			BootS: 45, Zones: []string{"a", "b"}}},
-		"statusRequest": &StatusRequest{Leader: term, Acknowledged: true},
+		"statusRequest": &StatusRequest{Leader: term, AcknowledgedCancellations: true},
 		"status": &Status{Leader: term, SinceStoreServedMS: 120, AcknowledgedCancellations: []protocol.JobID{"req-000412"}, AcknowledgedCompleteMS: 9000, RedirectedHeartbeats: 3,
 			Summary: []byte{1}},
 		"userCall":   &UserCall{Operation: "poll", JobID: "req-000412", Body: []byte{0x80}},
--- a/internal/peer/exchange.go
+++ b/internal/peer/exchange.go
@@ -87,9 +87,9 @@
 	defer cancel()
 	current := exchange{sentAt: time.Now()}
 	request := &StatusRequest{
-		Leader:       g.local.Status(&StatusRequest{}).Leader,
-		Summary:      withSummary,
-		Acknowledged: g.local.IsLeader(),
+		Leader:                    g.local.Status(&StatusRequest{}).Leader,
+		Summary:                   withSummary,
+		AcknowledgedCancellations: g.local.IsLeader(),
 	}
 	err := link.conn.Invoke(ctx, methodPath(methodStatus), request, &current.status)
 	if err != nil {
--- a/internal/peer/protocol.go
+++ b/internal/peer/protocol.go
@@ -40,12 +40,12 @@
 }
 
 // StatusRequest requests a controller's status. Leader is the newest leader record of the
-// sender. Summary and Acknowledged say whether the reply must contain Status.Summary and
-// Status.AcknowledgedCancellations.
+// sender. Summary and AcknowledgedCancellations say whether the reply must contain the
+// fields of these names in Status.
 type StatusRequest struct {
-	Leader       records.LeaderRecord `msgpack:"l"`
-	Summary      bool                 `msgpack:"y,omitempty"`
-	Acknowledged bool                 `msgpack:"k,omitempty"`
+	Leader                    records.LeaderRecord `msgpack:"l"`
+	Summary                   bool                 `msgpack:"y,omitempty"`
+	AcknowledgedCancellations bool                 `msgpack:"k,omitempty"`
 }
 
 // Operation is the kind of a user's call.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -93,7 +93,7 @@
 	if slackS > 0 || tasks == 0 {
 		return
 	}
-	p.plan.SlackSpent = append(p.plan.SlackSpent, jobIndex)
+	p.plan.JobsWithoutSlack = append(p.plan.JobsWithoutSlack, jobIndex)
 	if p.snapshot.MayScaleOut && p.shouldScaleOut(job.Job, tasksWithoutMachine, zone, bootS) {
 		p.scaleOut(job, tasks, zone)
 	}
--- a/internal/server/peer_calls.go
+++ b/internal/server/peer_calls.go
@@ -49,7 +49,7 @@
 func (c *controller) Status(request *peer.StatusRequest) peer.Status {
 	status := peer.Status{SinceStoreServedMS: c.store.SinceServed().Milliseconds(), RedirectedHeartbeats: c.api.RedirectedHeartbeats()}
 	status.Leader, _ = c.candidate.Leader()
-	if request.Acknowledged {
+	if request.AcknowledgedCancellations {
 		var completeSince time.Time
 		status.AcknowledgedCancellations, completeSince = c.users.AcknowledgedCancellations()
 		status.AcknowledgedCompleteMS = time.Since(completeSince).Milliseconds()
