--- a/internal/leader/format_versions.go
+++ b/internal/leader/format_versions.go
@@ -34,9 +34,9 @@
 }
 
 // pollVersions reads at intervals which format version each controller has recorded. Once
-// all controllers in the settings support the formats of this program, it records,
-// conditional on the term, that the whole cluster uses them, and returns. A controller
-// never goes back to an earlier version, so the record stays valid.
+// all controllers in the settings support the formats of this program, pollVersions
+// records that the whole cluster uses them, and returns. The write is conditional on the
+// term. A controller never goes back to an earlier version, so the record stays valid.
 func (l *Leader) pollVersions(ctx context.Context) {
 	for {
 		versions, err := l.readVersions(ctx)
@@ -94,7 +94,7 @@
 func (l *Leader) commitFormat(ctx context.Context) bool {
 	err := l.putRecord(ctx, records.KeyClusterVersion, records.FormatVersion{Format: records.FormatSupported})
 	if err != nil {
-		l.Log.Info("recording the cluster's format version failed, the record is read before the retry", "err", err)
+		l.Log.Info("recording the cluster's format version failed, the write is retried unless the next poll finds the version recorded", "err", err)
 	}
 	return err == nil
 }
@@ -130,7 +130,7 @@
 
 // maxPlacements returns how many tasks of a job may be on machines at once: any number
 // (tuning.MaxTasks) once the run record is divided into segments, otherwise as many as
-// are certain to fit in one value.
+// are certain to fit in half of a value, since the value holds the done tasks as well.
 func (l *Leader) maxPlacements() int {
 	if l.formats.segmented() {
 		return tuning.MaxTasks
