--- a/internal/leader/commit_batch.go
+++ b/internal/leader/commit_batch.go
@@ -24,13 +24,13 @@
 	bytes        int
 }
 
-// segmentWrite is the write of a segment of a run record, with what it allows once
-// executed.
+// segmentWrite is the write of a segment of a run record, with the placements and the
+// completed tasks that the write records for the first time.
 type segmentWrite struct {
 	job    *jobState
 	number int
-	placed []*cluster.Placement // whose starts may be sent once it is written
-	done   []int                // tasks that agents may forget once it is written
+	placed []*cluster.Placement // their starts may be sent once the segment is written
+	done   []int                // agents may forget these tasks once the segment is written
 }
 
 // jobClosing is a job that a commit moves to its final record.
@@ -45,8 +45,8 @@
 	version protocol.Version
 }
 
-// smallRecordBytes is more than a final record, a provisioning request or a deletion takes
-// in a transaction, in bytes as JSON.
+// smallRecordBytes is an upper bound for the size of a final record, a provisioning request
+// or a deletion in a transaction, in bytes as JSON.
 const smallRecordBytes = 400
 
 // fits reports whether the batch has room for more mutations with the given total size,
@@ -71,9 +71,10 @@
 
 // closeJob replaces the open record of a job by its final record. Segments of the run
 // record that do not fit in the transaction are deleted later: without an open record
-// they have no effect. The transaction also requires that no final record exists yet, so
-// that a conflict shows whether an earlier attempt was executed (see
-// kvstore.Client.CommitUntilKnown).
+// they have no effect. The transaction also requires that no final record exists yet. When
+// a repeated commit conflicts, this precondition shows whether an earlier attempt was
+// executed: if so, the final record exists and the precondition fails; if the precondition
+// holds, no attempt was executed (see kvstore.Client.CommitUntilKnown).
 func (b *commitBatch) closeJob(job *jobState, now time.Time) {
 	if !b.fits(closeMutations+1, closeMutations*smallRecordBytes) {
 		return
@@ -129,8 +130,9 @@
 	}
 }
 
-// addObsolete deletes the records of obsolete requests: the cloud has rejected the
-// request, or a new leader would find its machines without the record.
+// addObsolete deletes the records of obsolete requests. A request is obsolete if the cloud
+// has rejected it, or if a new leader would find all its machines in the machine list or by
+// their heartbeats.
 func (b *commitBatch) addObsolete(requests map[string]*provisioningState) {
 	for _, request := range requests {
 		if request.recorded && request.obsolete && b.fits(1, smallRecordBytes) {
--- a/internal/leader/deprovisioning.go
+++ b/internal/leader/deprovisioning.go
@@ -36,9 +36,9 @@
 }
 
 // deprovisionNext calls the cloud for machines in the queue. One call is in flight at a
-// time, and machines queued meanwhile go into the next: with a call and its retries for
-// each of hundreds of machines, no calls were left for provisioning. Machines with tasks
-// go first, since these tasks start elsewhere only after the answer.
+// time, and machines queued meanwhile go into the next: a call and its retries for each of
+// hundreds of machines would leave no calls for provisioning. Machines with tasks go
+// first, since these tasks start elsewhere only after the answer.
 func (l *Leader) deprovisionNext(now time.Time) {
 	p := &l.provisioner
 	if len(p.deprovisionInFlight) > 0 || len(p.deprovisionQueue) == 0 || now.Before(p.nextDeprovision) {
--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -59,8 +59,9 @@
 }
 
 // stopCommands returns the stops that were ordered within the last tick interval and not
-// sent yet. It sets StopOrderedAt back, so that each is sent directly only once. The
-// replies to heartbeats repeat them.
+// sent yet. It marks each of them as sent by setting StopOrderedAt to one tick interval
+// ago, so that each stop is sent directly only once. The replies to heartbeats repeat the
+// stops.
 func stopCommands(machine *cluster.Machine, now time.Time) (commands []protocol.Command) {
 	for _, placement := range machine.Placements {
 		if placement.Stopping && placement.Sent && now.Sub(placement.StopOrderedAt) < tuning.TickInterval {
@@ -72,12 +73,13 @@
 	return commands
 }
 
-// startCommands returns the recorded starts that may be sent, and withdraws the
-// placements whose starts may no longer be sent.
+// startCommands returns the recorded starts to be sent now, and withdraws the placements
+// whose starts must not be sent any more.
 func (l *Leader) startCommands(machine *cluster.Machine, now time.Time) (commands []protocol.Command) {
-	// During an outage of the store or a pause of this process the job of a start may
-	// have been cancelled. Starts then wait until the store has confirmed again that the
-	// leader has missed neither a newer term nor a cancellation.
+	// A job may be cancelled during an outage of the store or a pause of this process,
+	// and the leader receives the cancellation only afterwards. Starts therefore wait
+	// until the store has confirmed again that the leader has missed neither a newer term
+	// nor a cancellation.
 	mayStart := l.lease.mayStart(now)
 	waiting := machine.Outbox[:0]
 	for _, placement := range machine.Outbox {
@@ -132,7 +134,9 @@
 	}
 	l.applyStatus(machine, result.status, now)
 	if machine.AcknowledgedToken < l.termToken() {
-		machine.NextHandshake = now // refused for a wrong incarnation; the answer names the right one
+		// The agent has not accepted the term's token, because the request carried a wrong
+		// incarnation. The answer names the right one, so a handshake is made at once.
+		machine.NextHandshake = now
 		l.handshake(machine, now)
 	}
 }
@@ -142,7 +146,7 @@
 	handshakeProduction = iota
 	handshakeOtherTasks
 	handshakeWithoutTasks
-	handshakeGroupCount // added for machines that were tried already, which come last
+	handshakeGroupCount // number of the groups above; added for machines that were tried already, so that they come last
 )
 
 // planHandshakes queues the machines that are due for a handshake: those not tried yet
@@ -201,9 +205,10 @@
 
 // handshake sends the term's token to an agent in a request without commands, so that a
 // new leader need not wait for the agent's next heartbeat. An agent refuses a request
-// with a wrong incarnation, and the refusal names the right one. A silent agent that
-// answers after its lease has expired has begun a new incarnation: the agent runs,
-// although none of its heartbeats arrive.
+// with a wrong incarnation, and the refusal names the right one. A silent agent whose lease
+// has expired has begun a new incarnation. Its answer to the handshake names the new
+// incarnation, which proves that the tasks of earlier incarnations have ended. The answer
+// also shows that the agent runs, although none of its heartbeats arrive.
 func (l *Leader) handshake(machine *cluster.Machine, now time.Time) {
 	if !l.needsHandshake(machine, now) {
 		return
--- a/internal/leader/failure_detection.go
+++ b/internal/leader/failure_detection.go
@@ -18,7 +18,7 @@
 }
 
 // unreachableAfter is how long a machine may be silent before the leader sends a direct
-// command to its agent, and before isolated counts the machine as not reporting.
+// command to its agent, and before the method isolated counts the machine as not reporting.
 func (l *Leader) unreachableAfter() time.Duration {
 	return l.heartbeatIntervals(tuning.MissedHeartbeats)
 }
--- a/internal/leader/image_inventory_test.go
+++ b/internal/leader/image_inventory_test.go
@@ -10,7 +10,7 @@
 	"marblehaven/internal/records"
 )
 
-// A new leader takes the images that a machine has cached from the inventory that the
+// A new leader restores the cached images of a machine from the inventory that the
 // previous leader wrote.
 func TestImageInventoryIsInherited(t *testing.T) {
 	leader, now := newLoadedLeader(2, 1)
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -19,7 +19,7 @@
 	acceptedAt  time.Time // wall-clock time
 	cancelled   bool
 	openVersion protocol.Version
-	segments    []runSegment // of the run record, by number; see segment
+	segments    []runSegment // of the run record, by number; the method segment adds missing ones
 
 	pendingDependencies map[protocol.JobID]bool // not known to be done
 	readyAt             time.Time               // when the last dependency was done; acceptedAt if there is none
@@ -40,7 +40,7 @@
 	awaitsOpenRecord bool
 	recordUnreadable bool // a segment of the run record could not be read
 	backoffUntil     time.Time
-	failures         int       // tasks that exited with an error since a task was last done
+	failures         int       // exits of tasks with an error since a task last completed
 	addedAt          time.Time // when this leader added the job
 }
 
@@ -83,7 +83,8 @@
 
 func (j *jobState) isGang() bool { return j.spec.Kind == protocol.KindGang }
 
-// unstarted returns how many tasks are neither done nor possibly on a machine.
+// unstarted returns how many tasks are neither done nor possibly on a machine. Requeued
+// tasks, which were started before, are included.
 func (j *jobState) unstarted() int { return j.spec.Tasks - j.doneCount - len(j.placements) }
 
 // waitingTasks returns how many tasks may be started now. All tasks of a gang start
@@ -129,8 +130,9 @@
 	}
 }
 
-// backOff prevents starts of the job before a time. It never shortens a backoff, which
-// may last until the attempts that an undecodable record names must have ended.
+// backOff prevents starts of the job before a time. backOff never shortens a backoff in
+// force, since that one may be needed until every attempt that an undecodable record may
+// name must have ended (see backOffUnreadable).
 func (j *jobState) backOff(until time.Time) {
 	if until.After(j.backoffUntil) {
 		j.backoffUntil = until
--- a/internal/leader/job_test.go
+++ b/internal/leader/job_test.go
@@ -11,8 +11,8 @@
 	"marblehaven/internal/records"
 )
 
-// In a job restored from its records exactly those tasks wait that are neither done nor
-// possibly on a machine, the lowest numbers first.
+// When a job is restored from its records, the waiting tasks are exactly those that are
+// neither done nor possibly on a machine. The lowest numbers are taken first.
 func TestRestoredJobWaits(t *testing.T) {
 	now := time.Now()
 	open := &records.OpenJob{Job: protocol.Job{ID: "req-1", Kind: protocol.KindArray, Tasks: 10}}
--- a/internal/leader/pending_writes_test.go
+++ b/internal/leader/pending_writes_test.go
@@ -10,9 +10,9 @@
 )
 
 // A job whose tasks are done is closed even if starts could use all of the write budget.
-// Closing takes several mutations and a start only one. Starts once took every mutation
-// as soon as the budget was refilled, so that users were told of completed jobs a minute
-// late. Starts of production jobs are written as soon as the budget has one mutation.
+// Closing takes several mutations and a start only one. If starts took every mutation as
+// soon as the budget is refilled, users would see completed jobs a minute late.
+// Starts of production jobs are written as soon as the budget has one mutation.
 func TestClosingIsNotStarvedByStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, now := newLoadedLeader(8, 2)
--- a/internal/leader/provisioner.go
+++ b/internal/leader/provisioner.go
@@ -84,9 +84,9 @@
 }
 
 // requestMachines creates a request for machines, at most as many as one call may request.
-// The request is sent once it is recorded. The rest is requested after the answer: when a
-// dozen calls were made together, most were refused for the same reason as the first, and
-// a hundred writes a minute were spent on requests that provisioned nothing.
+// The request is sent once it is recorded. The rest is requested after the answer: of
+// a dozen calls made together, most would be refused for the same reason as the first, and
+// a hundred writes a minute would be spent on requests that provision nothing.
 func (l *Leader) requestMachines(pool capacityPool, count int, now time.Time) {
 	l.provisioner.sequence++
 	request := &provisioningState{ProvisioningRequest: records.ProvisioningRequest{
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -143,10 +143,10 @@
 }
 
 // backOffUnreadable prevents starts of a job with an undecodable segment until every
-// attempt that the segment may name must have ended. That takes as long as for attempts
-// on a machine that has sent this leader no heartbeat (see ensureMachine). Then the job
-// starts every task that no decodable segment names. A task that was completed before
-// ends at once as done, since agents keep the results.
+// attempt that the segment may name must have ended. The backoff lasts as long as the wait
+// for attempts on a machine that has sent this leader no heartbeat (see ensureMachine).
+// Then the job starts every task that no decodable segment names. If such a task was
+// completed before, its new attempt ends at once as done, since agents keep the results.
 func (l *Leader) backOffUnreadable(job *jobState) {
 	firstOfTerm := uint64(l.termToken()) + 1 // no earlier attempt has this number
 	job.nextAttempt = max(job.nextAttempt, firstOfTerm)
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -143,8 +143,8 @@
 	return chained
 }
 
-// addJob adds a job to the snapshot. demand holds, by team, what the jobs that were added
-// before request; addJob adds the request of this job's unfinished tasks.
+// addJob adds a job to the snapshot. demand holds, by team, the total request of the jobs
+// added so far; addJob adds the request of this job's unfinished tasks.
 func (b *snapshotBuilder) addJob(job *jobState, chained *scheduler.ChainedJob, demand []scheduler.Resources) {
 	team := b.teams[job.spec.Team]
 	request := job.request()
