--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -14,39 +14,39 @@
 //
 // load is the time that the machines need for all earlier classes, and loadOf returns the
 // time that they need for one job. The result is the load including this class.
-func orderByFeasibility(jobs []Job, class []int, load float64, loadOf func(*Job) float64) float64 {
-	feasibleLoad, postponed := postponeLargest(jobs, class, load, loadOf)
+func orderByFeasibility(jobs []Job, jobIndices []int, load float64, loadOf func(*Job) float64) float64 {
+	feasibleLoad, postponed := postponeLargest(jobs, jobIndices, load, loadOf)
 	if len(postponed) == 0 {
 		return feasibleLoad
 	}
 	slices.SortFunc(postponed, func(a, b postponedJob) int {
 		return cmp.Or(cmp.Compare(a.loadPerWeight, b.loadPerWeight), cmp.Compare(a.position, b.position))
 	})
-	isPostponed := make([]bool, len(class))
+	isPostponed := make([]bool, len(jobIndices))
 	for _, late := range postponed {
 		isPostponed[late.position] = true
 	}
-	reordered := make([]int, 0, len(class))
-	for position, jobIndex := range class {
+	reordered := make([]int, 0, len(jobIndices))
+	for position, jobIndex := range jobIndices {
 		if !isPostponed[position] {
 			reordered = append(reordered, jobIndex)
 		}
 	}
 	for _, late := range postponed {
-		reordered = append(reordered, class[late.position])
+		reordered = append(reordered, jobIndices[late.position])
 		feasibleLoad += late.load
 	}
-	copy(class, reordered)
+	copy(jobIndices, reordered)
 	return feasibleLoad
 }
 
 // postponeLargest adds the jobs of the class one by one. Whenever a job would be late,
 // postponeLargest postpones the job with the largest load per weight among those added so
 // far. It returns the load without the postponed jobs, and the postponed jobs.
-func postponeLargest(jobs []Job, class []int, load float64, loadOf func(*Job) float64) (float64, []postponedJob) {
-	feasible := make(loadHeap, 0, len(class))
+func postponeLargest(jobs []Job, jobIndices []int, load float64, loadOf func(*Job) float64) (float64, []postponedJob) {
+	feasible := make(loadHeap, 0, len(jobIndices))
 	var postponed []postponedJob
-	for position, jobIndex := range class {
+	for position, jobIndex := range jobIndices {
 		job := &jobs[jobIndex]
 		jobLoad := loadOf(job)
 		load += jobLoad
@@ -62,8 +62,8 @@
 }
 
 // addLoads returns the load including a class whose order does not change.
-func addLoads(jobs []Job, class []int, load float64, loadOf func(*Job) float64) float64 {
-	for _, jobIndex := range class {
+func addLoads(jobs []Job, jobIndices []int, load float64, loadOf func(*Job) float64) float64 {
+	for _, jobIndex := range jobIndices {
 		load += loadOf(&jobs[jobIndex])
 	}
 	return load
