--- a/internal/scheduler/eligibility.go
+++ b/internal/scheduler/eligibility.go
@@ -36,8 +36,8 @@
 		return 0
 	}
 	if spec.Spread {
-		// At most half of the tasks may be in one zone. A task on a machine of unknown
-		// zone may be in any zone and counts against each of them.
+		// At most half of the tasks are allowed in one zone. A task on a machine of
+		// unknown zone could be in any zone, so the task counts against each of them.
 		half := (spec.Tasks + 1) / 2
 		return max(0, half-tasksByZone[zone]-tasksByZone[unknownZone])
 	}
--- a/internal/scheduler/eligibility_test.go
+++ b/internal/scheduler/eligibility_test.go
@@ -6,9 +6,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// A task on a machine of unknown zone, as after a failover, may be in any zone. If it did
-// not count in each zone, too many tasks of a spread service would be placed in one zone
-// after a failover.
+// A task on a machine of unknown zone, as after a failover, could be in any zone. If the
+// task did not count in each zone, too many tasks of a spread service would be placed in
+// one zone after a failover.
 func TestUnknownZoneCounts(t *testing.T) {
 	cases := []struct {
 		name        string
--- a/internal/scheduler/exhausted.go
+++ b/internal/scheduler/exhausted.go
@@ -20,8 +20,8 @@
 
 // exhaustedKinds is the set of task kinds for which no capacity was left. The capacity of
 // provisioned machines only shrinks while a plan is made, so further searches for these
-// kinds are skipped. Tasks of a kind in the set for targetBooting are not placed on
-// machines that the plan requests afterwards either.
+// kinds are skipped. If a kind is in the set for targetBooting, its tasks are also not
+// placed on machines that the plan requests afterwards.
 type exhaustedKinds map[taskKind]bool
 
 // contains reports whether an earlier search has shown that the target has no capacity
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -7,13 +7,14 @@
 	"slices"
 )
 
-// orderByFeasibility reorders a class of jobs, sorted by deadline, so that as many jobs
-// as possible, by weight, meet their deadlines (the weighted Moore-Hodgson rule). Jobs
-// that can be in time keep their order; the others follow, the smallest load per weight
-// first.
+// orderByFeasibility reorders a class of jobs, sorted by deadline, by the weighted
+// Moore-Hodgson rule, which aims at the largest total weight of the jobs that meet their
+// deadlines. Jobs that can be in time keep their order; the others follow, the smallest
+// load per weight first.
 //
-// load is the time that the machines need for all earlier classes, and loadOf returns the
-// time that they need for one job. The result is the load including this class.
+// jobIndices lists the jobs of the class. load is the time that the machines need for all
+// earlier classes, and loadOf returns the time that they need for one job. The result is
+// the load including this class.
 func orderByFeasibility(jobs []Job, jobIndices []int, load float64, loadOf func(*Job) float64) float64 {
 	feasibleLoad, postponed := postponeLargest(jobs, jobIndices, load, loadOf)
 	if len(postponed) == 0 {
@@ -69,8 +70,8 @@
 	return load
 }
 
-// postponedJob is a job that is or may be postponed, identified by its position in the
-// class.
+// postponedJob is a job that postponeLargest has postponed or, in a loadHeap, one that it
+// can still postpone. position is the job's position in the class.
 type postponedJob struct {
 	position            int
 	load, loadPerWeight float64
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -107,8 +107,8 @@
 	return p.eligible(machine, job, nil)
 }
 
-// canScaleOutIn reports whether machines of the type, spot instances or others, may be
-// requested in the zone.
+// canScaleOutIn reports whether machines of the type may be requested for the job in the
+// zone, either as spot instances or not.
 func (p *planner) canScaleOutIn(job *pendingJob, typeIndex int, zone string) bool {
 	return p.snapshot.mayRequest(CapacityPool{typeIndex, zone, false}, job.Spec) ||
 		p.snapshot.mayRequest(CapacityPool{typeIndex, zone, true}, job.Spec)
@@ -116,7 +116,7 @@
 
 // reserveInZone counts the gang against the machines of the zone and returns how many of
 // its tasks find no capacity. Capacity is taken from booting machines, and for a starved
-// gang also from machines that are up, which are then kept from scale in.
+// gang also from machines that are up. Scale in does not return those.
 func (p *planner) reserveInZone(job *pendingJob, tasks int, zone zoneConstraint) int {
 	isStarved := job.StarvedS > 0
 	left := tasks
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -27,7 +27,7 @@
 	return snapshot
 }
 
-// gpuGang returns a gang each task of which takes all GPUs of a machine.
+// gpuGang returns a gang whose tasks each take all GPUs of a machine.
 func gpuGang(jobID protocol.JobID, tasks int, starvedS float64) Job {
 	spec := &protocol.Job{
 		ID: jobID, Kind: protocol.KindGang, Priority: protocol.PriorityStandard,
@@ -40,10 +40,10 @@
 	}
 }
 
-// Machines that become free are reserved for a starved gang, also against smaller gangs
-// that would otherwise be scheduled before it. The starved gang starts once it has enough
-// machines. Without the reservation the small gangs take every machine and the starved
-// gang never starts.
+// Machines that become free are reserved for a starved gang. Smaller gangs do not get
+// them, although they would otherwise be scheduled first. The starved gang starts once it
+// has enough machines. Without the reservation the small gangs take every machine and the
+// starved gang never starts.
 func TestStarvedGangGathers(t *testing.T) {
 	snapshot := starvedGangSnapshot()
 	started := false
--- a/internal/scheduler/gpupolicy.go
+++ b/internal/scheduler/gpupolicy.go
@@ -34,8 +34,9 @@
 	return false
 }
 
-// capacityForNonGPUWork returns how many tasks of a job that avoids GPUs a machine with
-// GPUs can take. Services get none, since they do not end until they are cancelled.
+// capacityForNonGPUWork returns how many tasks of the job the machine can take. The job
+// avoids GPUs, and the machine has some. Services get no capacity, since they do not end
+// until they are cancelled.
 func (p *gpuMachinePolicy) capacityForNonGPUWork(machine *Machine, job *pendingJob) int {
 	switch {
 	case job.Spec.Kind == protocol.KindService:
--- a/internal/scheduler/gpuwait.go
+++ b/internal/scheduler/gpuwait.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// gpuReleaseTimes estimates when the work on each machine ends, including the waiting
-// work that has been counted against the machine.
+// gpuReleaseTimes estimates when each machine is released: when its running tasks have
+// ended, and then the waiting jobs for which estimateWaitS has already chosen the machine.
 type gpuReleaseTimes struct {
 	snapshot *Snapshot
 	// releaseS holds the estimate for each machine, in seconds from now. It is computed
@@ -51,7 +51,8 @@
 	return releaseS
 }
 
-// machinesByZone groups the machines that the job may use once they are empty.
+// machinesByZone groups the machines that the job may use once they are empty. If the job
+// does not need a single zone, all of them are in one group, under anyZone.
 func (g *gpuReleaseTimes) machinesByZone(job *Job, zone zoneConstraint) map[zoneConstraint][]int {
 	byZone := map[zoneConstraint][]int{}
 	for i := range g.snapshot.Machines {
@@ -64,15 +65,15 @@
 }
 
 // usableWhenEmpty reports whether the machine is up and can take tasks of the job once it
-// is empty.
+// is empty. A machine that has tasks is up even if it may be given no new ones now.
 func (g *gpuReleaseTimes) usableWhenEmpty(machine *Machine, job *Job) bool {
 	isUp := machine.Schedulable || len(machine.Tasks) > 0
 	return isUp && g.snapshot.typeOf(machine).Capacity.fits(job.Request) && g.snapshot.allowsMachine(job.Spec, machine)
 }
 
-// firstReleased returns the machines that are released first and together hold the tasks,
-// and the time at which the last of them is released, which is +Inf if all machines
-// together are too few.
+// firstReleased chooses machines in the order of their release until the tasks fit on
+// them. It returns the chosen machines and the time until the last of them is released.
+// If all machines together are too few, firstReleased returns none of them and +Inf.
 func (g *gpuReleaseTimes) firstReleased(machines []int, job *Job, tasks int) (used []int, waitS float64) {
 	slices.SortStableFunc(machines, func(a, b int) int { return cmp.Compare(g.releaseS[a], g.releaseS[b]) })
 	missing := tasks
--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -11,8 +11,8 @@
 	"marblehaven/internal/protocol"
 )
 
-// singleClassSnapshot returns a random snapshot of jobs that share a class and differ in
-// their deadlines and in the time that the only core needs for them.
+// singleClassSnapshot returns a random snapshot of one class of jobs and a machine with
+// one core. The jobs differ in their deadlines and in how long the core takes for them.
 func singleClassSnapshot(rng *rand.Rand) *Snapshot {
 	snapshot := &Snapshot{
 		Types:    []MachineType{{Name: "small", Capacity: Resources{Cores: 1, MemGB: 8}, Price: 1}},
@@ -62,8 +62,8 @@
 	return most
 }
 
-// If not all jobs can meet their deadlines, as many meet them as in the best possible
-// order.
+// If the jobs cannot all meet their deadlines, then Order lets as many of them do so as
+// the best possible order would.
 func TestOrderKeepsMostJobsInTime(t *testing.T) {
 	rng := rand.New(rand.NewPCG(11, 12))
 	overloaded := 0
--- a/internal/scheduler/pendingjob.go
+++ b/internal/scheduler/pendingjob.go
@@ -10,8 +10,8 @@
 type pendingJob struct {
 	*Job
 	index int
-	// tasksByZone counts the job's tasks by zone: running tasks, and tasks that the plan
-	// starts, preempts others for or adds machines for.
+	// tasksByZone counts the job's tasks by zone: running tasks, and tasks for which the
+	// plan uses machines that are up or booting, preempts other tasks, or adds machines.
 	tasksByZone map[string]int
 	// avoidsGPUs is set if the job must avoid machines with GPUs.
 	avoidsGPUs bool
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -17,8 +17,8 @@
 	targetReady placementTarget = iota
 	// targetCached selects machines that are up and have or fetch the job's image.
 	targetCached
-	// targetBooting selects machines that are not up yet. Tasks are only counted
-	// against their capacity, so that no further machines are added for them.
+	// targetBooting selects machines that are not up yet. Tasks are only counted against
+	// the capacity of these machines, so that no others are added for the same tasks.
 	targetBooting
 	// targetPreempted selects no machines. In exhaustedKinds it stands for capacity that
 	// preemption makes.
@@ -95,8 +95,8 @@
 
 // fetchesTooMuch reports whether the machine lacks the image and already has so many
 // images to fetch that no other should be added. Fetches share the rate of the machine:
-// with fewer at a time the first ones complete sooner, and tasks that wait meanwhile may
-// find a better machine.
+// with fewer at a time the first ones complete sooner, and tasks that wait meanwhile can
+// still be given a better machine.
 func (p *planner) fetchesTooMuch(machine *Machine, image string) bool {
 	return !machine.hasImage(image) && machine.PendingFetchGB > tuning.FetchAheadS*p.snapshot.typeOf(machine).FetchGBps
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -18,7 +18,7 @@
 	Preemptions []Preemption
 	ScaleOuts   []ScaleOut
 	ScaleIns    []int // machines to return
-	// SlackSpent lists the jobs (by index) whose slack is spent while tasks of theirs
+	// SlackSpent lists the jobs (by index) whose slack is spent while some of their tasks
 	// wait.
 	SlackSpent []int
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -45,7 +45,7 @@
 // findVictims lists the possible victims for one task of a job, the best first. The
 // lowest priority is preempted first, regardless of the lost work: preempting one task of
 // an array delays its whole job, and jobs of higher priorities have a deadline that they
-// may miss.
+// could miss.
 func (p *planner) findVictims(job *pendingJob, target placementTarget) []victim {
 	var victims []victim
 	for _, i := range p.pool.preemptible {
@@ -93,8 +93,9 @@
 }
 
 // isPreemptible reports whether tasks of a job of lower priority may be preempted for
-// another job. A job that is scheduled earlier would take the capacity again at once, and
-// a gang would lose all of its tasks if one were preempted.
+// another job. The result is false if the job of lower priority is scheduled earlier,
+// since that job would take the capacity again at once, and for a gang of several tasks,
+// since the gang would lose all of them if one were preempted.
 func (p *planner) isPreemptible(lowerIndex int, job *pendingJob) bool {
 	lower := &p.snapshot.Jobs[lowerIndex]
 	scheduledBefore := p.orderPosition[lowerIndex] < p.orderPosition[job.index]
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -14,7 +14,8 @@
 		tasksWithinLimit(limit.GPUs, used.GPUs, request.GPUs)))
 }
 
-// charge counts tasks that the plan starts against the quota of their team.
+// charge counts tasks that the plan starts against the quota of their team. Minus with a
+// negative count adds their requests to the use.
 func (q quotas) charge(team int, request Resources, tasks int) {
 	q[team].Used = q[team].Used.Minus(request, -tasks)
 }
--- a/internal/scheduler/reference_test.go
+++ b/internal/scheduler/reference_test.go
@@ -17,7 +17,7 @@
 	machines     []referenceMachine
 	teams        []Team
 	gpuWorkWaits bool
-	// lowestGPUPriority is the priority below which a job must be to run on machines with
+	// lowestGPUPriority is a bound: only jobs of a lower priority may run on machines with
 	// idle GPUs.
 	lowestGPUPriority protocol.PriorityLevel
 	// placed counts tasks by job and machine, see placementKey.
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -41,11 +41,12 @@
 	return r.requests
 }
 
-// shouldScaleOut reports whether machines should be added for the job. For work with GPUs
-// that is so only if a new machine is up before provisioned ones become free for the job
-// (Algorithm 1 of DRPA, steps 12-14: a job waits for a machine that will be free soon):
-// machines with GPUs are expensive and take one task each. For other jobs the result is
-// always true, since small work spreads over all machines that are available.
+// shouldScaleOut reports whether machines should be added for the job. If the job needs
+// GPUs, the result is true only if a new machine is up before provisioned ones become free
+// for the job (Algorithm 1 of DRPA, steps 12-14: a job waits for a machine that will be
+// free soon), because machines with GPUs are expensive and take one task each. For other
+// jobs the result is always true, since small work spreads over all machines that are
+// available.
 func (p *planner) shouldScaleOut(job *Job, tasks int, zone zoneConstraint, bootS float64) bool {
 	return !job.needsGPUs() || p.gpuReleaseTimes.estimateWaitS(job, tasks, zone) > bootS
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -99,8 +99,9 @@
 	}
 }
 
-// tasksWithinQuota returns how many of a job's waiting tasks its team's quota allows. For
-// a gang that is all of them or none, since a gang starts as a whole.
+// tasksWithinQuota returns how many of a job's waiting tasks its team's quota allows. If
+// the quota does not allow all tasks of a gang, the result is 0, since a gang starts as a
+// whole.
 func (p *planner) tasksWithinQuota(job *Job) int {
 	tasks := min(job.Waiting, p.quotas.tasksWithin(job.Team, job.Request))
 	if job.isGang() && tasks < job.Waiting {
--- a/internal/scheduler/slack.go
+++ b/internal/scheduler/slack.go
@@ -6,9 +6,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// workQueue is the work that waits for the provisioned machines, of the jobs that were
-// scheduled so far, in units of the request times seconds. Work with GPUs and other work
-// wait for different machines and are counted separately.
+// workQueue adds up the work that the jobs scheduled so far leave waiting for the
+// provisioned machines, in units of the request times seconds. Work with GPUs and other
+// work wait for different machines and are counted separately.
 type workQueue struct {
 	provisioned provisionedCapacity
 	cores, gpus float64
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -76,7 +76,7 @@
 	Weight float64
 	// StarvedS is by how many seconds the job's wait exceeds the starvation bound.
 	StarvedS float64
-	// MaxWaitExceeded is set if the job has waited longer than any job may
+	// MaxWaitExceeded is set if the job has exceeded the longest wait that is allowed
 	// (tuning.MaxStartWaitS).
 	MaxWaitExceeded bool
 }
@@ -109,9 +109,10 @@
 	// StarvationShare is the share of the provisioned machines that starved jobs may
 	// claim ahead of others.
 	StarvationShare float64
-	// StarvationShareLowestPriority is the share of the provisioned cores that jobs of
-	// the lowest priority may have, including their running tasks, while starved ones
-	// among them are scheduled ahead of others.
+	// StarvationShareLowestPriority is a share of the provisioned cores. Once the running
+	// tasks of the jobs of the lowest priority, and the waiting tasks of those that are
+	// scheduled ahead of others because they are starved, need this share, no further job
+	// of the lowest priority is scheduled ahead. Work with GPUs does not count.
 	StarvationShareLowestPriority float64
 	// LowestGPUPriority is the lowest priority of the jobs with GPUs that have been seen,
 	// -1 if there was none.
--- a/internal/scheduler/zone.go
+++ b/internal/scheduler/zone.go
@@ -6,8 +6,8 @@
 // anyZone is the constraint that allows every zone.
 const anyZone zoneConstraint = ""
 
-// unknownZone is the key under which tasks are counted whose machine is in a zone that is
-// not known yet, as after a failover.
+// unknownZone is the key under which tasks are counted if the zone of their machine is not
+// known yet, as after a failover.
 const unknownZone = ""
 
 // allows reports whether a machine in the zone satisfies the constraint.
