--- a/internal/cluster/fencing.go
+++ b/internal/cluster/fencing.go
@@ -19,8 +19,8 @@
 	// CommandInFlight is true while a direct command is in flight. Each machine has at
 	// most one in flight at a time.
 	CommandInFlight bool
-	// startTokens holds the token that the start of an attempt was sent with, for the
-	// attempts that are placed on the machine or listed in the newest status.
+	// startTokens holds, for each attempt that is placed on the machine or listed in the
+	// newest status, the token that the start of the attempt was sent with.
 	startTokens map[attemptKey]protocol.FencingToken
 }
 
@@ -73,7 +73,7 @@
 	f.startTokens[attemptKey{key, attempt}] = f.IssuedToken
 }
 
-// MayRelease reports whether the agent may forget an exited attempt. It may not while a
+// MayRelease reports whether the agent may forget an exited attempt. It must not while a
 // start of the attempt can still arrive, late or as a copy, because an agent that has
 // forgotten the attempt would run it again. Starts by an earlier leader are not in
 // startTokens; the agent refuses them once it has acknowledged the first token of the
@@ -90,7 +90,7 @@
 // finishCommand records that the direct command in flight has ended. After a start, or
 // after an unknown outcome, finishCommand issues a higher token: an agent that has
 // acknowledged the new token refuses late copies of the command. After an unknown
-// outcome, new work is held back until then.
+// outcome, new work is held back until that acknowledgement.
 func (f *Fencing) finishCommand(hadStarts, outcomeKnown bool) {
 	f.CommandInFlight = false
 	if hadStarts || !outcomeKnown {
--- a/internal/cluster/heartbeat_order.go
+++ b/internal/cluster/heartbeat_order.go
@@ -77,7 +77,7 @@
 // DetectRestart takes a heartbeat that AcceptHeartbeat has refused, and reports whether
 // it proves that the agent has restarted. The first such heartbeat proves nothing, but
 // the reply to it carries a probe token. A late copy was sent before the probe token was
-// issued. Only a running agent that counts from the beginning again can carry the probe
+// issued. Only a running agent that counts from the beginning again can send the probe
 // token in a heartbeat that is not newer than the accepted ones.
 //
 // A proved restart resets the incarnation and the sequence number, and the next applied
--- a/internal/cluster/heartbeat_order_test.go
+++ b/internal/cluster/heartbeat_order_test.go
@@ -8,9 +8,9 @@
 )
 
 // A late copy of a heartbeat proves nothing, however old it is: it does not count as
-// contact and does not make the agent's newest heartbeat look old. Only an agent that has
-// restarted can carry the token from the reply to a heartbeat that is not newer than the
-// accepted ones.
+// contact and does not make the agent's newest heartbeat look old. The reply to a
+// heartbeat that is not newer than the accepted ones carries a probe token. Only an agent
+// that has restarted can send this token in another such heartbeat.
 func TestLateCopyOfHeartbeatProvesNothing(t *testing.T) {
 	machine, placement, now := machineWithStart(t)
 	machine.RecordCommandOutcome(true, true)
@@ -26,7 +26,7 @@
 	}
 	for sequence := uint64(2); sequence < 6; sequence++ {
 		if !accept(newHeartbeat(1, sequence, firstToken+1, running)) {
-			t.Fatal("a new heartbeat was taken for a copy")
+			t.Fatal("a new heartbeat was rejected as a copy")
 		}
 	}
 	for _, sequence := range []uint64{1, 3, 5, 5, 2} {
@@ -114,6 +114,6 @@
 	machine.RecordImageUse("image", 1, 10)
 	machine.ApplyStatus(newHeartbeat(2, 3, machine.IssuedToken), parseTask, now, now.Add(leaseDuration))
 	if len(machine.Images()) != 1 {
-		t.Error("the incarnation after a restart was taken for another restart")
+		t.Error("the incarnation after a restart was treated as another restart")
 	}
 }
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -76,9 +76,10 @@
 		m.requireIssuedToken()
 	}
 	m.restarted = false
-	// The lease of an incarnation counts from the start of the incarnation. With the
-	// expiry of the previous one, the new incarnation of an agent reached by direct
-	// commands only would count as ended, and its tasks would be started twice.
+	// The lease of an incarnation counts from the start of the incarnation. If the expiry
+	// of the previous incarnation were kept, and the agent were reached by direct commands
+	// only, the new incarnation would count as ended, and its tasks would be started
+	// twice.
 	m.extendLease(leaseEnd)
 	return ended
 }
--- a/internal/election/cluster_test.go
+++ b/internal/election/cluster_test.go
@@ -113,8 +113,8 @@
 
 // lead writes as a leader does until its term ends. With endsTermOnConflict it gives up the
 // term, like the real leader, when the precondition on the term key fails. The candidate
-// alone does not always detect that another node has taken the next term: it does not if it
-// keeps a new lease alive, but the transaction that sets the leader key again was lost.
+// alone does not always detect that another node has taken the next term: it fails to if
+// the transaction that sets the leader key again is lost while a new lease is kept alive.
 func (n *node) lead(ctx context.Context, leadership election.Leadership) {
 	n.beginTerm(leadership.Term)
 	for ctx.Err() == nil {
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -13,7 +13,7 @@
 	"marblehaven/internal/tuning"
 )
 
-// keepAlivePath is the last part of the paths of keep-alives, and of no other request.
+// keepAlivePath ends the path of every keep-alive, and of no other request.
 const keepAlivePath = "/touch"
 
 func TestOneOfTwoLeads(t *testing.T) {
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -26,7 +26,7 @@
 	end  context.CancelFunc
 }
 
-// endIfBefore ends the term if another one is higher.
+// endIfBefore ends the term if the other term is higher.
 func (h *heldTerm) endIfBefore(other protocol.Term) {
 	if other > h.term {
 		h.end()
@@ -113,9 +113,9 @@
 	}
 }
 
-// send sends a keep-alive without waiting for those before. When each one waited for the
-// previous one, and one in twenty took a second and a half, the term changed every few
-// seconds.
+// send sends a keep-alive without waiting for those before. If each one waited for the
+// previous one, a slow one would let the lease expire: with one in twenty taking a second
+// and a half, the term changed every few seconds.
 //
 // The goroutine is not awaited when the term ends: its call ends with ctx, the channel
 // always has room for its result, and a late keep-alive does no harm.
