--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -109,10 +109,10 @@
 	// StarvationShare is the share of the provisioned machines that starved jobs may
 	// claim ahead of others.
 	StarvationShare float64
-	// StarvationShareLowestPriority is a share of the provisioned cores. Once the running
-	// tasks of the jobs of the lowest priority, and the waiting tasks of those that are
-	// scheduled ahead of others because they are starved, need this share, no further job
-	// of the lowest priority is scheduled ahead. Work with GPUs does not count.
+	// StarvationShareLowestPriority is a share of the provisioned cores. It limits jobs of
+	// the lowest priority that need no GPUs: once the running tasks of these jobs and the
+	// waiting tasks of the starved ones that are scheduled ahead of others need this share,
+	// no further one is scheduled ahead.
 	StarvationShareLowestPriority float64
 	// LowestGPUPriority is the lowest priority of the jobs with GPUs that have been seen,
 	// -1 if there was none.
