--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -76,7 +76,7 @@
 	Weight float64
 	// StarvedS is by how many seconds the job's wait exceeds the starvation bound.
 	StarvedS float64
-	// MaxWaitExceeded is set if the job has waited longer than any job may
+	// MaxWaitExceeded is set if the job has exceeded the longest wait that is allowed
 	// (tuning.MaxStartWaitS).
 	MaxWaitExceeded bool
 }
@@ -109,9 +109,10 @@
 	// StarvationShare is the share of the provisioned machines that starved jobs may
 	// claim ahead of others.
 	StarvationShare float64
-	// StarvationShareLowestPriority is the share of the provisioned cores that jobs of
-	// the lowest priority may have, including their running tasks, while starved ones
-	// among them are scheduled ahead of others.
+	// StarvationShareLowestPriority is a share of the provisioned cores. It limits jobs of
+	// the lowest priority that need no GPUs: once the running tasks of these jobs and the
+	// waiting tasks of the starved ones that are scheduled ahead of others need this share,
+	// no further one is scheduled ahead.
 	StarvationShareLowestPriority float64
 	// LowestGPUPriority is the lowest priority of the jobs with GPUs that have been seen,
 	// -1 if there was none.
