--- a/internal/server/cluster_deployments_test.go
+++ b/internal/server/cluster_deployments_test.go
@@ -15,6 +15,8 @@
 	{Name: "card", Cores: 16, GPUs: 4, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 9, SpotPrice: 3, BootS: 25, Zones: []string{"a", "b"}},
 }
 
+// testDeployment returns a deployment with three controllers, two zones and two teams. Fields
+// whose names end in S are in seconds.
 func testDeployment() config.Deployment {
 	var d config.Deployment
 	d.Count, d.Zones = 3, []string{"a", "b"}
@@ -30,7 +32,8 @@
 var testLease = time.Duration(testDeployment().Workers.LeaseS * float64(time.Second))
 
 // largeArrayDeployment returns a deployment in which hundreds of tasks of a job run at
-// once, and for which smaller limits of the key-value store are announced.
+// once. Its settings announce smaller limits of the key-value store to the controllers. The
+// store enforces the smaller limits only after a test has called Store.LowerLimits.
 func largeArrayDeployment() config.Deployment {
 	d := testDeployment()
 	d.Teams[0].CoresMax = 400
@@ -40,8 +43,8 @@
 }
 
 // productionSizeDeployment returns five controller names and a deployment in which hundreds
-// of machines are provisioned. The key-value store's rates suffice for that many machines,
-// and smaller limits are announced.
+// of machines are provisioned. The key-value store's rates suffice for that many machines.
+// The settings announce the same smaller limits as those of largeArrayDeployment.
 func productionSizeDeployment() ([]string, config.Deployment) {
 	d := largeArrayDeployment()
 	d.Teams = []config.Team{{Name: "red", GuaranteedCores: 1000, CoresMax: 4000, GuaranteedGPUs: 4, GPUsMax: 16}, {Name: "blue", GuaranteedCores: 1000, CoresMax: 4000}}
--- a/internal/server/cluster_waits_test.go
+++ b/internal/server/cluster_waits_test.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// untilAnotherLeads waits until a controller other than old leads, and returns its name. The
-// old controller may still run its own leader.
+// untilAnotherLeads waits until a controller other than the one named old leads, and returns
+// the name of the new leader's controller. The controller named old possibly still acts as
+// leader at that time, because it has not yet detected that it has lost the term.
 func (c *testCluster) untilAnotherLeads(old string, limit time.Duration) (next string) {
 	c.t.Helper()
 	c.until("a controller other than the old leader leads", limit, func() bool {
--- a/internal/server/leader_failures_test.go
+++ b/internal/server/leader_failures_test.go
@@ -27,7 +27,7 @@
 			c.env.Store.SetOnCommit(func(txn *protocol.Transaction) {
 				c.checkRequiredPreconditions(txn)
 				for _, mutation := range txn.Mutations {
-					if strings.HasSuffix(mutation.Set, "/t") {
+					if strings.HasSuffix(mutation.Set, "/t") { // the key of a run record, which holds placements
 						once.Do(func() { close(placed) })
 					}
 				}
@@ -54,12 +54,12 @@
 		c.until("both replicas run", 2*time.Minute, func() bool { return len(c.env.MachinesOf("req-000001")) == 2 })
 		oldIndex := slices.Index(controllerNames, c.leader())
 		c.kill(controllerNames[oldIndex])
-		c.env.SetAskedNodes(c.env.NodeAddrs()[(oldIndex+1)%3]) // a request to the killed controller would take a second
+		c.env.SetAskedNodes(c.env.NodeAddrs()[(oldIndex+1)%3]) // a request to the killed controller would fail, and users retry only after a second
 		if status, jobStatus := c.env.Cancel("req-000001"); status != 200 || jobStatus.Phase != protocol.PhaseCancelled {
 			t.Fatalf("cancellation of req-000001: status %d and phase %q, want 200 and cancelled", status, jobStatus.Phase)
 		}
 		if c.leader() != "" {
-			t.Fatal("a controller leads already, so the cancellation may not have been without a leader")
+			t.Fatal("a controller leads right after the cancellation, so a leader possibly received it, want no leader")
 		}
 		c.env.SetAskedNodes()
 		time.Sleep(time.Minute)
@@ -69,9 +69,10 @@
 	})
 }
 
-// TestStoreRefusesLeader makes the key-value store refuse only the leader, which is cut off
-// from its peers too. Another controller must take over, and the old leader must stop
-// answering heartbeats in time for a cancelled job's tasks to stop.
+// TestStoreRefusesLeader makes the key-value store refuse the leader but no other controller,
+// and cuts the leader off from its peers. Another controller must take over. A job is then
+// cancelled, and the old leader must stop answering heartbeats early enough for the tasks of
+// that job to end within cancel_s.
 func TestStoreRefusesLeader(t *testing.T) {
 	t.Parallel()
 	run(t, 50, func(c *testCluster) {
@@ -99,8 +100,8 @@
 
 // TestSlowKeepAlives makes every fifth keep-alive of the leader's lease take almost as long
 // as the lease lasts. The leader must send the next keep-alives without waiting for a slow
-// one, so the term does not change. A leader that waited lost its term every eight seconds
-// with a slow key-value store.
+// one, so that the term does not change. In an earlier version the leader waited, and lost
+// its term every eight seconds when the key-value store was slow.
 func TestSlowKeepAlives(t *testing.T) {
 	t.Parallel()
 	run(t, 141, func(c *testCluster) {
@@ -134,7 +135,9 @@
 		})
 		before := c.env.MachinesOf("req-000001")
 		c.env.Store.SetUnavailable("", true)
-		time.Sleep(60 * time.Second) // much longer than the leader lease, which is shorter than cancel_s - lease_s
+		// The outage is much longer than the leader lease, which is shorter than
+		// cancel_s - lease_s, so the leader must extend it without the store.
+		time.Sleep(60 * time.Second)
 		if on := c.env.MachinesOf("req-000001"); !slices.Equal(on, before) {
 			t.Errorf("replicas ran on %v and now run on %v, want no change", before, on)
 		}
@@ -210,11 +213,12 @@
 	})
 }
 
-// TestLeaderWithoutAgents cuts the leader off from all agents and from nothing else, so
-// that the store lets it keep its term. It must give up the term to another controller
-// before the agents' leases end; otherwise every lease would expire and all tasks would
-// stop. A leader that kept its term once took down 0.7 of the replicas for half a minute. If
-// no other controller runs, the controller that gave up the term must lead again.
+// TestLeaderWithoutAgents cuts the leader off from all agents and from nothing else, so that
+// the leader can still renew its term in the store. It must give up the term to another
+// controller before the agents' leases end; otherwise every lease would expire and all tasks
+// would stop. In an earlier version the leader kept its term, and 0.7 of the replicas were
+// down for half a minute. If no other controller runs, the controller that gave up the term
+// must lead again.
 func TestLeaderWithoutAgents(t *testing.T) {
 	t.Parallel()
 	run(t, 139, func(c *testCluster) {
@@ -247,13 +251,14 @@
 	})
 }
 
-// TestControllerRestartsAtOnce restarts leaders within a fraction of a second, also while a
-// term is being taken. A new process finds the lease, the requests and the unfinished
-// campaigns of its predecessor, and some of these requests are executed late or twice. Each
-// term may be held only once.
+// TestControllerRestartsAtOnce restarts leaders within a fraction of a second, also during an
+// election. When a new process starts, the store still holds its predecessor's lease, and the
+// predecessor's requests, those to take a term included, are in part still executed, some of
+// them late or twice. Each term must be held only once.
 func TestControllerRestartsAtOnce(t *testing.T) {
 	t.Parallel()
 	run(t, 135, func(c *testCluster) {
+		// Some commits, lease requests, heartbeats and commands to agents arrive twice.
 		c.network.SetDuplicates(map[string]time.Duration{"/commit": 3 * time.Second, "/grants": 3 * time.Second, "/hello": 40 * time.Second, "/do": 20 * time.Second})
 		transactions := 0
 		c.env.Store.SetLoseReply(func() bool { transactions++; return transactions%4 == 0 })
--- a/internal/server/record_failures_test.go
+++ b/internal/server/record_failures_test.go
@@ -13,9 +13,9 @@
 )
 
 // TestRunRecordDropsEndedTasks checks that ended tasks are removed from the run record even if
-// the job waits for capacity and none of its tasks is started. A new leader takes every
-// recorded task for running until a leader lease and an agent lease have passed: until then
-// it counts the task in the team's quota limit and does not start it again.
+// the job waits for capacity and none of its tasks is started. A new leader must assume that
+// every recorded task runs until a leader lease and an agent lease have passed. Until then
+// the leader counts the task against the team's quota limit and does not start it again.
 func TestRunRecordDropsEndedTasks(t *testing.T) {
 	t.Parallel()
 	run(t, 360, func(c *testCluster) {
@@ -29,15 +29,15 @@
 		time.Sleep(20 * time.Second) // the lease of the killed machine has expired
 		var record records.RunRecord
 		if err := codec.Unmarshal(c.env.Store.Value("o/req-000001/t"), &record); err != nil || len(record.Placements) != 2 || len(c.env.MachinesOf("req-000001")) != 2 {
-			t.Errorf("%d tasks are on machines and the run record places %v, want 2 of both (decoding error: %v)", len(c.env.MachinesOf("req-000001")), record.Placements, err)
+			t.Errorf("%d tasks are on machines, want 2; the run record has the placements %v, want 2 placements (decoding error: %v)", len(c.env.MachinesOf("req-000001")), record.Placements, err)
 		}
 		c.expectRecovery()
 	})
 }
 
-// TestLateSubmitAndCancel checks submissions and cancellations whose commits are delayed
-// until after the reply to the user: the preconditions of the commits decide whether they
-// take effect, and no controller guesses the outcome.
+// TestLateSubmitAndCancel checks submissions and cancellations whose commits reach the store
+// only after the user has received a reply. Whether such a late commit takes effect is decided
+// by its preconditions, and no controller guesses the outcome.
 func TestLateSubmitAndCancel(t *testing.T) {
 	t.Parallel()
 	run(t, 40, func(c *testCluster) {
@@ -100,8 +100,9 @@
 	})
 }
 
-// TestUnreadableRunRecord checks that a new leader does not take a run record that cannot be
-// decoded for an empty one: tasks of the job may run, and would be started a second time.
+// TestUnreadableRunRecord checks that a new leader does not treat a run record that cannot be
+// decoded as empty. Tasks that the record named can still be running, and the leader would
+// start them a second time.
 func TestUnreadableRunRecord(t *testing.T) {
 	t.Parallel()
 	run(t, 130, func(c *testCluster) {
@@ -120,10 +121,11 @@
 	})
 }
 
-// TestRecordChangedBehindLeader checks that the cluster recovers from a run record that
-// something other than the leader has changed. The precondition on that record makes all of
-// the leader's commits fail, those of other jobs included, and must not do so without end.
-// This once happened when the network repeated requests that had been refused.
+// TestRecordChangedBehindLeader checks that the cluster recovers after something other than
+// the leader has changed a run record. The leader's precondition on that record then makes all
+// of its commits fail, those of other jobs included. The leader must recover, so that the
+// commits do not fail without end. A record was once changed in this way when the network
+// repeated requests that had been refused.
 func TestRecordChangedBehindLeader(t *testing.T) {
 	t.Parallel()
 	run(t, 137, func(c *testCluster) {
@@ -136,8 +138,8 @@
 }
 
 // TestUnreadableJobRecord checks that users get an answer about a job whose open record
-// cannot be decoded. The record proves that the job was accepted, so the reply must not be
-// that the job is unknown, and the query must not be refused each time.
+// cannot be decoded. Since the record exists, the job was accepted, so the answer must not be
+// that the job is unknown. A controller must not refuse every status query for the job either.
 func TestUnreadableJobRecord(t *testing.T) {
 	t.Parallel()
 	run(t, 131, func(c *testCluster) {
--- a/internal/server/record_segments_test.go
+++ b/internal/server/record_segments_test.go
@@ -10,9 +10,9 @@
 	"marblehaven/internal/records"
 )
 
-// TestLeaderDiesBetweenRecordSegments checks that a leader that is killed after any
-// transaction that writes, splits or removes segments of a run record leaves records that
-// the next leader reads correctly.
+// TestLeaderDiesBetweenRecordSegments kills leaders between the transactions that write, split
+// or remove segments of a run record. After each kill the next leader must read the records
+// correctly, whichever of these transactions was the last.
 func TestLeaderDiesBetweenRecordSegments(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(4) {
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestUnreadableRecordSegment checks a job with a segment of its run record that cannot be
-// decoded: none of its tasks is started before all tasks that the segment may have named
-// have certainly ended, and the job completes after that.
+// TestUnreadableRecordSegment makes one segment of a job's run record undecodable. The next
+// leader must start none of the job's tasks until all tasks that the segment could have named
+// have certainly ended. The job must complete after that.
 func TestUnreadableRecordSegment(t *testing.T) {
 	t.Parallel()
 	runInDeployment(t, 73, controllerNames, largeArrayDeployment(), func(c *testCluster) {
