--- a/internal/server/cancellation_outage_test.go
+++ b/internal/server/cancellation_outage_test.go
@@ -22,15 +22,16 @@
 	othersContinue bool
 }
 
-// TestCancellationBeforeOutage checks that no task of a job runs for longer than cancel_s
-// after its cancellation was confirmed to the user, although the key-value store fails for
-// longer than cancel_s at that time and the agents keep sending heartbeats to the same leader.
+// TestCancellationBeforeOutage checks that no task of a cancelled job runs for longer than
+// cancel_s after the job's cancellation was confirmed to the user. Right after the confirmation
+// the key-value store fails for longer than cancel_s, while the agents keep sending heartbeats
+// to the same leader.
 //
-// An answered heartbeat renews the agent's lease. The leader may answer heartbeats only while
+// An answered heartbeat renews the agent's lease. The leader answers heartbeats only while
 // its leader lease lasts. The leader lease starts at the latest time for which the leader has
-// all cancellations that the controllers, itself included, had confirmed by then. If the
-// leader can get these cancellations from all controllers, it stops only the cancelled jobs,
-// and all others keep running.
+// received every cancellation that any controller, its own included, had confirmed by then. If
+// the leader can get these cancellations from all controllers, it stops only the cancelled
+// jobs, and all others keep running.
 func TestCancellationBeforeOutage(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []cancellationOutage{
--- a/internal/server/chain_cancellation_test.go
+++ b/internal/server/chain_cancellation_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestCancelledDependenciesWithoutLeader checks that every controller reports a job as
-// cancelled that depends, directly or indirectly, on a cancelled job. There is no leader
-// that could close the dependent jobs.
+// cancelled if the job depends, directly or indirectly, on a cancelled job. There is no
+// leader that could close the dependent jobs.
 func TestCancelledDependenciesWithoutLeader(t *testing.T) {
 	t.Parallel()
 	dep := testDeployment()
--- a/internal/server/chaos_test.go
+++ b/internal/server/chaos_test.go
@@ -50,7 +50,7 @@
 }
 
 // chaosTarget holds the controller, the machine and the kind of cut that a step's failure
-// may use.
+// can use.
 type chaosTarget struct {
 	controller string
 	cutMode    fake.CutMode
--- a/internal/server/commit_outcome_test.go
+++ b/internal/server/commit_outcome_test.go
@@ -61,10 +61,10 @@
 	return status
 }
 
-// TestStartsWithoutRecord checks that the leader does not take a lost transaction for
-// executed if the transaction before it was executed without an answer and then refused when
-// it was sent again. The leader once made this mistake and sent starts that no record names,
-// so that the next leader had no information about the tasks.
+// TestStartsWithoutRecord checks that the leader does not treat a lost transaction as executed
+// if the transaction before it was executed without an answer and then refused when the
+// leader sent it again. An earlier version made this mistake and sent starts that no record
+// named, so that the next leader had no information about the tasks.
 func TestStartsWithoutRecord(t *testing.T) {
 	t.Parallel()
 	runInDeployment(t, 901, controllerNames, largeArrayDeployment(), func(c *testCluster) {
@@ -108,9 +108,9 @@
 	})
 }
 
-// TestJobClosedWithoutRecord checks the same for a lost transaction that closes a job. The
-// leader once took it for executed and the job for done, although its cancellation had been
-// confirmed to the user, and started the job that depends on it.
+// TestJobClosedWithoutRecord checks the same for a lost transaction that closes a job. An
+// earlier version treated the transaction as executed and the job as done, although the job's
+// cancellation had been confirmed to the user, and started the job that depends on it.
 func TestJobClosedWithoutRecord(t *testing.T) {
 	t.Parallel()
 	runInDeployment(t, 903, controllerNames, largeArrayDeployment(), func(c *testCluster) {
--- a/internal/server/compound_failures_test.go
+++ b/internal/server/compound_failures_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// startAfterCancelLimit is how long after a confirmed cancellation a task may still start: its
-// direct command may be in flight, and its image is fetched after that.
+// startAfterCancelLimit is how long after a confirmed cancellation a task is still allowed to
+// start: its direct command can be in flight, and its image is fetched after that.
 const startAfterCancelLimit = 8 * time.Second
 
 // TestCompoundFailures checks recovery from two failures at once, with one case for each pair
--- a/internal/server/compound_machine_cases_test.go
+++ b/internal/server/compound_machine_cases_test.go
@@ -72,7 +72,7 @@
 		return
 	}
 	// If the copy of a heartbeat counted as contact, it would extend the time for which
-	// the leader takes a killed machine's lease for valid.
+	// the leader assumes that a killed machine's lease is valid.
 	c.until("the tasks of the killed machines run elsewhere", testLease+4*time.Second, func() bool { return len(c.env.MachinesOf("req-000001")) == 8 })
 }
 
--- a/internal/server/dependencies_test.go
+++ b/internal/server/dependencies_test.go
@@ -23,7 +23,8 @@
 		c.untilCancelled(10*time.Second, partlyCancelled[1], partlyCancelled[3], partlyCancelled[4])
 		c.untilDone(3*time.Minute, partlyCancelled[2])
 		c.untilDone(5*time.Minute, completed...)
-		// A job that depends on one cancelled long before is accepted and cancelled at once.
+		// A job that depends on a job that was cancelled long before is accepted, and is
+		// cancelled at once.
 		time.Sleep(time.Duration(c.deployment.Workers.CancelS) * time.Second)
 		lateJob := dependingOn(arrayJob(300, "stage", 2), partlyCancelled[0], partlyCancelled[3])
 		c.submit(lateJob, 5)
@@ -108,8 +109,8 @@
 }
 
 // TestDependencyEventLost checks that a job waits for its dependency if the watch has lost the
-// event of the dependency's submission but reported the job's own. The leader then has no
-// entry for the dependency, which does not prove that the dependency is done.
+// event of the dependency's submission but has reported the submission of the job. The leader
+// then has no entry for the dependency, which does not prove that the dependency is done.
 func TestDependencyEventLost(t *testing.T) {
 	t.Parallel()
 	run(t, 64, func(c *testCluster) {
--- a/internal/server/machine_failures_test.go
+++ b/internal/server/machine_failures_test.go
@@ -32,7 +32,7 @@
 
 // TestPartitionAndHangDuringCancellation checks that a machine that is partitioned while the
 // job of its tasks is cancelled has no tasks left once its lease has expired. A machine that
-// hangs and resumes before its lease expires may continue its tasks until then.
+// hangs and resumes before its lease expires is allowed to continue its tasks until then.
 func TestPartitionAndHangDuringCancellation(t *testing.T) {
 	t.Parallel()
 	run(t, 80, func(c *testCluster) {
@@ -119,11 +119,11 @@
 }
 
 // TestManyMachinesDie checks that production tasks run again soon after several of their
-// machines are killed at once, also if the leader is killed with them: as soon as the
-// machines are deprovisioned, which proves that the tasks on them have ended. They must
-// not wait for the agents' leases to expire, nor for leases that an earlier leader may have
-// renewed. When they did, an eighth of the replicas of a large deployment were down for a
-// minute.
+// machines are killed at once, also if the leader is killed with them. The tasks must start
+// again as soon as the machines are deprovisioned, which proves that the tasks on them have
+// ended. The restart must not wait until the agents' leases have expired, nor until leases
+// have expired that an earlier leader could have renewed. In an earlier version it did, and an
+// eighth of the replicas of a large deployment were down for a minute.
 func TestManyMachinesDie(t *testing.T) {
 	t.Parallel()
 	for i, killLeader := range []bool{false, true} {
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestZonePartition checks that no rule is broken while two leaders act, one of which has been
-// deposed but cannot find out: the old leader is partitioned from everything but the
+// TestZonePartition checks that no rule is broken while two leaders act. The old leader has
+// been deposed but cannot detect this, because it is partitioned from everything but the
 // machines, as in a partitioned zone within which the hosts still reach each other.
 func TestZonePartition(t *testing.T) {
 	t.Parallel()
@@ -185,10 +185,10 @@
 	})
 }
 
-// TestAllMachinesDie checks the recovery after all machines are killed. No other controller
-// receives their heartbeats either, so leaders must not keep giving up the term to each
-// other: only a leader that keeps its term until the agents' leases have certainly expired can
-// conclude that the tasks have ended. There were once 95 terms, and the jobs waited without
+// TestAllMachinesDie checks the recovery after all machines are killed. No controller receives
+// heartbeats then, so leaders must not keep giving up the term to each other: only a leader
+// that keeps its term until the agents' leases have certainly expired can conclude that the
+// tasks have ended. In an earlier version there were 95 terms, and the jobs waited without
 // end.
 func TestAllMachinesDie(t *testing.T) {
 	t.Parallel()
@@ -210,7 +210,7 @@
 			c.env.Kill(machine)
 		}
 		time.Sleep(20 * time.Second)
-		c.kill(c.leader()) // the next leader never received a heartbeat of them
+		c.kill(c.leader()) // the next leader has never received a heartbeat of the killed machines
 		time.Sleep(2 * time.Minute)
 		c.env.SetCloudDown(false)
 		c.untilDone(4*time.Minute, c.jobs...)
--- a/internal/server/one_way_partition_test.go
+++ b/internal/server/one_way_partition_test.go
@@ -8,9 +8,9 @@
 	"marblehaven/internal/protocol"
 )
 
-// TestMachineOutboundPartition checks that no task is placed on a machine whose agent reaches
-// no controller, although commands reach it, until its heartbeats arrive again. The agent
-// cannot renew its lease, so tasks started there would be lost.
+// TestMachineOutboundPartition keeps an agent from reaching any controller, while commands
+// still reach the agent. No task must be placed on its machine until its heartbeats arrive
+// again. The agent cannot renew its lease, so tasks started there would be lost.
 func TestMachineOutboundPartition(t *testing.T) {
 	t.Parallel()
 	run(t, 340, func(c *testCluster) {
@@ -41,9 +41,10 @@
 	})
 }
 
-// TestFleetOutboundPartition checks that machines that answer commands are not deprovisioned
-// while no agent can open a connection for much longer than a lease and the grace period
-// after it. All machines were once deprovisioned at the same time and provisioned again.
+// TestFleetOutboundPartition keeps all agents from opening connections for much longer than a
+// lease and the grace period after it, while the machines still answer commands. The machines
+// must not be deprovisioned. In an earlier version all of them were deprovisioned at the same
+// time and provisioned again.
 func TestFleetOutboundPartition(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(2) {
@@ -62,12 +63,12 @@
 				t.Errorf("of the machines %v only %v are up, want all of them", machines, left)
 			}
 			// Each machine loses its tasks once. No task is placed there and lost again, except
-			// by a new leader, which finds out only after some heartbeat intervals.
+			// by a new leader, which detects the missing heartbeats only after some intervals.
 			if n := c.env.LeaseExpiriesWithTasks() - expiriesBefore; n > len(machines)*int(1+seed%2) {
 				t.Errorf("%d leases of %d machines expired with tasks", n, len(machines))
 			}
-			// One leader may give up its term. The next one receives no heartbeats either and
-			// must keep the term.
+			// One leader is allowed to give up its term. The next one receives no heartbeats
+			// either and must keep the term.
 			if n := c.latestTerm() - termBefore; n > protocol.Term(1+seed%2) {
 				t.Errorf("%d new terms since the partition began, which is too many", n)
 			}
@@ -80,9 +81,9 @@
 	}
 }
 
-// TestMachineInboundPartition checks that a machine whose heartbeats arrive, but which
-// receives nothing, loses its tasks when its lease expires. The tasks soon run elsewhere, and
-// no further task is placed on the machine.
+// TestMachineInboundPartition keeps a machine from receiving anything, while its heartbeats
+// still arrive at the controllers. The machine must lose its tasks when its lease expires. The
+// tasks must soon run elsewhere, and no further task must be placed on the machine.
 func TestMachineInboundPartition(t *testing.T) {
 	t.Parallel()
 	run(t, 134, func(c *testCluster) {
--- a/internal/server/production_size_test.go
+++ b/internal/server/production_size_test.go
@@ -18,8 +18,8 @@
 	arraysSubmitted    int
 	pipelinesSubmitted int
 	mustFinishMu       sync.Mutex
-	// mustFinish lists the jobs that must be done at the end, unless one of them or of their
-	// dependencies is cancelled; guarded by mustFinishMu.
+	// mustFinish lists the jobs that must be done at the end, unless they or any of their
+	// dependencies are cancelled; guarded by mustFinishMu.
 	mustFinish []protocol.JobID
 }
 
--- a/internal/server/status_query_load_test.go
+++ b/internal/server/status_query_load_test.go
@@ -76,9 +76,9 @@
 // TestStatusQueriesAfterOutage checks that users soon get answers about all jobs again, and
 // that few requests are throttled, after an outage of the key-value store in which status
 // queries accumulated. Hundreds of jobs wait for others, and the rate of the queries is just
-// within the store's limit. Throttled calls that were repeated time after time, each with all
-// its earlier reads, once kept the store busy for minutes, and some jobs got no answer for
-// longer than users wait.
+// within the store's limit. In an earlier version each throttled call was repeated time after
+// time, with all its earlier reads. These calls kept the store busy for minutes, and some jobs
+// got no answer for longer than users wait.
 func TestStatusQueriesAfterOutage(t *testing.T) {
 	t.Parallel()
 	dep := testDeployment()
--- a/internal/server/upgrade_failures_test.go
+++ b/internal/server/upgrade_failures_test.go
@@ -12,9 +12,9 @@
 )
 
 // TestLimitsBeforeFormat checks the time in which the limits of the key-value store are
-// already smaller but the cluster does not use the new format yet, since one upgraded
+// already smaller but the cluster does not use the new format yet, because one upgraded
 // controller could not record that it reads this format. Running and new jobs complete, and
-// no write that the limits refuse is sent time after time.
+// the leader does not keep sending writes that the store refuses as beyond the limits.
 func TestLimitsBeforeFormat(t *testing.T) {
 	t.Parallel()
 	runUpgrade(t, 71, func(c *testCluster) {
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -71,9 +71,9 @@
 	c.until("the cluster uses the new format", limit, c.usesNewFormat)
 }
 
-// TestUpgrade checks an upgrade of one controller after the other while a large array runs,
-// whose run record exceeds the smaller limits that take effect afterwards. The array keeps
-// running, with its run record in segments that fit.
+// TestUpgrade upgrades one controller after the other while a large array runs. The array's
+// run record exceeds the smaller limits that take effect afterwards. The array must keep
+// running, with its run record in segments that fit these limits.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
 	runUpgrade(t, 70, func(c *testCluster) {
