--- a/internal/fake/agent_heartbeat.go
+++ b/internal/fake/agent_heartbeat.go
@@ -72,7 +72,8 @@
 	nodeRetryInterval = time.Second
 )
 
-// longAgo returns a time that, as that of the last heartbeat, makes the next one due at once.
+// longAgo returns a time so long ago that the next heartbeat is due at once if this time is
+// used as that of the last heartbeat.
 func longAgo() time.Time { return time.Now().Add(-time.Hour) }
 
 // heartbeatDue reports whether the next heartbeat is due: after the configured interval, or
--- a/internal/fake/checker_records.go
+++ b/internal/fake/checker_records.go
@@ -49,7 +49,7 @@
 }
 
 // mayContain reports whether the record names the attempt on the machine. A segment that cannot
-// be decoded counts as naming the attempt, because it may do so.
+// be decoded counts as naming the attempt, because it possibly names it.
 func (r *runRecordReader) mayContain(task *agentTask, machine string) bool {
 	segment := r.segment(task.jobID, task.index)
 	if !segment.readable {
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -95,7 +95,8 @@
 	h.answerUser(jobID, protocol.PhaseCancelled)
 }
 
-// exceedCancelLimit waits until no task of a cancelled job may run any more.
+// exceedCancelLimit waits until the time is over for which tasks of a cancelled job are still
+// allowed to run.
 func exceedCancelLimit() { time.Sleep(cancelLimit + 3*time.Second) }
 
 // checkerTest is a history with the violation that the checker must find in it.
